--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -14,9 +14,28 @@
 import tracemalloc
 from random import Random
 
-from oatcart import interface as our
+from oatcart.events import (
+    EndpointEntry,
+    EndpointListReceived,
+    EndpointLoadReported,
+    Event,
+    ProxyJoined,
+    ProxyLoadReported,
+    UpdateAcknowledged,
+)
+from oatcart.model import (
+    AdmissionMode,
+    ChannelLimits,
+    ControllerSettings,
+    DiscoverySettings,
+    EndpointState,
+    Idempotency,
+    LoadReport,
+    RequestClass,
+    WarmUpLimits,
+)
 from oatcart.net.codec import Codec
-from oatcart.policy import Conductor
+from oatcart.policy import Controller
 from oatcart.tables import Tables
 
 PROXIES, NODES = (100, 400, 1600), (50, 200, 800)
@@ -40,37 +59,38 @@
                 encoded[parts] = self.codec.message(parts)
             self.bytes += len(encoded[parts])
             if parts[-1].mark is not None:
-                self.marks.append(("applied", proxy, parts[-1].mark, 0.3))
+                self.marks.append(UpdateAcknowledged(proxy, parts[-1].mark, 0.3))
 
-    def probe(self, node: int) -> None: ...
+    def check_health(self, node: int) -> None: ...
 
-    def follow(self, on: bool) -> None: ...
+    def watch_endpoints(self, on: bool) -> None: ...
 
-    def fetch_roll(self) -> None: ...
+    def fetch_endpoints(self) -> None: ...
 
-    def wake(self, after: float) -> None: ...
+    def schedule_round(self, after: float) -> None: ...
 
-    def note(self, text: str) -> None: ...
+    def log(self, text: str) -> None: ...
 
 
-def sums(random: Random, proxies: int, nodes: int) -> list[tuple]:
+def sums(random: Random, proxies: int, nodes: int) -> list[Event]:
     """What a look brings: sums of nodes and of proxies, as many as are told."""
-    told: list[tuple] = []
+    told: list[Event] = []
     for _ in range(int(HEARD * LOOK / 2)):
         tried = random.randrange(1, 40)
         told.append(
-            (
-                "met",
+            EndpointLoadReported(
                 random.randrange(nodes),
                 random.randrange(ZONES),
                 1.0,
                 random.uniform(0.05, 0.3),
                 0,
                 tried,
-                (random.randrange(9), None, None),
+                LoadReport(random.randrange(9)),
             )
         )
-        told.append(("came", random.randrange(proxies), random.randrange(KINDS), random.randrange(3), 0, 1.0))
+        told.append(
+            ProxyLoadReported(random.randrange(proxies), random.randrange(KINDS), random.randrange(3), 0, 1.0)
+        )
     return told
 
 
@@ -81,33 +101,38 @@
         Codec([f"k{at}" for at in range(KINDS)], [f"z{at}" for at in range(ZONES)], proxies),
     )
     writer = Writer(codec)
-    module = Conductor(
-        seed=1,
-        kinds=[our.ReqKind(1.0, 0.5, our.REPLAYABLE), our.ReqKind(3.0, 1.0), our.ReqKind(5.0, 1.0)],
-        roll=our.RollManners(),
-        channel=our.ChannelLimits(3700.0, 4.0, 22.0 * proxies, 12, 10.0),
-        cold=our.ColdLimits(17.0, 0.19, 4.0),
+    settings = ControllerSettings(
+        request_classes=(
+            RequestClass(1.0, 0.5, Idempotency.IDEMPOTENT),
+            RequestClass(3.0, 1.0),
+            RequestClass(5.0, 1.0),
+        ),
+        discovery=DiscoverySettings(),
+        channel=ChannelLimits(3700.0, 4.0, 22.0 * proxies, 12, 10.0),
+        warm_up=WarmUpLimits(17.0, 0.19, 4.0),
         report_period=1.0,
-        admitting=our.BY_SHARE,
-        crossing_price=0.12,
-        may_probe=True,
-        grace=max(3.4, proxies / 140),
-        usual_proxies=proxies,
+        admission_mode=AdmissionMode.SHARE,
+        cross_zone_price=0.12,
+        health_checks_allowed=True,
+        drain_deadline=max(3.4, proxies / 140),
+        expected_proxies=proxies,
     )
-    entries = [(codec.place(f"s-{at:08x}"), at % ZONES, 0.0, our.READY, 1.0) for at in range(nodes)]
-    leaving = [
-        (place, zone, started, our.DRAINING, nominal) for place, zone, started, _, nominal in entries[::3]
+    module = Controller(settings, seed=1)
+    entries = [
+        EndpointEntry(codec.place(f"s-{at:08x}"), at % ZONES, 0.0, EndpointState.READY, 1.0)
+        for at in range(nodes)
     ]
+    leaving = [entry._replace(state=EndpointState.DRAINING) for entry in entries[::3]]
     found, now = {}, 100.0
     for phase, lasts in PHASES.items():
-        arrivals: list[tuple] = []
+        arrivals: list[Event] = []
         if phase == "join":
-            arrivals.append(("listed", True, entries))
+            arrivals.append(EndpointListReceived(True, entries))
             for proxy in range(proxies):
                 writer.joined(proxy, False)
-                arrivals.append(("joined", proxy, proxy % ZONES, 1.4, False))
+                arrivals.append(ProxyJoined(proxy, proxy % ZONES, 1.4, False))
         elif phase == "drain":
-            arrivals.append(("listed", False, leaving))
+            arrivals.append(EndpointListReceived(False, leaving))
         longest, whole = 0.0, 0.0
         for _ in range(int(lasts / LOOK)):
             now += LOOK
--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -18,6 +18,7 @@
 
 from hdrh.histogram import HdrHistogram
 
+from oatcart.events import UpdateAcknowledged
 from oatcart.xds.configuration import Xds
 from oatcart.xds.front import CLUSTER, ENDPOINTS, MEMBER
 from oatcart.xds.serve import Conductor
@@ -85,8 +86,8 @@
             self.orders = []
 
         def noted(arrival):
-            if arrival[0] == "applied" and arrival[2] >= FIRST_MARK:
-                self.took.append(arrival[3])
+            if isinstance(arrival, UpdateAcknowledged) and arrival.nonce >= FIRST_MARK:
+                self.took.append(arrival.duration)
             arrive(arrival)
 
         self.one.rounds.call, self.one.rounds.arrive = scripted, noted
--- a/oatcart/handover.py
+++ b/oatcart/handover.py
@@ -1,16 +1,26 @@
 """What both hosts are handed in the same form: the settings object and load reports."""
 
+from dataclasses import replace
 from math import inf
 
-from oatcart import interface as our
+from oatcart.model import (
+    AdmissionMode,
+    ChannelLimits,
+    ControllerSettings,
+    DiscoverySettings,
+    Idempotency,
+    LoadReport,
+    RequestClass,
+    WarmUpLimits,
+)
 
 # any unit: over all that is told, Unix time in ms the largest; sums of more would overflow
 AMOUNT_MOST = 1e13
 # reqs held or waiting, cores in use: more than any node has; one such figure would stand for long
 LOAD_MOST = 1e6
-_REPEATS = {"idempotent": our.REPLAYABLE, "deduplicated": our.UNIQUED}
-_ADMITS = {"fraction": our.BY_SHARE, "per_second": our.BY_RATE}
-# In the order of our.Load: the settings' names, which reports bear on sockets too, and those of the
+_REPEATS = {"idempotent": Idempotency.IDEMPOTENT, "deduplicated": Idempotency.KEYED}
+_ADMITS = {"fraction": AdmissionMode.SHARE, "per_second": AdmissionMode.RATE}
+# In the order of LoadReport: the settings' names, which reports bear on sockets too, and those of the
 # protocol's page
 _LOADS = (("concurrent", "inflight"), ("load_share", "util"), ("depth", "queue"))
 
@@ -38,13 +48,13 @@
     return record(**{key: value for key, value in values.items() if value is not None})
 
 
-def _req_kind(place: int, grade: dict, home: bool, zones: list[str]) -> our.ReqKind:
+def _req_kind(place: int, grade: dict, home: bool, zones: list[str]) -> RequestClass:
     names = grade.get("onlyZones") or []
-    return our.ReqKind(
-        value=grade.get("worth", 1.0),
-        response_target=needed(grade, "aim", f"grades[{place}]") / 1000,
-        repeat=_REPEATS.get(grade.get("idempotency"), our.NON_REPLAYABLE),
-        home_zone=home,
+    return RequestClass(
+        priority_weight=grade.get("worth", 1.0),
+        latency_objective=needed(grade, "aim", f"grades[{place}]") / 1000,
+        idempotency=_REPEATS.get(grade.get("idempotency"), Idempotency.NOT_IDEMPOTENT),
+        own_zone_only=home,
         zones=tuple(
             zones.index(z) if isinstance(z, str) else int(z)
             for z in names
@@ -53,50 +63,50 @@
     )
 
 
-def start_records(settings: dict) -> dict:
+def start_records(settings: dict) -> ControllerSettings:
     """What a conductor is started with beside its seed, each part in a record of its own."""
     plane, rules = settings.get("specifics") or {}, settings.get("rules") or {}
     home = plane.get("zoneBound") or []
-    return dict(
-        kinds=[
+    return ControllerSettings(
+        request_classes=tuple(
             _req_kind(place, grade, place < len(home) and home[place], settings.get("zones") or [])
             for place, grade in enumerate(settings.get("grades") or [])
-        ],
-        roll=our.RollManners(
-            must_ask=settings.get("membershipMode") == "subscribe",
-            nominal_told=settings.get("weights", "off") != "off",
+        ),
+        discovery=DiscoverySettings(
+            must_watch=settings.get("membershipMode") == "subscribe",
+            lists_weights=settings.get("weights", "off") != "off",
         ),
         channel=_given(
-            our.ChannelLimits,
+            ChannelLimits,
             line_rate=needed(plane, "pushRate", "specifics"),
-            head=plane.get("envelope"),
-            queue_most=plane.get("queueCap"),
-            messages_most=plane.get("messagesMost"),
-            messages_over=needed(plane, "updateWindow", "specifics") / 1000
+            message_overhead=plane.get("envelope"),
+            max_queue=plane.get("queueCap"),
+            max_messages=plane.get("messagesMost"),
+            message_window=needed(plane, "updateWindow", "specifics") / 1000
             if plane.get("messagesMost")
             else None,
         ),
-        cold=_given(
-            our.ColdLimits,
-            warm_after=seconds(rules, "cold"),
-            share_at_start=rules.get("coldShare"),
-            fall_multiple=rules.get("tipMultiple"),
+        warm_up=_given(
+            WarmUpLimits,
+            duration=seconds(rules, "cold"),
+            initial_fraction=rules.get("coldShare"),
+            overload_multiple=rules.get("tipMultiple"),
         ),
         report_period=needed(plane, "period", "specifics", 0.0) / 1000,
-        admitting=_ADMITS.get(plane.get("admit"), our.NOT_AT_ALL),
-        crossing_price=(settings.get("penalties") or {}).get("crossZone", 0.0),
-        may_probe=bool((settings.get("policyLimits") or {}).get("probes")),
-        grace=seconds(rules, "stopSendingWithin", inf),
-        usual_proxies=plane.get("proxyCount", 0) / max(1, settings.get("balancers") or 1),
+        admission_mode=_ADMITS.get(plane.get("admit"), AdmissionMode.NONE),
+        cross_zone_price=(settings.get("penalties") or {}).get("crossZone", 0.0),
+        health_checks_allowed=bool((settings.get("policyLimits") or {}).get("probes")),
+        drain_deadline=seconds(rules, "stopSendingWithin", inf),
+        expected_proxies=plane.get("proxyCount", 0) / max(1, settings.get("balancers") or 1),
     )
 
 
-def socket_records(settings: dict) -> dict:
+def socket_records(settings: dict) -> ControllerSettings:
     """The same for a conductor on sockets, where nothing comes unasked, whatever the settings tell of the
     list.
     """
     records = start_records(settings)
-    return records | {"roll": records["roll"]._replace(must_ask=True)}
+    return replace(records, discovery=records.discovery._replace(must_watch=True))
 
 
 def is_amount(value: object) -> bool:
@@ -104,11 +114,11 @@
     return isinstance(value, (int, float)) and not isinstance(value, bool) and 0 <= value <= AMOUNT_MOST
 
 
-def load(report: object) -> our.Load:
+def load(report: object) -> LoadReport:
     """A load report by our names; what is missing, negative, no number or no load is not told."""
     told = report if isinstance(report, dict) else {}
     held, busy, waiting = (
         next((value for name in names if is_amount(value := told.get(name)) and value <= LOAD_MOST), None)
         for names in _LOADS
     )
-    return held, busy, waiting
+    return LoadReport(held, busy, waiting)
--- a/oatcart/net/acceptor.py
+++ b/oatcart/net/acceptor.py
@@ -4,6 +4,7 @@
 import socket
 from collections.abc import Generator
 
+from oatcart.events import ProxyJoined
 from oatcart.net import collector, sidecar, talk
 from oatcart.net.codec import Codec, Odd
 from oatcart.net.conductor import Rounds
@@ -89,13 +90,13 @@
                 self.collectors[stream] = told[1]
                 self._keep_newest(told[1])
                 yield from collector.live(stream, self.codec, self.rounds, self._skipped)
-            elif told[0] == "joined":
-                who = f"proxy {told[1]}"
+            elif isinstance(told, ProxyJoined):
+                who = f"proxy {told.proxy}"
                 del self.strangers[stream]
                 stream.widen()
                 yield from sidecar.live(stream, told, self.codec, self.rounds, self._skipped, self._end)
             else:
-                self._refuse(Odd(f"{told[0]!r} is no first message"))
+                self._refuse(Odd(f"{type(told).__name__} is no first message"))
         except Ended as ended:
             self.log.say("acceptor", f"{who} gone: {ended}")
         finally:
--- a/oatcart/net/codec.py
+++ b/oatcart/net/codec.py
@@ -6,13 +6,20 @@
 
 import orjson
 
-from oatcart import interface as our
+from oatcart.events import (
+    EndpointEntry,
+    EndpointLoadReported,
+    ProxyJoined,
+    ProxyLoadReported,
+    UpdateAcknowledged,
+)
 from oatcart.handover import AMOUNT_MOST, is_amount, load
+from oatcart.model import EndpointState
 from oatcart.net.ending import Ended, Ending
 from oatcart.net.stream import Address
 from oatcart.tables import Part
 
-_STATES = {"SERVING": our.READY, "DRAINING": our.DRAINING, "DELETED": our.GONE}
+_STATES = {"SERVING": EndpointState.READY, "DRAINING": EndpointState.DRAINING, "DELETED": EndpointState.GONE}
 _UNFIT = (KeyError, TypeError, ValueError, AttributeError, OverflowError)  # raised over what does not fit
 PING, PONG = ("ping",), b'{"msg":"pong"}\n'
 COUNT_MOST = 10**7  # reqs of one sum or a second, proxies, marks: more than a fleet meets in any window
@@ -114,8 +121,7 @@
         blank = table.get("standing", False)
         if not isinstance(blank, bool):
             raise TypeError(f"standing {blank!r}")
-        return (
-            "joined",
+        return ProxyJoined(
             self._proxy(table),
             self.zones[table["az"]],
             _amount(table.get("share", 0.0), COUNT_MOST),
@@ -123,15 +129,14 @@
         )
 
     def _applied(self, table: dict) -> tuple:
-        return ("applied", self._proxy(table), _count(table["version"]), _span(table["lag_ms"]))
+        return UpdateAcknowledged(self._proxy(table), _count(table["version"]), _span(table["lag_ms"]))
 
     def _met(self, table: dict) -> tuple:
         tried, errored = _count(table["n"]), _count(table["bad"])
         if errored > tried:
             raise ValueError(f"bad {errored} of {tried}")
         took = _span(table["avg"]) if tried > errored else 0.0  # there is no mean of nothing
-        return (
-            "met",
+        return EndpointLoadReported(
             self.places[table["host"]],
             self.zones[table["az"]],
             _window(table),
@@ -142,8 +147,7 @@
         )
 
     def _came(self, table: dict) -> tuple:
-        return (
-            "came",
+        return ProxyLoadReported(
             self._proxy(table),
             self.kinds[table["kind"]],
             _count(table["n"]),
@@ -170,7 +174,7 @@
                 at = one.get("host_port") and address(one["host_port"])
                 place = self.place(one["id"])  # last: an entry that is left out gets no number
                 roll.addresses.extend([(place, at)] if at else [])
-                roll.entries.append((place, zone, started, state, nominal))
+                roll.entries.append(EndpointEntry(place, zone, started, state, nominal))
             except _UNFIT as error:
                 roll.odd.append(f"{one}: {error!r}"[:ENTRY_SHOWN])
         return roll._replace(whole=roll.whole and not roll.odd)
--- a/oatcart/net/collector.py
+++ b/oatcart/net/collector.py
@@ -2,13 +2,14 @@
 
 from collections.abc import Callable, Generator
 
+from oatcart.events import EndpointLoadReported, ProxyLoadReported
 from oatcart.net import talk
 from oatcart.net.codec import Codec, Odd
 from oatcart.net.conductor import Rounds
 from oatcart.net.loop import Wait
 from oatcart.net.stream import Stream
 
-REPORTS = ("met", "came")
+REPORTS = (EndpointLoadReported, ProxyLoadReported)
 
 
 def live(
@@ -16,7 +17,7 @@
 ) -> Generator[Wait, bool, None]:
     while True:
         told = yield from talk.arrival(stream, codec, skipped)
-        if told[0] in REPORTS:
+        if isinstance(told, REPORTS):
             rounds.arrive(told)
         else:
-            skipped(Odd(f"a collector does not say {told[:2]}"))
+            skipped(Odd(f"a collector does not say {type(told).__name__}"))
--- a/oatcart/net/conductor.py
+++ b/oatcart/net/conductor.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable, Iterator
 from math import inf
 
+from oatcart.events import Event
 from oatcart.net.codec import Codec
 from oatcart.net.ending import Ended
 from oatcart.net.log import Log
@@ -25,7 +26,7 @@
         super().__init__(len(codec.kind_names))
         self.loop, self.log, self.codec, self.least_gap = loop, log, codec, least_gap
         self.offset = unix - loop.now  # the roll tells starts by Unix time; it is read once, so never jumps
-        self.came: deque[tuple] = deque()
+        self.came: deque[Event] = deque()
         self.streams: dict[int, Stream] = {}
         self.lost: list[Stream] = []  # that could not be written to this round
         self.due = self.set_off = False
@@ -40,7 +41,7 @@
         """`end` ends the life of a stream, which tells that its proxy has left."""
         self.end = end
 
-    def arrive(self, arrival: tuple) -> None:
+    def arrive(self, arrival: Event) -> None:
         self.came.append(arrival)
         self.due = True
 
@@ -56,22 +57,22 @@
         self.left(proxy)
         return True
 
-    def probe(self, node: int) -> None:
+    def check_health(self, node: int) -> None:
         self.prober.probe(node)
 
-    def follow(self, on: bool) -> None:
+    def watch_endpoints(self, on: bool) -> None:
         self.watcher.follow(on)
 
-    def fetch_roll(self) -> None:
+    def fetch_endpoints(self) -> None:
         self.watcher.fetch()
 
-    def wake(self, after: float) -> None:
+    def schedule_round(self, after: float) -> None:
         self.loop.at(self.loop.now + after, self._woken)
 
     def _woken(self) -> None:
         self.due = True
 
-    def note(self, text: str) -> None:
+    def log(self, text: str) -> None:
         self.log.say("note", text)
 
     def turn(self) -> None:
@@ -114,9 +115,9 @@
             except Exception:
                 self.log.say("round", f"failed, {len(self.came)} arrivals left\n{traceback.format_exc()}")
                 if not self.came:
-                    return self.wake(FAILED_WAKE)
+                    return self.schedule_round(FAILED_WAKE)
 
-    def _drain(self) -> Iterator[tuple]:
+    def _drain(self) -> Iterator[Event]:
         while self.came:
             yield self.came.popleft()
 
--- a/oatcart/net/ending.py
+++ b/oatcart/net/ending.py
@@ -3,7 +3,7 @@
 import errno
 from enum import Enum
 
-from oatcart import interface as our
+from oatcart.model import HealthCheckOutcome
 
 
 class Ending(Enum):
@@ -30,17 +30,17 @@
 
 # What a probe that ended so has shown of its node; no room here is not the node's fault
 PROBE_OUTCOMES = {
-    Ending.DONE: our.ANSWERED,
-    Ending.DENIED: our.ERRORED,
-    Ending.UNREADABLE: our.ERRORED,
-    Ending.TOO_LONG: our.ERRORED,
-    Ending.CLOSED: our.UNREACHED,
-    Ending.RESET: our.UNREACHED,
-    Ending.REFUSED: our.UNREACHED,
-    Ending.UNREACHED: our.UNREACHED,
-    Ending.SILENT: our.SILENT,
-    Ending.UNREAD: our.SILENT,
-    Ending.CROWDED: our.TURNED_AWAY,
+    Ending.DONE: HealthCheckOutcome.PASSED,
+    Ending.DENIED: HealthCheckOutcome.FAILED,
+    Ending.UNREADABLE: HealthCheckOutcome.FAILED,
+    Ending.TOO_LONG: HealthCheckOutcome.FAILED,
+    Ending.CLOSED: HealthCheckOutcome.UNREACHABLE,
+    Ending.RESET: HealthCheckOutcome.UNREACHABLE,
+    Ending.REFUSED: HealthCheckOutcome.UNREACHABLE,
+    Ending.UNREACHED: HealthCheckOutcome.UNREACHABLE,
+    Ending.SILENT: HealthCheckOutcome.TIMED_OUT,
+    Ending.UNREAD: HealthCheckOutcome.TIMED_OUT,
+    Ending.CROWDED: HealthCheckOutcome.REJECTED,
 }
 
 _ERRORS = {
--- a/oatcart/net/probe.py
+++ b/oatcart/net/probe.py
@@ -2,7 +2,9 @@
 
 from collections.abc import Callable, Generator
 
+from oatcart.events import HealthCheckCompleted
 from oatcart.handover import load
+from oatcart.model import LoadReport
 from oatcart.net.codec import HEALTH_PATH, LOAD_PATH, parsed
 from oatcart.net.ending import PROBE_OUTCOMES, Ended, Ending
 from oatcart.net.http import Client
@@ -33,7 +35,7 @@
         """The life of a probe: dial, ask, and tell the module how it ended. Where the node has another
         address by then, or its number is another's, it has shown nothing of who is there now."""
         address = self.addresses.get(node)
-        began, told, ending = self.loop.now, (None, None, None), Ending.DONE
+        began, told, ending = self.loop.now, LoadReport(), Ending.DONE
         self.under_way += 1
         try:
             if self.under_way > PROBES_MOST or self.loop.open >= self.loop.open_most or address is None:
@@ -49,4 +51,4 @@
         finally:
             self.under_way -= 1
         if self.addresses.get(node) == address:
-            self.arrive(("probed", node, PROBE_OUTCOMES[ending], self.loop.now - began, told))
+            self.arrive(HealthCheckCompleted(node, PROBE_OUTCOMES[ending], self.loop.now - began, told))
--- a/oatcart/net/roll.py
+++ b/oatcart/net/roll.py
@@ -3,6 +3,7 @@
 from collections.abc import Callable, Generator
 from math import inf
 
+from oatcart.events import EndpointListFailed, EndpointListReceived
 from oatcart.net.codec import ROLL_PATH, Codec, Roll, parsed, watch_path
 from oatcart.net.ending import Ended, Ending
 from oatcart.net.http import Client
@@ -55,9 +56,9 @@
         if roll.revision >= self.revision or roll.revision < since:
             self.revision = roll.revision
             self.addresses |= roll.addresses  # of an older list they may be of a node's former life
-            self.arrive(("listed", roll.whole, roll.entries))
+            self.arrive(EndpointListReceived(roll.whole, roll.entries))
         else:
-            self.arrive(("listed", False, []))
+            self.arrive(EndpointListReceived(False, []))
 
     def follow(self, on: bool) -> None:
         self.wanted = on
@@ -111,4 +112,4 @@
 
     def _failed(self, what: str, ended: Ended) -> None:
         self.log.say("roll", f"the {what} ended: {ended}")
-        self.arrive(("unlisted",))
+        self.arrive(EndpointListFailed())
--- a/oatcart/net/sidecar.py
+++ b/oatcart/net/sidecar.py
@@ -2,18 +2,19 @@
 
 from collections.abc import Callable, Generator
 
+from oatcart.events import ProxyJoined, ProxyLeft, ProxyLoadReported, UpdateAcknowledged
 from oatcart.net import talk
 from oatcart.net.codec import Codec, Odd
 from oatcart.net.conductor import Rounds
 from oatcart.net.loop import Wait
 from oatcart.net.stream import Stream
 
-SPEAKS = ("applied", "came")  # what a proxy tells once it has joined
+SPEAKS = (UpdateAcknowledged, ProxyLoadReported)  # what a proxy tells once it has joined
 
 
 def live(
     stream: Stream,
-    joined: tuple,
+    joined: ProxyJoined,
     codec: Codec,
     rounds: Rounds,
     skipped: Callable[[Odd], None],
@@ -22,7 +23,7 @@
     """Tell the module what the proxy says. Its older stream is over: it may have broken and never be seen to
     end.
     """
-    _, proxy, _, _, blank = joined
+    proxy, blank = joined.proxy, joined.unconfigured
     older = rounds.streams.get(proxy)
     rounds.join(proxy, blank, stream)
     rounds.arrive(joined)
@@ -31,13 +32,13 @@
     try:
         while True:
             told = yield from talk.arrival(stream, codec, skipped)
-            if told[0] not in SPEAKS or told[1] != proxy:
-                skipped(Odd(f"proxy {proxy} does not say {told[:2]}"))
+            if not isinstance(told, SPEAKS) or told.proxy != proxy:
+                skipped(Odd(f"proxy {proxy} does not say {type(told).__name__}"))
             # it would pass for an acknowledgement
-            elif told[0] == "applied" and not rounds.asked(proxy, told[2]):
-                skipped(Odd(f"proxy {proxy} was not asked for mark {told[2]}"))
+            elif isinstance(told, UpdateAcknowledged) and not rounds.asked(proxy, told.nonce):
+                skipped(Odd(f"proxy {proxy} was not asked for mark {told.nonce}"))
             else:
                 rounds.arrive(told)
     finally:
         if rounds.leave(proxy, stream):
-            rounds.arrive(("left", proxy))
+            rounds.arrive(ProxyLeft(proxy))
--- a/oatcart/net/start.py
+++ b/oatcart/net/start.py
@@ -17,7 +17,7 @@
 from oatcart.net.probe import Prober
 from oatcart.net.reload import Unusable, reloads
 from oatcart.net.roll import Watcher
-from oatcart.policy import Conductor
+from oatcart.policy import Controller
 
 ITS_OWN = "name", "listen"  # a file in which these differ is another conductor's
 AT_START = ("settings",)  # what is taken from the configuration once
@@ -81,7 +81,7 @@
         rounds.arrive,
     )
     seed = read(cfg, "seed", lambda text: int(text, 16))
-    rounds.start(Conductor(seed=seed, **records).round, watcher, prober)
+    rounds.start(Controller(records, seed).round, watcher, prober)
     acceptor = Acceptor(loop, log, codec, rounds, read(cfg, "limits", descriptors))
     if "known" in cfg:
         watcher.take(read(cfg, "known", codec.roll))
--- a/oatcart/policy.py
+++ b/oatcart/policy.py
@@ -11,7 +11,28 @@
 from random import Random
 from statistics import median
 
-from oatcart import interface as our
+from oatcart.commands import NONCE_COUNT, CommandWriter
+from oatcart.events import (
+    EndpointListFailed,
+    EndpointListReceived,
+    EndpointLoadReported,
+    Events,
+    HealthCheckCompleted,
+    ProxyJoined,
+    ProxyLeft,
+    ProxyLoadReported,
+    UpdateAcknowledged,
+)
+from oatcart.model import (
+    AdmissionMode,
+    ChannelLimits,
+    ControllerSettings,
+    EndpointState,
+    HealthCheckOutcome,
+    Idempotency,
+    LoadReport,
+    RetryPolicy,
+)
 from oatcart.records import LONG_AGO, Node, Proxy, SentRound, Table
 
 # The paper's percentages (AADLB, 3.3); CPU and RAM as one load, bytes sent and received as one
@@ -57,7 +78,7 @@
 
 
 def unusable(node: Node) -> bool:  # withdrawn, draining or gone
-    return node.out or node.state != our.READY
+    return node.out or node.state != EndpointState.READY
 
 
 def clamp(points: float) -> float:
@@ -94,7 +115,7 @@
 
 @dataclass(slots=True)
 class Channel:  # counts lines and messages on their way, so that queue and message cap are kept
-    limits: our.ChannelLimits
+    limits: ChannelLimits
     queued: float = 0.0
     at: float = 0.0
     booked: float = 0.0  # of all time; before this round; what has left by the answers
@@ -116,17 +137,17 @@
         limits = self.limits
         fresh = [proxy for proxy in proxies.values() if not proxy.sent or proxy.sent[-1] < self.at]
         for proxy in fresh:
-            while proxy.sent and proxy.sent[0] < self.at - limits.messages_over:
+            while proxy.sent and proxy.sent[0] < self.at - limits.message_window:
                 proxy.sent.popleft()
-            if limits.messages_most and len(proxy.sent) + 1 >= limits.messages_most * part:  # one is spare
+            if limits.max_messages and len(proxy.sent) + 1 >= limits.max_messages * part:  # one is spare
                 return 0
-        heads = len(fresh) * (limits.head + 1)
+        heads = len(fresh) * (limits.message_overhead + 1)
         costs = list(accumulate(len(proxies) + more for more in told or [0] * lines))
-        if limits.queue_most and proxies:  # all that no answer proves gone may wait still, however slow it is
-            queue = limits.queue_most * QUEUE_PART - (self.booked - self.left)
+        if limits.max_queue and proxies:  # all that no answer proves gone may wait still, however slow it is
+            queue = limits.max_queue * QUEUE_PART - (self.booked - self.left)
             if part not in (URGENT_PART, 1.0):  # what waits delays drains too
                 part = part if part < URGENT_PART else QUEUE_PART
-                queue = min(queue, part * min(limits.queue_most, self.pace * ACK_WAIT) - self.queued)
+                queue = min(queue, part * min(limits.max_queue, self.pace * ACK_WAIT) - self.queued)
             fitting = sum(cost <= queue - heads for cost in costs)
             if fitting < (least or lines):
                 return 0
@@ -140,7 +161,7 @@
     def turn(self, now: float) -> None:  # by the line rate; where answers show a slower channel, by those
         rate, (then, left, waited) = self.limits.line_rate, self.paced
         self.began, self.heads = self.booked, 0
-        if now - self.heard > ACK_LATE + SLOWEST * self.limits.queue_most / rate:
+        if now - self.heard > ACK_LATE + SLOWEST * self.limits.max_queue / rate:
             self.rounds, self.left = [], self.booked  # nobody is left to tell
         unproved = self.booked - self.left
         if now - then >= ACK_LATE:  # all of what waited, or little, shows nothing
@@ -155,7 +176,7 @@
         self.rounds.append(SentRound(mark, self.began, (self.booked - self.began) / self.heads, self.booked))
 
     def answered(self, mark: int) -> None:  # what was sent before has left, of this round what is answered
-        at = (mark - self.rounds[0].mark) % our.MARKS if self.rounds else 0
+        at = (mark - self.rounds[0].mark) % NONCE_COUNT if self.rounds else 0
         if at < len(self.rounds):
             del self.rounds[:at]
             first = self.rounds[0]
@@ -163,47 +184,51 @@
             self.heard = self.at
 
 
-class Conductor:
+class Controller:
     def __init__(
         self,
-        *,
+        settings: ControllerSettings,
         seed: int,
-        kinds: list[our.ReqKind],
-        roll: our.RollManners,
-        channel: our.ChannelLimits,
-        cold: our.ColdLimits,
-        report_period: float,
-        admitting: str,
-        crossing_price: float,
-        may_probe: bool,
-        grace: float = inf,
-        usual_proxies: float = 0.0,
     ) -> None:
-        self.uniform, self.kinds, self.roll, self.cold = Random(seed).uniform, kinds, roll, cold
-        self.period = self.heard_over = report_period  # as set, and as sums in fact cover it
-        self.admitting, self.crossing_price, self.may_probe = admitting, crossing_price, may_probe
-        self.channel, self.nodes, self.proxies = Channel(channel), {}, {}  # by number
-        self.grace, self.usual_proxies, self.parted, self.meant = grace, usual_proxies, False, set()
+        kinds = settings.request_classes
+        self.uniform, self.kinds = Random(seed).uniform, kinds
+        self.roll, self.cold = settings.discovery, settings.warm_up
+        self.period = self.heard_over = settings.report_period  # as set, and as sums in fact cover it
+        self.admitting, self.crossing_price = settings.admission_mode, settings.cross_zone_price
+        self.may_probe = settings.health_checks_allowed
+        self.channel, self.nodes, self.proxies = Channel(settings.channel), {}, {}  # by number
+        self.grace, self.usual_proxies = settings.drain_deadline, settings.expected_proxies
+        self.parted, self.meant = False, set()
+        self._handlers = {
+            EndpointListReceived: self.take_listed,
+            EndpointListFailed: self.take_unlisted,
+            HealthCheckCompleted: self.take_probed,
+            ProxyJoined: self.take_joined,
+            ProxyLeft: self.take_left,
+            UpdateAcknowledged: self.take_applied,
+            EndpointLoadReported: self.take_met,
+            ProxyLoadReported: self.take_came,
+        }
         self.pools, self.works, self.alike = {}, {}, {}  # ready nodes by zones; work, kindred by table
         self.lean, self.bound = {}, set()  # by zone: its part in open tables; zones kinds can't leave
-        self.target = min((req.response_target for req in kinds), default=1.0)  # the mean of what comes
+        self.target = min((req.latency_objective for req in kinds), default=1.0)  # the mean of what comes
         self.tables, self.answers, self.mark = {}, 0.0, 0  # by kinds and nodes; heard of all; the last mark
         self.look_at = self.rescore_at = self.ask_at = self.fetch_at = LONG_AGO
-        self.following, self.ask_wait = not roll.must_ask, ASK_AGAIN
+        self.following, self.ask_wait = not settings.discovery.must_watch, ASK_AGAIN
 
-    def round(self, now: float, arrivals: our.Arrivals, orders: our.OrderWriter) -> None:
+    def round(self, now: float, arrivals: Events, orders: CommandWriter) -> None:
         self.now, self.orders = now, orders
         self.channel.turn(now)
-        for name, *fields in arrivals:
-            getattr(self, "take_" + name)(*fields)
+        for event in arrivals:
+            self._handlers[type(event)](*event)
         self.ask_roll()
         if now >= self.look_at:
             self.look_at = now + LOOK_EVERY - CLOCK_STEP
-            orders.wake(LOOK_EVERY)
+            orders.schedule_round(LOOK_EVERY)
             self.look()
         if self.channel.heads:
-            self.mark = (self.mark + 1) % our.MARKS
-            orders.ask_ack(self.mark, False)
+            self.mark = (self.mark + 1) % NONCE_COUNT
+            orders.request_ack(self.mark, False)
             self.channel.end_round(self.mark)
 
     def look(self) -> None:  # health at each; scores, levels once a second; tables as their pace allows
@@ -212,9 +237,9 @@
         if scored := self.now >= self.rescore_at:
             self.rescore_at = self.now + RESCORE_EVERY - CLOCK_STEP
             for place in (at for at, node in self.pool().items() if node.out and self.may_probe):
-                self.orders.probe(place)
+                self.orders.check_health(place)
             come = [(rate, kind) for proxy in self.proxies.values() for kind, rate in enumerate(proxy.rates)]
-            targets = sum(rate * self.kinds[kind].response_target for rate, kind in come)
+            targets = sum(rate * self.kinds[kind].latency_objective for rate, kind in come)
             self.target = targets / sum(rate for rate, _ in come) if targets else self.target
             self.rescore()
             self.lean_zones()
@@ -233,12 +258,14 @@
         self.drop_gone(all_bound)  # else tables of others may hold them
 
     def ask_roll(self) -> None:  # follow it, asking again with growing waits; now and then fetch it whole
-        if self.roll.must_ask and self.now >= max(self.ask_at, self.fetch_at if self.following else LONG_AGO):
+        if self.roll.must_watch and self.now >= max(
+            self.ask_at, self.fetch_at if self.following else LONG_AGO
+        ):
             self.ask_at, self.fetch_at = self.now + ASK_MOST, self.now + FETCH_EVERY
-            self.orders.fetch_roll() if self.following else self.orders.follow(True)
+            self.orders.fetch_endpoints() if self.following else self.orders.watch_endpoints(True)
 
     def take_unlisted(self) -> None:
-        self.following = not self.roll.must_ask
+        self.following = not self.roll.must_watch
         self.ask_at = self.now + self.ask_wait * self.uniform(0.75, 1.25)
         self.ask_wait = min(ASK_MOST, self.ask_wait * 2)
 
@@ -247,15 +274,19 @@
             self.following, self.ask_wait, self.ask_at = True, ASK_AGAIN, self.now
         self.look_at, self.rescore_at, self.pools = LONG_AGO, LONG_AGO, {}  # a pool gone cold must not wait
         told = {entry[0] for entry in entries} if whole else self.nodes
-        gone = [(at, node.zone, 0.0, our.GONE, 0.0) for at, node in self.nodes.items() if at not in told]
+        gone = [
+            (at, node.zone, 0.0, EndpointState.GONE, 0.0) for at, node in self.nodes.items() if at not in told
+        ]
         for place, zone, started, state, nominal in [*gone, *entries]:
             node = self.nodes.setdefault(place, new_node())
-            if (state == our.READY) != (node.state == our.READY) or node.turned_at == LONG_AGO:
+            if (state == EndpointState.READY) != (
+                node.state == EndpointState.READY
+            ) or node.turned_at == LONG_AGO:
                 node.turned_at = self.now
             node.zone, node.state, node.nominal = zone, state, nominal if nominal > 0 else 1.0
             if started > node.started:
                 node.started, node.share = started, 0.0  # cold it gets less, so owes less
-                self.forget(node, started - max(0.0, RAMP_OVER - RAMP_COLD * (self.cold.warm_after or inf)))
+                self.forget(node, started - max(0.0, RAMP_OVER - RAMP_COLD * (self.cold.duration or inf)))
 
     def forget(self, node: Node, eased_at: float) -> None:  # old evidence is of another life
         node.good = node.took = node.tried = node.errored = 0.0
@@ -265,7 +296,7 @@
 
     def pool(self, zones: tuple[int, ...] = ()) -> dict[int, Node]:  # ready, of some zones or of all
         if zones not in self.pools:
-            ready = ((at, node) for at, node in self.nodes.items() if node.state == our.READY)
+            ready = ((at, node) for at, node in self.nodes.items() if node.state == EndpointState.READY)
             self.pools[zones] = {at: node for at, node in ready if not zones or node.zone in zones}
         return self.pools[zones]
 
@@ -279,7 +310,7 @@
         groups: dict[tuple, tuple[int, ...]] = {}
         for kind, req in enumerate(self.kinds):
             near = zone if self.crossing_price >= NEAR_PRICE and not req.zones else -1
-            open_to = ((zone,), -1) if req.home_zone else (req.zones, near)
+            open_to = ((zone,), -1) if req.own_zone_only else (req.zones, near)
             groups[open_to] = (*groups.get(open_to, ()), kind)
         return {(kinds, zones, near): self.pool(zones) for (zones, near), kinds in groups.items()}
 
@@ -287,7 +318,7 @@
         pools, tables = self.groups(zone), []
         carried = CARRIED_PART * self.grace * self.channel.limits.line_rate  # the rest is for change
         whole, proxies = sum(map(len, pools.values())), max(1.0, self.usual_proxies, len(self.proxies))
-        other = self.channel.limits.head + 1 + len(pools) + len(self.kinds)
+        other = self.channel.limits.message_overhead + 1 + len(pools) + len(self.kinds)
         room = (carried / proxies - other) / (whole * (1 + held) or 1)  # told twice
         for key, pool in pools.items():
             size = inf if proxies * (whole + other) <= carried else max(LINES_LEAST, int(room * len(pool)))
@@ -355,7 +386,7 @@
             told = (joiners[at].held or self.nodes[node].shut for node in table.lines)
             lines = 1 + len(table.lines) + len(table.kinds) + sum(told)
             if at not in table.proxies and self.channel.claim({at: joiners[at]}, lines, RETURNS_PART):
-                self.orders.bind(table.place, at, sum(1 << kind for kind in table.kinds))
+                self.orders.assign_table(table.place, at, sum(1 << kind for kind in table.kinds))
                 table.proxies[at] = joiners[at]
         self.weigh()
         for number, proxy in joiners.items():
@@ -371,7 +402,7 @@
     def take_applied(self, proxy: int, mark: int, took: float) -> None:
         self.channel.answered(mark)
         for table in self.proxies[proxy].tables if proxy in self.proxies else ():
-            if (mark - table.mark) % our.MARKS < our.MARKS // 2:
+            if (mark - table.mark) % NONCE_COUNT < NONCE_COUNT // 2:
                 table.waiting.discard(proxy)
 
     def take_came(self, proxy: int, kind: int, count: int, errored: int, over: float) -> None:
@@ -379,7 +410,7 @@
             self.proxies[proxy].rates[kind] += (count / over - self.proxies[proxy].rates[kind]) / 2
 
     def take_met(
-        self, place: int, zone: int, over: float, took: float, errored: int, tried: int, load: our.Load
+        self, place: int, zone: int, over: float, took: float, errored: int, tried: int, load: LoadReport
     ) -> None:
         node = self.nodes.setdefault(place, new_node())
         self.heard_over += HEARD_STEP * (max(over, self.period) - self.heard_over)
@@ -395,9 +426,9 @@
         if busy is not None:
             node.load = 100.0 * busy if node.load is None else node.load + STEP * (100.0 * busy - node.load)
 
-    def take_probed(self, place: int, outcome: int, took: float, load: our.Load) -> None:
-        if outcome != our.TURNED_AWAY and (node := self.nodes.get(place)):
-            node.passes = node.passes + 1 if outcome == our.ANSWERED else 0
+    def take_probed(self, place: int, outcome: int, took: float, load: LoadReport) -> None:
+        if outcome != HealthCheckOutcome.REJECTED and (node := self.nodes.get(place)):
+            node.passes = node.passes + 1 if outcome == HealthCheckOutcome.PASSED else 0
 
     def judge(self) -> None:  # withdraw on evidence beside the rest; let back after a wait and good probes
         ready = self.pool()
@@ -448,16 +479,22 @@
             due = {at: node for at, node in due.items() if one.lines.get(at, 0) <= one.pending.get(at, inf)}
         part = self.drain_part(due.values(), URGENT_PART if out else RETURNS_PART)
         room = self.channel.claim(self.proxies, len(due), part, min(len(due), DRAINS_LEAST)) if due else 0
-        for place in sorted(due, key=lambda at: (due[at].state == our.READY, due[at].turned_at))[:room]:
+        for place in sorted(due, key=lambda at: (due[at].state == EndpointState.READY, due[at].turned_at))[
+            :room
+        ]:
             due[place].shut_at = self.now if out else inf
-            self.orders.withdraw(place, out)
+            self.orders.set_ejected(place, out)
 
     def drain_part(self, nodes: Iterable[Node], usual: float) -> float:  # drains share late messages
-        told = min([node.turned_at for node in nodes if node.state != our.READY], default=self.now)
+        told = min([node.turned_at for node in nodes if node.state != EndpointState.READY], default=self.now)
         return 1.0 if self.now - told >= DRAIN_WAIT else usual
 
     def drop_gone(self, all_bound: bool) -> None:  # nodes long gone, in nobody's lines; each costs a message
-        gone = [at for at, node in self.nodes.items() if node.state == our.GONE and node.turned_at > LONG_AGO]
+        gone = [
+            at
+            for at, node in self.nodes.items()
+            if node.state == EndpointState.GONE and node.turned_at > LONG_AGO
+        ]
         over = [
             at
             for at in gone
@@ -466,7 +503,7 @@
         ]
         due = any(self.nodes[at].turned_at < self.now - 2 * KEPT_GONE for at in over) and all_bound
         for at in over[: self.channel.claim(self.proxies, len(over), RETURNS_PART, 1) if due else 0]:
-            self.orders.drop(at)
+            self.orders.forget_endpoint(at)
             del self.nodes[at]
 
     def rescore(self) -> None:  # the design's; no reports get the average, listed weights scale by ratio
@@ -479,7 +516,7 @@
         average = sum(sums.values()) / len(sums) if sums else FLAT
         nominal = sum(node.nominal for node in ready) / max(1, len(ready))
         for node in ready:
-            ratio = node.nominal / nominal if self.roll.nominal_told else 1.0
+            ratio = node.nominal / nominal if self.roll.lists_weights else 1.0
             node.score = min(sums.get(id(node), average) * ratio, node.score * RISE_MOST + 1.0)
 
     def lean_zones(self) -> None:  # under more strain than the rest it is not near, and free kinds leave
@@ -498,7 +535,7 @@
             self.lean = {zone: lean / top for zone, lean in self.lean.items()}
 
     def warmth(self, node: Node) -> float:  # the share of its capacity that it surely has, however slow
-        climb, least = node.started and self.cold.warm_after, self.cold.share_at_start
+        climb, least = node.started and self.cold.duration, self.cold.initial_fraction
         return min(1.0, least + (1.0 - least) * max(0.0, self.now - node.started) / climb) if climb else 1.0
 
     def wanted(self, table: Table) -> dict[int, int]:
@@ -518,7 +555,9 @@
 
     def spare_cold(self, table: Table, near: set[int], pool: dict[int, Node], want: dict[int, int]) -> None:
         """Cold nodes get what they surely stand, or no line where two draws would meet it too often."""
-        part = self.cold.fall_multiple * COLD_MARGIN * max(UNHEARD, 1.0 - errors(list(pool.values()), 1.0))
+        part = (
+            self.cold.overload_multiple * COLD_MARGIN * max(UNHEARD, 1.0 - errors(list(pool.values()), 1.0))
+        )
         cold, drop, filled = {}, [], self.filled(table) * self.lets_in(table)
         for close in False, True:  # by warm lines of its like; near ones are met by their own zone's proxies
             like = {at: node for at, node in pool.items() if (node.zone in near) == close}
@@ -545,7 +584,7 @@
         part = self.drain_part([self.nodes[at] for at in due], URGENT_PART)
         room = self.channel.claim(table.proxies, len(due), part, min(len(due), DRAINS_LEAST)) if due else 0
         for at in sorted(due, key=lambda at: max(self.nodes[at].turned_at, self.nodes[at].out_at))[:room]:
-            self.orders.line(table.place, at, 0)
+            self.orders.set_weight(table.place, at, 0)
             del table.lines[at]
 
     def publish(self, table: Table, scored: bool = False, free: bool = True) -> None:
@@ -580,7 +619,7 @@
         sent = {at: changes.pop(at) for at in due[:room]}
         table.pending = changes
         for node, weight in sent.items():
-            self.orders.line(table.place, node, weight)
+            self.orders.set_weight(table.place, node, weight)
         table.lines = {node: weight for node, weight in (table.lines | sent).items() if weight}
         if sent and table.proxies:
             table.mark, table.waiting, table.changed_at = self.mark + 1, set(table.proxies), self.now
@@ -600,19 +639,21 @@
         table.again = table.share >= 1.0 and strained < TRIES_UNDER and errors(pool) > TRIES_OVER + 2 * usual
 
     def set_levels(self, table: Table) -> None:  # least value for its time first; further tries that pay
-        share = self.lets_in(table) if self.admitting != our.NOT_AT_ALL else 1.0
+        share = self.lets_in(table) if self.admitting != AdmissionMode.NONE else 1.0
         work = self.works[table.place]
         left = share * sum(work.values())
-        for kind in sorted(work, key=lambda k: -self.kinds[k].value / self.kinds[k].response_target):
+        for kind in sorted(
+            work, key=lambda k: -self.kinds[k].priority_weight / self.kinds[k].latency_objective
+        ):
             level = max(LEVEL_LEAST, min(1.0, left / work[kind] if work[kind] and share < 1.0 else share))
             left = max(0.0, left - work[kind] * level)
-            again = table.again and share >= 1.0 and self.kinds[kind].repeat == our.REPLAYABLE
-            tries = our.AFTER_ANY if again else our.AFTER_PROOF
+            again = table.again and share >= 1.0 and self.kinds[kind].idempotency == Idempotency.IDEMPOTENT
+            tries = RetryPolicy.ON_FAILURE if again else RetryPolicy.IF_NOT_PROCESSED
             old, way = table.levels.get(kind, (-1.0, -1))
             same = tries == way and (level == old or level < 1.0 and abs(level - old) < LEVEL_STEP)
             if not same and self.channel.claim(table.proxies, 1, URGENT_PART):
                 table.levels[kind] = (level, tries)
-                self.orders.admit(table.place, 1 << kind, self.quota(table, kind, level), tries)
+                self.orders.set_admission(table.place, 1 << kind, self.quota(table, kind, level), tries)
 
     def weigh(self) -> None:  # what comes to each table, and to all of them by what strain lets in
         self.works = {
@@ -621,7 +662,7 @@
         self.whole = sum(sum(self.works[at].values()) * table.share for at, table in self.tables.items())
 
     def offered(self, table: Table, kind: int) -> float:  # s of work a second
-        return self.kinds[kind].response_target * sum(proxy.rates[kind] for proxy in table.proxies.values())
+        return self.kinds[kind].latency_objective * sum(proxy.rates[kind] for proxy in table.proxies.values())
 
     def filled(self, table: Table) -> float:  # so many nodes what comes would fill, by what is let in
         part = sum(self.works.get(table.place, {}).values()) / self.whole if self.whole else 1.0
@@ -635,8 +676,8 @@
         return min(table.share, stands / filled) if 2 * warm < min(filled, len(warmths)) else table.share
 
     def quota(self, table: Table, kind: int, level: float) -> float:  # as proxies take it: a share or a rate
-        if self.admitting != our.BY_RATE or level >= 1.0:
-            return RATE_OPEN if self.admitting == our.BY_RATE else level
+        if self.admitting != AdmissionMode.RATE or level >= 1.0:
+            return RATE_OPEN if self.admitting == AdmissionMode.RATE else level
         rates = sorted(proxy.rates[kind] for proxy in table.proxies.values())
         left = level * sum(rates)
         while rates and rates[0] < left / len(rates):
--- a/oatcart/proxy/again.py
+++ b/oatcart/proxy/again.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from oatcart import interface as our
+from oatcart.model import Idempotency, RetryPolicy
 from oatcart.net.ending import Ending
 
 NEVER_UP = (Ending.REFUSED, Ending.UNREACHED, Ending.CROWDED)  # no connection, so no byte was ever read
@@ -77,12 +77,15 @@
 
 def allowed(req: Req, failed: Try, way: int) -> bool:
     """Whether the way of trying again and the req's own rule let it run once more; time and budget aside."""
-    most = {our.NO_TRY: 0, our.TWO_AFTER_ANY: 2}.get(way, 1)
+    most = {RetryPolicy.NEVER: 0, RetryPolicy.TWICE_ON_FAILURE: 2}.get(way, 1)
     if req.tries > most or failed.answered:
         return False
     if never_ran(failed):
-        return way != our.NO_TRY
-    return way in (our.AFTER_ANY, our.TWO_AFTER_ANY) and req.repeat != our.NON_REPLAYABLE
+        return way != RetryPolicy.NEVER
+    return (
+        way in (RetryPolicy.ON_FAILURE, RetryPolicy.TWICE_ON_FAILURE)
+        and req.repeat != Idempotency.NOT_IDEMPOTENT
+    )
 
 
 def decide(now: float, req: Req, failed: Try, way: int, usual: float, budget: Budget) -> tuple[bool, str]:
@@ -90,7 +93,7 @@
     if not allowed(req, failed, way) or req.deadline - now < WORTH * usual:
         return False, ""
     site = ""
-    if req.repeat == our.UNIQUED and not never_ran(failed):
+    if req.repeat == Idempotency.KEYED and not never_ran(failed):
         if now - req.began >= req.window or now + usual - req.began >= req.window:
             return False, ""  # the key may be forgotten by the time it gets there
         site = failed.site
--- a/oatcart/records.py
+++ b/oatcart/records.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from oatcart import interface as our
+from oatcart.model import EndpointState
 
 LONG_AGO = -1e9  # s; before any start
 
@@ -25,7 +25,7 @@
     hold: float  # s that it stays withdrawn
     loads: deque[float]  # percent, one a second; the last few
     zone: int = 0
-    state: int = our.GONE
+    state: int = EndpointState.GONE
     turned_at: float = LONG_AGO  # when the list last said ready or not (a drain that ends waits on), if ever
     started: float = 0.0  # 0: long ago
     nominal: float = 1.0
--- a/oatcart/scale/hollow.py
+++ b/oatcart/scale/hollow.py
@@ -1,7 +1,7 @@
 """Hollow conductors: hundreds in one process, with the real decision module, order writer, codec and
 watcher.
 
-Real in a hollow conductor: `policy.Conductor`, `net.conductor.Rounds` with its tables, `net.codec.Codec`,
+Real in a hollow conductor: `policy.Controller`, `net.conductor.Rounds` with its tables, `net.codec.Codec`,
 and `net.roll.Watcher` with its HTTP calls on loopback. Left out: the acceptor and the proxies' sockets; its
 proxies stand in the same process, their lines are read by the real codec and the orders' bytes are counted.
 
@@ -19,6 +19,7 @@
 from dataclasses import asdict
 from typing import NamedTuple, TextIO
 
+from oatcart.events import ProxyJoined, UpdateAcknowledged
 from oatcart.handover import seconds, socket_records
 from oatcart.net.codec import Codec, Odd
 from oatcart.net.conductor import Rounds
@@ -27,7 +28,7 @@
 from oatcart.net.probe import Prober
 from oatcart.net.roll import Watcher
 from oatcart.net.start import PROBE_MOST, UNASKED_MOST, WATCH_PART
-from oatcart.policy import Conductor
+from oatcart.policy import Controller
 from oatcart.scale.children import Child, CommandReader, ignore_interrupts, own_usage
 from oatcart.scale.discovery import LOOPBACK, Usage
 from oatcart.scale.peers import TICK_S, ConductorPeers, PeerMessage, PeerSettings, PeerTraffic
@@ -174,7 +175,7 @@
             self.watcher.addresses,
             self.rounds.arrive,
         )
-        module = Conductor(seed=seed, **socket_records(settings))
+        module = Controller(socket_records(settings), seed)
         self.rounds.start(module.round, self.watcher, prober)
         self.rounds.due = True
 
@@ -204,9 +205,13 @@
                     arrival = self.rounds.codec.arrival(memoryview(message.line))
                 except Odd:  # a node that is not listed
                     continue
-                if arrival[0] == "joined":
-                    self.rounds.join(message.proxy, arrival[-1], HollowStream(self.peers, message.proxy))
-                elif arrival[0] == "applied" and not self.rounds.asked(message.proxy, arrival[2]):
+                if isinstance(arrival, ProxyJoined):
+                    self.rounds.join(
+                        message.proxy, arrival.unconfigured, HollowStream(self.peers, message.proxy)
+                    )
+                elif isinstance(arrival, UpdateAcknowledged) and not self.rounds.asked(
+                    message.proxy, arrival.nonce
+                ):
                     continue
                 self.rounds.arrive(arrival)
 
--- a/oatcart/scale/module_rounds.py
+++ b/oatcart/scale/module_rounds.py
@@ -15,9 +15,10 @@
 
 import orjson
 
+from oatcart.events import EndpointListReceived, Event, ProxyJoined
 from oatcart.handover import socket_records
 from oatcart.net.codec import Codec, parsed
-from oatcart.policy import Conductor
+from oatcart.policy import Controller
 from oatcart.scale.children import Child, CommandReader, ignore_interrupts, resident_megabytes
 from oatcart.scale.hollow import peer_settings
 from oatcart.scale.peers import TICK_S, ConductorPeers, PeerMessage, PeerSettings
@@ -41,15 +42,15 @@
                 encoded[parts] = self.codec.message(parts)
             self.peers.take(proxy, encoded[parts])
 
-    def probe(self, node: int) -> None: ...
+    def check_health(self, node: int) -> None: ...
 
-    def follow(self, on: bool) -> None: ...
+    def watch_endpoints(self, on: bool) -> None: ...
 
-    def fetch_roll(self) -> None: ...
+    def fetch_endpoints(self) -> None: ...
 
-    def wake(self, after: float) -> None: ...
+    def schedule_round(self, after: float) -> None: ...
 
-    def note(self, text: str) -> None: ...
+    def log(self, text: str) -> None: ...
 
 
 class ModuleFigures(NamedTuple):
@@ -71,14 +72,14 @@
     hollow_peers = ConductorPeers(peers)
     codec = Codec(peers.routes, settings["zones"], settings["specifics"]["proxyCount"])
     orders = CountingOrders(codec, hollow_peers)
-    module = Conductor(seed=seed, **socket_records(settings))
+    module = Controller(socket_records(settings), seed)
 
-    def one_round(now: float, messages: list[PeerMessage], first: list[tuple]) -> float:
+    def one_round(now: float, messages: list[PeerMessage], first: list[Event]) -> float:
         began = time.process_time()
         arrivals = [*first, *(codec.arrival(memoryview(message.line)) for message in messages)]
         for arrival in arrivals:
-            if arrival[0] == "joined":
-                orders.joined(arrival[1], arrival[-1])
+            if isinstance(arrival, ProxyJoined):
+                orders.joined(arrival.proxy, arrival.unconfigured)
         module.round(now, arrivals, orders)
         orders.tell()
         return time.process_time() - began
@@ -86,7 +87,7 @@
     began = time.process_time()
     roll = codec.roll(parsed(memoryview(body)))
     ready_core_s = time.process_time() - began
-    ready_core_s += one_round(START_S, hollow_peers.joins(), [("listed", roll.whole, roll.entries)])
+    ready_core_s += one_round(START_S, hollow_peers.joins(), [EndpointListReceived(roll.whole, roll.entries)])
     ticks, settling = round((settle_s + quiet_s) / TICK_S), round(settle_s / TICK_S)
     took = [one_round(START_S + TICK_S * tick, hollow_peers.tick(), []) for tick in range(1, ticks + 1)][
         settling:
--- a/oatcart/simhost/host.py
+++ b/oatcart/simhost/host.py
@@ -2,19 +2,33 @@
 
 import json
 
-from oatcart import interface as our
+from oatcart.events import (
+    EndpointEntry,
+    EndpointListFailed,
+    EndpointListReceived,
+    EndpointLoadReported,
+    Event,
+    HealthCheckCompleted,
+    ProxyJoined,
+    ProxyLeft,
+    ProxyLoadReported,
+    UpdateAcknowledged,
+)
 from oatcart.handover import load, start_records
-from oatcart.policy import Conductor
+from oatcart.model import EndpointState, HealthCheckOutcome, LoadReport
+from oatcart.policy import Controller
 from oatcart.simhost import wire
 
 _OUTCOMES = {
-    0: our.ANSWERED,
-    5: our.ERRORED,
-    11: our.TURNED_AWAY,
-    110: our.SILENT,
-    111: our.UNREACHED,
-    104: our.UNREACHED,
+    0: HealthCheckOutcome.PASSED,
+    5: HealthCheckOutcome.FAILED,
+    11: HealthCheckOutcome.REJECTED,
+    110: HealthCheckOutcome.TIMED_OUT,
+    111: HealthCheckOutcome.UNREACHABLE,
+    104: HealthCheckOutcome.UNREACHABLE,
 }
+# Codes over these are states that the endpoint neither is ready in nor gone
+_STATES = {state.value: state for state in EndpointState}
 _FULL, _CACHED, _FAILED = 2, 1, 4
 
 
@@ -24,41 +38,41 @@
     def __init__(self, inst: int, nodes: list[int], reply: list[bytes]) -> None:
         self._inst, self._nodes, self._write = inst, nodes, reply.append
 
-    def line(self, table: int, node: int, weight: float) -> None:
+    def set_weight(self, table: int, node: int, weight: float) -> None:
         self._write(wire.line(self._inst, table, self._nodes[node], weight))
 
-    def blank(self, table: int) -> None:
+    def clear_table(self, table: int) -> None:
         self._write(wire.blank(self._inst, table))
 
-    def bind(self, table: int, proxy: int, kinds: int) -> None:
+    def assign_table(self, table: int, proxy: int, kinds: int) -> None:
         self._write(wire.bind(self._inst, table, proxy, kinds))
 
-    def withdraw(self, node: int, out: bool) -> None:
+    def set_ejected(self, node: int, out: bool) -> None:
         self._write(wire.withdraw(self._inst, self._nodes[node], out))
 
-    def admit(self, table: int, kinds: int, level: float, tries: int) -> None:
+    def set_admission(self, table: int, kinds: int, level: float, tries: int) -> None:
         self._write(wire.admit(self._inst, table, kinds, level, tries))
 
-    def drop(self, node: int) -> None:
+    def forget_endpoint(self, node: int) -> None:
         """Its number stays: the wire's own is a number too, and no instance outlives its day."""
-        self.withdraw(node, False)
+        self.set_ejected(node, False)
 
-    def ask_ack(self, mark: int, everyone: bool) -> None:
+    def request_ack(self, mark: int, everyone: bool) -> None:
         self._write(wire.ask_ack(self._inst, mark, everyone))
 
-    def probe(self, node: int) -> None:
+    def check_health(self, node: int) -> None:
         self._write(wire.probe(self._inst, self._nodes[node]))
 
-    def follow(self, on: bool) -> None:
+    def watch_endpoints(self, on: bool) -> None:
         self._write(wire.follow(self._inst, on))
 
-    def fetch_roll(self) -> None:
+    def fetch_endpoints(self) -> None:
         self._write(wire.fetch(self._inst))
 
-    def wake(self, after: float) -> None:
+    def schedule_round(self, after: float) -> None:
         self._write(wire.wake(self._inst, 0, after * 1000))
 
-    def note(self, text: str) -> None:
+    def log(self, text: str) -> None:
         self._write(wire.note(self._inst, text))
 
 
@@ -68,7 +82,7 @@
     def __init__(self, inst: int, seed: int, params: bytes) -> None:
         settings = json.loads(params)
         self.inst = inst
-        self.conductor = Conductor(seed=seed, **start_records(settings))
+        self.conductor = Controller(start_records(settings), seed)
         self.fields = list((settings.get("report") or {}).get("fields") or [])
         self.nodes: list[int] = []
         self.places: dict[int, int] = {}
@@ -80,47 +94,53 @@
             self.nodes.append(node)
         return self.places[node]
 
-    def load(self, values: tuple[float, ...]) -> our.Load:
+    def load(self, values: tuple[float, ...]) -> LoadReport:
         return load(dict(zip(self.fields, values, strict=False)))
 
-    def arrival(self, record: tuple) -> tuple | None:
+    def arrival(self, record: tuple) -> Event | None:
         """A wire record as the module is told of it; None for what it has no use for."""
         name, fields = record[0], record[2:]
         if name == "listed":
             mode, _, entries = fields
             if mode == _FAILED:
-                return ("unlisted",)
-            return (
-                "listed",
+                return EndpointListFailed()
+            return EndpointListReceived(
                 mode in (_FULL, _CACHED),
                 [
-                    (self.place(node), zone, started / 1000, state, nominal)
+                    EndpointEntry(
+                        self.place(node),
+                        zone,
+                        started / 1000,
+                        _STATES.get(state, EndpointState.DRAINING),
+                        nominal,
+                    )
                     for node, zone, started, state, _, nominal, _ in entries
                 ],
             )
         if name == "met":
             over, took, errored, tried, node, zone, values = fields
-            return (name, self.place(node), zone, over / 1000, took / 1000, errored, tried, self.load(values))
+            return EndpointLoadReported(
+                self.place(node), zone, over / 1000, took / 1000, errored, tried, self.load(values)
+            )
         if name == "came":
             proxy, kind, count, errored, over = fields
-            return (name, proxy, kind, count, errored, over / 1000)
+            return ProxyLoadReported(proxy, kind, count, errored, over / 1000)
         if name == "probed":
             node, status, took, values = fields
-            return (
-                name,
+            return HealthCheckCompleted(
                 self.place(node),
-                _OUTCOMES.get(status, our.TURNED_AWAY),
+                _OUTCOMES.get(status, HealthCheckOutcome.REJECTED),
                 took / 1000,
                 self.load(values),
             )
         if name == "joined":
             blank, proxy, zone, usual = fields
-            return (name, proxy, zone, usual, bool(blank))
+            return ProxyJoined(proxy, zone, usual, bool(blank))
         if name == "applied":
             proxy, mark, took = fields
-            return (name, proxy, mark, took / 1000)
+            return UpdateAcknowledged(proxy, mark, took / 1000)
         if name == "left":
-            return (name, *fields)
+            return ProxyLeft(*fields)
         return None
 
 
@@ -133,7 +153,7 @@
     def answer(self, clock: float, records: list[tuple]) -> tuple[int, bytes]:
         """The records of the reply to one batch: their number and their bytes."""
         reply: list[bytes] = []
-        arrivals: dict[int, list[tuple]] = {}
+        arrivals: dict[int, list[Event]] = {}
         for record in records:
             name, inst = record[:2]
             if name == "start":
--- a/oatcart/tables.py
+++ b/oatcart/tables.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from oatcart import interface as our
+from oatcart.commands import ALL_TABLES, NONCE_COUNT
 
 
 class Part(NamedTuple):
@@ -75,7 +75,7 @@
     def _table(self, table: int) -> Table:
         return self.tables.setdefault(table, Table())
 
-    def line(self, table: int, node: int, weight: float) -> None:
+    def set_weight(self, table: int, node: int, weight: float) -> None:
         one = self._table(table)
         self.altered.add(table)
         one.changed[node] = weight
@@ -84,11 +84,11 @@
         else:
             one.lines.pop(node, None)
 
-    def blank(self, table: int) -> None:
+    def clear_table(self, table: int) -> None:
         self.tables[table] = Table(emptied=True, proxies=self._table(table).proxies)
         self.altered.add(table)
 
-    def bind(self, table: int, proxy: int, kinds: int) -> None:
+    def assign_table(self, table: int, proxy: int, kinds: int) -> None:
         if proxy not in self.proxies:
             return
         self._table(table)
@@ -102,17 +102,17 @@
         self.tables[table].proxies.add(proxy)
         self.rebound.setdefault(proxy, set()).add(table)
 
-    def withdraw(self, node: int, out: bool) -> None:
+    def set_ejected(self, node: int, out: bool) -> None:
         (self.shut.add if out else self.shut.discard)(node)
         self.turned.append(node)
 
-    def drop(self, node: int) -> None:
+    def forget_endpoint(self, node: int) -> None:
         """Let back first; its number may be another's from the next round on."""
-        self.withdraw(node, False)
+        self.set_ejected(node, False)
         self.dropped.append(node)
 
-    def admit(self, table: int, kinds: int, level: float, tries: int) -> None:
-        every = table == our.ALL_TABLES
+    def set_admission(self, table: int, kinds: int, level: float, tries: int) -> None:
+        every = table == ALL_TABLES
         levels = self.for_all if every else self._table(table).levels
         told = self.all_relevelled if every else self._table(table).relevelled
         for kind in _places(kinds or self.all_kinds):
@@ -120,13 +120,13 @@
             told.add(kind)
         self.altered.update([] if every else [table])
 
-    def ask_ack(self, mark: int, everyone: bool) -> None:
+    def request_ack(self, mark: int, everyone: bool) -> None:
         self.mark, self.mark_all = mark, everyone
 
     def asked(self, proxy: int, mark: int) -> bool:
         """Whether this mark, or a later one, was asked for on the proxy's stream."""
         last = self.proxies[proxy].mark
-        return last is not None and mark < our.MARKS and (last - mark) % our.MARKS < our.MARKS // 2
+        return last is not None and mark < NONCE_COUNT and (last - mark) % NONCE_COUNT < NONCE_COUNT // 2
 
     def messages(self) -> Iterator[tuple[int, tuple[Part, ...]]]:
         """One message for each proxy concerned; afterwards the round's changes are told."""
--- a/oatcart/trace/generate.py
+++ b/oatcart/trace/generate.py
@@ -4,15 +4,33 @@
 from collections.abc import Iterator
 from random import Random
 
-from oatcart import interface as our
-from oatcart.policy import Conductor
+from oatcart.events import (
+    EndpointEntry,
+    EndpointListReceived,
+    EndpointLoadReported,
+    ProxyJoined,
+    ProxyLoadReported,
+    UpdateAcknowledged,
+)
+from oatcart.model import (
+    AdmissionMode,
+    ChannelLimits,
+    ControllerSettings,
+    DiscoverySettings,
+    EndpointState,
+    Idempotency,
+    LoadReport,
+    RequestClass,
+    WarmUpLimits,
+)
+from oatcart.policy import Controller
 from oatcart.trace.records import DENIED, DONE, ERRORED, REQ, TRY, make
 from oatcart.trace.tap import Tap, start_record
 
 KINDS = [
-    ("lookup", our.ReqKind(1.0, 0.5, our.REPLAYABLE), 0.8),
-    ("slot-update", our.ReqKind(2.0, 1.0, our.UNIQUED), 0.15),
-    ("fee-charge", our.ReqKind(3.0, 1.0, our.NON_REPLAYABLE), 0.05),
+    ("lookup", RequestClass(1.0, 0.5, Idempotency.IDEMPOTENT), 0.8),
+    ("slot-update", RequestClass(2.0, 1.0, Idempotency.KEYED), 0.15),
+    ("fee-charge", RequestClass(3.0, 1.0, Idempotency.NOT_IDEMPOTENT), 0.05),
 ]
 ZONES = ["east", "west"]
 NODES, PROXIES, PERIOD = 12, 150, 1.0  # nodes, proxies, s between reports
@@ -24,13 +42,13 @@
     def __init__(self) -> None:
         self.weights, self.marks, self.out = {}, [], set()
 
-    def line(self, table: int, node: int, weight: float) -> None:
+    def set_weight(self, table: int, node: int, weight: float) -> None:
         self.weights[node] = weight
 
-    def withdraw(self, node: int, out: bool) -> None:
+    def set_ejected(self, node: int, out: bool) -> None:
         (self.out.add if out else self.out.discard)(node)
 
-    def ask_ack(self, mark: int, everyone: bool) -> None:
+    def request_ack(self, mark: int, everyone: bool) -> None:
         self.marks.append(mark)
 
     def __getattr__(self, name: str):
@@ -42,25 +60,27 @@
 ) -> Iterator[tuple]:
     """Records as a writer takes them, in order of time: a conductor's rounds, and reqs of its proxies."""
     rng, out = Random(seed), []
-    told = dict(
-        kinds=[kind for _, kind, _ in KINDS],
-        roll=our.RollManners(),
-        channel=our.ChannelLimits(1e5, 4, 1e5, 40, 10.0),
-        cold=our.ColdLimits(16.0, 0.2, 4.0),
+    told = ControllerSettings(
+        request_classes=tuple(kind for _, kind, _ in KINDS),
+        discovery=DiscoverySettings(),
+        channel=ChannelLimits(1e5, 4, 1e5, 40, 10.0),
+        warm_up=WarmUpLimits(16.0, 0.2, 4.0),
         report_period=PERIOD,
-        admitting=our.BY_SHARE,
-        crossing_price=0.1,
-        may_probe=True,
+        admission_mode=AdmissionMode.SHARE,
+        cross_zone_price=0.1,
+        health_checks_allowed=True,
     )
     names = {place: f"{ZONES[place % 2]}-{place:02}" for place in range(NODES)}
     host, now, wall = _Host(), begin, 1.7e9
-    tap = Tap(Conductor(seed=seed, **told).round, out.append, lambda: now + wall)
+    tap = Tap(Controller(told, seed).round, out.append, lambda: now + wall)
     yield start_record(now, instance, seed, told, {"kinds": [name for name, *_ in KINDS], "zones": ZONES})
     for place, name in names.items():
         tap.name(now, place, name)
     came = [
-        ("listed", True, [(place, place % 2, 0.0, our.READY, 1.0) for place in range(NODES)]),
-        *(("joined", proxy, proxy % 2, a_second / PROXIES, True) for proxy in range(PROXIES)),
+        EndpointListReceived(
+            True, [EndpointEntry(place, place % 2, 0.0, EndpointState.READY, 1.0) for place in range(NODES)]
+        ),
+        *(ProxyJoined(proxy, proxy % 2, a_second / PROXIES, True) for proxy in range(PROXIES)),
     ]
     ids, look, due, next_req = [0] * PROXIES, begin, begin, begin
     met: dict[tuple, list] = {}
@@ -76,21 +96,20 @@
         if now >= due:
             due += PERIOD
             came += [
-                (
-                    "met",
+                EndpointLoadReported(
                     node,
                     zone,
                     PERIOD,
                     took / max(1, good),
                     errored,
                     good + errored,
-                    (None, rng.uniform(0.2, 0.7), None),
+                    LoadReport(None, rng.uniform(0.2, 0.7), None),
                 )
                 for (node, zone), (good, errored, took) in sorted(met.items())
             ]
-            came += [("came", proxy, 0, rng.randrange(1, 8), 0, PERIOD) for proxy in range(PROXIES)]
+            came += [ProxyLoadReported(proxy, 0, rng.randrange(1, 8), 0, PERIOD) for proxy in range(PROXIES)]
             met.clear()
-        came += [("applied", proxy, mark, 0.05) for mark in host.marks for proxy in range(PROXIES)]
+        came += [UpdateAcknowledged(proxy, mark, 0.05) for mark in host.marks for proxy in range(PROXIES)]
         host.marks = []
         tap.round(now, iter(came), host)
         came = []
@@ -104,11 +123,13 @@
     proxy, at = rng.randrange(PROXIES), rng.choices(range(len(KINDS)), shares)[0]
     kind, req, _ = KINDS[at]
     ids[proxy] += 1
-    key = b"" if req.repeat == our.REPLAYABLE else rng.randbytes(8)
+    key = b"" if req.idempotency == Idempotency.IDEMPOTENT else rng.randbytes(8)
     open_to = [node for node, weight in host.weights.items() if weight > 0 and node not in host.out]
     who = f"proxy-{proxy:03}"
     if not open_to:
-        yield make(REQ, now, ids[proxy], key, who, kind, ZONES[proxy % 2], "", DENIED, 0.0, 0, req.value)
+        yield make(
+            REQ, now, ids[proxy], key, who, kind, ZONES[proxy % 2], "", DENIED, 0.0, 0, req.priority_weight
+        )
         return
     tries = 0
     while True:
@@ -118,7 +139,7 @@
         row = met.setdefault((node, proxy % 2), [0, 0, 0.0])
         row[1 if fails else 0] += 1
         row[2] += 0.0 if fails else took
-        if fails and tries == 1 and req.repeat == our.REPLAYABLE:
+        if fails and tries == 1 and req.idempotency == Idempotency.IDEMPOTENT:
             yield make(TRY, now, ids[proxy], key, who, kind, tries, names[node], "RESET", took)
             continue
         yield make(
@@ -133,6 +154,6 @@
             ERRORED if fails else DONE,
             took,
             tries,
-            req.value,
+            req.priority_weight,
         )
         return
--- a/oatcart/trace/tap.py
+++ b/oatcart/trace/tap.py
@@ -2,30 +2,80 @@
 precision.
 """
 
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Iterator, Sequence
 from hashlib import blake2b
+from math import inf
 from pathlib import Path
 
-from oatcart import interface as our
 from oatcart import policy
+from oatcart.commands import CommandWriter
+from oatcart.events import (
+    EndpointEntry,
+    EndpointListFailed,
+    EndpointListReceived,
+    EndpointLoadReported,
+    Event,
+    Events,
+    HealthCheckCompleted,
+    ProxyJoined,
+    ProxyLeft,
+    ProxyLoadReported,
+    UpdateAcknowledged,
+)
+from oatcart.model import (
+    ChannelLimits,
+    ControllerSettings,
+    DiscoverySettings,
+    LoadReport,
+    RequestClass,
+    WarmUpLimits,
+)
 from oatcart.trace.records import CLOCK, NAME, ROUND, START, make
 
 CLOCK_EVERY = 60.0  # s between records of the clock's facts
 STEP_SHOWN = 0.05  # s by which Unix time may drift from the instance's clock until it is said to have stepped
-ORDERS = (
-    "line",
-    "blank",
-    "bind",
-    "withdraw",
-    "admit",
-    "drop",
-    "ask_ack",
-    "probe",
-    "follow",
-    "fetch_roll",
-    "wake",
-    "note",
-)
+# Commands and events by the names that trace files have for them
+STORED_COMMANDS = {
+    "set_weight": "line",
+    "clear_table": "blank",
+    "assign_table": "bind",
+    "set_ejected": "withdraw",
+    "set_admission": "admit",
+    "forget_endpoint": "drop",
+    "request_ack": "ask_ack",
+    "check_health": "probe",
+    "watch_endpoints": "follow",
+    "fetch_endpoints": "fetch_roll",
+    "schedule_round": "wake",
+    "log": "note",
+}
+STORED_EVENTS = {
+    EndpointListReceived: "listed",
+    EndpointListFailed: "unlisted",
+    HealthCheckCompleted: "probed",
+    ProxyJoined: "joined",
+    ProxyLeft: "left",
+    UpdateAcknowledged: "applied",
+    EndpointLoadReported: "met",
+    ProxyLoadReported: "came",
+}
+EVENTS_BY_STORED_NAME = {name: event for event, name in STORED_EVENTS.items()}
+
+
+def stored(event: Event) -> tuple:
+    """An event as a trace file has it: its name there, then its fields."""
+    return (STORED_EVENTS[type(event)], *event)
+
+
+def event_of(stored: Sequence) -> Event:
+    """The event that a trace file has in this form."""
+    name, *fields = stored
+    if name == "listed":
+        complete, entries = fields
+        return EndpointListReceived(complete, [EndpointEntry(*entry) for entry in entries])
+    if name in ("met", "probed"):
+        return EVENTS_BY_STORED_NAME[name](*fields[:-1], LoadReport(*fields[-1]))
+    return EVENTS_BY_STORED_NAME[name](*fields)
 
 
 def text_digest() -> str:
@@ -38,19 +88,19 @@
 
     __slots__ = ("to", "said")
 
-    def __init__(self, to: our.OrderWriter) -> None:
+    def __init__(self, to: CommandWriter) -> None:
         self.to, self.said = to, []
 
 
 def _noting(name: str) -> Callable:
     def order(self: Noting, *args: object) -> None:
-        self.said.append((name, *args))
+        self.said.append((STORED_COMMANDS[name], *args))
         getattr(self.to, name)(*args)
 
     return order
 
 
-for _name in ORDERS:
+for _name in STORED_COMMANDS:
     setattr(Noting, _name, _noting(_name))
 
 
@@ -69,7 +119,7 @@
         self.call, self.put, self.unix, self.back = call, put, unix, back
         self.number, self.names, self.clock_at, self.offset = 0, {}, None, None
 
-    def round(self, now: float, arrivals: our.Arrivals, orders: our.OrderWriter) -> None:
+    def round(self, now: float, arrivals: Events, orders: CommandWriter) -> None:
         taken, noting = list(arrivals), Noting(orders)
         left = iter(taken)
         try:
@@ -81,7 +131,7 @@
             raise
         finally:
             self.number += 1
-            self.put((ROUND, now, self.number, taken, noting.said))
+            self.put((ROUND, now, self.number, [stored(event) for event in taken], noting.said))
             if self.clock_at is None or now - self.clock_at >= CLOCK_EVERY:
                 self._clock(now)
 
@@ -98,7 +148,7 @@
         self.put(make(CLOCK, now, unix, stepped))
 
 
-def start_record(now: float, instance: str, seed: int, records: dict, names: dict) -> tuple:
+def start_record(now: float, instance: str, seed: int, settings: ControllerSettings, names: dict) -> tuple:
     """What a conductor was started with, so that a fresh one can be; `names`: of kinds and zones."""
     return make(
         START,
@@ -106,26 +156,38 @@
         instance,
         seed,
         {
-            **records,
-            "kinds": [tuple(kind) for kind in records["kinds"]],
-            **{one: tuple(records[one]) for one in ("roll", "channel", "cold")},
+            "kinds": [tuple(request_class) for request_class in settings.request_classes],
+            "roll": tuple(settings.discovery),
+            "channel": tuple(settings.channel),
+            "cold": tuple(settings.warm_up),
+            "report_period": settings.report_period,
+            "admitting": settings.admission_mode,
+            "crossing_price": settings.cross_zone_price,
+            "may_probe": settings.health_checks_allowed,
+            "grace": settings.drain_deadline,
+            "usual_proxies": settings.expected_proxies,
         },
         text_digest(),
         names,
     )
 
 
-def started(fields: dict) -> policy.Conductor:
+def started(fields: dict) -> policy.Controller:
     """A fresh conductor from a start record's fields."""
     told = dict(fields["records"])
-    return policy.Conductor(
-        seed=fields["seed"],
-        kinds=[our.ReqKind(*kind) for kind in told.pop("kinds")],
-        roll=our.RollManners(*told.pop("roll")),
-        channel=our.ChannelLimits(*told.pop("channel")),
-        cold=our.ColdLimits(*told.pop("cold")),
-        **told,
+    settings = ControllerSettings(
+        request_classes=tuple(RequestClass(*one) for one in told["kinds"]),
+        discovery=DiscoverySettings(*told["roll"]),
+        channel=ChannelLimits(*told["channel"]),
+        warm_up=WarmUpLimits(*told["cold"]),
+        report_period=told["report_period"],
+        admission_mode=told["admitting"],
+        cross_zone_price=told["crossing_price"],
+        health_checks_allowed=told["may_probe"],
+        drain_deadline=told.get("grace", inf),
+        expected_proxies=told.get("usual_proxies", 0.0),
     )
+    return policy.Controller(settings, fields["seed"])
 
 
 class Said:
@@ -135,9 +197,9 @@
         self.said: list[tuple] = []
 
     def __getattr__(self, name: str) -> Callable:
-        if name not in ORDERS:
+        if name not in STORED_COMMANDS:
             raise AttributeError(name)
-        return lambda *args: self.said.append((name, *args))
+        return lambda *args: self.said.append((STORED_COMMANDS[name], *args))
 
 
 def again(records: Iterator) -> tuple[int, int, str]:
@@ -156,7 +218,7 @@
                 return rounds, orders, f"rounds are missing before number {fields['number']}"
             last, writer = fields["number"], Said()
             try:
-                module.round(fields["at"], iter(fields["arrivals"]), writer)
+                module.round(fields["at"], (event_of(one) for one in fields["arrivals"]), writer)
             except Exception as error:  # as it may have raised then, over one arrival
                 writer.said.append(("raised", type(error).__name__))
             said = [one for one in writer.said if one[0] != "raised"]
--- a/oatcart/trace/tools.py
+++ b/oatcart/trace/tools.py
@@ -8,7 +8,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from oatcart import interface as our
+from oatcart.model import EndpointState, Idempotency
 from oatcart.trace.records import CLOCK, DONE, NAME, REQ, ROUND, SHED, START, TRY, Record
 
 TOOK_MOST = 3_600_000_000  # us; an hour
@@ -96,12 +96,12 @@
         if arrival[0] == "listed":
             if arrival[1]:
                 told = {entry[0] for entry in arrival[2]}
-                states.update({place: our.GONE for place in states if place not in told})
+                states.update({place: EndpointState.GONE for place in states if place not in told})
             states.update({entry[0]: entry[3] for entry in arrival[2]})
     for order in record.fields["orders"]:
         if order[0] == "withdraw":
-            state = states.get(order[1], our.GONE)
-            why = {our.READY: "evidence", our.DRAINING: "drain"}.get(state, "gone")
+            state = states.get(order[1], EndpointState.GONE)
+            why = {EndpointState.READY: "evidence", EndpointState.DRAINING: "drain"}.get(state, "gone")
             yield ("withdraw", why) if order[2] else ("let back", "returned")
         elif order[0] == "line":
             yield "line", "weight" if order[3] else "no line"
@@ -257,6 +257,6 @@
 def may_repeat(start: dict) -> dict[str, bool]:
     """By request kind, from a start record, whether a req may run more than once."""
     return {
-        name: kind[2] == our.REPLAYABLE
+        name: kind[2] == Idempotency.IDEMPOTENT
         for name, kind in zip(start["names"].get("kinds", ()), start["records"]["kinds"], strict=False)
     }
--- a/oatcart/xds/follow.py
+++ b/oatcart/xds/follow.py
@@ -10,8 +10,8 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from google.protobuf.message import DecodeError
 
-from oatcart import interface as our
 from oatcart.handover import AMOUNT_MOST
+from oatcart.model import EndpointState
 from oatcart.net.codec import ID_MOST, Codec, address
 from oatcart.net.stream import Address
 from oatcart.xds.encode import TYPES
@@ -23,10 +23,10 @@
 NODES_MOST = 100_000  # in one answer
 HEALTH = health_check_pb2.HealthStatus
 STATES = {
-    HEALTH.UNKNOWN: our.READY,
-    HEALTH.HEALTHY: our.READY,
-    HEALTH.DEGRADED: our.READY,
-    HEALTH.DRAINING: our.DRAINING,
+    HEALTH.UNKNOWN: EndpointState.READY,
+    HEALTH.HEALTHY: EndpointState.READY,
+    HEALTH.DEGRADED: EndpointState.READY,
+    HEALTH.DRAINING: EndpointState.DRAINING,
 }  # all others are left out, like nodes that are missing
 KEY = "oatcart"  # of an endpoint's metadata, where `started` may stand, s of Unix time
 
--- a/oatcart/xds/front.py
+++ b/oatcart/xds/front.py
@@ -13,7 +13,9 @@
 from math import inf
 from typing import NamedTuple, Protocol
 
-from oatcart import interface as our
+from oatcart.commands import NONCE_COUNT
+from oatcart.events import ProxyJoined, ProxyLeft, ProxyLoadReported, UpdateAcknowledged
+from oatcart.model import RequestClass, RetryPolicy
 from oatcart.tables import Part, Tables
 from oatcart.xds import view
 from oatcart.xds.limits import JOINED, Budget, Gate, Refused, check_names, rank
@@ -104,7 +106,7 @@
     def __init__(
         self,
         host: Host,
-        kinds: Sequence[tuple[str, our.ReqKind]],
+        kinds: Sequence[tuple[str, RequestClass]],
         zones: Sequence[str],
         first: int,
         life: str,
@@ -225,7 +227,7 @@
         if not client.joined:
             client.joined = True
             self.host.joined(client.proxy, True)
-            self.host.arrive(("joined", client.proxy, client.zone, 0.0, True))
+            self.host.arrive(ProxyJoined(client.proxy, client.zone, 0.0, True))
 
     def close(self, now: float, stream: Stream) -> None:
         """A stream is over; with its last one a client has left."""
@@ -245,7 +247,7 @@
             self.known.popitem(last=False)
         if client.joined:
             self.host.left(client.proxy)
-            self.host.arrive(("left", client.proxy))
+            self.host.arrive(ProxyLeft(client.proxy))
 
     def written(self, stream: Stream) -> None:
         """The transport has taken all that it was handed."""
@@ -275,8 +277,8 @@
             return
         kinds = {name: at for at, (name, _) in enumerate(self.kinds)}
         for told in books.read(reports, client.proxy, client.zone, kinds, place, odd):
-            if told[0] == "came":
-                _, _, kind, came, _, over = told
+            if isinstance(told, ProxyLoadReported):
+                _, kind, came, _, over = told
                 client.rates[kind] += (came / over - client.rates[kind]) / 2
             self.host.arrive(told)
 
@@ -343,7 +345,10 @@
     def _put_zone(self, now: float, zone: int, at: tuple[int, ...], tables: Tables, found: dict) -> bool:
         news = False
         for kind, (name, req) in enumerate(self.kinds):
-            level, tries = tables.standing(at[kind], kind) or (inf if self.by_rate else 1.0, our.AFTER_PROOF)
+            level, tries = tables.standing(at[kind], kind) or (
+                inf if self.by_rate else 1.0,
+                RetryPolicy.IF_NOT_PROCESSED,
+            )
             drop = view.dropped(level, self.by_rate, self._rate(zone, kind))
             before, self.drops[zone, kind] = self.drops.get((zone, kind), 0), drop
             endpoints, first = found[at[kind]], self.kinds[at.index(at[kind])][0]
@@ -416,9 +421,9 @@
                 done = owed
                 client.owed.remove(owed)
         if done is not None:
-            while client.owed and (done.mark - client.owed[0].mark) % our.MARKS < our.MARKS // 2:
+            while client.owed and (done.mark - client.owed[0].mark) % NONCE_COUNT < NONCE_COUNT // 2:
                 client.owed.popleft()  # what came later is held, so what came before is
-            self.host.arrive(("applied", client.proxy, done.mark, now - done.at))
+            self.host.arrive(UpdateAcknowledged(client.proxy, done.mark, now - done.at))
 
     # -- what goes out
 
--- a/oatcart/xds/loads.py
+++ b/oatcart/xds/loads.py
@@ -9,7 +9,9 @@
 from math import isfinite
 from typing import NamedTuple
 
+from oatcart.events import EndpointLoadReported, ProxyLoadReported
 from oatcart.handover import LOAD_MOST
+from oatcart.model import LoadReport
 
 COUNT_MOST = 10**7  # reqs of one interval: more than a client meets in any
 SPAN_MOST = 3600.0  # s; no interval is longer
@@ -88,15 +90,14 @@
             tried = tally.good + tally.errored
             if tried:
                 out.append(
-                    (
-                        "met",
+                    EndpointLoadReported(
                         node,
                         zone,
                         one.over,
                         took(tally, one.over),
                         tally.errored,
                         tried,
-                        (None, busy(tally), None),
+                        LoadReport(None, busy(tally), None),
                     )
                 )
         sums = [tally for tally in one.whole if not _unfit(tally)]
@@ -105,7 +106,7 @@
             sum(tally.errored for tally in sums),
         )
         if 0 <= one.dropped <= COUNT_MOST and len(sums) == len(one.whole) and came <= COUNT_MOST:
-            out.append(("came", proxy, kind, came, errored, one.over))
+            out.append(ProxyLoadReported(proxy, kind, came, errored, one.over))
         else:
             odd(f"a report for {one.cluster}: {came} reqs came, {one.dropped} turned away")
         return out
--- a/oatcart/xds/rounds.py
+++ b/oatcart/xds/rounds.py
@@ -2,6 +2,7 @@
 
 from collections.abc import Callable
 
+from oatcart.events import EndpointListReceived, Event
 from oatcart.net.conductor import Rounds
 from oatcart.tables import Part
 from oatcart.xds.front import Front
@@ -23,54 +24,54 @@
     def serve(self, front: Front, published: Callable[[], None]) -> None:
         self.front, self.published = front, published
 
-    def arrive(self, arrival: tuple) -> None:
-        if arrival[0] == "listed":
+    def arrive(self, arrival: Event) -> None:
+        if isinstance(arrival, EndpointListReceived):
             if self.merge is not None:
-                arrival = ("listed", False, self.merge.take(ROLL, arrival[1], arrival[2]))
+                arrival = EndpointListReceived(False, self.merge.take(ROLL, *arrival))
             self._listed(arrival)
         else:
             super().arrive(arrival)
 
     def listed_elsewhere(self, entries: list[tuple]) -> None:
         """The whole list of a management server."""
-        self._listed(("listed", False, self.merge.take(XDS, True, entries)))
+        self._listed(EndpointListReceived(False, self.merge.take(XDS, True, entries)))
 
-    def _listed(self, arrival: tuple) -> None:
-        self.roster.take(arrival[1], arrival[2])
+    def _listed(self, arrival: EndpointListReceived) -> None:
+        self.roster.take(*arrival)
         self.touched = True
         super().arrive(arrival)
 
-    def follow(self, on: bool) -> None:
+    def watch_endpoints(self, on: bool) -> None:
         if self.follows_roll:
-            super().follow(on)
+            super().watch_endpoints(on)
 
-    def fetch_roll(self) -> None:
+    def fetch_endpoints(self) -> None:
         if self.follows_roll:
-            super().fetch_roll()
+            super().fetch_endpoints()
 
-    def line(self, table: int, node: int, weight: float) -> None:
+    def set_weight(self, table: int, node: int, weight: float) -> None:
         self.touched = True
-        super().line(table, node, weight)
+        super().set_weight(table, node, weight)
 
-    def blank(self, table: int) -> None:
+    def clear_table(self, table: int) -> None:
         self.touched = True
-        super().blank(table)
+        super().clear_table(table)
 
-    def bind(self, table: int, proxy: int, kinds: int) -> None:
+    def assign_table(self, table: int, proxy: int, kinds: int) -> None:
         self.touched = True
-        super().bind(table, proxy, kinds)
+        super().assign_table(table, proxy, kinds)
 
-    def withdraw(self, node: int, out: bool) -> None:
+    def set_ejected(self, node: int, out: bool) -> None:
         self.touched = True
-        super().withdraw(node, out)
+        super().set_ejected(node, out)
 
-    def admit(self, table: int, kinds: int, level: float, tries: int) -> None:
+    def set_admission(self, table: int, kinds: int, level: float, tries: int) -> None:
         self.touched = True
-        super().admit(table, kinds, level, tries)
+        super().set_admission(table, kinds, level, tries)
 
-    def drop(self, node: int) -> None:
+    def forget_endpoint(self, node: int) -> None:
         self.gone.append(node)
-        super().drop(node)
+        super().forget_endpoint(node)
 
     def named(self, place: int) -> tuple[str, str, int] | None:
         at = self.watcher.addresses.get(place)
--- a/oatcart/xds/serve.py
+++ b/oatcart/xds/serve.py
@@ -8,6 +8,7 @@
 from random import Random
 
 from oatcart.handover import start_records
+from oatcart.model import AdmissionMode
 from oatcart.net.loop import Loop
 from oatcart.net.reload import Unusable, wake_pair
 from oatcart.net.start import assemble
@@ -41,13 +42,13 @@
         zones = sorted(codec.zones, key=codec.zones.get)
         self.front = Front(
             self.rounds,
-            list(zip(codec.kind_names, records["kinds"], strict=True)),
+            list(zip(codec.kind_names, records.request_classes, strict=True)),
             zones,
             codec.proxies,
             new_life(time.time_ns(), int(cfg["seed"], 16)),
             Gate(xds.clients, xds.streams, xds.names, xds.pushes),
             Budget(xds.pushes),
-            records["admitting"] == "rate",
+            records.admission_mode == AdmissionMode.RATE,
             xds.home_zone,
             self.rounds.log.say,
         )
--- a/oatcart/xds/source.py
+++ b/oatcart/xds/source.py
@@ -12,7 +12,8 @@
 from math import inf
 from typing import NamedTuple
 
-from oatcart import interface as our
+from oatcart.events import EndpointEntry
+from oatcart.model import EndpointState
 
 DOUBT_FROM = 0.5  # share of the pickable nodes that one answer may not take away at once
 DIAL_FIRST, DIAL_GROWTH = 0.25, 2.0  # s, factor; waits between dials
@@ -61,8 +62,8 @@
 
     def take(self, now: float, unix: float, told: Mapping[str, Told], fresh: bool) -> str:
         """An answer, whole; `fresh`: the first one on its stream. Returns why it was doubted, if it was."""
-        picks = {name for name, one in told.items() if one.state == our.READY}
-        before = {name for name, one in self.standing.items() if one.state == our.READY}
+        picks = {name for name, one in told.items() if one.state == EndpointState.READY}
+        before = {name for name, one in self.standing.items() if one.state == EndpointState.READY}
         dropped = {name for name in before if name not in told}
         if not picks and (before or not self.heard):
             if before:
@@ -95,8 +96,8 @@
 
     def _drains(self, told: Mapping[str, Told]) -> None:
         for name, one in told.items():
-            if one.state == our.DRAINING and name in self.standing:
-                self.standing[name] = self.standing[name]._replace(state=our.DRAINING)
+            if one.state == EndpointState.DRAINING and name in self.standing:
+                self.standing[name] = self.standing[name]._replace(state=EndpointState.DRAINING)
 
     def _start(self, unix: float, told: Mapping[str, Told]) -> None:
         """When nodes started, as xDS does not tell: who stands in the first list did so long ago, who comes
@@ -107,7 +108,7 @@
                 self.started[name] = one.started
             elif not self.heard:
                 self.started.setdefault(name, 0.0)
-            elif old is None or old.state != our.READY and one.state == our.READY:
+            elif old is None or old.state != EndpointState.READY and one.state == EndpointState.READY:
                 self.started[name] = unix
 
     def ask_again(self) -> float:
@@ -115,9 +116,9 @@
         return min(self.doubted.values(), default=inf) + self.hold
 
     def entries(self, place: Callable[[str], int]) -> list[tuple]:
-        """The list as `interface.py` has it."""
+        """The list as events have it."""
         return [
-            (place(name), one.zone, self.started.get(name, 0.0), one.state, one.nominal)
+            EndpointEntry(place(name), one.zone, self.started.get(name, 0.0), one.state, one.nominal)
             for name, one in self.standing.items()
         ]
 
@@ -137,18 +138,20 @@
         touched = told | (mine.keys() if whole else set())
         if whole:
             for place in mine.keys() - told:
-                mine[place] = (*mine[place][:3], our.GONE, mine[place][4])
+                mine[place] = EndpointEntry(*mine[place][:3], EndpointState.GONE, mine[place][4])
         mine.update({entry[0]: entry for entry in entries})
         return [self.merged(place) for place in sorted(touched)]
 
     def merged(self, place: int) -> tuple:
         found = [entry for one in self.lists if (entry := one.get(place))]
-        there = [entry for entry in found if entry[3] != our.GONE]
+        there = [entry for entry in found if entry[3] != EndpointState.GONE]
         if len(there) < 2:
             return (there or found)[0]
         roll, other = there
-        state = our.DRAINING if our.DRAINING in (roll[3], other[3]) else our.READY
-        return place, roll[1], max(roll[2], other[2]), state, roll[4]
+        state = (
+            EndpointState.DRAINING if EndpointState.DRAINING in (roll[3], other[3]) else EndpointState.READY
+        )
+        return EndpointEntry(place, roll[1], max(roll[2], other[2]), state, roll[4])
 
     def move(self) -> list[tuple]:
         """What the roll's list holds becomes the other's, where there is to be no roll; hands it back."""
--- a/oatcart/xds/view.py
+++ b/oatcart/xds/view.py
@@ -10,7 +10,7 @@
 from math import inf
 from typing import NamedTuple
 
-from oatcart import interface as our
+from oatcart.model import EndpointState, Idempotency, RequestClass, RetryPolicy
 
 HEALTHY, DRAINING, UNHEALTHY = "HEALTHY", "DRAINING", "UNHEALTHY"
 # Shapes: endpoints within their cluster; each a resource of its own; each a locality of its own, as gRPC's
@@ -84,7 +84,7 @@
         entries = list(entries)
         told = {entry[0] for entry in entries} if whole else self.nodes
         for place in [at for at in self.nodes if at not in told]:
-            self.nodes[place] = self.nodes[place]._replace(state=our.GONE)
+            self.nodes[place] = self.nodes[place]._replace(state=EndpointState.GONE)
         for place, zone, _, state, _ in entries:
             self.nodes[place] = Listed(zone, state)
 
@@ -92,7 +92,7 @@
         self.nodes.pop(place, None)
 
     def state(self, place: int) -> int:
-        return self.nodes[place].state if place in self.nodes else our.GONE
+        return self.nodes[place].state if place in self.nodes else EndpointState.GONE
 
 
 def whole_numbers(weights: Mapping[int, float]) -> dict[int, int]:
@@ -118,14 +118,14 @@
 def health(shut: bool, state: int) -> str | None:
     """What a node with a line is to clients; None: nothing, as it is gone.
 
-    >>> health(False, our.DRAINING), health(True, our.DRAINING)
+    >>> health(False, EndpointState.DRAINING), health(True, EndpointState.DRAINING)
     ('HEALTHY', 'DRAINING')
-    >>> health(True, our.READY), health(True, our.GONE)
+    >>> health(True, EndpointState.READY), health(True, EndpointState.GONE)
     ('UNHEALTHY', None)
     """
     if not shut:
         return HEALTHY  # the module has not decided otherwise yet
-    return {our.DRAINING: DRAINING, our.READY: UNHEALTHY}.get(state)
+    return {EndpointState.DRAINING: DRAINING, EndpointState.READY: UNHEALTHY}.get(state)
 
 
 def seen(
@@ -143,7 +143,7 @@
 
 def leaving(before: Iterable[int], lines: Mapping[int, float], roster: Roster) -> set[int]:
     """The nodes that had a line, or were leaving already, and drain."""
-    return {place for place in before if place not in lines and roster.state(place) == our.DRAINING}
+    return {place for place in before if place not in lines and roster.state(place) == EndpointState.DRAINING}
 
 
 def dropped(level: float, by_rate: bool, rate: float) -> int:
@@ -158,21 +158,23 @@
     return round(MILLION * (1.0 - min(1.0, max(0.0, share))))
 
 
-def route(kind: str, req: our.ReqKind, tries: int) -> Route:
+def route(kind: str, req: RequestClass, tries: int) -> Route:
     """The try-again rule as far as xDS carries it. A kind that may not run twice is offered none, not even
     after proof that it never ran, since who reads the proof is not ours; a uniqued one is offered only that.
 
-    >>> route("fee", our.ReqKind(), our.TWO_AFTER_ANY)
+    >>> route("fee", RequestClass(), RetryPolicy.TWICE_ON_FAILURE)
     Route(kind='fee', retries=0, after='')
-    >>> route("slot", our.ReqKind(repeat=our.UNIQUED), our.AFTER_ANY).after
+    >>> route("slot", RequestClass(idempotency=Idempotency.KEYED), RetryPolicy.ON_FAILURE).after
     'connect-failure,refused-stream'
     """
-    if req.repeat == our.NON_REPLAYABLE or tries == our.NO_TRY:
+    if req.idempotency == Idempotency.NOT_IDEMPOTENT or tries == RetryPolicy.NEVER:
         return Route(kind, 0, "")
-    if tries == our.AFTER_PROOF or req.repeat == our.UNIQUED:
+    if tries == RetryPolicy.IF_NOT_PROCESSED or req.idempotency == Idempotency.KEYED:
         return Route(kind, 1, "connect-failure,refused-stream")
     return Route(
-        kind, 2 if tries == our.TWO_AFTER_ANY else 1, "5xx,reset,connect-failure,refused-stream,unavailable"
+        kind,
+        2 if tries == RetryPolicy.TWICE_ON_FAILURE else 1,
+        "5xx,reset,connect-failure,refused-stream,unavailable",
     )
 
 
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oatcart import interface as our
+from oatcart.model import Idempotency, RetryPolicy
 from oatcart.net.ending import Ending
 from oatcart.proxy.admit import OVERLOADED, TOO_MANY, Admission
 from oatcart.proxy.again import BUDGET_OVER, Budget, Req, Try, allowed, decide, never_ran
@@ -130,7 +130,7 @@
 
 
 @given(
-    st.sampled_from([our.REPLAYABLE, our.UNIQUED, our.NON_REPLAYABLE]),
+    st.sampled_from([Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NOT_IDEMPOTENT]),
     st.sampled_from(range(4)),
     st.lists(st.tuples(ENDINGS, st.booleans(), st.floats(0.0, 0.5)), min_size=1, max_size=8),
 )
@@ -152,29 +152,32 @@
             break
         assert not failed.answered  # of an answer that has begun nothing is made anew
     assert req.tries <= {0: 1, 1: 2, 2: 2, 3: 3}[way]
-    if repeat == our.NON_REPLAYABLE:
+    if repeat == Idempotency.NOT_IDEMPOTENT:
         assert len(effects) <= 1
-    if repeat == our.UNIQUED and len(effects) > 1:
+    if repeat == Idempotency.KEYED and len(effects) > 1:
         assert len({at for at, _ in effects}) == 1 and effects[-1][1] - effects[0][1] < req.window
 
 
 def test_proof_is_what_was_never_sent_or_never_begun():
     assert never_ran(Try(Ending.SILENT, 0)) and never_ran(Try(Ending.DONE, 500, unbegun=True))
     assert not never_ran(Try(Ending.CLOSED, 1)) and not never_ran(Try(Ending.RESET, 0, answered=1))
-    fee = Req(our.NON_REPLAYABLE, 0.0, 9.0, tries=1)
-    assert allowed(fee, Try(Ending.REFUSED, 0), our.AFTER_PROOF)
-    assert not allowed(fee, Try(Ending.REFUSED, 0), our.NO_TRY)
-    assert not allowed(fee, Try(Ending.RESET, 9), our.TWO_AFTER_ANY)
+    fee = Req(Idempotency.NOT_IDEMPOTENT, 0.0, 9.0, tries=1)
+    assert allowed(fee, Try(Ending.REFUSED, 0), RetryPolicy.IF_NOT_PROCESSED)
+    assert not allowed(fee, Try(Ending.REFUSED, 0), RetryPolicy.NEVER)
+    assert not allowed(fee, Try(Ending.RESET, 9), RetryPolicy.TWICE_ON_FAILURE)
 
 
 def test_a_try_without_time_for_it_is_not_made():
     budget, reset = Budget(1.0, 9.0), Try(Ending.RESET, 9, site="east")
-    req = Req(our.REPLAYABLE, 0.0, 1.0, tries=1)
-    assert decide(0.8, req, reset, our.AFTER_ANY, 0.1, budget) == (True, "")
-    assert decide(0.9, req, reset, our.AFTER_ANY, 0.1, budget) == (False, "")
-    keyed = Req(our.UNIQUED, 0.0, 9.0, window=1.0, tries=1)
-    assert decide(0.5, keyed, reset, our.AFTER_ANY, 0.1, budget) == (True, "east")
-    assert decide(0.95, keyed, reset, our.AFTER_ANY, 0.1, budget) == (False, "")  # it would come too late
+    req = Req(Idempotency.IDEMPOTENT, 0.0, 1.0, tries=1)
+    assert decide(0.8, req, reset, RetryPolicy.ON_FAILURE, 0.1, budget) == (True, "")
+    assert decide(0.9, req, reset, RetryPolicy.ON_FAILURE, 0.1, budget) == (False, "")
+    keyed = Req(Idempotency.KEYED, 0.0, 9.0, window=1.0, tries=1)
+    assert decide(0.5, keyed, reset, RetryPolicy.ON_FAILURE, 0.1, budget) == (True, "east")
+    assert decide(0.95, keyed, reset, RetryPolicy.ON_FAILURE, 0.1, budget) == (
+        False,
+        "",
+    )  # it would come too late
 
 
 def test_tries_never_exceed_their_part_in_a_storm():
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -7,7 +7,18 @@
 import json
 import socket
 import struct
+from enum import IntEnum
 
+from oatcart.events import (
+    EndpointListFailed,
+    EndpointListReceived,
+    EndpointLoadReported,
+    HealthCheckCompleted,
+    ProxyJoined,
+    ProxyLeft,
+    ProxyLoadReported,
+    UpdateAcknowledged,
+)
 from oatcart.net import codec as wire
 from oatcart.net.acceptor import KEPT_BACK, Acceptor
 from oatcart.net.conductor import Rounds
@@ -21,6 +32,27 @@
 QUIET = 6  # turns after which nothing more is under way on loopback
 
 
+EVENT_WORDS = {
+    EndpointListReceived: "listed",
+    EndpointListFailed: "unlisted",
+    HealthCheckCompleted: "probed",
+    ProxyJoined: "joined",
+    ProxyLeft: "left",
+    UpdateAcknowledged: "applied",
+    EndpointLoadReported: "met",
+    ProxyLoadReported: "came",
+}
+
+
+def plain(field):
+    """A field as scenarios write it: tuples and numbers in place of named tuples and enums."""
+    if isinstance(field, tuple):
+        return tuple(plain(one) for one in field)
+    if isinstance(field, list):
+        return [plain(one) for one in field]
+    return int(field) if isinstance(field, IntEnum) else field
+
+
 def value(word):
     try:
         return json.loads(word)
@@ -79,9 +111,11 @@
         """The scripted module: notes what comes, writes what the scenario orders."""
         self.said += [] if self.rounds.came else ["woke"]
         for arrival in arrivals:
-            if self.failing and arrival[0] == "applied":
+            if self.failing and isinstance(arrival, UpdateAcknowledged):
                 raise ArithmeticError("a mistake")
-            self.said.append(" ".join(str(field) for field in arrival))
+            self.said.append(
+                " ".join([EVENT_WORDS[type(arrival)], *(str(plain(field)) for field in arrival)])
+            )
         for name, args in self.ordered:
             getattr(orders, name)(*args)
         self.ordered = []
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -155,7 +155,7 @@
     further round had told it."""
     with ExitStack() as stack:
         one, [end, other] = stage_with(stack, [1, 2])
-        for order in ("order line 0 1 20", "order bind 0 1 0", "order bind 0 2 0"):
+        for order in ("order set_weight 0 1 20", "order assign_table 0 1 0", "order assign_table 0 2 0"):
             one.play(order)
         one.codec.place("n0"), one.codec.place("n1")
         stream, sent = one.rounds.streams[1], []
@@ -178,7 +178,7 @@
         one.turn()
         one.quiet()
         assert [*one.rounds.streams] == [2] and one.said[-1] == "left 1" and len(sent) == 2
-        one.play("order line 0 0 5")
+        one.play("order set_weight 0 0 5")
         one.quiet()
         assert len(sent) == 2 and b"n0" in other.recv(4096)
         assert end.recv(4096) == sent[0][: len(sent[0]) // 2] and end.recv(4096) == b""
@@ -191,7 +191,7 @@
         one, [end, _] = stage_with(stack, [1, 2])
         end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         end.close()
-        one.play("order ask_ack 3 true")
+        one.play("order request_ack 3 true")
         one.rounds.turn()  # the loop has not taken the reset in yet
         assert [*one.rounds.streams] == [*one.rounds.proxies] == [2]
         one.rounds.turn()
@@ -204,7 +204,7 @@
     stay under the limit."""
     with ExitStack() as stack:
         one, _ = stage_with(stack, room=80)
-        one.play("order follow true")
+        one.play("order watch_endpoints true")
         one.play("asked /v1/servers?since=0&timeout_ms=0")
         strangers, proxies, most = [], [], 0
         for number in range(60):
@@ -225,6 +225,6 @@
         for at, end in enumerate(strangers):
             one.ends[at] = end
             assert one.has_ended(at) or one.has_ended(at), at  # behind its pongs
-        one.play("order ask_ack 5 true")
+        one.play("order request_ack 5 true")
         one.quiet()
         assert all(b'"nonce_out":5' in end.recv(4096) for end in proxies)
--- a/tests/test_hand_overs.py
+++ b/tests/test_hand_overs.py
@@ -3,12 +3,33 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oatcart import interface as our
-from oatcart.policy import Conductor
+from oatcart.commands import ALL_TABLES
+from oatcart.events import (
+    EndpointEntry,
+    EndpointListReceived,
+    EndpointLoadReported,
+    ProxyJoined,
+    ProxyLeft,
+    ProxyLoadReported,
+    UpdateAcknowledged,
+)
+from oatcart.model import (
+    AdmissionMode,
+    ChannelLimits,
+    ControllerSettings,
+    DiscoverySettings,
+    EndpointState,
+    Idempotency,
+    LoadReport,
+    RequestClass,
+    RetryPolicy,
+    WarmUpLimits,
+)
+from oatcart.policy import Controller
 from oatcart.tables import Tables
 
 KINDS, NODES, PROXIES, TABLES = 3, 4, 2, 2
-REPEATS = [our.REPLAYABLE, our.UNIQUED, our.NON_REPLAYABLE]
+REPEATS = [Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NOT_IDEMPOTENT]
 
 
 class HeldByProxy:
@@ -49,16 +70,18 @@
 small = st.integers
 kinds = small(0, (1 << KINDS) - 1)
 steps = st.one_of(
-    st.tuples(st.just("line"), small(0, TABLES - 1), small(0, NODES - 1), st.sampled_from([0, 1, 20, 70])),
-    st.tuples(st.just("blank"), small(0, TABLES - 1)),
-    st.tuples(st.just("bind"), small(0, TABLES - 1), small(0, PROXIES - 1), kinds),
-    st.tuples(st.just("withdraw"), small(0, NODES - 1), st.booleans()),
     st.tuples(
-        st.just("admit"),
-        st.sampled_from([*range(TABLES), our.ALL_TABLES]),
+        st.just("set_weight"), small(0, TABLES - 1), small(0, NODES - 1), st.sampled_from([0, 1, 20, 70])
+    ),
+    st.tuples(st.just("clear_table"), small(0, TABLES - 1)),
+    st.tuples(st.just("assign_table"), small(0, TABLES - 1), small(0, PROXIES - 1), kinds),
+    st.tuples(st.just("set_ejected"), small(0, NODES - 1), st.booleans()),
+    st.tuples(
+        st.just("set_admission"),
+        st.sampled_from([*range(TABLES), ALL_TABLES]),
         kinds,
         st.sampled_from([0.25, 0.5, 1.0]),
-        st.sampled_from([our.NO_TRY, our.AFTER_PROOF, our.AFTER_ANY]),
+        st.sampled_from([RetryPolicy.NEVER, RetryPolicy.IF_NOT_PROCESSED, RetryPolicy.ON_FAILURE]),
     ),
     st.tuples(st.just("joined"), small(0, PROXIES - 1), st.booleans()),
     st.tuples(st.just("left"), small(0, PROXIES - 1)),
@@ -75,7 +98,7 @@
     tables, held = Tables(KINDS), {}
     for name, *fields in [*done, ("told",)]:
         if name == "told":
-            tables.ask_ack(1, False)
+            tables.request_ack(1, False)
             for proxy, parts in tables.messages():
                 held[proxy].take(parts)
             for proxy, one in held.items():
@@ -96,41 +119,46 @@
 
 
 arrivals = st.one_of(
-    st.tuples(st.just("joined"), small(0, PROXIES - 1), small(0, 1), st.just(10.0), st.booleans()),
-    st.tuples(st.just("left"), small(0, PROXIES - 1)),
-    st.tuples(
-        st.just("listed"),
+    st.builds(ProxyJoined, small(0, PROXIES - 1), small(0, 1), st.just(10.0), st.booleans()),
+    st.builds(ProxyLeft, small(0, PROXIES - 1)),
+    st.builds(
+        EndpointListReceived,
         st.booleans(),
         st.lists(
-            st.tuples(
-                small(0, NODES - 1), small(0, 1), st.sampled_from([0.0, 5.0]), small(0, 2), st.just(1.0)
+            st.builds(
+                EndpointEntry,
+                small(0, NODES - 1),
+                small(0, 1),
+                st.sampled_from([0.0, 5.0]),
+                st.sampled_from(EndpointState),
+                st.just(1.0),
             ),
             max_size=NODES,
         ),
     ),
-    st.tuples(
-        st.just("met"),
+    st.builds(
+        EndpointLoadReported,
         small(0, NODES - 1),
         small(0, 1),
         st.just(1.0),
         st.sampled_from([0.05, 0.9]),
         st.sampled_from([0, 3, 20]),
         st.just(20),
-        st.just((None, 0.4, None)),
+        st.just(LoadReport(None, 0.4, None)),
     ),
-    st.tuples(
-        st.just("came"), small(0, PROXIES - 1), small(0, KINDS - 1), small(0, 400), st.just(0), st.just(1.0)
+    st.builds(
+        ProxyLoadReported, small(0, PROXIES - 1), small(0, KINDS - 1), small(0, 400), st.just(0), st.just(1.0)
     ),
-    st.tuples(st.just("applied"), small(0, PROXIES - 1), small(0, 30), st.just(0.1)),
+    st.builds(UpdateAcknowledged, small(0, PROXIES - 1), small(0, 30), st.just(0.1)),
 )
 
 
 class Host(Tables):
     """The order writer on sockets, less the sockets."""
 
-    wake = probe = follow = note = lambda self, *_: None
+    schedule_round = check_health = watch_endpoints = log = lambda self, *_: None
 
-    def fetch_roll(self):
+    def fetch_endpoints(self):
         pass
 
 
@@ -144,36 +172,43 @@
     a kind that is deduplicated only for a while, or not at all, is tried again on proof alone, so never
     outside its window by us."""
     host, held, now = Host(KINDS), {}, 10.0
-    one = Conductor(
-        seed=1,
-        kinds=[
-            our.ReqKind(1, 1, repeat, home)
+    settings = ControllerSettings(
+        request_classes=tuple(
+            RequestClass(1, 1, repeat, home)
             for repeat, home in zip(REPEATS, (False, True, False), strict=True)
-        ],
-        roll=our.RollManners(),
-        channel=our.ChannelLimits(1000, 4, 2000),
-        cold=our.ColdLimits(),
+        ),
+        discovery=DiscoverySettings(),
+        channel=ChannelLimits(1000, 4, 2000),
+        warm_up=WarmUpLimits(),
         report_period=1.0,
-        admitting=our.BY_RATE if by_rate else our.BY_SHARE,
-        crossing_price=0.1,
-        may_probe=True,
+        admission_mode=AdmissionMode.RATE if by_rate else AdmissionMode.SHARE,
+        cross_zone_price=0.1,
+        health_checks_allowed=True,
     )
+    one = Controller(settings, seed=1)
     start = [
-        ("listed", True, [(node, node % 2, 0.0, our.READY, 1.0) for node in range(NODES)]),
-        ("joined", 0, 0, 10.0, True),
+        EndpointListReceived(
+            True, [EndpointEntry(node, node % 2, 0.0, EndpointState.READY, 1.0) for node in range(NODES)]
+        ),
+        ProxyJoined(0, 0, 10.0, True),
     ]
     for gap, came in [(0.0, start), *rounds]:
         now += gap
-        for name, *fields in came:  # as the net code has it: told of joins and ends as they come
-            if name == "joined":
-                host.joined(fields[0], fields[3])
-                held[fields[0]] = HeldByProxy()
-            elif name == "left":
-                host.left(fields[0])
-                held.pop(fields[0], None)
+        for event in came:  # as the net code has it: joins and ends are noted as they come
+            match event:
+                case ProxyJoined():
+                    host.joined(event.proxy, event.unconfigured)
+                    held[event.proxy] = HeldByProxy()
+                case ProxyLeft():
+                    host.left(event.proxy)
+                    held.pop(event.proxy, None)
         one.round(now, came, host)
         for proxy, parts in host.messages():
             for part in range(len(parts)):  # also if the rest of the message never comes
                 held[proxy].take(parts[part : part + 1])
                 for kind, level in enumerate(held[proxy].levels):
-                    assert level is None or level[1] <= our.AFTER_PROOF or REPEATS[kind] == our.REPLAYABLE
+                    assert (
+                        level is None
+                        or level[1] <= RetryPolicy.IF_NOT_PROCESSED
+                        or REPEATS[kind] == Idempotency.IDEMPOTENT
+                    )
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -43,12 +43,12 @@
 def test_a_count_of_messages_needs_the_span_that_it_is_over():
     """Failure: 10 s stood in for it, some other deployment's; without a count none is needed."""
     plane = {"pushRate": 1000.0, "period": 1000.0}
-    assert start_records({"specifics": plane})["channel"].messages_most == 0
+    assert start_records({"specifics": plane}).channel.max_messages == 0
     with pytest.raises(LookupError, match="specifics.updateWindow"):
         start_records({"specifics": plane | {"messagesMost": 12}})
     assert (
-        start_records({"specifics": plane | {"messagesMost": 12, "updateWindow": 5000.0}})[
-            "channel"
-        ].messages_over
+        start_records(
+            {"specifics": plane | {"messagesMost": 12, "updateWindow": 5000.0}}
+        ).channel.message_window
         == 5.0
     )
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -17,7 +17,29 @@
 import pytest
 import stage
 
-from oatcart import interface as our
+from oatcart.events import (
+    EndpointEntry,
+    EndpointListFailed,
+    EndpointListReceived,
+    EndpointLoadReported,
+    HealthCheckCompleted,
+    ProxyJoined,
+    ProxyLeft,
+    ProxyLoadReported,
+    UpdateAcknowledged,
+)
+from oatcart.model import (
+    AdmissionMode,
+    ChannelLimits,
+    ControllerSettings,
+    DiscoverySettings,
+    EndpointState,
+    HealthCheckOutcome,
+    Idempotency,
+    LoadReport,
+    RequestClass,
+    WarmUpLimits,
+)
 from oatcart.net.acceptor import NO_ROOM_WAIT
 from oatcart.net.codec import Codec
 from oatcart.net.conductor import Rounds
@@ -26,26 +48,30 @@
 from oatcart.net.loop import Loop
 from oatcart.net.start import assemble
 from oatcart.net.stream import UNSENT_MOST, Stream
-from oatcart.policy import Conductor
+from oatcart.policy import Controller
 
 HERE = Path(__file__).parent
 SCENARIOS = sorted((HERE / "scenarios").glob("*.txt")) + sorted((HERE / "sockets").glob("*.txt"))
-REPEATS = {"replayable": our.REPLAYABLE, "uniqued": our.UNIQUED, "non-replayable": our.NON_REPLAYABLE}
+REPEATS = {
+    "replayable": Idempotency.IDEMPOTENT,
+    "uniqued": Idempotency.KEYED,
+    "non-replayable": Idempotency.NOT_IDEMPOTENT,
+}
 PLAIN = {
-    "must_ask": 0,
+    "must_watch": 0,
     "line_rate": 1000,
-    "head": 4,
-    "queue_most": 2000,
-    "messages_most": 0,
-    "messages_over": 10,
-    "warm_after": 16,
-    "share_at_start": 0.2,
-    "fall_multiple": 4,
-    "crossing_price": 0,
-    "may_probe": 1,
-    "nominal_told": 0,
+    "message_overhead": 4,
+    "max_queue": 2000,
+    "max_messages": 0,
+    "message_window": 10,
+    "duration": 16,
+    "initial_fraction": 0.2,
+    "overload_multiple": 4,
+    "cross_zone_price": 0,
+    "health_checks": 1,
+    "lists_weights": 0,
     "rate": 0,
-    "grace": 1e9,
+    "drain_deadline": 1e9,
 }
 COMPARE = {"=": operator.eq, "<": operator.lt, ">": operator.gt}
 
@@ -56,41 +82,41 @@
     def __init__(self):
         self.said, self.tables, self.mark_now = [], {}, 0
 
-    def line(self, table, node, weight):
+    def set_weight(self, table, node, weight):
         self.said.append((f"line t{table} n{node}", weight))
         self.tables[table, node] = weight
 
-    def bind(self, table, proxy, kinds):
+    def assign_table(self, table, proxy, kinds):
         self.said.append((f"bind t{table} p{proxy}", kinds))
 
-    def withdraw(self, node, out):
+    def set_ejected(self, node, out):
         self.said.append((f"{'shut' if out else 'lift'} n{node}", 1))
 
-    def admit(self, table, kinds, level, tries):
+    def set_admission(self, table, kinds, level, tries):
         for kind in range(16):
             if kinds >> kind & 1:
                 self.said.append((f"admit t{table} k{kind} w{tries}", level))
 
-    def ask_ack(self, mark, everyone):
+    def request_ack(self, mark, everyone):
         self.said.append(("mark", mark))
         self.mark_now = mark
 
-    def drop(self, node):
+    def forget_endpoint(self, node):
         self.said.append((f"drop n{node}", 1))
 
-    def probe(self, node):
+    def check_health(self, node):
         self.said.append((f"probe n{node}", 1))
 
-    def follow(self, on):
+    def watch_endpoints(self, on):
         self.said.append(("follow", 1))
 
-    def fetch_roll(self):
+    def fetch_endpoints(self):
         self.said.append(("fetch", 1))
 
-    def wake(self, after):
+    def schedule_round(self, after):
         self.said.append(("wake", after))
 
-    def note(self, text):
+    def log(self, text):
         pass
 
 
@@ -100,60 +126,61 @@
     def pick(record):
         return record(**{name: cfg[name] for name in record._fields if name in cfg})
 
-    return Conductor(
-        seed=1,
-        kinds=kinds or [our.ReqKind(1, 1, our.REPLAYABLE)],
-        roll=pick(our.RollManners),
-        channel=pick(our.ChannelLimits),
-        cold=pick(our.ColdLimits),
+    settings = ControllerSettings(
+        request_classes=tuple(kinds or [RequestClass(1, 1, Idempotency.IDEMPOTENT)]),
+        discovery=pick(DiscoverySettings),
+        channel=pick(ChannelLimits),
+        warm_up=pick(WarmUpLimits),
         report_period=1.0,
-        admitting=our.BY_RATE if cfg["rate"] else our.BY_SHARE,
-        crossing_price=cfg["crossing_price"],
-        may_probe=bool(cfg["may_probe"]),
-        grace=cfg["grace"],
-        usual_proxies=0,
+        admission_mode=AdmissionMode.RATE if cfg["rate"] else AdmissionMode.SHARE,
+        cross_zone_price=cfg["cross_zone_price"],
+        health_checks_allowed=bool(cfg["health_checks"]),
+        drain_deadline=cfg["drain_deadline"],
+        expected_proxies=0,
     )
+    return Controller(settings, seed=1)
 
 
 def entry(word):
     """`2:1@12*3~`: node 2 of zone 1, started at 12, nominal 3, draining."""
-    state = {"-": our.GONE, "~": our.DRAINING}.get(word[-1], our.READY)
+    state = {"-": EndpointState.GONE, "~": EndpointState.DRAINING}.get(word[-1], EndpointState.READY)
     word, _, nominal = word.rstrip("-~").partition("*")
     word, _, started = word.partition("@")
     node, zone = word.split(":")
-    return int(node), int(zone), float(started or 0), state, float(nominal or 1)
+    return EndpointEntry(int(node), int(zone), float(started or 0), state, float(nominal or 1))
 
 
 def arrival(words, orders):
     """One line of a scenario as an arrival."""
     match words:
         case ["roll", *rest]:
-            return "listed", True, [entry(word) for word in rest]
+            return EndpointListReceived(True, [entry(word) for word in rest])
         case ["news", *rest]:
-            return "listed", False, [entry(word) for word in rest]
+            return EndpointListReceived(False, [entry(word) for word in rest])
         case ["join", proxy, zone, *held]:
-            return "joined", int(proxy), int(zone[1:]), 10.0, not held
+            return ProxyJoined(int(proxy), int(zone[1:]), 10.0, not held)
         case ["left", proxy]:
-            return "left", int(proxy)
+            return ProxyLeft(int(proxy))
         case ["met", node, "took", took, "err", errored, "of", tried, load, value]:
-            told = (float(value), None, None) if load == "held" else (None, float(value), None)
-            return "met", int(node), 0, 1.0, float(took), int(errored), int(tried), told
+            told = LoadReport(float(value)) if load == "held" else LoadReport(None, float(value))
+            return EndpointLoadReported(int(node), 0, 1.0, float(took), int(errored), int(tried), told)
         case ["met", node, "took", took, "err", errored, "of", tried]:
-            return "met", int(node), 0, 1.0, float(took), int(errored), int(tried), (None, None, None)
+            return EndpointLoadReported(
+                int(node), 0, 1.0, float(took), int(errored), int(tried), LoadReport()
+            )
         case ["came", proxy, kind, count]:
-            return "came", int(proxy), int(kind[1:]), int(count), 0, 1.0
+            return ProxyLoadReported(int(proxy), int(kind[1:]), int(count), 0, 1.0)
         case ["ack", proxy]:
-            return "applied", int(proxy), orders.mark_now, 0.1
+            return UpdateAcknowledged(int(proxy), orders.mark_now, 0.1)
         case ["probe", node, outcome]:
-            return (
-                "probed",
+            return HealthCheckCompleted(
                 int(node),
-                our.ANSWERED if outcome == "ok" else our.SILENT,
+                HealthCheckOutcome.PASSED if outcome == "ok" else HealthCheckOutcome.TIMED_OUT,
                 0.1,
-                (None, None, None),
+                LoadReport(),
             )
         case ["unlisted"]:
-            return ("unlisted",)
+            return EndpointListFailed()
     raise ValueError(" ".join(words))
 
 
@@ -194,7 +221,7 @@
             case ["kind", value, target, repeat, *rest]:
                 zones = tuple(map(int, rest[1].split(","))) if rest[:1] == ["zones"] else ()
                 kinds.append(
-                    our.ReqKind(float(value), float(target), REPEATS[repeat], rest == ["home"], zones)
+                    RequestClass(float(value), float(target), REPEATS[repeat], rest == ["home"], zones)
                 )
             case ["at", time]:
                 run()
@@ -257,9 +284,9 @@
     log = Log(loop.clock, io.StringIO())
     rounds = Rounds(loop, log, Codec(["lookup"], ["a"], 4), 0.002, 1000.0)
     rounds.start(lambda now, arrivals, orders: came.extend(arrivals), None, None)
-    rounds.arrive(("listed", True, []))
+    rounds.arrive(EndpointListReceived(True, []))
     rounds.turn()
-    assert came == [("listed", True, [])]
+    assert came == [EndpointListReceived(True, [])] and type(came[0]) is EndpointListReceived
     loop.poll.close()
 
 
@@ -314,12 +341,12 @@
 
     with monkeypatch.context() as patch:
         patch.setattr(socket, "socket", full)
-        for line in ("order fetch_roll", "told unlisted") * 2:
+        for line in ("order fetch_endpoints", "told unlisted") * 2:
             one.play(line)
-        for line in ("order follow true", "told unlisted"):
+        for line in ("order watch_endpoints true", "told unlisted"):
             one.play(line)
         assert one.rounds.watcher.watching is None  # Failure: it was noted as standing after it had ended
-    for line in ("order fetch_roll", "asked /v1/servers"):
+    for line in ("order fetch_endpoints", "asked /v1/servers"):
         one.play(line)
     one.close()
 
@@ -494,12 +521,18 @@
         one, orders = conductor([], PLAIN), Orders()
         for turn in range(40):
             met = [
-                ("met", node, 0, 1.0, 0.1 + node / 50, turn % 3, 10, (node + turn % 5, None, None))
+                EndpointLoadReported(node, 0, 1.0, 0.1 + node / 50, turn % 3, 10, LoadReport(node + turn % 5))
                 for node in range(8)
             ]
-            roll = [("listed", True, [(node, node % 2, 0.0, our.READY, 1.0) for node in range(8)])]
+            roll = [
+                EndpointListReceived(
+                    True, [EndpointEntry(node, node % 2, 0.0, EndpointState.READY, 1.0) for node in range(8)]
+                )
+            ]
             one.round(
-                turn / 2, [*(roll if turn % 9 == 0 else []), ("joined", turn % 4, 0, 1.0, True), *met], orders
+                turn / 2,
+                [*(roll if turn % 9 == 0 else []), ProxyJoined(turn % 4, 0, 1.0, True), *met],
+                orders,
             )
         said.append(orders.said)
     assert said[0] == said[1] and len(said[0]) > 100
--- a/tests/trace/test_tools.py
+++ b/tests/trace/test_tools.py
@@ -10,6 +10,8 @@
 from hypothesis import strategies as st
 from test_front import subscribed
 
+from oatcart.events import EndpointLoadReported, ProxyLoadReported
+from oatcart.model import LoadReport
 from oatcart.trace import __main__ as command
 from oatcart.trace import generate
 from oatcart.trace.configuration import Tracing, Wrong
@@ -327,12 +329,16 @@
         async with xds_table.Table(xds_table.nodes(6)) as table:
             client = await subscribed(table, "c", True, "whole")
             places = table.one.rounds.codec.places
-            table.one.rounds.arrive(("came", 8, "not a kind", 1, 0, 1.0))  # the module raises over it
+            table.one.rounds.arrive(
+                ProxyLoadReported(8, "not a kind", 1, 0, 1.0)
+            )  # the module raises over it
             for turn in range(8):
                 for name, place in places.items():
                     bad = 20 if name == "n2" else 0
                     table.one.rounds.arrive(
-                        ("met", place, 0, 1.0, 0.05 + turn / 100, bad, 20, (None, 0.3, None))
+                        EndpointLoadReported(
+                            place, 0, 1.0, 0.05 + turn / 100, bad, 20, LoadReport(None, 0.3, None)
+                        )
                     )
                 table.one.nested.kick()
                 await asyncio.sleep(0.05)
@@ -369,20 +375,20 @@
         0.0,
         "n0",
         2**63 + 5,
-        dict(
-            kinds=kinds,
-            roll=generate.our.RollManners(),
-            channel=generate.our.ChannelLimits(),
-            cold=generate.our.ColdLimits(),
+        generate.ControllerSettings(
+            request_classes=tuple(kinds),
+            discovery=generate.DiscoverySettings(),
+            channel=generate.ChannelLimits(),
+            warm_up=generate.WarmUpLimits(),
             report_period=1.0,
-            admitting="share",
-            crossing_price=0.0,
-            may_probe=False,
+            admission_mode="share",
+            cross_zone_price=0.0,
+            health_checks_allowed=False,
         ),
         {},
     )
     module = started(dict(zip((name for name, _ in FIELDS["start"]), begun[1:], strict=True)))
-    assert module.kinds == kinds
+    assert list(module.kinds) == kinds
     tap = Tap(module.round, out.append, lambda: wall[0])
     for now, unix in ((0.0, 1000.0), (60.0, 1060.0), (120.0, 1090.0)):
         wall[0] = unix
--- a/tests/xds/sim.py
+++ b/tests/xds/sim.py
@@ -6,8 +6,25 @@
 
 from collections import deque
 
-from oatcart import interface as our
-from oatcart.policy import Conductor
+from oatcart.events import (
+    EndpointEntry,
+    EndpointListReceived,
+    HealthCheckCompleted,
+    ProxyJoined,
+    UpdateAcknowledged,
+)
+from oatcart.model import (
+    AdmissionMode,
+    ChannelLimits,
+    ControllerSettings,
+    DiscoverySettings,
+    HealthCheckOutcome,
+    Idempotency,
+    LoadReport,
+    RequestClass,
+    WarmUpLimits,
+)
+from oatcart.policy import Controller
 from oatcart.tables import Tables
 from oatcart.xds import view
 from oatcart.xds.front import CLUSTER, ENDPOINTS, MEMBER, ROUTE, Ask, Front, Node, new_life
@@ -15,8 +32,8 @@
 from oatcart.xds.shelf import STEP_KEPT
 
 KINDS = [
-    ("lookup", our.ReqKind(1.0, 0.5, our.REPLAYABLE)),
-    ("fee", our.ReqKind(3.0, 1.0, our.NON_REPLAYABLE)),
+    ("lookup", RequestClass(1.0, 0.5, Idempotency.IDEMPOTENT)),
+    ("fee", RequestClass(3.0, 1.0, Idempotency.NOT_IDEMPOTENT)),
 ]
 ZONES = ["a", "b"]
 STEP = 0.25  # s of a turn
@@ -35,13 +52,13 @@
     def arrive(self, arrival):
         self.came.append(arrival)
 
-    def probe(self, node):
-        self.came.append(("probed", node, our.ANSWERED, 0.01, (None, None, None)))
+    def check_health(self, node):
+        self.came.append(HealthCheckCompleted(node, HealthCheckOutcome.PASSED, 0.01, LoadReport()))
 
-    def follow(self, on):
+    def watch_endpoints(self, on):
         pass
 
-    fetch_roll = wake = note = follow
+    fetch_endpoints = schedule_round = log = watch_endpoints
 
 
 class Peer:
@@ -188,16 +205,18 @@
         """A conductor's life; nothing of a former one is known."""
         self.life += 1
         self.host = Host(self)
-        self.module = Conductor(
+        self.module = Controller(
+            ControllerSettings(
+                request_classes=tuple(req for _, req in KINDS),
+                discovery=DiscoverySettings(),
+                channel=ChannelLimits(100_000, 4, 100_000, MESSAGES, 10.0),
+                warm_up=WarmUpLimits(8.0, 0.2, 4.0),
+                report_period=1.0,
+                admission_mode=AdmissionMode.SHARE,
+                cross_zone_price=0.0,
+                health_checks_allowed=True,
+            ),
             seed=1,
-            kinds=[req for _, req in KINDS],
-            roll=our.RollManners(),
-            channel=our.ChannelLimits(100_000, 4, 100_000, MESSAGES, 10.0),
-            cold=our.ColdLimits(8.0, 0.2, 4.0),
-            report_period=1.0,
-            admitting=our.BY_SHARE,
-            crossing_price=0.0,
-            may_probe=True,
         )
         self.front = Front(
             self.host,
@@ -213,7 +232,7 @@
         self.roster, self.picks = view.Roster(), {}
         self.sidecar = {}
         self.host.joined(SIDECAR, True)
-        self.host.arrive(("joined", SIDECAR, 0, 10.0, True))
+        self.host.arrive(ProxyJoined(SIDECAR, 0, 10.0, True))
         if self.list:
             self.listed()
 
@@ -224,10 +243,13 @@
         self.begin()
 
     def listed(self):
-        entries = [(place, zone, started, state, 1.0) for place, (zone, started, state) in self.list.items()]
+        entries = [
+            EndpointEntry(place, zone, started, state, 1.0)
+            for place, (zone, started, state) in self.list.items()
+        ]
         self.roster.take(True, entries)
         self.host.touched = True
-        self.host.arrive(("listed", True, entries))
+        self.host.arrive(EndpointListReceived(True, entries))
 
     def name(self, place):
         return f"n{place}", "127.0.0.1", 9000 + place
@@ -264,7 +286,7 @@
             for node in part.back:
                 self.sidecar.setdefault("out", set()).discard(node)
             if part.mark is not None:
-                self.host.arrive(("applied", SIDECAR, part.mark, 0.0))
+                self.host.arrive(UpdateAcknowledged(SIDECAR, part.mark, 0.0))
 
     def note_outs(self):
         """Each peer owes a look at whoever went out of a list that it was sent."""
--- a/tests/xds/test_both.py
+++ b/tests/xds/test_both.py
@@ -12,7 +12,8 @@
 from table import Table, nodes, played
 from test_front import subscribed
 
-from oatcart import interface as our
+from oatcart.events import EndpointLoadReported
+from oatcart.model import LoadReport, RetryPolicy
 from oatcart.xds.server import LOADS
 from oatcart.xds.standin.nodes import Node
 
@@ -90,7 +91,9 @@
             places = table.one.rounds.codec.places
             for _ in range(3):
                 for name, took in ("n0", 0.05), ("n2", 0.4), ("n3", 0.1):
-                    table.one.rounds.arrive(("met", places[name], 0, 1.0, took, 0, 50, (None, 0.5, None)))
+                    table.one.rounds.arrive(
+                        EndpointLoadReported(places[name], 0, 1.0, took, 0, 50, LoadReport(None, 0.5, None))
+                    )
             table.one.nested.kick()
             await agree(lambda found: len(set(found.values())) > 1)
             table.roll(n1=(9001, "b", "SERVING", time.time() * 1000))
@@ -207,7 +210,11 @@
             for _ in range(3):  # evidence against n2: it is withdrawn
                 for node in standing:
                     bad = 20 if node.name == "n2" else 0
-                    rounds.arrive(("met", codec.places[node.name], 0, 1.0, 0.05, bad, 20, (None, 0.3, None)))
+                    rounds.arrive(
+                        EndpointLoadReported(
+                            codec.places[node.name], 0, 1.0, 0.05, bad, 20, LoadReport(None, 0.3, None)
+                        )
+                    )
             table.one.nested.kick()
             await channel.until(lambda found: found.keys() == {"n0", "n3"}, "lookup", 40)
             await table.restart()
@@ -234,7 +241,11 @@
             await channel.call("lookup", 20)
             codec, rounds = table.one.rounds.codec, table.one.rounds
             for node, busy in zip(standing, (0.2, 0.5, 0.9), strict=True):
-                rounds.arrive(("met", codec.places[node.name], 0, 1.0, 0.05, 0, 20, (None, busy, None)))
+                rounds.arrive(
+                    EndpointLoadReported(
+                        codec.places[node.name], 0, 1.0, 0.05, 0, 20, LoadReport(None, busy, None)
+                    )
+                )
             table.one.nested.kick()
             async with asyncio.timeout(10):
                 while len({weight for weight, _ in table.view().values()}) < 3 or any(
@@ -265,7 +276,7 @@
             await channel.call("lookup", 4)
             rounds = table.one.rounds
             for at in sorted(set(table.one.front.maps[0])):  # the module allows another try after anything
-                rounds.admit(at, 0, 1.0, our.AFTER_ANY)
+                rounds.set_admission(at, 0, 1.0, RetryPolicy.ON_FAILURE)
             rounds.due = True
             table.one.nested.kick()
             for node in standing:
--- a/tests/xds/test_decisions.py
+++ b/tests/xds/test_decisions.py
@@ -5,7 +5,8 @@
 from hypothesis import strategies as st
 from sim import GRACE, STEP, Peer, Stage
 
-from oatcart import interface as our
+from oatcart.events import EndpointLoadReported, ProxyLoadReported, UpdateAcknowledged
+from oatcart.model import EndpointState, RetryPolicy
 from oatcart.xds import view
 from oatcart.xds.front import CLUSTER, ENDPOINTS, ROUTE
 from oatcart.xds.limits import Refused
@@ -18,7 +19,7 @@
 
 def stage_of(nodes=4, **more):
     stage = Stage(**more)
-    stage.list = {place: (place % 2, 0.0, our.READY) for place in range(nodes)}
+    stage.list = {place: (place % 2, 0.0, EndpointState.READY) for place in range(nodes)}
     stage.listed()
     return stage
 
@@ -48,11 +49,11 @@
     peer = peer_of(stage, delta=delta, shape=shape)
     turns(stage, 2)
     peer.late = True
-    stage.list[7] = (1, stage.now, our.READY)
+    stage.list[7] = (1, stage.now, EndpointState.READY)
     stage.listed()
     turns(stage, 2)
     assert "n7" in peer.view("lookup") and peer.answers  # it is in flight: sent, taken, not answered
-    turned(stage, 0, our.DRAINING)
+    turned(stage, 0, EndpointState.DRAINING)
     turns(stage, GRACE)
     assert peer.view("lookup")["n0"][1] == view.DRAINING
     peer.late = False
@@ -115,12 +116,12 @@
         seen.append((peer.view("lookup") or {}).get("n0", ("", "gone"))[1]),
     )
     peer.stalled = True
-    stage.list[7] = (1, 0.0, our.READY)  # something that is written and not read
+    stage.list[7] = (1, 0.0, EndpointState.READY)  # something that is written and not read
     stage.listed()
     turns(stage, 1.5)
-    turned(stage, 0, our.DRAINING)
+    turned(stage, 0, EndpointState.DRAINING)
     turns(stage, 1)
-    turned(stage, 0, our.READY, stage.now)
+    turned(stage, 0, EndpointState.READY, stage.now)
     turns(stage, 2)
     assert not seen
     peer.stalled = False
@@ -135,10 +136,10 @@
     turns(stage, 2)
     before = peer.view("lookup")["n0"][0]
     peer.late = True
-    stage.list[7] = (1, stage.now, our.READY)
+    stage.list[7] = (1, stage.now, EndpointState.READY)
     stage.listed()
     turns(stage, 1)
-    turned(stage, 0, our.READY, stage.now)
+    turned(stage, 0, EndpointState.READY, stage.now)
     turns(stage, 1)
     now = peer.view("lookup").get("n0", (0, ""))[0]
     assert now < before / 2 and now == stage.sidecar_view(0).get("n0", 0)
@@ -149,7 +150,7 @@
     peer = peer_of(stage)
     turns(stage, 3)
     assert peer.held[CLUSTER] and not peer.held[ENDPOINTS]
-    stage.list = {0: (0, 0.0, our.READY)}
+    stage.list = {0: (0, 0.0, EndpointState.READY)}
     stage.listed()
     turns(stage, 2)
     assert peer.view("lookup") == {"n0": (50, view.HEALTHY)}
@@ -163,14 +164,14 @@
     peer.late, told = True, []
     arrive = stage.host.arrive
     stage.host.arrive = lambda arrival: (told.append(arrival), arrive(arrival))
-    stage.list[7] = (1, stage.now, our.READY)
+    stage.list[7] = (1, stage.now, EndpointState.READY)
     stage.listed()
     turns(stage, 2)
-    assert not [one for one in told if one[:2] == ("applied", number)]
+    assert not [one for one in told if isinstance(one, UpdateAcknowledged) and one.proxy == number]
     peer.late = False
     turns(stage, 0.5)
-    marks = [one for one in told if one[:2] == ("applied", number)]
-    assert marks and marks[0][3] > 1.0
+    marks = [one for one in told if isinstance(one, UpdateAcknowledged) and one.proxy == number]
+    assert marks and marks[0].duration > 1.0
 
 
 def test_who_goes_first_when_all_come_back():
@@ -189,7 +190,7 @@
     for peer in [*peers, here]:
         take = peer.take
         peer.take = lambda kind, push, peer=peer, take=take: (order.append((peer.id, kind)), take(kind, push))
-    turned(stage, 0, our.DRAINING)
+    turned(stage, 0, EndpointState.DRAINING)
     turns(stage, 20)
     first = {name: order.index((name, kind)) for name, kind in reversed(order) if kind == ENDPOINTS}
     assert first["here"] == min(first.values())
@@ -201,7 +202,7 @@
     stage = stage_of(4, pushes=8.0)
     peers = [peer_of(stage, f"p{at}") for at in range(10)]
     turns(stage, 20)
-    turned(stage, 1, our.DRAINING)
+    turned(stage, 1, EndpointState.DRAINING)
     turns(stage, 2 * STEP)
     assert all(peer.view("lookup")["n1"][1] == view.DRAINING for peer in peers)
 
@@ -315,9 +316,12 @@
         ClusterReport("nobody", 1.0, [("n0", good)], [good], 0),
         ClusterReport("lookup", 2.0, [("n0", good), ("n9", good), (("127.0.0.1", 9001), good)], [good], 5),
     )
-    assert [one[:2] for one in told] == [("met", 0), ("met", 1), ("came", 9)] and len(odd) == 2
-    assert told[0] == ("met", 0, 1, 2.0, 3 * 2.0 / 10, 2, 10, (None, 0.4, None)) and told[2] == (
-        "came",
+    assert [(type(one), one[0]) for one in told] == [
+        (EndpointLoadReported, 0),
+        (EndpointLoadReported, 1),
+        (ProxyLoadReported, 9),
+    ] and len(odd) == 2
+    assert told[0] == EndpointLoadReported(0, 1, 2.0, 3 * 2.0 / 10, 2, 10, (None, 0.4, None)) and told[2] == (
         9,
         0,
         15,
@@ -326,11 +330,14 @@
     )
     back = good._replace(good=500)  # of 3 under way and 10 issued: a sum that ran backwards
     told = read(ClusterReport("lookup", 2.0, [("n0", back), (("127.0.0.1", 9001), good)], [good], 0))
-    assert [one[:2] for one in told] == [("met", 1), ("came", 9)] and "500" not in odd[0][:10]
+    assert [(type(one), one[0]) for one in told] == [
+        (EndpointLoadReported, 1),
+        (ProxyLoadReported, 9),
+    ] and "500" not in odd[0][:10]
     assert not read(ClusterReport("lookup", -1.0, [("n0", good)], [good], 0)) and "over -1.0 s" in odd[0]
     told = read(ClusterReport("lookup", 1.0, [("n0", good._replace(errored=2**63))], [good], 2**60))
     assert told == [] and len(odd) == 2
-    assert read(ClusterReport("lookup", 1.0, [("n0", good)], [good], 0))[0][0] == "met"
+    assert read(ClusterReport("lookup", 1.0, [("n0", good)], [good], 0))[0].__class__ is EndpointLoadReported
 
 
 def test_withdrawn_is_unhealthy_and_comes_back():
@@ -354,7 +361,7 @@
     peer = peer_of(stage)
     turns(stage, 2)
     table = stage.front.maps[0][0]
-    stage.host.admit(table, 1, 0.4, our.NO_TRY)
+    stage.host.set_admission(table, 1, 0.4, RetryPolicy.NEVER)
     turns(stage, 1)
     body = peer.held[ENDPOINTS]["lookup"][1]
     assert body.drop == 600_000 and peer.held[ENDPOINTS]["fee"][1].drop == 0
--- a/tests/xds/test_machine.py
+++ b/tests/xds/test_machine.py
@@ -11,7 +11,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 from sim import KINDS, Stage
 
-from oatcart import interface as our
+from oatcart.events import EndpointLoadReported
+from oatcart.model import EndpointState, LoadReport
 from oatcart.xds import view
 
 NODES = st.integers(0, 7)
@@ -24,7 +25,7 @@
     def start(self, slow):
         self.stage = Stage(pushes=8.0 if slow else 1000.0)
         self.slow = slow
-        self.stage.list = {place: (place % 2, 0.0, our.READY) for place in range(6)}
+        self.stage.list = {place: (place % 2, 0.0, EndpointState.READY) for place in range(6)}
         self.stage.listed()
         for at in range(4):
             self.connect(at)
@@ -89,24 +90,26 @@
         if peer.stream is not None:
             peer.ask("endpoints", [name] if on else (), () if on else [name])
 
-    @rule(node=NODES, state=st.sampled_from([our.READY, our.DRAINING, our.GONE]))
+    @rule(
+        node=NODES, state=st.sampled_from([EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE])
+    )
     def turns(self, node, state):
-        zone, started, old = self.stage.list.get(node, (node % 2, 0.0, our.GONE))
-        ready = sum(one == our.READY for _, _, one in self.stage.list.values())
-        if state != our.READY and old == our.READY and ready <= 2:
+        zone, started, old = self.stage.list.get(node, (node % 2, 0.0, EndpointState.GONE))
+        ready = sum(one == EndpointState.READY for _, _, one in self.stage.list.values())
+        if state != EndpointState.READY and old == EndpointState.READY and ready <= 2:
             return  # the list keeps some: what is to be picked is what is tried here
-        if state == our.READY and old != our.READY:
+        if state == EndpointState.READY and old != EndpointState.READY:
             started = self.stage.now  # another life, cold
             self.stage.drained.pop(node, None)
-        if state != our.READY and old == our.READY:
+        if state != EndpointState.READY and old == EndpointState.READY:
             self.stage.drained[node] = self.stage.now
         self.stage.list[node] = (zone, started, state)
         self.stage.listed()
 
     @rule(node=NODES)
     def restarts(self, node):
-        zone, _, state = self.stage.list.get(node, (0, 0.0, our.GONE))
-        if state == our.READY:
+        zone, _, state = self.stage.list.get(node, (0, 0.0, EndpointState.GONE))
+        if state == EndpointState.READY:
             self.stage.list[node] = (zone, self.stage.now, state)
             self.stage.listed()
 
@@ -114,10 +117,12 @@
     def reports(self, node, errs):
         """What is met: one node errs, the others do not; evidence withdraws it."""
         for place, (zone, _, state) in self.stage.list.items():
-            if state == our.READY:
+            if state == EndpointState.READY:
                 bad = 20 if errs and place == node else 0
                 self.stage.host.arrive(
-                    ("met", place, zone, 1.0, 0.05, bad, 20, (None, 0.3 + place / 20, None))
+                    EndpointLoadReported(
+                        place, zone, 1.0, 0.05, bad, 20, LoadReport(None, 0.3 + place / 20, None)
+                    )
                 )
 
     @rule()
--- a/tests/xds/test_source.py
+++ b/tests/xds/test_source.py
@@ -9,11 +9,11 @@
 from table import Following, nodes, played, served
 from test_front import subscribed
 
-from oatcart import interface as our
+from oatcart.model import EndpointState
 from oatcart.xds.source import ROLL, XDS, Backoff, Believed, Merge, Told
 
-READY = Told(0, our.READY, 1.0)
-DRAINS = Told(0, our.DRAINING, 1.0)
+READY = Told(0, EndpointState.READY, 1.0)
+DRAINS = Told(0, EndpointState.DRAINING, 1.0)
 
 
 def told(*names, drains=()):
@@ -59,7 +59,7 @@
     starts = {place: started for place, _, started, *_ in one.entries(lambda name: name)}
     assert starts == {"a": 0.0, "b": 0.0, "c": 1002.0, "d": 1001.0}
     one.take(3.0, 1003.0, told("b", "c", "d") | {"a": READY._replace(started=900.0)}, False)
-    assert ("a", 0, 900.0, our.READY, 1.0) in one.entries(lambda name: name)
+    assert ("a", 0, 900.0, EndpointState.READY, 1.0) in one.entries(lambda name: name)
 
 
 def test_a_list_known_at_the_start_is_held_against_the_first_answer():
@@ -71,14 +71,19 @@
 
 def test_two_lists_become_one():
     one = Merge()
-    one.take(ROLL, True, [(0, 0, 5.0, our.READY, 2.0), (1, 0, 0.0, our.READY, 1.0)])
-    assert one.take(XDS, True, [(0, 1, 9.0, our.READY, 7.0), (2, 1, 0.0, our.READY, 1.0)]) == [
-        (0, 0, 9.0, our.READY, 2.0),
-        (2, 1, 0.0, our.READY, 1.0),
+    one.take(ROLL, True, [(0, 0, 5.0, EndpointState.READY, 2.0), (1, 0, 0.0, EndpointState.READY, 1.0)])
+    assert one.take(
+        XDS, True, [(0, 1, 9.0, EndpointState.READY, 7.0), (2, 1, 0.0, EndpointState.READY, 1.0)]
+    ) == [
+        (0, 0, 9.0, EndpointState.READY, 2.0),
+        (2, 1, 0.0, EndpointState.READY, 1.0),
     ]
-    assert one.take(XDS, True, [(0, 1, 9.0, our.DRAINING, 7.0)])[0][3] == our.DRAINING
-    assert one.take(ROLL, True, []) == [(0, 1, 9.0, our.DRAINING, 7.0), (1, 0, 0.0, our.GONE, 1.0)]
-    assert [entry[3] for entry in one.take(XDS, True, [])] == [our.GONE, our.GONE]
+    assert one.take(XDS, True, [(0, 1, 9.0, EndpointState.DRAINING, 7.0)])[0][3] == EndpointState.DRAINING
+    assert one.take(ROLL, True, []) == [
+        (0, 1, 9.0, EndpointState.DRAINING, 7.0),
+        (1, 0, 0.0, EndpointState.GONE, 1.0),
+    ]
+    assert [entry[3] for entry in one.take(XDS, True, [])] == [EndpointState.GONE, EndpointState.GONE]
     one.drop(0)
     assert 0 not in one.lists[ROLL] and 0 not in one.lists[XDS]
 
