--- /dev/null
+++ b/benchmarks/same_updates.py
@@ -0,0 +1,189 @@
+"""Records what the simulator's wire brings to an adapter and its answers; compares other text with them.
+
+    python -m benchmarks.same_updates record DIR -- COMMAND...
+    python -m benchmarks.same_updates compare DIR [--jobs N] -- COMMAND...
+
+`record` stands in the deploy file as `sim`, before the adapter's command: it passes standard input and output
+through and keeps both in DIR, as `NNNN.in` and `NNNN.out`, one pair a process. A pair that is still being
+written, or whose adapter did not end by itself, is called `NNNN.in.part` and `NNNN.out.part`.
+
+`compare` plays each recorded input to COMMAND and compares the answers byte for byte. It prints a line for
+each recording, with the first reply that differs, and exits with 1 if any differs or none was compared.
+"""
+
+import argparse
+import os
+import shlex
+import struct
+import subprocess
+import sys
+import threading
+import time
+from collections.abc import Iterator
+from concurrent.futures import ThreadPoolExecutor
+from dataclasses import dataclass
+from pathlib import Path
+from typing import BinaryIO
+
+BLOCK = 1 << 20  # bytes a read
+BATCH_HEADER = struct.Struct(">IId")  # bytes after this field, records, clock in ms
+REPLY_HEADER = struct.Struct(">II")  # records, bytes that follow
+SHOWN = 48  # bytes of each side that a difference shows
+
+
+def reserve_pair(directory: Path) -> tuple[Path, Path]:
+    """The paths of a new recording's input and output; no other process gets the same."""
+    directory.mkdir(parents=True, exist_ok=True)
+    number = 0
+    while True:
+        number += 1
+        names = [f"{number:04d}.{side}" for side in ("in", "out")]
+        if any((directory / name).exists() for name in names):
+            continue
+        try:
+            (directory / f"{names[0]}.part").open("xb").close()
+        except FileExistsError:
+            continue
+        return directory / names[0], directory / names[1]
+
+
+def copy_stream(source: int, sink: int, kept: BinaryIO) -> None:
+    """Passes all bytes on at once and keeps them; a sink that has ended loses its part only."""
+    while data := os.read(source, BLOCK):
+        kept.write(data)
+        try:
+            rest = memoryview(data)
+            while rest:
+                rest = rest[os.write(sink, rest) :]
+        except BrokenPipeError:
+            break
+
+
+def record(directory: Path, command: list[str]) -> int:
+    """Runs the adapter between two files; returns its exit code."""
+    paths = reserve_pair(directory)
+    parts = [path.with_name(path.name + ".part") for path in paths]
+    adapter = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, bufsize=0)
+    with parts[0].open("wb") as kept_input, parts[1].open("wb") as kept_output:
+
+        def feed() -> None:
+            copy_stream(sys.stdin.fileno(), adapter.stdin.fileno(), kept_input)
+            adapter.stdin.close()
+
+        feeder = threading.Thread(target=feed, daemon=True)
+        feeder.start()
+        copy_stream(adapter.stdout.fileno(), sys.stdout.fileno(), kept_output)
+        code = adapter.wait()
+        feeder.join(timeout=1.0)
+    if code == 0 and not feeder.is_alive():
+        for part, path in zip(parts, paths, strict=True):
+            part.rename(path)
+    return code
+
+
+@dataclass(frozen=True, slots=True)
+class Comparison:
+    """What playing one recording showed: `difference` is empty where all replies are the same."""
+
+    name: str
+    replies: int
+    seconds: float
+    difference: str
+
+
+def replies(data: bytes) -> Iterator[tuple[int, bytes]]:
+    """The replies of an output as (number of records, their bytes); a last one may be cut short."""
+    at = 0
+    while at < len(data):
+        head = data[at : at + REPLY_HEADER.size]
+        if len(head) < REPLY_HEADER.size:
+            yield 0, head
+            return
+        count, size = REPLY_HEADER.unpack(head)
+        at += REPLY_HEADER.size
+        yield count, data[at : at + size]
+        at += size
+
+
+def batch_clock(path: Path, number: int) -> float:
+    """The clock in ms of a recorded input's batch, counted from 0; NaN where there is none."""
+    with path.open("rb") as source:
+        for _ in range(number + 1):
+            head = source.read(BATCH_HEADER.size)
+            if len(head) < BATCH_HEADER.size:
+                return float("nan")
+            size, _, clock = BATCH_HEADER.unpack(head)
+            source.seek(size - (BATCH_HEADER.size - 4), os.SEEK_CUR)
+    return clock
+
+
+def first_difference(recorded: bytes, played: bytes, source: Path) -> str:
+    """Where two outputs part: the reply, its batch's clock, the byte, and what both have from there on."""
+    if recorded == played:
+        return ""
+    pairs = zip(replies(recorded), replies(played), strict=False)
+    number = 0
+    for number, (old, new) in enumerate(pairs):
+        if old == new:
+            continue
+        at = next((i for i, (a, b) in enumerate(zip(old[1], new[1], strict=False)) if a != b), None)
+        at = min(len(old[1]), len(new[1])) if at is None else at
+        return (
+            f"reply {number} at {batch_clock(source, number)} ms differs from byte {at}: recorded"
+            f" {old[0]} records, {len(old[1])} bytes, from there {old[1][at : at + SHOWN].hex()};"
+            f" played {new[0]} records, {len(new[1])} bytes, from there {new[1][at : at + SHOWN].hex()}"
+        )
+    return f"the outputs end apart after reply {number}: recorded {len(recorded)}, played {len(played)} bytes"
+
+
+def play(source: Path, command: list[str]) -> Comparison:
+    """Plays one recorded input to a new adapter process."""
+    began = time.monotonic()
+    with source.open("rb") as recorded_input:
+        done = subprocess.run(command, stdin=recorded_input, stdout=subprocess.PIPE, check=False)
+    recorded = source.with_suffix(".out").read_bytes()
+    difference = first_difference(recorded, done.stdout, source)
+    if done.returncode:
+        difference = f"exit code {done.returncode}; {difference}"
+    return Comparison(source.stem, sum(1 for _ in replies(recorded)), time.monotonic() - began, difference)
+
+
+def compare(directory: Path, command: list[str], jobs: int) -> int:
+    """Plays all recordings, so many at a time; returns the exit code."""
+    sources = sorted(directory.glob("*.in"))
+    for part in sorted(directory.glob("*.in.part")):
+        print(f"{part.name}: unfinished recording, not compared")
+    different = 0
+    with ThreadPoolExecutor(jobs) as pool:
+        for one in pool.map(lambda source: play(source, command), sources):
+            different += bool(one.difference)
+            print(
+                f"{one.name}: {one.replies} replies, {one.seconds:.1f} s: {one.difference or 'the same'}",
+                flush=True,
+            )
+    print(f"{len(sources)} recordings, {different} different: {shlex.join(command)}")
+    return 1 if different or not sources else 0
+
+
+def main() -> int:
+    """Reads the command line; what follows `--` is the adapter's command."""
+    arguments, dashes, command = sys.argv[1:], "--", []
+    if dashes in arguments:
+        at = arguments.index(dashes)
+        arguments, command = arguments[:at], arguments[at + 1 :]
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("task", choices=("record", "compare"))
+    parser.add_argument("directory", type=Path)
+    parser.add_argument("--jobs", type=int, default=4, help="recordings played at once (4)")
+    options = parser.parse_args(arguments)
+    if not command:
+        parser.error("no adapter command after --")
+    if options.task == "record":
+        return record(options.directory, command)
+    return compare(options.directory, command, options.jobs)
+
+
+if __name__ == "__main__":
+    sys.exit(main())
