--- /dev/null
+++ b/tests/simhost/test_same_updates.py
@@ -0,0 +1,84 @@
+"""What the adapter answers to made input is, byte for byte, what it answered before issue 38.
+
+The digests in update_digests.json were taken on 440aa9e, before anything was renamed or split, with Python
+3.11 (from 3.12 on `sum` adds floats in another way). A change that means to alter what the decisions send
+renews them in its own commit, which says why: `python tests/simhost/test_same_updates.py` prints the file.
+"""
+
+import json
+import sys
+from pathlib import Path
+
+import pytest
+import wire_frames as wire
+from wire_fleet import CHECKPOINT, Fleet
+from wire_scenarios import SCENARIOS, Scenario, settings
+
+DIGESTS = Path(__file__).with_name("update_digests.json")
+NAMES = [scenario.name for scenario in SCENARIOS]
+HASH_SEEDS = (0, 1, 4_294_967_295)
+
+
+def digest_of(scenario, hash_seed):
+    """Plays a scenario against a new adapter process, which must end well."""
+    with wire.Adapter(hash_seed) as adapter:
+        found = Fleet(scenario).play(adapter)
+        code, complaints = adapter.close()
+    assert (code, complaints) == (0, b"")
+    return found
+
+
+def first_difference(found, known):
+    """Between which replies the answers part."""
+    pairs = zip(found["checkpoints"], known["checkpoints"], strict=False)
+    alike = next((at for at, (new, old) in enumerate(pairs) if new != old), len(known["checkpoints"]))
+    return f"the replies differ first between number {alike * CHECKPOINT} and {(alike + 1) * CHECKPOINT}"
+
+
+@pytest.mark.parametrize("scenario", SCENARIOS, ids=NAMES)
+def test_updates_are_those_of_before(scenario):
+    known = json.loads(DIGESTS.read_text())[scenario.name]
+    hash_seed = HASH_SEEDS[SCENARIOS.index(scenario) % len(HASH_SEEDS)]
+    found = digest_of(scenario, hash_seed)
+    assert found == known, f"{scenario.name}: {first_difference(found, known)}"
+
+
+def test_every_scenario_has_its_digest_and_they_differ():
+    known = json.loads(DIGESTS.read_text())
+    assert list(known) == NAMES
+    assert len({one["sha256"] for one in known.values()}) == len(SCENARIOS)
+    assert sum(one["replies"] for one in known.values()) >= 16000
+
+
+def test_a_controller_that_cannot_start_is_told_on_the_wire():
+    """The text names the field that is missing; other instances go on."""
+    spoilt = settings(Scenario("spoilt", 1), 1)
+    del spoilt["specifics"]["pushRate"]
+    good = json.dumps(settings(Scenario("good", 1), 0)).encode()
+    with wire.Adapter() as adapter:
+        events = [wire.provision(0, 7, good), wire.provision(1, 7, json.dumps(spoilt).encode())]
+        reply = adapter.answer(wire.batch(5.0, events))
+        assert adapter.close() == (0, b"")
+    found = list(wire.actions(reply[8:]))
+    faults = [one for one in found if one[0] == "Panic"]
+    assert [one[1] for one in faults] == [1]
+    assert b"pushRate" in faults[0][2]
+    assert ("NotifyMe", 0, 0, 250.0) in found
+
+
+@pytest.mark.parametrize(
+    "frame",
+    [b"\0", wire.batch(5.0, [b"\xff"]), wire.batch(5.0, [wire.fired(0, 1)])[:-1], b"\0\0\0\x04abcd"],
+    ids=["cut length", "unknown code", "cut record", "no room for a header"],
+)
+def test_a_malformed_frame_ends_the_adapter_with_exit_code_2(frame):
+    with wire.Adapter() as adapter:
+        adapter.process.stdin.write(frame)
+        code, complaints = adapter.close()
+    assert code == 2
+    assert complaints.startswith(b"oatcart.simhost: ") and complaints.count(b"\n") == 1
+
+
+if __name__ == "__main__":
+    json.dump({one.name: digest_of(one, 0) for one in SCENARIOS}, sys.stdout, indent=1)
+    print()
--- /dev/null
+++ b/tests/simhost/wire_faults.py
@@ -0,0 +1,190 @@
+"""The faults of the made fleet, and the odd records among its events."""
+
+from typing import TYPE_CHECKING
+
+import wire_frames as wire
+from wire_frames import DELTA, FAILED, PROBE_OK
+from wire_model import DRAINING, GONE, READY, Endpoint
+
+if TYPE_CHECKING:
+    from wire_fleet import Fleet
+
+NOT_A_LOAD = float("nan")
+UNKNOWN_INSTANCE = 7000
+
+
+def draw(fleet: "Fleet") -> None:
+    """Once a second: faults that end, and those that begin, by the scenario's rates."""
+    for endpoint in list(fleet.endpoints.values()):
+        if endpoint.fault and fleet.now >= endpoint.fault_ends:
+            endpoint.fault = ""
+    for name, per_minute in fleet.scenario.faults.items():
+        if fleet.now >= fleet.scenario.calm_ms and fleet.random.random() < per_minute / 60.0:
+            CALLS[name](fleet)
+
+
+def some_endpoints(fleet: "Fleet", part: float) -> list[Endpoint]:
+    ready = [one for one in fleet.endpoints.values() if one.condition == READY]
+    return [one for one in ready if fleet.random.random() < part]
+
+
+def strike(fleet: "Fleet", fault: str, part: float) -> None:
+    ends = fleet.now + fleet.between(4000, 18000)
+    for endpoint in some_endpoints(fleet, part):
+        endpoint.fault, endpoint.fault_ends = fault, ends
+
+
+def vanished(fleet: "Fleet") -> None:
+    strike(fleet, "vanished", 0.2)
+
+
+def failing(fleet: "Fleet") -> None:
+    strike(fleet, "failing", 0.2)
+
+
+def flaky(fleet: "Fleet") -> None:
+    strike(fleet, "flaky", 0.15)
+
+
+def all_failing(fleet: "Fleet") -> None:
+    strike(fleet, "failing", 0.95)
+
+
+def slow(fleet: "Fleet") -> None:
+    strike(fleet, "slow", 0.35)
+
+
+def restart(fleet: "Fleet") -> None:
+    for endpoint in some_endpoints(fleet, 0.2):
+        fleet.restart(endpoint.id)
+
+
+def zone_loss(fleet: "Fleet") -> None:
+    """All endpoints of a zone stop answering and come back cold."""
+    zone = fleet.random.randrange(len(fleet.scenario.zones))
+    for endpoint in list(fleet.endpoints.values()):
+        if endpoint.zone == zone and endpoint.condition == READY:
+            endpoint.fault, endpoint.fault_ends = "vanished", fleet.now + 9000
+            fleet.later(9000, fleet.restart, endpoint.id)
+
+
+def drain(fleet: "Fleet") -> None:
+    """Some endpoints drain, go, and are replaced by cold ones."""
+    for endpoint in some_endpoints(fleet, fleet.scenario.drain_part):
+        endpoint.condition = DRAINING
+        fleet.note_change(endpoint)
+        fleet.later(fleet.between(2500, 6000), fleet.remove, endpoint.id)
+        if fleet.random.random() < fleet.scenario.replaced:
+            fleet.later(fleet.between(500, 5000), fleet.add_cold, endpoint.zone)
+
+
+def undrain(fleet: "Fleet") -> None:
+    """A drain that is taken back."""
+    for endpoint in [one for one in fleet.endpoints.values() if one.condition == DRAINING][:2]:
+        endpoint.condition = READY
+        fleet.note_change(endpoint)
+
+
+def vanish_from_list(fleet: "Fleet") -> None:
+    for endpoint in some_endpoints(fleet, 0.08):
+        fleet.remove(endpoint.id, force=True)
+        fleet.later(fleet.between(4000, 20000), fleet.add_cold, endpoint.zone)
+
+
+def controller_restart(fleet: "Fleet") -> None:
+    number = fleet.random.randrange(len(fleet.controllers))
+    fleet.stop(number, [0, 800, 6000][fleet.random.randrange(3)])
+
+
+def proxies_leave(fleet: "Fleet") -> None:
+    for proxy in fleet.proxies:
+        if fleet.random.random() < 0.25:
+            proxy.unconfigured = proxy.unconfigured or fleet.random.random() < 0.3  # a new incarnation
+            fleet.leave(proxy.number, fleet.between(100, 5000))
+
+
+def one_rejoins(fleet: "Fleet") -> None:
+    """A proxy whose stream was replaced: it joins again before the old stream's end is noticed."""
+    proxy = fleet.proxies[fleet.random.randrange(len(fleet.proxies))]
+    if proxy.controller is not None:
+        fleet.controllers[proxy.controller].installed[proxy.number] = {}
+        fleet.events.append(
+            wire.subscribed(proxy.controller, False, proxy.number, proxy.zone, sum(proxy.rates))
+        )
+
+
+def window(fleet: "Fleet", fault: str, least: int, most: int) -> None:
+    fleet.windows[fault] = fleet.now + fleet.between(least, most)
+
+
+def overload(fleet: "Fleet") -> None:
+    window(fleet, "overload", 8000, 20000)
+
+
+def reports_late(fleet: "Fleet") -> None:
+    window(fleet, "reports_late", 5000, 12000)
+
+
+def acks_late(fleet: "Fleet") -> None:
+    window(fleet, "acks_late", 4000, 10000)
+
+
+def discovery_down(fleet: "Fleet") -> None:
+    window(fleet, "discovery_down", 3000, 9000)
+    for controller in fleet.controllers:
+        if controller.alive and controller.following and fleet.scenario.membership == "subscribe":
+            controller.following = False
+            fleet.events.append(wire.update(controller.number, FAILED, 0))
+
+
+def odd_records(fleet: "Fleet") -> None:
+    """Records that are legal and rare, or that a controller has no use for."""
+    number, lost = fleet.random.randrange(len(fleet.controllers)), fleet.random.randrange(1, 2**32)
+    if not fleet.controllers[number].alive:
+        return
+    proxy, known = fleet.random.randrange(len(fleet.proxies)), min(fleet.endpoints)
+    odd = [
+        wire.fired(number, 2**64 - 1),
+        wire.peer(number, 1, b"hi 7"),
+        wire.pressure(number, 1000.0, 1, 3, 0, 9),
+        wire.handed(number, 3, True),
+        wire.stored_line(number, 3, known, 1.0),
+        wire.installed(number, proxy, fleet.random.randrange(65536), 100.0),
+        wire.installed(number, 60000, 0, 100.0),
+        wire.stream_down(number, 60001),
+        wire.ingress(number, proxy, 40, 9, 0, 1000.0),
+        wire.ingress(number, proxy, 0, 9, 0, 0.0),
+        wire.ingress(number, 60002, 0, 9, 0, 1000.0),
+        wire.observed(number, 1000.0, 48.25, 1, 14, lost, 0, [7.0]),
+        wire.observed(number, 0.0, 0.0, 3, 0, known, 99, []),
+        wire.observed(number, 1000.0, 20.0, 9, 4, known, 0, [-1.0, 2e6, NOT_A_LOAD, 0.5]),
+        wire.echo(number, lost, PROBE_OK, 3.0, [1.0]),
+        wire.echo(number, known, 125, 3.0),
+        wire.update(number, DELTA, fleet.visible, [(lost, 0, 0.0, GONE, 0, 0.0, 0)]),
+        wire.update(number, DELTA, fleet.visible, []),
+        wire.ingress(UNKNOWN_INSTANCE, 0, 0, 1, 0, 1000.0),
+        wire.stream_down(UNKNOWN_INSTANCE, 0),
+    ]
+    fleet.events += [one for one in odd if fleet.random.random() < 0.5]
+
+
+CALLS = {
+    "vanished": vanished,
+    "failing": failing,
+    "flaky": flaky,
+    "all_failing": all_failing,
+    "slow": slow,
+    "restart": restart,
+    "zone_loss": zone_loss,
+    "drain": drain,
+    "undrain": undrain,
+    "vanish_from_list": vanish_from_list,
+    "controller_restart": controller_restart,
+    "proxies_leave": proxies_leave,
+    "one_rejoins": one_rejoins,
+    "overload": overload,
+    "reports_late": reports_late,
+    "acks_late": acks_late,
+    "discovery_down": discovery_down,
+    "odd_records": odd_records,
+}
