--- a/tests/simhost/test_same_updates.py
+++ b/tests/simhost/test_same_updates.py
@@ -12,7 +12,8 @@
 import pytest
 import wire_frames as wire
 from wire_fleet import CHECKPOINT, Fleet
-from wire_scenarios import SCENARIOS, Scenario, settings
+from wire_scenarios import SCENARIOS, Scenario
+from wire_settings import settings
 
 DIGESTS = Path(__file__).with_name("update_digests.json")
 NAMES = [scenario.name for scenario in SCENARIOS]
@@ -47,7 +48,7 @@
     known = json.loads(DIGESTS.read_text())
     assert list(known) == NAMES
     assert len({one["sha256"] for one in known.values()}) == len(SCENARIOS)
-    assert sum(one["replies"] for one in known.values()) >= 16000
+    assert sum(one["replies"] for one in known.values()) >= 20000
 
 
 def test_a_controller_that_cannot_start_is_told_on_the_wire():
--- a/tests/simhost/wire_faults.py
+++ b/tests/simhost/wire_faults.py
@@ -38,6 +38,10 @@
     strike(fleet, "vanished", 0.2)
 
 
+def half_vanished(fleet: "Fleet") -> None:
+    strike(fleet, "vanished", 0.6)
+
+
 def failing(fleet: "Fleet") -> None:
     strike(fleet, "failing", 0.2)
 
@@ -170,6 +174,7 @@
 
 CALLS = {
     "vanished": vanished,
+    "half_vanished": half_vanished,
     "failing": failing,
     "flaky": flaky,
     "all_failing": all_failing,
--- a/tests/simhost/wire_fleet.py
+++ b/tests/simhost/wire_fleet.py
@@ -15,20 +15,10 @@
 import wire_faults
 import wire_frames as wire
 import wire_traffic
-from wire_frames import (
-    CACHED,
-    DELTA,
-    FAILED,
-    FULL,
-    PROBE_BUSY,
-    PROBE_ERROR,
-    PROBE_LATE,
-    PROBE_OK,
-    PROBE_REFUSED,
-    PROBE_RESET,
-)
+from wire_frames import CACHED, DELTA, FAILED, FULL, PROBE_LATE, PROBE_OK
 from wire_model import DRAINING, GONE, READY, Controller, Endpoint, Proxy
-from wire_scenarios import CLOCK_START, Scenario, settings
+from wire_scenarios import CLOCK_START, Scenario
+from wire_settings import settings
 
 STEP = 50  # ms between batches
 CHECKPOINT = 250  # replies
@@ -72,11 +62,11 @@
         for controller in self.controllers:
             self.start(controller.number)
         for proxy in self.proxies:
-            self.later(self.random.randrange(1500), self.join, proxy.number)
+            self.later(self.random.randrange(self.scenario.join_ms), self.join, proxy.number)
         while self.now < self.scenario.seconds * 1000:
             self.step()
             if self.events:
-                frame = wire.batch(CLOCK_START + self.now, self.events)
+                frame = wire.batch(self.clock(), self.events)
                 self.events = []
                 reply = adapter.answer(frame)
                 digest.update(reply)
@@ -87,6 +77,11 @@
             self.now += STEP
         return {"replies": count, "sha256": digest.hexdigest(), "checkpoints": checkpoints}
 
+    def clock(self) -> float:
+        """The wire's clock, in ms; it never goes back."""
+        jitter = self.scenario.clock_jitter
+        return CLOCK_START + self.now + (jitter * self.random.random() if jitter else 0.0)
+
     def later(self, after: int, call, *arguments: object) -> None:
         """Calls back so many ms from now."""
         self.order += 1
@@ -288,20 +283,11 @@
 
     def probe(self, controller: Controller, endpoint: int) -> set[int]:
         took = self.between(2, 60)
-        status = self.probe_status(self.endpoints.get(endpoint))
+        status = wire_traffic.probe_status(self, self.endpoints.get(endpoint))
         after = 250 if status == PROBE_LATE else took
         self.later(after, self.send_echo, controller.number, endpoint, status, took)
         return set()
 
-    def probe_status(self, endpoint: Endpoint | None) -> int:
-        if endpoint is None or endpoint.fault == "vanished":
-            return PROBE_LATE if self.random.random() < 0.5 else PROBE_REFUSED
-        if endpoint.condition == DRAINING or self.random.random() < 0.1:
-            return PROBE_BUSY
-        if endpoint.fault == "failing" and self.random.random() < 0.6:
-            return PROBE_ERROR if self.random.random() < 0.7 else PROBE_RESET
-        return PROBE_OK
-
     def send_echo(self, number: int, endpoint: int, status: int, took: int) -> None:
         if self.controllers[number].alive:
             held = wire_traffic.load_report(self, self.endpoints.get(endpoint))
--- a/tests/simhost/wire_scenarios.py
+++ b/tests/simhost/wire_scenarios.py
@@ -81,67 +81,12 @@
     drain_part: float = 0.25
     replaced: float = 1.0  # part of the drained endpoints that get a successor
     calm_ms: int = 4000  # without faults at the start
+    join_ms: int = 1500  # over which the proxies join at the start
+    told_proxies: int = 0  # proxies that the settings tell of; 0: as many as there are
+    clock_jitter: float = 0.0  # ms that a batch's clock is late, at most
     faults: Mapping[str, float] = field(default_factory=lambda: FAULTS)
 
 
-def settings(scenario: Scenario, number: int) -> dict:
-    """The settings object of one controller, with all keys of the page's example."""
-    return {
-        "balancers": scenario.controllers,
-        "domainType": "control",
-        "grades": [_grade(one) for one in scenario.classes],
-        "membershipMode": scenario.membership,
-        "models": ["full-speed", "slower"],
-        "myZone": number % len(scenario.zones),
-        "penalties": {"connection": 0.02, "crossZone": scenario.cross_zone, "probe": 0.02, "waste": 0.03},
-        "policyLimits": {"mayTell": True, "probes": scenario.probes, "streamsPerConn": 32},
-        "quantum": 2.0,
-        "report": {"fields": list(scenario.fields), "how": "inline" if scenario.fields else "off"},
-        "rules": {
-            "cold": scenario.cold,
-            "coldShare": scenario.cold_share,
-            "fall": 3000.0,
-            "stopSendingWithin": scenario.grace_ms,
-            "tipMultiple": scenario.tip_multiple,
-        },
-        "selfIndex": number,
-        "specifics": {
-            "admit": scenario.admit,
-            "baseMode": 1,
-            "choice": "p2c",
-            "emptyFor": 7200.0,
-            "envelope": scenario.envelope,
-            "ingestRate": scenario.ingest_rate,
-            "messagesMost": scenario.messages_most,
-            "mutating": [one.idempotency != "idempotent" for one in scenario.classes],
-            "partitionsN": 0,
-            "period": float(scenario.period),
-            "proxyCount": scenario.proxies,
-            "pushRate": scenario.push_rate,
-            "queueCap": scenario.queue_cap,
-            "updateWindow": scenario.window_ms,
-            "zoneBound": [one.zone_bound for one in scenario.classes],
-        },
-        "weights": scenario.weights,
-        "worthBy": "request",
-        "zones": list(scenario.zones),
-    }
-
-
-def _grade(one: RequestClass) -> dict:
-    grade = {
-        "aim": one.aim,
-        "deadline": 3 * one.aim,
-        "group": "all",
-        "idempotency": one.idempotency,
-        "lateShare": 0.1,
-        "name": one.name,
-        "repeatWindow": 3000.0,
-        "worth": one.worth,
-    }
-    return grade | ({"onlyZones": list(one.only_zones)} if one.only_zones else {})
-
-
 def _faults(**changed: float) -> dict[str, float]:
     """The usual faults with some rates changed."""
     return {**FAULTS, **changed}
@@ -297,4 +242,62 @@
         proxy_rate=20.0,
         faults=_faults(all_failing=1.0, controller_restart=1.0),
     ),
+    Scenario(
+        "slow_channel",
+        1114,
+        seconds=200,
+        endpoints=19,
+        proxies=14,
+        controllers=1,
+        weights="live",
+        cross_zone=0.0,
+        push_rate=68.0,
+        envelope=1.0,
+        queue_cap=180.0,
+        messages_most=16,
+        grace_ms=60000.0,
+        drain_part=0.4,
+        ack_ms=(200, 2500),
+        faults=_faults(drain=2.0, slow=6.0, restart=0.5, vanish_from_list=3.0),
+    ),
+    Scenario(
+        "smallest_subsets",
+        115,
+        seconds=90,
+        endpoints=12,
+        proxies=26,
+        cross_zone=0.08,
+        push_rate=150.0,
+        queue_cap=900.0,
+        grace_ms=2000.0,
+        proxy_rate=6.0,
+        faults=_faults(drain=2.0),
+    ),
+    Scenario(
+        "growing_subsets",
+        116,
+        seconds=90,
+        endpoints=16,
+        proxies=20,
+        controllers=1,
+        classes=(LOOKUP, CHARGE),
+        cross_zone=0.0,
+        push_rate=400.0,
+        queue_cap=1000.0,
+        grace_ms=1200.0,
+        proxy_rate=8.0,
+        join_ms=40000,
+        calm_ms=30000,
+        told_proxies=4,
+        faults=_faults(proxies_leave=2.0),
+    ),
+    Scenario(
+        "half_lost",
+        117,
+        endpoints=13,
+        proxies=6,
+        cross_zone=0.0,
+        clock_jitter=12.0,
+        faults=_faults(half_vanished=4.0, drain=0.3, vanish_from_list=0.3, restart=0.3),
+    ),
 )
--- /dev/null
+++ b/tests/simhost/wire_settings.py
@@ -0,0 +1,61 @@
+"""The settings object of the wire, with the names of its page."""
+
+from wire_scenarios import RequestClass, Scenario
+
+
+def settings(scenario: Scenario, number: int) -> dict:
+    """The settings object of one controller, with all keys of the page's example."""
+    return {
+        "balancers": scenario.controllers,
+        "domainType": "control",
+        "grades": [_grade(one) for one in scenario.classes],
+        "membershipMode": scenario.membership,
+        "models": ["full-speed", "slower"],
+        "myZone": number % len(scenario.zones),
+        "penalties": {"connection": 0.02, "crossZone": scenario.cross_zone, "probe": 0.02, "waste": 0.03},
+        "policyLimits": {"mayTell": True, "probes": scenario.probes, "streamsPerConn": 32},
+        "quantum": 2.0,
+        "report": {"fields": list(scenario.fields), "how": "inline" if scenario.fields else "off"},
+        "rules": {
+            "cold": scenario.cold,
+            "coldShare": scenario.cold_share,
+            "fall": 3000.0,
+            "stopSendingWithin": scenario.grace_ms,
+            "tipMultiple": scenario.tip_multiple,
+        },
+        "selfIndex": number,
+        "specifics": {
+            "admit": scenario.admit,
+            "baseMode": 1,
+            "choice": "p2c",
+            "emptyFor": 7200.0,
+            "envelope": scenario.envelope,
+            "ingestRate": scenario.ingest_rate,
+            "messagesMost": scenario.messages_most,
+            "mutating": [one.idempotency != "idempotent" for one in scenario.classes],
+            "partitionsN": 0,
+            "period": float(scenario.period),
+            "proxyCount": scenario.told_proxies or scenario.proxies,
+            "pushRate": scenario.push_rate,
+            "queueCap": scenario.queue_cap,
+            "updateWindow": scenario.window_ms,
+            "zoneBound": [one.zone_bound for one in scenario.classes],
+        },
+        "weights": scenario.weights,
+        "worthBy": "request",
+        "zones": list(scenario.zones),
+    }
+
+
+def _grade(one: RequestClass) -> dict:
+    grade = {
+        "aim": one.aim,
+        "deadline": 3 * one.aim,
+        "group": "all",
+        "idempotency": one.idempotency,
+        "lateShare": 0.1,
+        "name": one.name,
+        "repeatWindow": 3000.0,
+        "worth": one.worth,
+    }
+    return grade | ({"onlyZones": list(one.only_zones)} if one.only_zones else {})
--- a/tests/simhost/wire_traffic.py
+++ b/tests/simhost/wire_traffic.py
@@ -3,7 +3,8 @@
 from typing import TYPE_CHECKING
 
 import wire_frames as wire
-from wire_model import Controller, Endpoint, Proxy
+from wire_frames import PROBE_BUSY, PROBE_ERROR, PROBE_LATE, PROBE_OK, PROBE_REFUSED, PROBE_RESET
+from wire_model import DRAINING, Controller, Endpoint, Proxy
 from wire_scenarios import CLOCK_START
 
 if TYPE_CHECKING:
@@ -107,3 +108,14 @@
     for proxy, place in list(controller.came)[:most]:
         elapsed, count, errors = controller.came.pop((proxy, place))
         fleet.events.append(wire.ingress(number, proxy, place, count, errors, float(elapsed)))
+
+
+def probe_status(fleet: "Fleet", endpoint: Endpoint | None) -> int:
+    """How a health check ends at it."""
+    if endpoint is None or endpoint.fault == "vanished":
+        return PROBE_LATE if fleet.random.random() < 0.5 else PROBE_REFUSED
+    if endpoint.condition == DRAINING or fleet.random.random() < 0.1:
+        return PROBE_BUSY
+    if endpoint.fault == "failing" and fleet.random.random() < 0.6:
+        return PROBE_ERROR if fleet.random.random() < 0.7 else PROBE_RESET
+    return PROBE_OK
