--- /dev/null
+++ b/tests/net/test_wire_bytes.py
@@ -0,0 +1,163 @@
+"""The bytes of each message on sockets, in both directions and with all fields set, as they are today."""
+
+from contextlib import suppress
+
+import pytest
+import stage as sockets
+
+from oatcart.net.codec import Codec
+from oatcart.tables import Part
+
+LIST = (
+    'roll revision=41 complete=true members=[["s-1f","a","SERVING",0],["s-2e","a","SERVING",0],'
+    '["s-3d","b","SERVING",0]]'
+)
+
+
+@pytest.fixture
+def stage():
+    """The stage of `tests/sockets` round scripted decisions, with three endpoints known."""
+    one = sockets.Stage({})
+    one.play(LIST)
+    yield one
+    one.close()
+
+
+def sent_to(stage, end, size):
+    """The bytes that the controller wrote to an end, `size` of them at least."""
+    found = bytearray()
+
+    def read():
+        with suppress(BlockingIOError):
+            found.extend(stage.ends[end].recv(65536))
+        return len(found) >= size
+
+    stage.until(read, f"{size} bytes to {end}, {bytes(found)}")
+    stage.quiet()
+    read()
+    return bytes(found)
+
+
+def request_head(stage, order):
+    """The bytes of the request that a command makes at discovery or at an endpoint."""
+    stage.play(f"order {order}")
+    found = bytearray()
+
+    def read():
+        if not stage.calls:
+            try:
+                stage.calls.append(stage.desk.accept()[0])
+                stage.calls[0].setblocking(False)
+            except BlockingIOError:
+                return False
+        with suppress(BlockingIOError):
+            found.extend(stage.calls[0].recv(65536))
+        return found.endswith(b"\r\n\r\n")
+
+    stage.until(read, order)
+    return bytes(found)
+
+
+def answer(stage, head, body):
+    """Answers the open call."""
+    stage.calls[0].sendall(head + b"Content-Length: %d\r\n\r\n" % len(body) + body)
+
+
+def join(stage, end, standing):
+    stage.play(f"dial {end}")
+    stage.ends[end].sendall(b'{"msg":"joined","sidecar":5,"az":"b","share":6.5,"standing":%s}\n' % standing)
+    stage.quiet()
+
+
+def test_an_update_has_all_its_fields_in_this_order():
+    codec = Codec(["lookup", "order"], ["a", "b"], 64)
+    numbers = [codec.place(name) for name in ("s-1f", "s-2e", "s-3d")]
+    part = Part(
+        kinds=(0, 1),
+        whole=True,
+        lines=((numbers[0], 20.5), (numbers[1], 0)),
+        level=0.25,
+        tries=3,
+        out=(numbers[1],),
+        back=(numbers[2], numbers[0]),
+        mark=65535,
+    )
+    assert codec.message((part, part._replace(mark=None), Part())) == (
+        b'{"msg":"update","routes":["lookup","order"],"full":true,"endpoints":[["s-1f",20.5],["s-2e",0]],'
+        b'"admit":0.25,"policy":3,"eject":["s-2e"],"restore":["s-3d","s-1f"],"nonce_out":65535,'
+        b'"continued":true}\n'
+        b'{"msg":"update","routes":["lookup","order"],"full":true,"endpoints":[["s-1f",20.5],["s-2e",0]],'
+        b'"admit":0.25,"policy":3,"eject":["s-2e"],"restore":["s-3d","s-1f"],"continued":true}\n'
+        b'{"msg":"update"}\n'
+    )
+
+
+def test_updates_on_a_stream_are_these_bytes(stage):
+    """A proxy that was configured before gets two tables, then changes of each kind."""
+    join(stage, "p", b"false")
+    for order in (
+        "line 0 0 20.5",
+        "line 0 1 30",
+        "line 1 2 100",
+        "withdraw 1 true",
+        "admit 0 1 0.25 3",
+        "admit 1 2 1000000.0 1",
+        "bind 0 5 1",
+        "bind 1 5 2",
+        "ask_ack 65535 false",
+    ):
+        stage.play(f"order {order}")
+    expected = (
+        b'{"msg":"update","routes":["lookup"],"full":true,"endpoints":[["s-1f",20.5],["s-2e",30]],'
+        b'"eject":["s-2e"],"restore":["s-1f","s-3d"],"continued":true}\n'
+        b'{"msg":"update","routes":["lookup"],"admit":0.25,"policy":3,"continued":true}\n'
+        b'{"msg":"update","routes":["order"],"full":true,"endpoints":[["s-3d",100]],"continued":true}\n'
+        b'{"msg":"update","routes":["order"],"admit":1000000.0,"policy":1,"nonce_out":65535}\n'
+    )
+    assert sent_to(stage, "p", len(expected)) == expected
+    for order in (
+        "line 0 0 0",
+        "withdraw 1 false",
+        "withdraw 2 true",
+        "admit 65535 3 0.125 0",
+        "ask_ack 0 true",
+    ):
+        stage.play(f"order {order}")
+    expected = (
+        b'{"msg":"update","routes":["lookup"],"endpoints":[["s-1f",0]],"eject":["s-3d"],"restore":["s-2e"],'
+        b'"continued":true}\n'
+        b'{"msg":"update","routes":["lookup"],"admit":0.125,"policy":3,"continued":true}\n'
+        b'{"msg":"update","routes":["order"],"admit":0.125,"policy":1,"nonce_out":0}\n'
+    )
+    assert sent_to(stage, "p", len(expected)) == expected
+
+
+def test_a_ping_is_answered_with_these_bytes(stage):
+    join(stage, "p", b"true")
+    stage.ends["p"].sendall(b'{"msg":"ping"}\n')
+    assert sent_to(stage, "p", 15) == b'{"msg":"pong"}\n'
+
+
+def test_a_watch_is_asked_for_with_these_bytes(stage):
+    """First without a wait, then with the time that news may take."""
+    host = "{}:{}".format(*stage.desk.getsockname()).encode()
+    head = b"GET /v1/servers?since=41&timeout_ms=%d HTTP/1.1\r\nHost: %s\r\n\r\n"
+    assert request_head(stage, "follow true") == head % (0, host)
+    answer(stage, b"HTTP/1.1 200 OK\r\n", b'{"revision":41,"complete":false,"members":[]}')
+    assert request_head(stage, "note x") == head % (5000, host)
+
+
+def test_the_complete_list_is_asked_for_with_these_bytes(stage):
+    host = "{}:{}".format(*stage.desk.getsockname()).encode()
+    assert request_head(stage, "fetch_roll") == b"GET /v1/servers HTTP/1.1\r\nHost: %s\r\n\r\n" % host
+
+
+@pytest.mark.parametrize(("reports", "path"), [(1, b"/load"), (0, b"/healthz")])
+def test_a_health_check_is_asked_for_with_these_bytes(reports, path):
+    one = sockets.Stage({"reports": reports})
+    try:
+        one.play(LIST)
+        host = "{}:{}".format(*one.desk.getsockname()).encode()
+        assert request_head(one, "probe 1") == b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (path, host)
+    finally:
+        one.close()
