--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -144,7 +144,7 @@
             took = time.process_time() - began
             longest, whole, arrivals = max(longest, took), whole + took, []
         found[phase] = {"longest_ms": 1000 * longest, "share": whole / lasts}
-    found["tables"] = {"count": sum(bool(one.proxies) for one in module.tables.values())}
+    found["tables"] = {"count": sum(bool(one.proxies) for one in module.routing.tables.values())}
     return found
 
 
--- /dev/null
+++ b/oatcart/policy/discovery.py
@@ -0,0 +1,92 @@
+"""Discovery: polling the endpoint list, and what a list changes in the registry."""
+
+from collections.abc import Callable
+
+from oatcart.events import EndpointEntry, EndpointListReceived
+from oatcart.model import DiscoverySettings, EndpointState, WarmUpLimits
+from oatcart.policy.outlier_detection import OutlierDetection
+from oatcart.policy.registry import EndpointRegistry
+from oatcart.policy.slow_start import ramp_start
+from oatcart.policy.state import LONG_AGO, Endpoint, Round
+
+FIRST_BACKOFF_S = 0.5  # wait after a failed call; doubles with each further one
+MAX_BACKOFF_S = 4.0
+REFRESH_S = 20.0  # between complete lists, in case a change was missed
+JITTER = 0.25  # part of a wait, up or down, so that controllers do not call together
+
+
+class EndpointDiscovery:
+    """Decides when discovery is called; where changes come unasked it never is."""
+
+    def __init__(self, settings: DiscoverySettings, uniform: Callable[[float, float], float]) -> None:
+        """`uniform(a, b)` draws the seeded random numbers."""
+        self._must_watch = settings.must_watch
+        self._uniform = uniform
+        self._watching = not settings.must_watch
+        self._backoff = FIRST_BACKOFF_S
+        self._next_call_at = LONG_AGO  # LONG_AGO: no call was made yet
+        self._next_refresh_at = LONG_AGO
+
+    def poll(self, this_round: Round) -> None:
+        """Opens a watch where none is, or fetches the complete list where that is due."""
+        if not self._must_watch:
+            return
+        now = this_round.now
+        refresh_at = self._next_refresh_at if self._watching else LONG_AGO
+        if now < max(self._next_call_at, refresh_at):
+            return
+        self._next_call_at = now + MAX_BACKOFF_S
+        self._next_refresh_at = now + REFRESH_S
+        if self._watching:
+            this_round.commands.fetch_endpoints()
+        else:
+            this_round.commands.watch_endpoints(True)
+
+    def record_failure(self, now: float) -> None:
+        """Waits before the next call, longer after each failure."""
+        self._watching = not self._must_watch
+        wait = self._backoff * self._uniform(1.0 - JITTER, 1.0 + JITTER)
+        self._next_call_at = now + wait
+        self._backoff = min(MAX_BACKOFF_S, self._backoff * 2)
+
+    def record_list(self, now: float) -> None:
+        """Notes that a list has come; the one held at the start answers no call."""
+        if self._next_call_at > LONG_AGO:
+            self._watching = True
+            self._backoff = FIRST_BACKOFF_S
+            self._next_call_at = now
+
+
+def apply_endpoint_list(
+    received: EndpointListReceived,
+    registry: EndpointRegistry,
+    outliers: OutlierDetection,
+    warm_up: WarmUpLimits,
+    now: float,
+) -> None:
+    """Takes a list over into the registry; endpoints that a complete one leaves out are gone."""
+    registry.invalidate_pools()
+    endpoints = registry.endpoints
+    listed = {entry.endpoint for entry in received.entries} if received.complete else endpoints
+    gone = [
+        EndpointEntry(number, endpoint.zone, 0.0, EndpointState.GONE, 0.0)
+        for number, endpoint in endpoints.items()
+        if number not in listed
+    ]
+    for entry in [*gone, *received.entries]:
+        endpoint = registry.get_or_create(entry.endpoint)
+        _apply_entry(endpoint, entry, now)
+        if entry.started_at > endpoint.started_at:
+            endpoint.started_at = entry.started_at
+            endpoint.answer_share = 0.0  # while warming up it gets less, so it owes fewer answers
+            outliers.restore(endpoint, ramp_start(entry.started_at, warm_up), now)
+
+
+def _apply_entry(endpoint: Endpoint, entry: EndpointEntry, now: float) -> None:
+    was_ready = endpoint.state == EndpointState.READY
+    is_ready = entry.state == EndpointState.READY
+    if is_ready != was_ready or not endpoint.listed:
+        endpoint.state_changed_at = now
+    endpoint.zone = entry.zone
+    endpoint.state = entry.state
+    endpoint.nominal_weight = entry.nominal_weight if entry.nominal_weight > 0 else 1.0
--- /dev/null
+++ b/oatcart/policy/load_shedding.py
@@ -0,0 +1,139 @@
+"""Load shedding: the share of the offered work that a routing table admits, and its split by request class.
+
+A cut follows strain that full endpoints explain, and waits until reports show the one before. The classes
+worth least for their time are shed first.
+"""
+
+from collections.abc import Iterable
+from statistics import median
+
+from oatcart.model import AdmissionMode, ControllerSettings, RetryPolicy
+from oatcart.policy.flow_control import URGENT_SHARE, UpdateChannel
+from oatcart.policy.retries import retries_pay, retry_policy
+from oatcart.policy.slow_start import admissible_share, success_ratio, warm_fraction
+from oatcart.policy.state import Endpoint, Round, RoutingTable
+from oatcart.policy.subsetting import RoutingTables
+from oatcart.policy.telemetry import FAILING_RATIO, Telemetry, error_ratio, median_error_ratio, strain
+from oatcart.policy.workload import Workload
+
+MAX_CUT = 0.6  # share of the admitted work that a cut leaves at least
+CUT_INTERVALS = 3.5  # report intervals until a cut shows
+MIN_ADMITTED_SHARE = 0.25
+FULL_LOAD = 80.0  # percent at the median endpoint, over which strain means overload
+SPARE_LOAD = 50.0  # percent at the median endpoint, under which work is admitted again
+FAILING_STRAIN = 2.0  # strain from which errors in every zone mean overload too
+RECOVERY_STEP = 0.04  # share that is admitted again in a second
+CALM_STRAIN = 0.8  # under which it is
+MIN_LEVEL = 0.02  # share of a class that is always admitted
+LEVEL_STEP = 0.04  # change of a level that is worth sending
+UNLIMITED_RATE = 1e6  # requests/s
+
+
+class LoadShedding:
+    """Decides what is admitted, table by table."""
+
+    def __init__(
+        self,
+        settings: ControllerSettings,
+        telemetry: Telemetry,
+        tables: RoutingTables,
+        workload: Workload,
+        channel: UpdateChannel,
+    ) -> None:
+        """All state is handed in; the tables keep the admitted shares."""
+        self._request_classes = settings.request_classes
+        self._mode = settings.admission_mode
+        self._warm_up = settings.warm_up
+        self._telemetry = telemetry
+        self._tables = tables
+        self._workload = workload
+        self._channel = channel
+
+    def adjust(self, table: RoutingTable, now: float) -> None:
+        """Cuts or raises the admitted share of a table; to be called once a second."""
+        pool = self._active(table)
+        strained = strain(pool, self._telemetry.latency_objective)
+        failing = strained > FAILING_STRAIN and fails_in_every_zone(pool)
+        load = median([one.load for one in pool if one.load is not None] or [100.0])
+        next_cut = table.reduced_at + CUT_INTERVALS * self._telemetry.report_interval
+        if strained > 1.0 and (load > FULL_LOAD or failing) and now > next_cut:
+            table.reduced_at = now
+            cut = max(MAX_CUT, 1.0 / strained)
+            table.admitted_share = max(MIN_ADMITTED_SHARE, table.admitted_share * cut)
+        elif strained < CALM_STRAIN or load < SPARE_LOAD and not failing:
+            table.admitted_share = min(1.0, table.admitted_share + RECOVERY_STEP)
+        table.retries_pay = retries_pay(
+            table.admitted_share, strained, error_ratio(pool), median_error_ratio(pool)
+        )
+
+    def admitted_share(self, table: RoutingTable, now: float) -> float:
+        """Returns the share of the work that a table admits, by load and by what warming endpoints stand."""
+        pool = self._active(table)
+        fractions = [warm_fraction(endpoint, self._warm_up, now) for endpoint in pool]
+        filled = self._workload.filled_endpoints(table)
+        return admissible_share(fractions, success_ratio(pool), filled, table.admitted_share)
+
+    def send_admission(self, table: RoutingTable, this_round: Round) -> None:
+        """Sends the levels of the table's classes that have changed, as far as the channel has room."""
+        share = 1.0 if self._mode == AdmissionMode.NONE else self.admitted_share(table, this_round.now)
+        work = self._workload.offered(table)
+        left = share * sum(work.values())
+        for number in sorted(work, key=self._shed_order):
+            wanted = left / work[number] if work[number] and share < 1.0 else share
+            level = max(MIN_LEVEL, min(1.0, wanted))
+            left = max(0.0, left - work[number] * level)
+            idempotency = self._request_classes[number].idempotency
+            retries = retry_policy(idempotency, table.retries_pay, share)
+            if self._has_changed(table, number, level, retries) and self._channel.reserve(
+                table.proxies, 1, URGENT_SHARE
+            ):
+                table.admission[number] = (level, retries)
+                quota = self._quota(table, number, level)
+                this_round.commands.set_admission(table.number, 1 << number, quota, retries)
+
+    def _active(self, table: RoutingTable) -> list[Endpoint]:
+        return [one for one in self._tables.endpoints(table).values() if not one.ejected]
+
+    def _shed_order(self, number: int) -> float:
+        """Sorts the classes by worth for their time, the best first: the last ones are shed."""
+        request_class = self._request_classes[number]
+        return -request_class.priority_weight / request_class.latency_objective
+
+    def _has_changed(self, table: RoutingTable, number: int, level: float, retries: RetryPolicy) -> bool:
+        sent = table.admission.get(number)
+        if sent is None:
+            return True
+        old_level, old_retries = sent
+        close = level == old_level or level < 1.0 and abs(level - old_level) < LEVEL_STEP
+        return retries != old_retries or not close
+
+    def _quota(self, table: RoutingTable, number: int, level: float) -> float:
+        """Returns a level in the unit that proxies take: a share, or requests/s for each proxy."""
+        if self._mode != AdmissionMode.RATE:
+            return level
+        if level >= 1.0:
+            return UNLIMITED_RATE
+        return rate_quota([proxy.rates[number] for proxy in table.proxies.values()], level)
+
+
+def fails_in_every_zone(pool: Iterable[Endpoint]) -> bool:
+    """Whether the endpoints of each zone fail; a network partition leaves a zone without errors."""
+    by_zone: dict[int, list[Endpoint]] = {}
+    for endpoint in pool:
+        by_zone.setdefault(endpoint.zone, []).append(endpoint)
+    return all(error_ratio(endpoints, 1.0) > FAILING_RATIO for endpoints in by_zone.values())
+
+
+def rate_quota(rates: list[float], level: float) -> float:
+    """Returns the requests/s that one proxy may admit so that all together admit a share of their rates.
+
+    `rates`: requests/s of each proxy; `level`: the share, under 1. Proxies below the quota leave theirs to
+    the others. Requests come by chance, so a quota at the mean itself would shed many of them: its square
+    root is added.
+    """
+    rates = sorted(rates)
+    left = level * sum(rates)
+    while rates and rates[0] < left / len(rates):
+        left -= rates.pop(0)
+    quota = left / len(rates) if rates else UNLIMITED_RATE
+    return quota + quota**0.5
--- /dev/null
+++ b/oatcart/policy/publication.py
@@ -0,0 +1,162 @@
+"""Publication: which weights of a table are sent and when.
+
+Weights are absolute. Changes over a threshold go out once a second, and the next ones only after most
+proxies have acknowledged the last, or after a wait; meanwhile changes merge. Some cannot wait: an empty
+table, and weights of endpoints in slow start that have to fall.
+"""
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+from oatcart.model import WarmUpLimits
+from oatcart.policy.flow_control import (
+    ACK_WAIT_S,
+    ASSIGNMENT_SHARE,
+    NEW_ENTRIES_SHARE,
+    WEIGHTS_SHARE,
+    UpdateChannel,
+)
+from oatcart.policy.registry import EndpointRegistry
+from oatcart.policy.slow_start import ramp, warm_fraction
+from oatcart.policy.state import Proxy, Round, RoutingTable
+from oatcart.policy.subsetting import RoutingTables
+from oatcart.policy.weighting import Weighting
+
+MIN_CHANGE = 5.0  # points
+MIN_CHANGE_SHARE = 0.1  # of the weight that is sent; the larger of both counts
+MAX_CHANNEL_S = 3.0  # s that a complete table takes the channel; each raises the threshold by its own
+LACKING_SHARE = 0.1  # of a table's endpoints without an entry, from which new entries go out at once
+
+
+@dataclass(slots=True)
+class WeightChanges:
+    """How a table as it was sent differs from what it should be; weights by endpoint, 0 for no entry."""
+
+    sent: dict[int, int]
+    target: dict[int, int]
+    wanted: dict[int, int]  # the target weights that differ enough to be sent
+    urgent: set[int]  # endpoints in slow start whose weight has to fall
+
+    @property
+    def lacks_entries(self) -> bool:
+        """Whether a good part of the table's endpoints has no entry yet."""
+        new = sum(not self.sent[endpoint] for endpoint in self.wanted)
+        return new > LACKING_SHARE * len(self.target)
+
+    def size(self, endpoint: int) -> int:
+        """Returns by how many points a weight changes."""
+        return abs(self.wanted[endpoint] - self.sent[endpoint])
+
+
+class Publication:
+    """Sends the weights of tables."""
+
+    def __init__(
+        self,
+        warm_up: WarmUpLimits,
+        registry: EndpointRegistry,
+        proxies: Mapping[int, Proxy],
+        tables: RoutingTables,
+        weighting: Weighting,
+        channel: UpdateChannel,
+    ) -> None:
+        """`proxies`: those that are joined, by number; all state is handed in."""
+        self._warm_up = warm_up
+        self._registry = registry
+        self._proxies = proxies
+        self._tables = tables
+        self._weighting = weighting
+        self._channel = channel
+
+    def publish(
+        self, table: RoutingTable, this_round: Round, rescored: bool = False, unblocked: bool = True
+    ) -> None:
+        """Sends what is due of a table's changes, as far as the channel has room, and keeps the rest.
+
+        `rescored`: scores are new in this round; `unblocked`: nothing more important waits for the channel.
+        """
+        changes = self._changes(table, this_round.now)
+        empty = self._is_empty(table, changes)
+        lacks_entries = changes.lacks_entries
+        may_update = self._may_update(table, this_round.now) and (rescored or lacks_entries)
+        regular = may_update and not empty and unblocked
+        due = [at for at in changes.wanted if regular or empty or self._is_urgent(at, changes)]
+        share = ASSIGNMENT_SHARE
+        if regular:
+            share = NEW_ENTRIES_SHARE if lacks_entries else WEIGHTS_SHARE
+        sent = self._reserve(table, changes, due, share)
+        table.unsent = {at: weight for at, weight in changes.wanted.items() if at not in sent}
+        self._send(table, sent, this_round)
+
+    def _changes(self, table: RoutingTable, now: float) -> WeightChanges:
+        target = self._weighting.target_weights(table, now)
+        endpoints = sorted({*table.weights, *target})
+        sent = {at: table.weights.get(at, 0) for at in endpoints}
+        falling = {at for at in endpoints if 0 < target.get(at, 0) < sent[at] / 2}
+        threshold = self._threshold(table, len(target))
+        wanted: dict[int, int] = {}
+        for at in endpoints:
+            old, new = sent[at], target.get(at, 0)
+            if (
+                (old > 0) != (new > 0)
+                or at in falling
+                and self._is_warming_up(at, now)
+                or abs(new - old) > threshold * max(MIN_CHANGE, MIN_CHANGE_SHARE * old)
+            ):
+                wanted[at] = new
+        return WeightChanges(sent, target, wanted, {at for at in falling if self._in_slow_start(at, now)})
+
+    def _threshold(self, table: RoutingTable, entries: int) -> float:
+        """Returns the factor of the threshold: 1, and 1 more for each second that a full update takes."""
+        proxies = len(self._proxies if self._tables.has_subsets else table.proxies)
+        seconds = entries * proxies / max(1.0, self._channel.limits.line_rate)
+        return 1.0 + min(MAX_CHANNEL_S, seconds)
+
+    def _is_warming_up(self, endpoint: int, now: float) -> bool:
+        return warm_fraction(self._registry.endpoints[endpoint], self._warm_up, now) < 1.0
+
+    def _in_slow_start(self, endpoint: int, now: float) -> bool:
+        return ramp(now - self._registry.endpoints[endpoint].ramp_started_at) < 1.0
+
+    def _is_empty(self, table: RoutingTable, changes: WeightChanges) -> bool:
+        """Whether no entry of the table may be used, or nobody has it yet."""
+        endpoints = self._registry.endpoints
+        usable = any(at in changes.target and not endpoints[at].ejected for at in table.weights)
+        return not usable or not table.proxies
+
+    def _may_update(self, table: RoutingTable, now: float) -> bool:
+        """Whether most proxies have acknowledged the last update, or long enough has been waited for it."""
+        mostly_acknowledged = len(table.unacknowledged) * 2 < len(table.proxies)
+        return mostly_acknowledged or now - table.changed_at >= ACK_WAIT_S
+
+    def _is_urgent(self, endpoint: int, changes: WeightChanges) -> bool:
+        """Whether a change cannot wait; with urgent ones go new entries, and all if the channel is idle."""
+        if endpoint in changes.urgent:
+            return True
+        return bool(changes.urgent) and (not changes.sent[endpoint] or self._channel.is_idle)
+
+    def _reserve(
+        self, table: RoutingTable, changes: WeightChanges, due: list[int], share: float
+    ) -> dict[int, int]:
+        """Reserves room for the due changes and returns those that fit, the most important first.
+
+        New entries come first and then the largest changes; endpoints that proxies may not use come last.
+        """
+        if not due:
+            return {}
+        endpoints = self._registry.endpoints
+        due.sort(key=lambda at: (endpoints[at].removal_sent, changes.sent[at] > 0, -changes.size(at)))
+        removal_times = {endpoints[at].removal_sent_at for at in due}
+        unaware = {removed_at: table.unaware_proxies(removed_at) for removed_at in removal_times}
+        notices = [0 if changes.sent[at] else unaware[endpoints[at].removal_sent_at] for at in due]
+        fitting = self._channel.reserve(table.proxies, len(due), share, 1, notices)
+        return {at: changes.wanted[at] for at in due[:fitting]}
+
+    def _send(self, table: RoutingTable, sent: dict[int, int], this_round: Round) -> None:
+        for endpoint, weight in sent.items():
+            this_round.commands.set_weight(table.number, endpoint, weight)
+        table.weights = {at: weight for at, weight in (table.weights | sent).items() if weight}
+        if sent and table.proxies:
+            table.nonce = this_round.nonce
+            table.unacknowledged = set(table.proxies)
+            table.changed_at = this_round.now
--- /dev/null
+++ b/oatcart/policy/scoring.py
@@ -0,0 +1,78 @@
+"""Scores of endpoints: the paper's weighted sum (AADLB, 3.3), its cutoffs and its normalization.
+
+A score is in points, 0 the worst and 100 the best. The paper's CPU and RAM count as one load here, bytes
+sent and received as one.
+"""
+
+from collections import deque
+from collections.abc import Collection
+
+from oatcart.policy.state import Endpoint
+from oatcart.policy.telemetry import error_ratio
+
+LOAD_PART = 0.30
+TREND_PART = 0.20
+DURATION_PART = 0.20
+BYTES_PART = 0.20
+ERROR_PART = 0.10
+IDLE_LOAD = 10.0  # percent; a load below it scores full points
+QUICK_S = 0.2  # a mean duration up to it scores full points
+DURATION_COST = 200.0  # points for each second over it
+ERROR_COST = 1000.0  # points for a ratio of 1
+NEUTRAL_SCORE = 50.0  # points for a flat trend, and for bytes, which nobody reports
+TREND_SAMPLES = 30  # loads, one a second, over which the trend is taken
+MAX_SCORE_GROWTH = 1.35  # a rescore multiplies a score by it at most, so that no idle endpoint is flooded
+
+
+def new_load_history() -> deque[float]:
+    """Returns an empty window of loads for the trend."""
+    return deque(maxlen=TREND_SAMPLES)
+
+
+def clamp(points: float) -> float:
+    """Limits a score to 0 to 100 points."""
+    return min(100.0, max(0.0, points))
+
+
+def weighted_sum(load: float, load_rise: float, duration: float, errors: float) -> float:
+    """Returns the paper's weighted sum of an endpoint's normalized scores, in points.
+
+    `load` in percent, `load_rise` in percent points over the trend's window, mean `duration` in seconds,
+    `errors` as a ratio of the attempts.
+    """
+    load_score = 100.0 if load < IDLE_LOAD else clamp(100.0 - load)
+    trend_score = clamp(NEUTRAL_SCORE - load_rise)
+    duration_score = clamp(100.0 - max(0.0, duration - QUICK_S) * DURATION_COST)
+    error_score = clamp(100.0 - errors * ERROR_COST)
+    return (
+        LOAD_PART * load_score
+        + TREND_PART * trend_score
+        + DURATION_PART * duration_score
+        + BYTES_PART * NEUTRAL_SCORE
+        + ERROR_PART * error_score
+    )
+
+
+def rescore(endpoints: Collection[Endpoint], lists_weights: bool) -> None:
+    """Sets the score of each ready endpoint; to be called once a second, which is the trend's unit.
+
+    An endpoint without reports gets the average. Where discovery lists nominal weights, a score is scaled by
+    the endpoint's weight over the mean one.
+    """
+    scores: dict[int, float] = {}
+    for endpoint in endpoints:
+        if endpoint.load is not None and endpoint.answers:
+            scores[id(endpoint)] = _score(endpoint)
+            endpoint.load_history.append(endpoint.load)
+    average = sum(scores.values()) / len(scores) if scores else NEUTRAL_SCORE
+    mean_weight = sum(endpoint.nominal_weight for endpoint in endpoints) / max(1, len(endpoints))
+    for endpoint in endpoints:
+        scale = endpoint.nominal_weight / mean_weight if lists_weights else 1.0
+        score = scores.get(id(endpoint), average) * scale
+        endpoint.score = min(score, endpoint.score * MAX_SCORE_GROWTH + 1.0)
+
+
+def _score(endpoint: Endpoint) -> float:
+    load_rise = endpoint.load - endpoint.load_history[0] if endpoint.load_history else 0.0
+    duration = endpoint.answer_seconds / endpoint.answers
+    return weighted_sum(endpoint.load, load_rise, duration, error_ratio([endpoint]))
--- /dev/null
+++ b/oatcart/policy/subsetting.py
@@ -0,0 +1,170 @@
+"""Subsetting: which routing tables there are, and which endpoints each has.
+
+A table has all endpoints of its zones while the update channel carries complete tables of all proxies well
+within the drain deadline. Else there are several tables of each kind, each with a subset of the endpoints,
+and each endpoint is in two subsets, so that neighbouring subsets level their load.
+"""
+
+from collections import Counter, deque
+from collections.abc import Callable, Iterator
+from math import ceil, inf
+from typing import NamedTuple
+
+from oatcart.model import ControllerSettings
+from oatcart.policy.locality import TableKey, table_keys
+from oatcart.policy.registry import EndpointRegistry
+from oatcart.policy.state import Endpoint, RoutingTable
+
+DEADLINE_SHARE = (
+    0.5  # of the drain deadline that complete tables may take the channel; the rest is for change
+)
+MIN_SUBSET = 4  # endpoints; with fewer, two draws meet failing ones too often
+SUBSETS_PER_ENDPOINT = 2
+MAX_SIZE_FACTOR = 1.5  # times the wanted size that a table may have which a joining proxy is given
+
+
+class TableChoice(NamedTuple):
+    """Tables of one kind that a joining proxy may be given."""
+
+    max_size: float  # endpoints; a proxy with a larger table gets another one
+    tables: deque[RoutingTable]  # those with the fewest proxies first
+
+
+class RoutingTables:
+    """All routing tables, by number, and the endpoints of each."""
+
+    def __init__(
+        self,
+        settings: ControllerSettings,
+        registry: EndpointRegistry,
+        uniform: Callable[[float, float], float],
+    ) -> None:
+        """`uniform(a, b)` draws the seeded random numbers."""
+        self._settings = settings
+        self._registry = registry
+        self._uniform = uniform
+        self._by_key: dict[TableKey, list[RoutingTable]] = {}
+        self.tables: dict[int, RoutingTable] = {}
+        self.awaited: set[int] = set()  # numbers of tables that joining proxies are about to get
+        self.has_subsets = False
+
+    def in_use(self, table: RoutingTable) -> bool:
+        """Whether a table counts: a subset does only while proxies have it or are about to get it."""
+        return table.complete or bool(table.proxies) or table.number in self.awaited
+
+    def used_tables(self) -> Iterator[RoutingTable]:
+        """Iterates over the tables in use."""
+        return filter(self.in_use, self.tables.values())
+
+    def pools(self) -> list[dict[int, Endpoint]]:
+        """Returns the ready endpoints of each set of zones that a table draws from."""
+        return [self._registry.pool(zones) for zones in {table.zones for table in self.tables.values()}]
+
+    def endpoints(self, table: RoutingTable) -> dict[int, Endpoint]:
+        """Returns the ready endpoints of a table, by number; with subsets, without the ejected ones.
+
+        Without subsets proxies are told of ejections, so that entries can stay.
+        """
+        pool = self._registry.pool(table.zones)
+        if not self.has_subsets:
+            return pool
+        numbers = pool if table.complete else sorted(table.subset & pool.keys())
+        return {number: pool[number] for number in numbers if not pool[number].ejected}
+
+    def choices(self, zone: int, configured_before: bool, joined_proxies: int) -> list[TableChoice]:
+        """Returns, for each table that a joining proxy of a zone needs, the tables it may be given.
+
+        A proxy that was `configured_before` is told with each entry whether its endpoint may be used, which
+        costs a line more. The size of a subset follows from the lines that the channel carries in time.
+        """
+        settings = self._settings
+        keys = table_keys(settings.request_classes, zone, settings.cross_zone_price)
+        pools = {key: self._registry.pool(key.zones) for key in keys}
+        in_time = DEADLINE_SHARE * settings.drain_deadline * settings.channel.line_rate
+        entries = sum(map(len, pools.values()))
+        proxies = max(1.0, settings.expected_proxies, joined_proxies)
+        overhead = settings.channel.message_overhead + 1 + len(pools) + len(settings.request_classes)
+        part = (in_time / proxies - overhead) / (entries * (1 + configured_before) or 1)
+        fits = proxies * (entries + overhead) <= in_time
+        choices = []
+        for key, pool in pools.items():
+            size = inf if fits else max(MIN_SUBSET, int(part * len(pool)))
+            tables = self._tables_up_to(key, size, len(pool))
+            by_proxies = sorted(tables, key=lambda table: len(table.proxies))
+            choices.append(TableChoice(MAX_SIZE_FACTOR * size, deque(by_proxies)))
+        return choices
+
+    def _tables_up_to(self, key: TableKey, size: float, pool_size: int) -> list[RoutingTable]:
+        """Returns tables of a kind that are not too large, with new ones until every endpoint has room."""
+        alike = self._by_key.setdefault(key, [])
+        tables = [table for table in alike if table.size <= MAX_SIZE_FACTOR * size]
+        wanted = max(1, ceil(SUBSETS_PER_ENDPOINT * pool_size / size))
+        for _ in range(len(tables), wanted):
+            table = RoutingTable(len(self.tables), *key, size)
+            self.tables[table.number] = table
+            alike.append(table)
+            tables.append(table)
+        return tables
+
+    def assign_endpoints(self) -> None:
+        """Gives each subset its number of endpoints, half of them local, from those in few subsets."""
+        self.has_subsets = any(not table.complete for table in self.tables.values())
+        if not self.has_subsets:
+            return
+        for key, tables in self._by_key.items():
+            pool = {
+                number: endpoint
+                for number, endpoint in self._registry.pool(key.zones).items()
+                if not endpoint.ejected
+            }
+            subsets = [table for table in tables if not table.complete and self.in_use(table)]
+            self._assign_pool(pool, subsets)
+
+    def _assign_pool(self, pool: dict[int, Endpoint], subsets: list[RoutingTable]) -> None:
+        for table in subsets:
+            table.subset &= pool.keys()
+        cover = Counter(number for table in subsets for number in table.subset)
+        missing_share = len(pool.keys() - cover.keys()) / max(1, len(pool))
+        for table in subsets:
+            size = int(min(table.size, len(pool)))
+            self._make_room(table, size, missing_share, pool, cover)
+            self._fill(table, size, pool, cover)
+        uncovered = [number for number in pool if not cover[number]] if subsets else []
+        for number in uncovered:
+            min(subsets, key=lambda table: len(table.subset) - table.size).subset.add(number)
+
+    def _make_room(
+        self,
+        table: RoutingTable,
+        size: int,
+        missing_share: float,
+        pool: dict[int, Endpoint],
+        cover: Counter[int],
+    ) -> None:
+        """Makes room for endpoints that stand in no subset, by their share of the pool.
+
+        Remote endpoints are removed first, of these the ones in many subsets.
+        """
+        if not missing_share:
+            return
+        excess = int(len(table.subset) + missing_share * size + self._uniform(0, 1)) - size
+        if excess > 0:
+            removed = sorted(
+                table.subset,
+                key=lambda number: (pool[number].zone == table.local_zone, -cover[number], number),
+            )[:excess]
+            table.subset.difference_update(removed)
+            cover.subtract(removed)
+
+    def _fill(self, table: RoutingTable, size: int, pool: dict[int, Endpoint], cover: Counter[int]) -> None:
+        """Adds endpoints up to the size, those in few subsets first, until half of the subset is local."""
+        missing = size - len(table.subset)
+        if missing <= 0:
+            return
+        rest = sorted(pool.keys() - table.subset, key=lambda number: (cover[number], self._uniform(0, 1)))
+        local_here = sum(pool[number].zone == table.local_zone for number in table.subset)
+        local_wanted = int(table.size) // 2 - local_here
+        local = [number for number in rest if pool[number].zone == table.local_zone][: max(0, local_wanted)]
+        added = [*local, *(number for number in rest if number not in local)][:missing]
+        table.subset.update(added)
+        cover.update(added)
--- /dev/null
+++ b/oatcart/policy/workload.py
@@ -0,0 +1,49 @@
+"""The work that requests bring to routing tables, and how many endpoints it fills."""
+
+from collections.abc import Sequence
+
+from oatcart.model import RequestClass
+from oatcart.policy.registry import EndpointRegistry
+from oatcart.policy.state import RoutingTable
+from oatcart.policy.subsetting import SUBSETS_PER_ENDPOINT, RoutingTables
+
+
+class Workload:
+    """Offered work by table, in seconds of work a second: the rate times the latency objective."""
+
+    def __init__(
+        self, request_classes: Sequence[RequestClass], registry: EndpointRegistry, tables: RoutingTables
+    ) -> None:
+        """`request_classes`: by number."""
+        self._request_classes = request_classes
+        self._registry = registry
+        self._tables = tables
+        self._by_table: dict[int, dict[int, float]] = {}
+        self._admitted = 0.0  # of all tables together
+
+    def update(self) -> None:
+        """Adds up what comes to the proxies of each table."""
+        tables = self._tables.tables
+        self._by_table = {
+            number: {one: self._offered(table, one) for one in table.classes}
+            for number, table in tables.items()
+        }
+        self._admitted = sum(
+            sum(self._by_table[number].values()) * table.admitted_share for number, table in tables.items()
+        )
+
+    def _offered(self, table: RoutingTable, request_class: int) -> float:
+        rate = sum(proxy.rates[request_class] for proxy in table.proxies.values())
+        return self._request_classes[request_class].latency_objective * rate
+
+    def offered(self, table: RoutingTable) -> dict[int, float]:
+        """Returns the work offered to a table by request class, as of the last update."""
+        return self._by_table[table.number]
+
+    def filled_endpoints(self, table: RoutingTable) -> float:
+        """Returns how many endpoints the work offered to a table would fill, by what all tables admit."""
+        offered = sum(self._by_table.get(table.number, {}).values())
+        part = offered / self._admitted if self._admitted else 1.0
+        # endpoints of a subset are filled by the other subsets too that have them
+        shared_by = 1 if table.complete else SUBSETS_PER_ENDPOINT
+        return len(self._registry.pool()) * part * shared_by
--- a/oatcart/scale/day.py
+++ b/oatcart/scale/day.py
@@ -18,7 +18,7 @@
 from statistics import fmean
 from typing import NamedTuple
 
-from oatcart.policy import KEPT_GONE
+from oatcart.policy.draining import FORGET_AFTER_S
 from oatcart.scale.configuration import Settings
 from oatcart.scale.day_deliveries import Deliveries, Drains, History, deliveries, drains
 from oatcart.scale.day_schedule import Kind, schedule
@@ -31,7 +31,9 @@
 from oatcart.scale.troubles import plan_day
 
 LEAST_CUT_S = 5.0  # of a cut between regions, in real time
-KEPT_MOST_S = 2 * KEPT_GONE + 2.0  # that a conductor keeps a gone node, and as long as it takes to be told
+KEPT_MOST_S = (
+    2 * FORGET_AFTER_S + 2.0
+)  # that a conductor keeps a gone node, and as long as it takes to be told
 KNOWN_WITHIN_S = 10.0  # after the last change, until conductors know exactly their views
 Progress = Callable[[str], None]
 
--- a/oatcart/scale/runs.py
+++ b/oatcart/scale/runs.py
@@ -25,7 +25,7 @@
 from dataclasses import replace
 from math import ceil
 
-from oatcart.policy import FETCH_EVERY
+from oatcart.policy.discovery import REFRESH_S
 from oatcart.scale.conductor_settings import ROUTES_MOST, conductor_settings, list_entry, route_names
 from oatcart.scale.configuration import DAY_S, FleetSettings, RunSettings, Settings
 from oatcart.scale.figures import (
@@ -78,7 +78,7 @@
     >>> whole_fetches(15.0), whole_fetches(40.0)
     (20.0, 40.0)
     """
-    return ceil(span_s / FETCH_EVERY) * FETCH_EVERY
+    return ceil(span_s / REFRESH_S) * REFRESH_S
 
 
 class Runs:
--- a/oatcart/trace/tap.py
+++ b/oatcart/trace/tap.py
@@ -79,8 +79,11 @@
 
 
 def text_digest() -> str:
-    """Which text of the module decided."""
-    return blake2b(Path(policy.__file__).read_bytes(), digest_size=8).hexdigest()
+    """Which text of the decisions was in force: a digest of all modules of the package."""
+    digest = blake2b(digest_size=8)
+    for path in sorted(Path(policy.__file__).parent.glob("*.py")):
+        digest.update(path.read_bytes())
+    return digest.hexdigest()
 
 
 class Noting:
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -40,7 +40,7 @@
     before(socket.socket, "listen")
 elif point == "a round":
     from oatcart import policy
-    before(policy.Controller, "look")
+    before(policy.Controller, "check")
 elif point == "telling":
     from oatcart.net import conductor
     before(conductor.Rounds, "_tell")
--- a/tests/trace/test_tools.py
+++ b/tests/trace/test_tools.py
@@ -388,7 +388,7 @@
         {},
     )
     module = started(dict(zip((name for name, _ in FIELDS["start"]), begun[1:], strict=True)))
-    assert list(module.kinds) == kinds
+    assert list(module.settings.request_classes) == kinds
     tap = Tap(module.round, out.append, lambda: wall[0])
     for now, unix in ((0.0, 1000.0), (60.0, 1060.0), (120.0, 1090.0)):
         wall[0] = unix
