--- a/oatcart/views/revisions.py
+++ b/oatcart/views/revisions.py
@@ -1,26 +1,30 @@
-"""Revisions of views: numbers that grow, and that two control roles do not share.
+"""Revisions of views: each incarnation of a publisher issues an interval of its own, so a revision tells who
+issued it.
 
-A conductor says which revision it holds. One that it got from another control role, or from this one's former
-life, must not be taken for one of ours: what has changed since could not be told. So a revision is the Unix
-time in seconds, shifted, plus a chance part, and a history answers changes for the exact revisions that it
-has issued, the whole list for all others.
+A controller names the revision that it holds. It may have it from another control role, or from an earlier
+incarnation of this one, and what has changed since such a revision is not known here. So an incarnation
+begins at a revision drawn once from 2^42 and counts up by one: no clock enters, and within an incarnation no
+revision is issued twice. A history answers changes for at most 501 revisions, so a given foreign revision is
+among them with a probability of at most 501 / 2^42, less than 1.2e-10; two incarnations that have issued a
+million revisions each share one with a probability of 5e-7.
+
+Revisions of different incarnations have no order. A reader needs none: the first answer of another issuer is
+a complete list, which a controller accepts whatever its revision.
 """
 
-from collections.abc import Callable
 from random import Random
 
-SECOND = 4096  # revisions of a second; with Unix time up to the year 2047 below what a conductor reads (1e13)
-STRIDE_MOST = 64  # between two revisions of one second
+# More than half of what a controller reads (1e13) is left to count in: 17 years at 10,000 revisions/s.
+FIRST_REVISIONS = 2**42  # revisions that an incarnation may begin with, from 1 on
 
 
 class Revisions:
-    """`unix`: the time in seconds; `chance`: not seeded but in tests."""
+    """The revisions of one incarnation. `random` draws the first one; not seeded except in tests."""
 
-    def __init__(self, unix: Callable[[], float], chance: Random) -> None:
-        self.unix, self.chance, self.last = unix, chance, 0
+    def __init__(self, random: Random) -> None:
+        self._last = random.randrange(FIRST_REVISIONS)
 
     def next(self) -> int:
-        """A revision above all earlier ones, also where the clock has stepped back."""
-        by_clock = int(self.unix()) * SECOND
-        self.last = max(self.last, by_clock) + self.chance.randint(1, STRIDE_MOST)
-        return self.last
+        """Issues a revision, one above the last."""
+        self._last += 1
+        return self._last
--- a/oatcart/views/role.py
+++ b/oatcart/views/role.py
@@ -1,6 +1,5 @@
 """A whole control role: the follower, the publisher, the server and reloads, on one event loop."""
 
-import time
 from collections.abc import Generator, Iterable, Mapping
 from itertools import islice
 from math import inf
@@ -62,7 +61,7 @@
         self.configuration, self.loop, self.log = configuration, loop, log
         chance = SystemRandom()
         self.deciding = DecidingThread(loop, self._decided)
-        self.publisher = Publisher(configuration, Revisions(time.time, chance), self.deciding.put)
+        self.publisher = Publisher(configuration, Revisions(chance), self.deciding.put)
         self.trusted = TrustedList(configuration.guard)
         self.follower = Follower(
             self.loop, self.log, configuration.source, self.trusted, chance.uniform, self._taken
--- a/tests/views/test_views_server.py
+++ b/tests/views/test_views_server.py
@@ -1,6 +1,8 @@
 """The control role over loopback: what conductors are answered, and what no caller and no discovery may do to
 it."""
 
+from random import SystemRandom
+
 import orjson
 import pytest
 from views_stage import ANY_PORT, Exchange, Stage, conductor, ids, node, phases
@@ -504,6 +506,35 @@
     other.stop()
 
 
+class EqualStrides(SystemRandom):
+    """Random numbers of which every bounded step is the least, so that two publishers draw equal ones."""
+
+    def randint(self, low, high):
+        return low
+
+
+def test_two_control_roles_that_publish_in_one_second_with_equal_strides_share_no_revision(monkeypatch):
+    """Failure: a revision was the second and a random stride of 1 to 64, so of 64 pairs of control roles that
+    published in the same second one had the same revision, and a conductor that moved was told nothing."""
+    monkeypatch.setattr("time.time", lambda: 1.8e9)
+    monkeypatch.setattr("oatcart.views.role.SystemRandom", EqualStrides)
+    stage = Stage([conductor("c0", ["x"]), conductor("c1", ["y"])])
+    try:
+        stage.discovery.put(*whole_fleet())
+        stage.ready()
+        other = stage.start(stage.configuration)
+        stage.until(lambda: len(other.publisher.entries) == 12, "its list")
+        for name in "c0", "c1":
+            mine = stage.get(name)
+            theirs = stage.call(other.address_of(name), "/v1/servers").result(stage)
+            assert mine["revision"] != theirs["revision"]
+            moved = stage.call(other.address_of(name), f"/v1/servers?since={mine['revision']}")
+            assert moved.result(stage)["complete"] is True
+        other.stop()
+    finally:
+        stage.close()
+
+
 def test_the_status_tells_of_views_and_of_the_source(stage):
     stage.get("c0")
     told = stage.call(stage.role.main.address, "/v1/views").result(stage)
