--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -22,7 +22,7 @@
 from oatcart.scale.configuration import FleetSettings
 from oatcart.scale.fleet import plan_fleet
 from oatcart.views.places import expected_holders
-from oatcart.views.records import Member, Viewer, ViewLimits
+from oatcart.views.records import Controller, Endpoint, ViewLimits
 from oatcart.views.subsets import Subsets
 
 PLAN_NODES = FleetSettings().nodes
@@ -40,8 +40,8 @@
 class Fleet:
     """The records of a drawn fleet."""
 
-    members: dict[str, Member]
-    viewers: dict[str, Viewer]
+    endpoints: dict[str, Endpoint]
+    controllers: dict[str, Controller]
 
 
 @dataclass
@@ -79,24 +79,26 @@
 def drawn_fleet(settings: FleetSettings, seed: int) -> Fleet:
     """A fleet as records of the views."""
     plan = plan_fleet(settings, seed)
-    members = {
-        node.id: Member(node.id, node.region, node.zone, node.service, float(node.size), True)
+    endpoints = {
+        node.id: Endpoint(node.id, node.region, node.zone, node.service, float(node.size), True)
         for node in plan.nodes
     }
-    viewers = {one.name: Viewer(one.name, one.region, one.zone, one.services) for one in plan.conductors}
-    return Fleet(members, viewers)
+    controllers = {
+        one.name: Controller(one.name, one.region, one.zone, one.services) for one in plan.conductors
+    }
+    return Fleet(endpoints, controllers)
 
 
 def settled(fleet: Fleet, seed: int) -> Subsets:
     """The views of a fleet, decided."""
     subsets = Subsets(ViewLimits(), seed)
-    subsets.put_members(fleet.members.values())
-    subsets.put_viewers(fleet.viewers.values())
+    subsets.put_endpoints(fleet.endpoints.values())
+    subsets.put_controllers(fleet.controllers.values())
     subsets.take_changed()
     return subsets
 
 
-def all_views(subsets: Subsets, names: "dict[str, Viewer]") -> Views:
+def all_views(subsets: Subsets, names: "dict[str, Controller]") -> Views:
     """Every conductor's view."""
     return {name: frozenset(subsets.view(name)) for name in names}
 
@@ -118,52 +120,54 @@
 
 def balance(fleet: Fleet, views: Views) -> Balance:
     """How evenly nodes are held, service by service."""
-    members_of = by_service(fleet)
-    held_of: dict[str, dict[str, set[str]]] = {service: {} for service in members_of}
+    endpoints_of = by_service(fleet)
+    held_of: dict[str, dict[str, set[str]]] = {service: {} for service in endpoints_of}
     for name, view in views.items():
-        for service in fleet.viewers[name].services:
-            held_of[service][name] = {member.id for member in members_of[service] if member.id in view}
+        for service in fleet.controllers[name].services:
+            held_of[service][name] = {
+                endpoint.id for endpoint in endpoints_of[service] if endpoint.id in view
+            }
     ratios: list[float] = []
     over = unseen = 0
-    for service, members in members_of.items():
-        partial = [held for held in held_of[service].values() if len(held) < len(members)]
+    for service, endpoints in endpoints_of.items():
+        partial = [held for held in held_of[service].values() if len(held) < len(endpoints)]
         if not partial:
             continue
         seats = sum(map(len, partial))
-        sizes = numpy.array([member.size for member in members])
-        holders = numpy.array([sum(member.id in held for held in partial) for member in members])
+        sizes = numpy.array([endpoint.size for endpoint in endpoints])
+        holders = numpy.array([sum(endpoint.id in held for held in partial) for endpoint in endpoints])
         expected = expected_holders(sizes, seats, len(partial))
         counted = (expected >= LEAST_EXPECTED) & (expected < len(partial))
         ratios.extend((holders[counted] / expected[counted]).tolist())
         over += int((holders > numpy.maximum(ViewLimits().overload * expected, numpy.ceil(expected))).sum())
-        if seats >= len(members) and len(partial) == len(held_of[service]):
+        if seats >= len(endpoints) and len(partial) == len(held_of[service]):
             unseen += int((holders == 0).sum())
     return Balance(max(ratios, default=1.0), min(ratios, default=1.0), over, unseen)
 
 
-def by_service(fleet: Fleet) -> dict[str, list[Member]]:
+def by_service(fleet: Fleet) -> dict[str, list[Endpoint]]:
     """The nodes of each service."""
-    groups: dict[str, list[Member]] = defaultdict(list)
-    for member in fleet.members.values():
-        groups[member.service].append(member)
+    groups: dict[str, list[Endpoint]] = defaultdict(list)
+    for endpoint in fleet.endpoints.values():
+        groups[endpoint.service].append(endpoint)
     return groups
 
 
 def short_of_zones(fleet: Fleet, views: Views) -> int:
     """Services of conductors without ready nodes in two zones, or in one where the service has no two."""
     zones_there = {
-        service: len({(member.region, member.zone) for member in members if member.ready})
-        for service, members in by_service(fleet).items()
+        service: len({(endpoint.region, endpoint.zone) for endpoint in endpoints if endpoint.ready})
+        for service, endpoints in by_service(fleet).items()
     }
     short = 0
     for name, view in views.items():
         zones: dict[str, set[tuple[str, str]]] = defaultdict(set)
-        for member in (fleet.members[member_id] for member_id in view):
-            if member.ready:
-                zones[member.service].add((member.region, member.zone))
+        for endpoint in (fleet.endpoints[endpoint_id] for endpoint_id in view):
+            if endpoint.ready:
+                zones[endpoint.service].add((endpoint.region, endpoint.zone))
         short += sum(
             len(zones[service]) < min(2, zones_there.get(service, 0))
-            for service in fleet.viewers[name].services
+            for service in fleet.controllers[name].services
         )
     return short
 
@@ -190,30 +194,32 @@
         return took
 
 
-def member_moves(fleet: Fleet, watched: Watched, changes: int, random: Random) -> Moves:
+def endpoint_moves(fleet: Fleet, watched: Watched, changes: int, random: Random) -> Moves:
     """Nodes, drawn at random, go and come back."""
     subsets = watched.subsets
     tally = Tally()
-    for member_id in random.sample(sorted(fleet.members), min(changes, len(fleet.members))):
+    for endpoint_id in random.sample(sorted(fleet.endpoints), min(changes, len(fleet.endpoints))):
         before = dict(watched.views)
-        share = len(subsets.holders(member_id))
-        went = watched.after(lambda member_id=member_id: subsets.drop_member(member_id))
+        share = len(subsets.holders(endpoint_id))
+        went = watched.after(lambda endpoint_id=endpoint_id: subsets.remove_endpoint(endpoint_id))
         tally.add(share, pairs_moved(before, watched.views))
-        came = watched.after(lambda member_id=member_id: subsets.put_member(fleet.members[member_id]))
+        came = watched.after(
+            lambda endpoint_id=endpoint_id: subsets.put_endpoint(fleet.endpoints[endpoint_id])
+        )
         tally.durations += [went, came]
-        assert_back(before, watched.views, member_id)
+        assert_back(before, watched.views, endpoint_id)
     return tally.moves()
 
 
-def viewer_moves(fleet: Fleet, watched: Watched, changes: int, random: Random) -> Moves:
+def controller_moves(fleet: Fleet, watched: Watched, changes: int, random: Random) -> Moves:
     """Conductors, drawn at random, go and come back."""
     subsets = watched.subsets
     tally = Tally()
-    for name in random.sample(sorted(fleet.viewers), min(changes, len(fleet.viewers))):
+    for name in random.sample(sorted(fleet.controllers), min(changes, len(fleet.controllers))):
         before = dict(watched.views)
-        went = watched.after(lambda name=name: subsets.drop_viewer(name), gone=name)
+        went = watched.after(lambda name=name: subsets.remove_controller(name), gone=name)
         tally.add(len(before[name]), pairs_moved(before, watched.views))
-        came = watched.after(lambda name=name: subsets.put_viewer(fleet.viewers[name]))
+        came = watched.after(lambda name=name: subsets.put_controller(fleet.controllers[name]))
         tally.durations += [went, came]
         assert_back(before, watched.views, name)
     return tally.moves()
@@ -258,20 +264,20 @@
     decided: list[Subsets] = []
     all_ms = processor_ms(lambda: decided.append(settled(fleet, seed)))
     subsets = decided[0]
-    views = all_views(subsets, fleet.viewers)
+    views = all_views(subsets, fleet.controllers)
     sizes = [len(view) for view in views.values()]
     random = Random(seed)
     watched = Watched(subsets, views)
     return {
-        "nodes": len(fleet.members),
-        "conductors": len(fleet.viewers),
+        "nodes": len(fleet.endpoints),
+        "conductors": len(fleet.controllers),
         "largest_view": max(sizes),
         "mean_view": sum(sizes) / len(sizes),
         "balance": asdict(balance(fleet, views)),
         "short_of_zones": short_of_zones(fleet, views),
         "all_views_s": all_ms / 1000,
-        "node_moves": asdict(member_moves(fleet, watched, changes, random)),
-        "conductor_moves": asdict(viewer_moves(fleet, watched, changes, random)),
+        "node_moves": asdict(endpoint_moves(fleet, watched, changes, random)),
+        "conductor_moves": asdict(controller_moves(fleet, watched, changes, random)),
         "resident_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
     }
 
@@ -280,7 +286,7 @@
     """A zone lost and back, regions cut apart, and a control machine that has not heard of some records."""
     fleet = drawn_fleet(settings, seed)
     subsets = settled(fleet, seed)
-    before = all_views(subsets, fleet.viewers)
+    before = all_views(subsets, fleet.controllers)
     return {
         "zone_lost": zone_lost(fleet, subsets, before),
         "region_apart": region_apart(fleet, seed),
@@ -291,41 +297,41 @@
 def zone_lost(fleet: Fleet, subsets: Subsets, before: Views) -> dict[str, object]:
     """The zone with most nodes goes, conductors and all, and comes back."""
     counts: dict[str, int] = defaultdict(int)
-    for member in fleet.members.values():
-        counts[member.zone] += 1
+    for endpoint in fleet.endpoints.values():
+        counts[endpoint.zone] += 1
     lost_zone = max(counts, key=counts.__getitem__)
-    members = [member for member in fleet.members.values() if member.zone == lost_zone]
-    viewers = [viewer for viewer in fleet.viewers.values() if viewer.zone == lost_zone]
-    gone = {viewer.name for viewer in viewers}
+    endpoints = [endpoint for endpoint in fleet.endpoints.values() if endpoint.zone == lost_zone]
+    controllers = [controller for controller in fleet.controllers.values() if controller.zone == lost_zone]
+    gone = {controller.name for controller in controllers}
     share = sum(len(before[name]) for name in gone)
-    share += sum(len(subsets.holders(member.id) - gone) for member in members)
+    share += sum(len(subsets.holders(endpoint.id) - gone) for endpoint in endpoints)
 
     def lose() -> None:
-        for member in members:
-            subsets.drop_member(member.id)
-        for viewer in viewers:
-            subsets.drop_viewer(viewer.name)
+        for endpoint in endpoints:
+            subsets.remove_endpoint(endpoint.id)
+        for controller in controllers:
+            subsets.remove_controller(controller.name)
         subsets.take_changed()
 
     def heal() -> None:
-        subsets.put_members(members)
-        subsets.put_viewers(viewers)
+        subsets.put_endpoints(endpoints)
+        subsets.put_controllers(controllers)
         subsets.take_changed()
 
     lose_ms = processor_ms(lose)
     left = Fleet(
-        {one.id: one for one in fleet.members.values() if one.zone != lost_zone},
-        {one.name: one for one in fleet.viewers.values() if one.zone != lost_zone},
+        {one.id: one for one in fleet.endpoints.values() if one.zone != lost_zone},
+        {one.name: one for one in fleet.controllers.values() if one.zone != lost_zone},
     )
-    after = all_views(subsets, left.viewers)
+    after = all_views(subsets, left.controllers)
     heal_ms = processor_ms(heal)
     return {
-        "nodes": len(members),
-        "conductors": len(viewers),
+        "nodes": len(endpoints),
+        "conductors": len(controllers),
         "share": share,
         "beyond_to_share": (pairs_moved(before, after) - share) / share,
         "short_of_zones": short_of_zones(left, after),
-        "healed_as_before": all_views(subsets, fleet.viewers) == before,
+        "healed_as_before": all_views(subsets, fleet.controllers) == before,
         "lose_s": lose_ms / 1000,
         "heal_s": heal_ms / 1000,
     }
@@ -333,15 +339,15 @@
 
 def region_apart(fleet: Fleet, seed: int) -> dict[str, object]:
     """One region's control machine knows the nodes and conductors of its own region alone."""
-    region = min(viewer.region for viewer in fleet.viewers.values())
+    region = min(controller.region for controller in fleet.controllers.values())
     apart = Fleet(
-        {one.id: one for one in fleet.members.values() if one.region == region},
-        {one.name: one for one in fleet.viewers.values() if one.region == region},
+        {one.id: one for one in fleet.endpoints.values() if one.region == region},
+        {one.name: one for one in fleet.controllers.values() if one.region == region},
     )
-    views = all_views(settled(apart, seed), apart.viewers)
+    views = all_views(settled(apart, seed), apart.controllers)
     return {
-        "nodes": len(apart.members),
-        "conductors": len(apart.viewers),
+        "nodes": len(apart.endpoints),
+        "conductors": len(apart.controllers),
         "largest_view": max(map(len, views.values())),
         "short_of_zones": short_of_zones(apart, views),
     }
@@ -350,15 +356,15 @@
 def machines_differ(fleet: Fleet, views: Views, seed: int) -> dict[str, object]:
     """Two control machines of which one has not heard of some nodes and conductors."""
     random = Random(seed)
-    members = dict(fleet.members)
-    viewers = dict(fleet.viewers)
-    for member_id in random.sample(sorted(members), UNKNOWN):
-        del members[member_id]
-    for name in random.sample(sorted(viewers), UNKNOWN):
-        del viewers[name]
-    other = all_views(settled(Fleet(members, viewers), seed), viewers)
+    endpoints = dict(fleet.endpoints)
+    controllers = dict(fleet.controllers)
+    for endpoint_id in random.sample(sorted(endpoints), UNKNOWN):
+        del endpoints[endpoint_id]
+    for name in random.sample(sorted(controllers), UNKNOWN):
+        del controllers[name]
+    other = all_views(settled(Fleet(endpoints, controllers), seed), controllers)
     common = {name: view for name, view in views.items() if name in other}
-    known = {name: view & members.keys() for name, view in common.items()}
+    known = {name: view & endpoints.keys() for name, view in common.items()}
     return {
         "unknown_nodes": UNKNOWN,
         "unknown_conductors": UNKNOWN,
--- a/oatcart/scale/day_trial.py
+++ b/oatcart/scale/day_trial.py
@@ -32,7 +32,7 @@
 from oatcart.scale.view_trial import ViewTrial
 from oatcart.views.configuration import Configuration
 from oatcart.views.configuration import read as read_views
-from oatcart.views.records import Viewer
+from oatcart.views.records import Controller
 
 SAMPLE_EVERY_S = 1.0
 SETTLED_WITHIN_S = 15.0  # until all conductors have their views, when no changes are made
@@ -103,7 +103,7 @@
     def expected_views(self) -> ExpectedViews:
         """The views by the control role's own file."""
         told = views_configuration(self.views_file)
-        viewers = [conductor.viewer for conductor in told.conductors]
+        viewers = [controller.record for controller in told.controllers]
         return ExpectedViews(viewers, told.limits, told.seed, self.first_entries)
 
     def sample(self) -> Sample:
@@ -153,7 +153,7 @@
     def expected_views(self) -> ExpectedViews:
         """Every conductor's view is the whole list."""
         viewers = [
-            Viewer(name, self.planned(name).region, self.planned(name).zone, ()) for name in self.names
+            Controller(name, self.planned(name).region, self.planned(name).zone, ()) for name in self.names
         ]
         return ExpectedViews(viewers, UNBOUNDED, self.settings.seed, self.first_entries)
 
--- a/oatcart/scale/day_views.py
+++ b/oatcart/scale/day_views.py
@@ -12,8 +12,8 @@
 from oatcart.scale.discovery import DELETED
 from oatcart.views.configuration import NodeFields
 from oatcart.views.entries import SERVING, parse_entry
-from oatcart.views.publisher import member
-from oatcart.views.records import Viewer, ViewLimits
+from oatcart.views.publisher import endpoint_record
+from oatcart.views.records import Controller, ViewLimits
 from oatcart.views.subsets import Subsets
 
 UNBOUNDED = ViewLimits(most_members=10**9, most_bytes=10**9, most_entry_bytes=1)
@@ -31,7 +31,7 @@
     """The views after each change made so far."""
 
     def __init__(
-        self, viewers: Sequence[Viewer], limits: ViewLimits, seed: int, entries: Collection[dict]
+        self, viewers: Sequence[Controller], limits: ViewLimits, seed: int, entries: Collection[dict]
     ) -> None:
         self.viewers = {viewer.name: viewer for viewer in viewers}
         self.entries: dict[str, dict] = {}
@@ -40,7 +40,7 @@
             tuple[int, str], frozenset[str]
         ] = {}  # holders of nodes that changes brought back
         self._subsets = Subsets(limits, seed)
-        self._subsets.put_viewers(viewers)
+        self._subsets.put_controllers(viewers)
         self._set(entries)
         self._history = {name: [ViewAt(-1, frozenset(self._subsets.view(name)))] for name in self.viewers}
         self._subsets.take_changed()
@@ -94,8 +94,8 @@
     def _set(self, entries: Iterable[dict]) -> None:
         for entry in entries:
             if entry["phase"] == DELETED:
-                self._subsets.drop_member(entry["id"])
+                self._subsets.remove_endpoint(entry["id"])
                 self.entries.pop(entry["id"], None)
             else:
-                self._subsets.put_member(member(parse_entry(entry), NodeFields()))
+                self._subsets.put_endpoint(endpoint_record(parse_entry(entry), NodeFields()))
                 self.entries[entry["id"]] = entry
--- a/oatcart/views/__main__.py
+++ b/oatcart/views/__main__.py
@@ -45,7 +45,7 @@
         configuration = read(told.file)
         check_descriptors(configuration)
         if told.check:
-            print(f"{told.file} can be used: {len(configuration.conductors)} conductors")
+            print(f"{told.file} can be used: {len(configuration.controllers)} conductors")
             return 0
         role = assemble(configuration)
         role.start()
--- a/oatcart/views/alive.py
+++ b/oatcart/views/alive.py
@@ -11,7 +11,7 @@
 from math import inf
 from typing import NamedTuple
 
-from oatcart.views.records import Viewer
+from oatcart.views.records import Controller
 
 
 @dataclass(frozen=True)
@@ -37,7 +37,7 @@
     without a call; inf where everyone's silence has to begin first.
     """
 
-    put: tuple[Viewer, ...]
+    put: tuple[Controller, ...]
     dropped: tuple[str, ...]
     doubted: tuple[str, ...]
     next_at: float
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class _Lease:
-    viewer: Viewer
+    controller: Controller
     ends_at: float
 
 
@@ -57,28 +57,28 @@
     before.
     """
 
-    def __init__(self, settings: AliveSettings, now: float, known: Iterable[Viewer] = ()) -> None:
+    def __init__(self, settings: AliveSettings, now: float, known: Iterable[Controller] = ()) -> None:
         self._settings = settings
         self._leases: dict[str, _Lease] = {}
-        self._put: dict[str, Viewer] = {}
+        self._put: dict[str, Controller] = {}
         self._forgotten: set[str] = set()
-        for viewer in known:
-            self.renew(viewer, now)
+        for controller in known:
+            self.renew(controller, now)
 
-    def renew(self, viewer: Viewer, called_at: float) -> None:
+    def renew(self, controller: Controller, called_at: float) -> None:
         """A conductor called, here or, as another control machine tells, there.
 
         Calls may be told in any order; the latest one counts.
         """
         ends_at = called_at + self._settings.lease
-        lease = self._leases.get(viewer.name)
+        lease = self._leases.get(controller.name)
         if lease is None:
-            self._leases[viewer.name] = _Lease(viewer, ends_at)
-            self._put[viewer.name] = viewer
+            self._leases[controller.name] = _Lease(controller, ends_at)
+            self._put[controller.name] = controller
         elif ends_at >= lease.ends_at:
-            if lease.viewer != viewer:
-                self._put[viewer.name] = viewer
-            lease.viewer, lease.ends_at = viewer, ends_at
+            if lease.controller != controller:
+                self._put[controller.name] = controller
+            lease.controller, lease.ends_at = controller, ends_at
 
     def forget(self, name: str) -> None:
         """A conductor is known to be gone for good: it is dropped with the next decision, doubt or not."""
--- a/oatcart/views/configuration.py
+++ b/oatcart/views/configuration.py
@@ -9,9 +9,9 @@
 
 from oatcart.net.stream import Address
 from oatcart.views.alive import AliveSettings
-from oatcart.views.conductors import (
-    Conductor,
+from oatcart.views.controllers import (
     Group,
+    ServedController,
     distinct_names,
     filed_groups,
     listed_groups,
@@ -22,7 +22,7 @@
 from oatcart.views.trust import Guard
 from oatcart.yaml_files import Wrong, load, name, size, span, table, whole, yes_or_no
 
-__all__ = ["Bounds", "Configuration", "Conductor", "NodeFields", "Source", "Wrong", "read"]
+__all__ = ["Bounds", "Configuration", "NodeFields", "ServedController", "Source", "Wrong", "read"]
 
 WAIT_MOST = 60.0  # s; the protocol's
 UNDECIDED_WAIT_MOST = 3.0  # s; a conductor gives a call that is no watch 4 s
@@ -86,7 +86,7 @@
     limits: ViewLimits = ViewLimits()
     seed: int = 0
     bounds: Bounds = Bounds()
-    conductors: tuple[Conductor, ...] = ()
+    controllers: tuple[ServedController, ...] = ()
     leases: AliveSettings | None = None
 
 
@@ -208,7 +208,7 @@
         bounds = self._part(told, top, "bounds", BOUND_KEYS)
         leases = self._leases(told, top)
         seed = views.pop("seed", 0)
-        conductors = self._conductors(told, top, nodes)
+        controllers = self._controllers(told, top, nodes)
         return Configuration(
             top.get("listen", Configuration().listen),
             Source(**source),
@@ -217,7 +217,7 @@
             ViewLimits(**views),
             seed,
             Bounds(**bounds),
-            conductors,
+            controllers,
             leases,
         )
 
@@ -260,7 +260,7 @@
                 found[zone] = str(region)
         return found
 
-    def _conductors(self, told: CommentedMap, top: dict, nodes: NodeFields) -> tuple[Conductor, ...]:
+    def _controllers(self, told: CommentedMap, top: dict, nodes: NodeFields) -> tuple[ServedController, ...]:
         listed, filed = top.get("conductors"), top.get("conductors_file")
         groups: list[Group] = []
         if listed is not None:
--- a/oatcart/views/conductors.py
+++ b/oatcart/views/controllers.py
@@ -14,18 +14,18 @@
 
 from oatcart.net.codec import address as ipv4_address
 from oatcart.net.stream import Address
-from oatcart.views.records import Viewer
+from oatcart.views.records import Controller
 from oatcart.yaml_files import name, table, whole
 
 PORTS = 65536
-CONDUCTORS_MOST = 20_000
+CONTROLLERS_MOST = 20_000
 NUMBER_FIELD = "{number}"  # in the name of a group of conductors
 
 
-class Conductor(NamedTuple):
+class ServedController(NamedTuple):
     """A conductor that is served. `address`: its own, None where it asks by name alone."""
 
-    viewer: Viewer
+    record: Controller
     address: Address | None
 
 
@@ -56,7 +56,7 @@
 
 KEYS = {
     "name": name,
-    "count": whole(1, CONDUCTORS_MOST),
+    "count": whole(1, CONTROLLERS_MOST),
     "zone": name,
     "region": name,
     "services": distinct_names,
@@ -110,24 +110,24 @@
     base: Address | None,
     region_of: Callable[[str], str],
     wrong: list[str],
-) -> tuple[Conductor, ...]:
+) -> tuple[ServedController, ...]:
     """All conductors of all groups. Each is listened for at its own address or, by its position, above the
     base."""
-    found: list[Conductor] = []
+    found: list[ServedController] = []
     names: set[str] = set()
     taken = {listen: "listen"}
     for group in groups:
-        for conductor in _members(group, base, len(found), region_of, wrong):
-            _check_distinct(conductor, names, taken, group.where(group.line), wrong)
-            found.append(conductor)
-    if len(found) > CONDUCTORS_MOST:
-        wrong.append(f"conductors: {len(found)}, more than {CONDUCTORS_MOST}")
+        for served in _endpoints(group, base, len(found), region_of, wrong):
+            _check_distinct(served, names, taken, group.where(group.line), wrong)
+            found.append(served)
+    if len(found) > CONTROLLERS_MOST:
+        wrong.append(f"conductors: {len(found)}, more than {CONTROLLERS_MOST}")
     return tuple(found)
 
 
-def _members(
+def _endpoints(
     group: Group, base: Address | None, position: int, region_of: Callable[[str], str], wrong: list[str]
-) -> Iterator[Conductor]:
+) -> Iterator[ServedController]:
     """The conductors of one entry: one, or `count` of them whose names bear a number."""
     before = len(wrong)
     fields = table(group.told, KEYS, group.at, group.where, wrong, group.line)
@@ -137,8 +137,8 @@
     region = fields.get("region", region_of(fields["zone"]))
     for number in range(fields.get("count", 1)):
         called = fields["name"].replace(NUMBER_FIELD, str(number)) if "count" in fields else fields["name"]
-        viewer = Viewer(called, region, fields["zone"], fields.get("services", ()))
-        yield Conductor(viewer, fields.get("address") or _above(base, position + number))
+        record = Controller(called, region, fields["zone"], fields.get("services", ()))
+        yield ServedController(record, fields.get("address") or _above(base, position + number))
 
 
 def _check_fields(group: Group, fields: dict, wrong: list[str]) -> None:
@@ -153,9 +153,9 @@
 
 
 def _check_distinct(
-    conductor: Conductor, names: set[str], taken: dict[Address, str], here: str, wrong: list[str]
+    served: ServedController, names: set[str], taken: dict[Address, str], here: str, wrong: list[str]
 ) -> None:
-    called, address = conductor.viewer.name, conductor.address
+    called, address = served.record.name, served.address
     if called in names:
         wrong.append(f"{here}: conductors: the name {called} stands there twice")
     names.add(called)
--- a/oatcart/views/cover.py
+++ b/oatcart/views/cover.py
@@ -7,7 +7,7 @@
 
 from oatcart.views.matching import Matching
 from oatcart.views.quotas import LEAST_PLACES, Quota
-from oatcart.views.records import Member
+from oatcart.views.records import Endpoint
 
 Zone = tuple[str, str]
 """A region and a zone in it."""
@@ -33,35 +33,37 @@
     return Needs(min(LEAST_PLACES, sum(counts)), min(LEAST_PLACES, len(counts)))
 
 
-def zone_of(member: Member) -> Zone:
+def zone_of(endpoint: Endpoint) -> Zone:
     """A zone's name is its own only within its region."""
-    return member.region, member.zone
+    return endpoint.region, endpoint.zone
 
 
-def exchanges_for_unseen(matching: Matching, members: dict[str, Member]) -> dict[str, list[Exchange]]:
+def exchanges_for_unseen(matching: Matching, endpoints: dict[str, Endpoint]) -> dict[str, list[Exchange]]:
     """Exchanges by conductor that give each node without holder one, as far as other nodes have one to spare.
 
     The pair of the smallest key goes first. Its conductor gives up the node of its largest key that others
     hold too, and keeps nodes in two zones. Where there are at least as many seats as nodes, no node is left
     unseen unless only zones stand against it.
     """
-    unseen = matching.members_without_holder()
+    unseen = matching.endpoints_without_holder()
     if not unseen:
         return {}
     pairs = sorted(
-        (key, name, member_id) for member_id in unseen for key, name in matching.keys_of_member(member_id)
+        (key, name, endpoint_id)
+        for endpoint_id in unseen
+        for key, name in matching.keys_of_endpoint(endpoint_id)
     )
     spared: dict[str, int] = {}
     exchanges: dict[str, list[Exchange]] = {}
     covered: set[str] = set()
-    for _, name, member_id in pairs:
-        if member_id in covered:
+    for _, name, endpoint_id in pairs:
+        if endpoint_id in covered:
             continue
-        given = _node_to_spare(matching, members, name, member_id, exchanges.get(name, []), spared)
+        given = _node_to_spare(matching, endpoints, name, endpoint_id, exchanges.get(name, []), spared)
         if given is not None:
             spared[given] = spared.get(given, 0) + 1
-            exchanges.setdefault(name, []).append(Exchange(given, member_id))
-            covered.add(member_id)
+            exchanges.setdefault(name, []).append(Exchange(given, endpoint_id))
+            covered.add(endpoint_id)
             if len(covered) == len(unseen):
                 break
     return exchanges
@@ -69,7 +71,7 @@
 
 def _node_to_spare(
     matching: Matching,
-    members: dict[str, Member],
+    endpoints: dict[str, Endpoint],
     name: str,
     taken: str,
     done: list[Exchange],
@@ -77,22 +79,22 @@
 ) -> str | None:
     """The node that a conductor gives up for another, None where it has none to spare."""
     own = _exchanged(matching.held_by(name), done)
-    own_zones = [zone_of(members[member_id]) for member_id in own]
+    own_zones = [zone_of(endpoints[endpoint_id]) for endpoint_id in own]
     several_zones = len(set(own_zones)) > 1
-    ranked = sorted(zip(matching.keys_of_viewer(name, own), own, strict=True), reverse=True)
-    for _, member_id in ranked:
-        if matching.load_of(member_id) - spared.get(member_id, 0) < 2:
+    ranked = sorted(zip(matching.keys_of_controller(name, own), own, strict=True), reverse=True)
+    for _, endpoint_id in ranked:
+        if matching.load_of(endpoint_id) - spared.get(endpoint_id, 0) < 2:
             continue
-        kept_zones = {zone_of(members[other]) for other in own if other != member_id}
-        if several_zones and len(kept_zones | {zone_of(members[taken])}) < 2:
+        kept_zones = {zone_of(endpoints[other]) for other in own if other != endpoint_id}
+        if several_zones and len(kept_zones | {zone_of(endpoints[taken])}) < 2:
             continue
-        return member_id
+        return endpoint_id
     return None
 
 
 def _exchanged(held: list[str], exchanges: list[Exchange]) -> list[str]:
     given = {exchange.given for exchange in exchanges}
-    return [member_id for member_id in held if member_id not in given] + [
+    return [endpoint_id for endpoint_id in held if endpoint_id not in given] + [
         exchange.taken for exchange in exchanges
     ]
 
@@ -102,8 +104,8 @@
     name: str,
     quota: Quota,
     exchanges: list[Exchange],
-    members: dict[str, Member],
-    ready_members: dict[str, Member],
+    endpoints: dict[str, Endpoint],
+    ready_endpoints: dict[str, Endpoint],
     needs: Needs,
 ) -> list[str]:
     """All that a conductor holds of the service: the matching's nodes, exchanged, and those that stand in.
@@ -113,30 +115,32 @@
     draining nodes give way, the largest key first.
     """
     held = _exchanged(matching.held_by(name), exchanges)
-    ready_held = [member_id for member_id in held if member_id in ready_members]
-    zones = {zone_of(members[member_id]) for member_id in ready_held}
+    ready_held = [endpoint_id for endpoint_id in held if endpoint_id in ready_endpoints]
+    zones = {zone_of(endpoints[endpoint_id]) for endpoint_id in ready_held}
     missing_nodes = needs.nodes - len(ready_held)
     if missing_nodes <= 0 and len(zones) >= needs.zones:
         return held
-    others = list(ready_members.keys() - set(held))
-    ranked = [other for _, other in sorted(zip(matching.keys_of_viewer(name, others), others, strict=True))]
+    others = list(ready_endpoints.keys() - set(held))
+    ranked = [
+        other for _, other in sorted(zip(matching.keys_of_controller(name, others), others, strict=True))
+    ]
     for other in ranked:
         zones_missing = needs.zones - len(zones)
         if missing_nodes <= 0 and zones_missing <= 0:
             break
-        in_new_zone = zone_of(members[other]) not in zones
+        in_new_zone = zone_of(endpoints[other]) not in zones
         if in_new_zone or missing_nodes > max(0, zones_missing):
             held.append(other)
-            zones.add(zone_of(members[other]))
+            zones.add(zone_of(endpoints[other]))
             missing_nodes -= 1
-    return _within(matching, name, held, quota.places, ready_members)
+    return _within(matching, name, held, quota.places, ready_endpoints)
 
 
 def _within(
-    matching: Matching, name: str, held: list[str], places: int, ready_members: dict[str, Member]
+    matching: Matching, name: str, held: list[str], places: int, ready_endpoints: dict[str, Endpoint]
 ) -> list[str]:
     """The nodes without the draining ones that do not fit."""
-    draining = [member_id for member_id in held if member_id not in ready_members]
-    ranked = sorted(zip(matching.keys_of_viewer(name, draining), draining, strict=True), reverse=True)
-    dropped = {member_id for _, member_id in ranked[: max(0, len(held) - places)]}
-    return [member_id for member_id in held if member_id not in dropped]
+    draining = [endpoint_id for endpoint_id in held if endpoint_id not in ready_endpoints]
+    ranked = sorted(zip(matching.keys_of_controller(name, draining), draining, strict=True), reverse=True)
+    dropped = {endpoint_id for _, endpoint_id in ranked[: max(0, len(held) - places)]}
+    return [endpoint_id for endpoint_id in held if endpoint_id not in dropped]
--- a/oatcart/views/deciding.py
+++ b/oatcart/views/deciding.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from oatcart.net.loop import IN, Loop, Wait
-from oatcart.views.records import Member, Viewer, ViewError, ViewLimits
+from oatcart.views.records import Controller, Endpoint, ViewError, ViewLimits
 from oatcart.views.subsets import Subsets
 
 View = tuple[str, ...] | ViewError
@@ -23,9 +23,9 @@
 class Update(NamedTuple):
     """Changes of the records. `limits` and `seed`, where given, begin everything anew."""
 
-    members: Iterable[Member] = ()
+    endpoints: Iterable[Endpoint] = ()
     removed: Iterable[str] = ()
-    viewers: Iterable[Viewer] = ()
+    controllers: Iterable[Controller] = ()
     gone: Iterable[str] = ()
     limits: ViewLimits | None = None
     seed: int = 0
@@ -47,11 +47,11 @@
         if update.limits is not None:
             self.subsets = Subsets(update.limits, update.seed)
         for name in update.gone:
-            self.subsets.drop_viewer(name)
+            self.subsets.remove_controller(name)
         for node in update.removed:
-            self.subsets.drop_member(node)
-        self.subsets.put_viewers(update.viewers)
-        self.subsets.put_members(update.members)
+            self.subsets.remove_endpoint(node)
+        self.subsets.put_controllers(update.controllers)
+        self.subsets.put_endpoints(update.endpoints)
 
     def _view(self, name: str) -> View:
         try:
--- a/oatcart/views/descriptors.py
+++ b/oatcart/views/descriptors.py
@@ -11,7 +11,7 @@
 
 def needed(configuration: Configuration) -> int:
     """Descriptors for a listener of each conductor that has an address, and for all connections."""
-    listeners = sum(conductor.address is not None for conductor in configuration.conductors)
+    listeners = sum(served.address is not None for served in configuration.controllers)
     return listeners + configuration.bounds.connections + KEPT_BACK
 
 
--- a/oatcart/views/greedy.py
+++ b/oatcart/views/greedy.py
@@ -21,9 +21,9 @@
 class Service(NamedTuple):
     """One service's conductors and nodes, as arrays of one entry each."""
 
-    viewer_hashes: numpy.ndarray  # uint64
+    controller_hashes: numpy.ndarray  # uint64
     seats: numpy.ndarray  # int64
-    member_hashes: numpy.ndarray  # uint64
+    endpoint_hashes: numpy.ndarray  # uint64
     sizes: numpy.ndarray  # float64
     zones: numpy.ndarray  # int64, any numbering from 0 up
     places: numpy.ndarray  # int64, the most holders of each node
@@ -33,25 +33,25 @@
     """Who holds whom: True at [conductor, node] for each pair taken."""
     depth = _FIRST_DEPTH * service.seats.max(initial=0) + _LEAST_CANDIDATES
     while True:
-        viewers, members = _candidates(service, depth / service.sizes.sum())
+        controllers, endpoints = _candidates(service, depth / service.sizes.sum())
         greedy = _Greedy(service)
-        greedy.take(viewers, members)
-        if not greedy.seats_left.any() or len(viewers) == greedy.held.size:
+        greedy.take(controllers, endpoints)
+        if not greedy.seats_left.any() or len(controllers) == greedy.held.size:
             return greedy.held
         depth *= _DEEPER
 
 
 def _candidates(service: Service, limit: float) -> tuple[numpy.ndarray, numpy.ndarray]:
     """The conductors and the nodes of all pairs with a key below the limit, from the smallest key up."""
-    viewer_parts, key_parts, member_parts = [], [], []
-    for viewer, viewer_hash in enumerate(service.viewer_hashes):
-        keys = pair_keys(viewer_hash, service.member_hashes, service.sizes)
+    controller_parts, key_parts, endpoint_parts = [], [], []
+    for controller, controller_hash in enumerate(service.controller_hashes):
+        keys = pair_keys(controller_hash, service.endpoint_hashes, service.sizes)
         near = numpy.flatnonzero(keys < limit)
-        viewer_parts.append(numpy.full(len(near), viewer))
-        member_parts.append(near)
+        controller_parts.append(numpy.full(len(near), controller))
+        endpoint_parts.append(near)
         key_parts.append(keys[near])
     order = numpy.argsort(numpy.concatenate(key_parts))
-    return numpy.concatenate(viewer_parts)[order], numpy.concatenate(member_parts)[order]
+    return numpy.concatenate(controller_parts)[order], numpy.concatenate(endpoint_parts)[order]
 
 
 class _Greedy:
@@ -68,33 +68,35 @@
         self.several_zones = bool((self.zones != self.zones[:1]).any())
         self.held = numpy.zeros((len(self.seats_left), len(self.places_left)), dtype=bool)
 
-    def take(self, viewers: numpy.ndarray, members: numpy.ndarray) -> None:
+    def take(self, controllers: numpy.ndarray, endpoints: numpy.ndarray) -> None:
         """Go through the pairs of these conductors and nodes."""
         block = max(_LEAST_BLOCK, len(self.seats_left))
-        for start in range(0, len(viewers), block):
-            self._take_block(viewers[start : start + block], members[start : start + block])
-
-    def _take_block(self, viewers: numpy.ndarray, members: numpy.ndarray) -> None:
-        is_open = (self.seats_left[viewers] > 0) & (self.places_left[members] > 0)
-        viewers, members = viewers[is_open], members[is_open]
-        viewer_is_safe = numpy.bincount(viewers, minlength=len(self.seats_left)) < self.seats_left
-        member_is_safe = numpy.bincount(members, minlength=len(self.places_left)) < self.places_left
-        is_safe = viewer_is_safe[viewers] & member_is_safe[members]
-        for viewer, member in zip(viewers[~is_safe].tolist(), members[~is_safe].tolist(), strict=True):
-            self._take_one(viewer, member)
-        self.held[viewers[is_safe], members[is_safe]] = True
-        self.seats_left -= numpy.bincount(viewers[is_safe], minlength=len(self.seats_left))
-        self.places_left -= numpy.bincount(members[is_safe], minlength=len(self.places_left))
-
-    def _take_one(self, viewer: int, member: int) -> None:
-        seats, places = self.seats_left[viewer], self.places_left[member]
-        if not seats or not places or (seats == 1 and self._is_one_zone_more(viewer, member)):
+        for start in range(0, len(controllers), block):
+            self._take_block(controllers[start : start + block], endpoints[start : start + block])
+
+    def _take_block(self, controllers: numpy.ndarray, endpoints: numpy.ndarray) -> None:
+        is_open = (self.seats_left[controllers] > 0) & (self.places_left[endpoints] > 0)
+        controllers, endpoints = controllers[is_open], endpoints[is_open]
+        controller_is_safe = numpy.bincount(controllers, minlength=len(self.seats_left)) < self.seats_left
+        endpoint_is_safe = numpy.bincount(endpoints, minlength=len(self.places_left)) < self.places_left
+        is_safe = controller_is_safe[controllers] & endpoint_is_safe[endpoints]
+        for controller, endpoint in zip(
+            controllers[~is_safe].tolist(), endpoints[~is_safe].tolist(), strict=True
+        ):
+            self._take_one(controller, endpoint)
+        self.held[controllers[is_safe], endpoints[is_safe]] = True
+        self.seats_left -= numpy.bincount(controllers[is_safe], minlength=len(self.seats_left))
+        self.places_left -= numpy.bincount(endpoints[is_safe], minlength=len(self.places_left))
+
+    def _take_one(self, controller: int, endpoint: int) -> None:
+        seats, places = self.seats_left[controller], self.places_left[endpoint]
+        if not seats or not places or (seats == 1 and self._is_one_zone_more(controller, endpoint)):
             return
-        self.held[viewer, member] = True
-        self.seats_left[viewer] = seats - 1
-        self.places_left[member] = places - 1
+        self.held[controller, endpoint] = True
+        self.seats_left[controller] = seats - 1
+        self.places_left[endpoint] = places - 1
 
-    def _is_one_zone_more(self, viewer: int, member: int) -> bool:
+    def _is_one_zone_more(self, controller: int, endpoint: int) -> bool:
         """Whether a conductor that may have nodes in two zones has, with this one, all in one zone."""
-        zones = self.zones[self.held[viewer]]
-        return self.several_zones and len(zones) > 0 and bool((zones == self.zones[member]).all())
+        zones = self.zones[self.held[controller]]
+        return self.several_zones and len(zones) > 0 and bool((zones == self.zones[endpoint]).all())
--- a/oatcart/views/history.py
+++ b/oatcart/views/history.py
@@ -24,29 +24,29 @@
 class History:
     """`first`: the revision of the view that it begins with."""
 
-    def __init__(self, first: int, members: Mapping[str, Entry], changes_most: int = CHANGES_MOST) -> None:
+    def __init__(self, first: int, entries: Mapping[str, Entry], changes_most: int = CHANGES_MOST) -> None:
         self.revision = self.oldest = first
-        self.members = dict(members)
+        self.entries = dict(entries)
         self.changes_most = changes_most
         self.log: deque[Change] = deque()
         self.logged = 0  # ids in the log
         self.changed_at: dict[str, int] = {}  # the newest revision in the log that changed a node
         self.left: dict[str, Entry] = {}  # nodes in the log that are in the view no more, as they were last
 
-    def replace(self, members: Mapping[str, Entry], revision: int) -> bool:
+    def replace(self, entries: Mapping[str, Entry], revision: int) -> bool:
         """The view from that revision on; hands back whether anything is different."""
         if revision <= self.revision:
             raise ValueError(f"revision {revision} after {self.revision}")
-        ids = tuple(self._different(members))
+        ids = tuple(self._different(entries))
         if not ids:
             return False
         for node in ids:
-            if node in members:
+            if node in entries:
                 self.left.pop(node, None)
             else:
-                self.left[node] = self.members[node]
+                self.left[node] = self.entries[node]
             self.changed_at[node] = revision
-        self.members, self.revision = dict(members), revision
+        self.entries, self.revision = dict(entries), revision
         self.log.append(Change(revision, ids))
         self.logged += len(ids)
         while self.logged > self.changes_most:
@@ -55,7 +55,7 @@
 
     def whole(self) -> bytes:
         """The whole view as the body of an answer."""
-        return _body(self.revision, True, (entry.encoded for entry in self.members.values()))
+        return _body(self.revision, True, (entry.encoded for entry in self.entries.values()))
 
     def since(self, revision: int) -> bytes | None:
         """The body that tells a watcher what it has missed; None where it has missed nothing."""
@@ -70,12 +70,12 @@
         """The body that ends a wait which has brought nothing."""
         return _body(self.revision, False, ())
 
-    def _different(self, members: Mapping[str, Entry]) -> Iterator[str]:
-        for node, entry in members.items():
-            old = self.members.get(node)
+    def _different(self, entries: Mapping[str, Entry]) -> Iterator[str]:
+        for node, entry in entries.items():
+            old = self.entries.get(node)
             if old is not entry and (old is None or old.encoded != entry.encoded):
                 yield node
-        yield from (node for node in self.members if node not in members)
+        yield from (node for node in self.entries if node not in entries)
 
     def _changed_since(self, revision: int) -> list[str] | None:
         """The nodes changed since; None where the log does not reach back so far, or this history never
@@ -90,7 +90,7 @@
         return None
 
     def _told(self, node: str) -> bytes:
-        return self.members[node].encoded if node in self.members else self.left[node].deleted
+        return self.entries[node].encoded if node in self.entries else self.left[node].deleted
 
     def _forget_oldest(self) -> None:
         change = self.log.popleft()
--- a/oatcart/views/keys.py
+++ b/oatcart/views/keys.py
@@ -30,10 +30,10 @@
 
 
 def pair_keys(
-    viewer_hashes: numpy.ndarray, member_hashes: numpy.ndarray, sizes: numpy.ndarray
+    controller_hashes: numpy.ndarray, endpoint_hashes: numpy.ndarray, sizes: numpy.ndarray
 ) -> numpy.ndarray:
     """Keys of pairs; the arrays (uint64, uint64, float64) are broadcast against each other."""
-    mixed = viewer_hashes ^ member_hashes
+    mixed = controller_hashes ^ endpoint_hashes
     mixed = (mixed ^ (mixed >> _FIRST_SHIFT)) * _FIRST_MULTIPLIER
     mixed = (mixed ^ (mixed >> _SECOND_SHIFT)) * _SECOND_MULTIPLIER
     mixed ^= mixed >> _THIRD_SHIFT
--- a/oatcart/views/leases.py
+++ b/oatcart/views/leases.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from oatcart.views.alive import AliveConductors, AliveSettings
-from oatcart.views.records import Viewer
+from oatcart.views.records import Controller
 
 CHECKS_PER_LEASE = 2
 
@@ -26,36 +26,36 @@
 class Leases:
     """The leases of the conductors of the file."""
 
-    def __init__(self, settings: AliveSettings, viewers: Mapping[str, Viewer], now: float) -> None:
+    def __init__(self, settings: AliveSettings, controllers: Mapping[str, Controller], now: float) -> None:
         self.check_every = settings.lease / CHECKS_PER_LEASE
-        self.viewers = dict(viewers)
+        self.controllers = dict(controllers)
         self.silent: set[str] = set()  # conductors of the file that do not count as alive
         self.doubted: tuple[str, ...] = ()
-        self._alive = AliveConductors(settings, now, viewers.values())
+        self._alive = AliveConductors(settings, now, controllers.values())
 
     def renew(self, name: str, now: float) -> bool:
         """A conductor calls; hands back whether it was silent and is back. Unknown names are ignored."""
-        viewer = self.viewers.get(name)
-        if viewer is None:
+        controller = self.controllers.get(name)
+        if controller is None:
             return False
-        self._alive.renew(viewer, now)
+        self._alive.renew(controller, now)
         is_back = name in self.silent
         self.silent.discard(name)
         return is_back
 
-    def configure(self, viewers: Mapping[str, Viewer], now: float) -> None:
+    def configure(self, controllers: Mapping[str, Controller], now: float) -> None:
         """Other conductors in the file. New ones have a lease from now on; those that were silent stay so."""
-        for name in self.viewers.keys() - viewers.keys():
+        for name in self.controllers.keys() - controllers.keys():
             self._alive.forget(name)
-        for name in viewers.keys() - self.viewers.keys():
-            self._alive.renew(viewers[name], now)
-        self.silent &= viewers.keys()
-        self.viewers = dict(viewers)
+        for name in controllers.keys() - self.controllers.keys():
+            self._alive.renew(controllers[name], now)
+        self.silent &= controllers.keys()
+        self.controllers = dict(controllers)
 
     def check(self, now: float) -> Silence:
         """Believe the silence of those that were silent for too long."""
         decision = self._alive.decide(now)
-        left = tuple(name for name in decision.dropped if name in self.viewers)
+        left = tuple(name for name in decision.dropped if name in self.controllers)
         self.silent.update(left)
         is_new_doubt = bool(decision.doubted) and not self.doubted
         self.doubted = decision.doubted
--- a/oatcart/views/matching.py
+++ b/oatcart/views/matching.py
@@ -15,7 +15,7 @@
 from oatcart.views.greedy import Service, match_all
 from oatcart.views.keys import name_hash, pair_keys, unit_hash
 from oatcart.views.places import expected_holders, most_holders
-from oatcart.views.records import Member
+from oatcart.views.records import Endpoint
 from oatcart.views.slots import Slots
 
 _NO_ZONE = -1
@@ -33,26 +33,26 @@
 class Matching:
     """Conductors with seats, nodes with places, and the pairs of them that hold.
 
-    `add_*`, `remove_*` and `resize_viewer` note changes, `settle` or `rebuild` works them out. `touched` are
-    the conductors that may hold other nodes than before; who reads them clears them.
+    `add_*`, `remove_*` and `resize_controller` note changes, `settle` or `rebuild` works them out. `touched`
+    are the conductors that may hold other nodes than before; who reads them clears them.
     """
 
     def __init__(self, overload: float, seed: int) -> None:
         self._overload = overload
         self._seed = seed
-        self.viewers = Slots()
-        self.members = Slots()
+        self.controllers = Slots()
+        self.endpoints = Slots()
         self.touched: set[str] = set()
         self._zone_numbers: dict[tuple[str, str], int] = {}
         self._several_zones = False  # whether the service has nodes in two zones or more
         self._seekers: set[int] = set()  # conductors with a seat left
         self._freed: set[int] = set()  # nodes with a place left that some conductor may want
 
-        self._viewer_hashes = numpy.zeros(0, dtype=numpy.uint64)
+        self._controller_hashes = numpy.zeros(0, dtype=numpy.uint64)
         self._seats = numpy.zeros(0, dtype=numpy.int64)  # 0: the number is free
         self._bounds = numpy.zeros(0)  # a conductor wants a node with a smaller key than this
 
-        self._member_hashes = numpy.zeros(0, dtype=numpy.uint64)
+        self._endpoint_hashes = numpy.zeros(0, dtype=numpy.uint64)
         self._sizes = numpy.ones(0)
         self._zones = numpy.zeros(0, dtype=numpy.int64)  # _NO_ZONE: the number is free
         self._roundings = numpy.zeros(0)
@@ -67,93 +67,93 @@
 
     def held_by(self, name: str) -> list[str]:
         """The nodes that a conductor holds."""
-        nodes = numpy.flatnonzero(self._held[self.viewers.number_of[name]])
-        return list(map(self.members.names.__getitem__, nodes.tolist()))
+        nodes = numpy.flatnonzero(self._held[self.controllers.number_of[name]])
+        return list(map(self.endpoints.names.__getitem__, nodes.tolist()))
 
     def spread_of(self, name: str) -> Spread:
         """How many ready nodes a conductor holds, and in how many zones."""
-        viewer = self.viewers.number_of[name]
-        ready = numpy.flatnonzero(self._held[viewer] & self._ready)
+        controller = self.controllers.number_of[name]
+        ready = numpy.flatnonzero(self._held[controller] & self._ready)
         zones = self._zones[ready]
         several_zones = bool((zones != zones[:1]).any())
         return Spread(len(ready), min(len(ready), 1 + several_zones))
 
-    def holders_of(self, member_id: str) -> list[str]:
+    def holders_of(self, endpoint_id: str) -> list[str]:
         """The conductors that hold a node."""
-        viewers = numpy.flatnonzero(self._held[:, self.members.number_of[member_id]])
-        return list(map(self.viewers.names.__getitem__, viewers.tolist()))
+        controllers = numpy.flatnonzero(self._held[:, self.endpoints.number_of[endpoint_id]])
+        return list(map(self.controllers.names.__getitem__, controllers.tolist()))
 
-    def members_without_holder(self) -> list[str]:
+    def endpoints_without_holder(self) -> list[str]:
         """The nodes that no conductor holds."""
         nodes = numpy.flatnonzero((self._zones != _NO_ZONE) & (self._loads == 0))
-        return [self.members.names[node] for node in nodes.tolist()]
+        return [self.endpoints.names[node] for node in nodes.tolist()]
 
-    def load_of(self, member_id: str) -> int:
+    def load_of(self, endpoint_id: str) -> int:
         """How many conductors hold a node."""
-        return int(self._loads[self.members.number_of[member_id]])
+        return int(self._loads[self.endpoints.number_of[endpoint_id]])
 
-    def keys_of_viewer(self, name: str, member_ids: list[str]) -> list[float]:
+    def keys_of_controller(self, name: str, endpoint_ids: list[str]) -> list[float]:
         """The keys of one conductor's pairs with these nodes."""
         nodes = numpy.array(
-            [self.members.number_of[member_id] for member_id in member_ids], dtype=numpy.int64
+            [self.endpoints.number_of[endpoint_id] for endpoint_id in endpoint_ids], dtype=numpy.int64
         )
-        return self._keys(self.viewers.number_of[name], nodes).tolist()
+        return self._keys(self.controllers.number_of[name], nodes).tolist()
 
-    def keys_of_member(self, member_id: str) -> Iterator[tuple[float, str]]:
+    def keys_of_endpoint(self, endpoint_id: str) -> Iterator[tuple[float, str]]:
         """The key and the name of each conductor with seats, for one node."""
-        keys = self._keys(slice(None), self.members.number_of[member_id])
-        for name, viewer in self.viewers.number_of.items():
-            yield float(keys[viewer]), name
+        keys = self._keys(slice(None), self.endpoints.number_of[endpoint_id])
+        for name, controller in self.controllers.number_of.items():
+            yield float(keys[controller]), name
 
     # Changes.
 
-    def add_viewer(self, name: str, seats: int) -> None:
+    def add_controller(self, name: str, seats: int) -> None:
         """A conductor comes with this many seats, at least one."""
-        viewer = self.viewers.take(name)
+        controller = self.controllers.take(name)
         self._make_room()
-        self._viewer_hashes[viewer] = name_hash("viewer", name, self._seed)
-        self._seats[viewer] = seats
-        self._bounds[viewer] = numpy.inf
-        self._seekers.add(viewer)
+        self._controller_hashes[controller] = name_hash("viewer", name, self._seed)
+        self._seats[controller] = seats
+        self._bounds[controller] = numpy.inf
+        self._seekers.add(controller)
         self.touched.add(name)
 
-    def remove_viewer(self, name: str) -> None:
+    def remove_controller(self, name: str) -> None:
         """A conductor goes, and its places are free again."""
-        viewer = self.viewers.release(name)
-        self._release_all(viewer)
-        self._seats[viewer] = 0
-        self._bounds[viewer] = -numpy.inf
-        self._seekers.discard(viewer)
+        controller = self.controllers.release(name)
+        self._release_all(controller)
+        self._seats[controller] = 0
+        self._bounds[controller] = -numpy.inf
+        self._seekers.discard(controller)
         self.touched.discard(name)
 
-    def resize_viewer(self, name: str, seats: int) -> None:
+    def resize_controller(self, name: str, seats: int) -> None:
         """A conductor has another number of seats, and chooses anew."""
-        viewer = self.viewers.number_of[name]
-        self._seats[viewer] = seats
-        self._seek(viewer)
+        controller = self.controllers.number_of[name]
+        self._seats[controller] = seats
+        self._seek(controller)
 
-    def add_member(self, member: Member) -> None:
+    def add_endpoint(self, endpoint: Endpoint) -> None:
         """A node comes."""
-        node = self.members.take(member.id)
+        node = self.endpoints.take(endpoint.id)
         self._make_room()
-        zone = self._zone_numbers.setdefault((member.region, member.zone), len(self._zone_numbers))
-        self._member_hashes[node] = name_hash("member", member.id, self._seed)
-        self._sizes[node] = member.size
+        zone = self._zone_numbers.setdefault((endpoint.region, endpoint.zone), len(self._zone_numbers))
+        self._endpoint_hashes[node] = name_hash("member", endpoint.id, self._seed)
+        self._sizes[node] = endpoint.size
         self._zones[node] = zone
-        self._roundings[node] = unit_hash("rounding", member.id, self._seed)
-        self._ready[node] = member.ready
+        self._roundings[node] = unit_hash("rounding", endpoint.id, self._seed)
+        self._ready[node] = endpoint.ready
         self._admits[node] = numpy.inf
         self._freed.add(node)
 
-    def turn_member(self, member_id: str, ready: bool) -> None:
+    def set_ready(self, endpoint_id: str, ready: bool) -> None:
         """A node is ready, or drains; the matching stays as it is."""
-        self._ready[self.members.number_of[member_id]] = ready
+        self._ready[self.endpoints.number_of[endpoint_id]] = ready
 
-    def remove_member(self, member_id: str) -> None:
+    def remove_endpoint(self, endpoint_id: str) -> None:
         """A node goes, and its holders have a seat left."""
-        node = self.members.release(member_id)
-        for viewer in numpy.flatnonzero(self._held[:, node]).tolist():
-            self._seek(viewer)
+        node = self.endpoints.release(endpoint_id)
+        for controller in numpy.flatnonzero(self._held[:, node]).tolist():
+            self._seek(controller)
         self._held[:, node] = False
         self._loads[node] = 0
         self._places[node] = 0
@@ -165,23 +165,23 @@
 
     def rebuild(self) -> None:
         """Match all anew; `touched` are then the conductors that hold other nodes than before."""
-        viewers = numpy.flatnonzero(self._seats)
+        controllers = numpy.flatnonzero(self._seats)
         nodes = numpy.flatnonzero(self._zones != _NO_ZONE)
         self._set_places()
         service = Service(
-            self._viewer_hashes[viewers],
-            self._seats[viewers],
-            self._member_hashes[nodes],
+            self._controller_hashes[controllers],
+            self._seats[controllers],
+            self._endpoint_hashes[nodes],
             self._sizes[nodes],
             self._zones[nodes],
             self._places[nodes],
         )
         before = self._held
         self._held = numpy.zeros_like(before)
-        if len(viewers) and len(nodes):
-            self._held[numpy.ix_(viewers, nodes)] = match_all(service)
-        for viewer in numpy.flatnonzero((before != self._held).any(axis=1)).tolist():
-            self._touch(viewer)
+        if len(controllers) and len(nodes):
+            self._held[numpy.ix_(controllers, nodes)] = match_all(service)
+        for controller in numpy.flatnonzero((before != self._held).any(axis=1)).tolist():
+            self._touch(controller)
         self._seekers.clear()
         self._freed.clear()
         self._measure()
@@ -204,26 +204,26 @@
             self._measure_node(node)
         while self._seekers or self._freed:
             if self._seekers:
-                self._fill_viewer(self._seekers.pop())
+                self._fill_controller(self._seekers.pop())
             else:
                 self._fill_node(self._freed.pop())
 
-    def _fill_viewer(self, viewer: int) -> None:
+    def _fill_controller(self, controller: int) -> None:
         """A conductor chooses anew among the nodes that it holds and those that let it in."""
-        keys = self._keys(viewer, slice(None))
-        held = self._held[viewer]
+        keys = self._keys(controller, slice(None))
+        held = self._held[controller]
         keys[~held & (keys >= self._admits)] = numpy.inf
-        chosen = self._choice(keys, int(self._seats[viewer]))
+        chosen = self._choice(keys, int(self._seats[controller]))
         is_chosen = numpy.zeros_like(held)
         is_chosen[chosen] = True
         for node in numpy.flatnonzero(held & ~is_chosen).tolist():
-            self._part(viewer, node)
+            self._part(controller, node)
         for node in numpy.flatnonzero(~held & is_chosen).tolist():
-            self._pair(viewer, node)
+            self._pair(controller, node)
             if self._loads[node] > self._places[node]:
                 self._evict_worst(node)
             self._measure_node(node)
-        self._measure_viewer(viewer)
+        self._measure_controller(controller)
 
     def _choice(self, keys: numpy.ndarray, seats: int) -> numpy.ndarray:
         """The nodes of the smallest finite keys; where all were in one zone, the last is of another zone or
@@ -241,33 +241,33 @@
         self._measure_node(node)
         keys = self._keys(slice(None), node)
         keys[self._held[:, node] | (keys >= self._bounds) | (keys >= self._admits[node])] = numpy.inf
-        for viewer in _smallest(keys, len(keys)).tolist():
-            if keys[viewer] >= self._admits[node]:
+        for controller in _smallest(keys, len(keys)).tolist():
+            if keys[controller] >= self._admits[node]:
                 break
-            if self._take_instead(viewer, node, keys[viewer]):
+            if self._take_instead(controller, node, keys[controller]):
                 if self._loads[node] > self._places[node]:
                     self._evict_worst(node)
                 if self._loads[node] == self._places[node]:
                     self._measure_node(node)
 
-    def _take_instead(self, viewer: int, node: int, key: float) -> bool:
+    def _take_instead(self, controller: int, node: int, key: float) -> bool:
         """A conductor takes a node in a free seat or in place of a worse one; False where neither can be."""
-        rivals = self._rivals(viewer, node)
+        rivals = self._rivals(controller, node)
         if len(rivals):
-            rival_keys = self._keys(viewer, rivals)
+            rival_keys = self._keys(controller, rivals)
             worst = int(numpy.argmax(rival_keys))
             if rival_keys[worst] <= key:
                 return False
-            self._part(viewer, int(rivals[worst]))
-        self._pair(viewer, node)
-        self._measure_viewer(viewer)
+            self._part(controller, int(rivals[worst]))
+        self._pair(controller, node)
+        self._measure_controller(controller)
         return True
 
-    def _rivals(self, viewer: int, node: int) -> numpy.ndarray:
+    def _rivals(self, controller: int, node: int) -> numpy.ndarray:
         """The nodes of which the conductor would give one up for this node; none where it has a seat for
         it."""
-        held = numpy.flatnonzero(self._held[viewer])
-        seats = int(self._seats[viewer])
+        held = numpy.flatnonzero(self._held[controller])
+        seats = int(self._seats[controller])
         if self._several_zones and seats > 1:
             same_zone = held[self._zones[held] == self._zones[node]]
             if len(same_zone) == seats - 1:
@@ -282,51 +282,55 @@
         self._loads[node] -= 1
         self._seek(worst)
 
-    def _pair(self, viewer: int, node: int) -> None:
-        self._held[viewer, node] = True
+    def _pair(self, controller: int, node: int) -> None:
+        self._held[controller, node] = True
         self._loads[node] += 1
-        self._touch(viewer)
+        self._touch(controller)
 
-    def _part(self, viewer: int, node: int) -> None:
+    def _part(self, controller: int, node: int) -> None:
         """A conductor gives up a node, whose place others may have wanted if it was full."""
-        self._held[viewer, node] = False
+        self._held[controller, node] = False
         self._loads[node] -= 1
         if numpy.isfinite(self._admits[node]):
             self._admits[node] = numpy.inf
             self._freed.add(node)
-        self._touch(viewer)
+        self._touch(controller)
 
-    def _release_all(self, viewer: int) -> None:
-        for node in numpy.flatnonzero(self._held[viewer]).tolist():
-            self._part(viewer, node)
+    def _release_all(self, controller: int) -> None:
+        for node in numpy.flatnonzero(self._held[controller]).tolist():
+            self._part(controller, node)
 
-    def _seek(self, viewer: int) -> None:
-        self._seekers.add(viewer)
-        self._bounds[viewer] = numpy.inf
-        self._touch(viewer)
+    def _seek(self, controller: int) -> None:
+        self._seekers.add(controller)
+        self._bounds[controller] = numpy.inf
+        self._touch(controller)
 
-    def _touch(self, viewer: int) -> None:
-        name = self.viewers.names[viewer]
+    def _touch(self, controller: int) -> None:
+        name = self.controllers.names[controller]
         if name is not None:
             self.touched.add(name)
 
     # Sums kept beside the pairs.
 
-    def _keys(self, viewers: object, nodes: object) -> numpy.ndarray:
-        return pair_keys(self._viewer_hashes[viewers], self._member_hashes[nodes], self._sizes[nodes])
+    def _keys(self, controllers: object, nodes: object) -> numpy.ndarray:
+        return pair_keys(
+            self._controller_hashes[controllers], self._endpoint_hashes[nodes], self._sizes[nodes]
+        )
 
     def _set_places(self) -> None:
         nodes = self._zones != _NO_ZONE
         zones = self._zones[nodes]
         self._several_zones = bool((zones != zones[:1]).any())
-        viewers = int(numpy.count_nonzero(self._seats))
-        expected = expected_holders(self._sizes[nodes], int(self._seats.sum()), viewers)
-        self._places[nodes] = most_holders(expected, viewers, self._overload, self._roundings[nodes])
-
-    def _measure_viewer(self, viewer: int) -> None:
-        held = numpy.flatnonzero(self._held[viewer])
-        is_full = len(held) >= self._seats[viewer]
-        self._bounds[viewer] = self._keys(viewer, held).max(initial=-numpy.inf) if is_full else numpy.inf
+        controllers = int(numpy.count_nonzero(self._seats))
+        expected = expected_holders(self._sizes[nodes], int(self._seats.sum()), controllers)
+        self._places[nodes] = most_holders(expected, controllers, self._overload, self._roundings[nodes])
+
+    def _measure_controller(self, controller: int) -> None:
+        held = numpy.flatnonzero(self._held[controller])
+        is_full = len(held) >= self._seats[controller]
+        self._bounds[controller] = (
+            self._keys(controller, held).max(initial=-numpy.inf) if is_full else numpy.inf
+        )
 
     def _measure_node(self, node: int) -> None:
         if self._loads[node] < self._places[node]:
@@ -337,12 +341,12 @@
 
     def _measure(self) -> None:
         """Loads, bounds and what nodes let in, for all at once."""
-        viewers, nodes = numpy.nonzero(self._held)
-        keys = self._keys(viewers, nodes)
+        controllers, nodes = numpy.nonzero(self._held)
+        keys = self._keys(controllers, nodes)
         self._loads = self._held.sum(axis=0, dtype=numpy.int64)
         counts = self._held.sum(axis=1)
         self._bounds[:] = -numpy.inf
-        numpy.maximum.at(self._bounds, viewers, keys)
+        numpy.maximum.at(self._bounds, controllers, keys)
         self._bounds[counts < self._seats] = numpy.inf
         self._admits[:] = -numpy.inf
         numpy.maximum.at(self._admits, nodes, keys)
@@ -350,20 +354,20 @@
 
     def _make_room(self) -> None:
         """Arrays as long as there are numbers, and somewhat longer when they grow."""
-        viewers, nodes = self._held.shape
-        if len(self.viewers.names) > viewers:
-            viewers = _roomy(len(self.viewers.names))
-        if len(self.members.names) > nodes:
-            nodes = _roomy(len(self.members.names))
-        if (viewers, nodes) == self._held.shape:
+        controllers, nodes = self._held.shape
+        if len(self.controllers.names) > controllers:
+            controllers = _roomy(len(self.controllers.names))
+        if len(self.endpoints.names) > nodes:
+            nodes = _roomy(len(self.endpoints.names))
+        if (controllers, nodes) == self._held.shape:
             return
-        held = numpy.zeros((viewers, nodes), dtype=bool)
+        held = numpy.zeros((controllers, nodes), dtype=bool)
         held[: self._held.shape[0], : self._held.shape[1]] = self._held
         self._held = held
-        self._viewer_hashes = _grown(self._viewer_hashes, viewers, 0)
-        self._seats = _grown(self._seats, viewers, 0)
-        self._bounds = _grown(self._bounds, viewers, -numpy.inf)
-        self._member_hashes = _grown(self._member_hashes, nodes, 0)
+        self._controller_hashes = _grown(self._controller_hashes, controllers, 0)
+        self._seats = _grown(self._seats, controllers, 0)
+        self._bounds = _grown(self._bounds, controllers, -numpy.inf)
+        self._endpoint_hashes = _grown(self._endpoint_hashes, nodes, 0)
         self._sizes = _grown(self._sizes, nodes, 1.0)
         self._zones = _grown(self._zones, nodes, _NO_ZONE)
         self._roundings = _grown(self._roundings, nodes, 0.0)
--- a/oatcart/views/places.py
+++ b/oatcart/views/places.py
@@ -7,28 +7,28 @@
 import numpy
 
 
-def expected_holders(sizes: numpy.ndarray, seats: int, viewers: int) -> numpy.ndarray:
-    """The proportional number of holders of each node, for `seats` seats in all of `viewers` conductors.
+def expected_holders(sizes: numpy.ndarray, seats: int, controllers: int) -> numpy.ndarray:
+    """The proportional number of holders of each node, for `seats` seats in all of `controllers` conductors.
 
     >>> expected_holders(numpy.array([1.0, 1.0, 8.0]), 6, 3).tolist()
     [1.5, 1.5, 3.0]
     """
     expected = numpy.zeros(len(sizes))
-    open_members = numpy.ones(len(sizes), dtype=bool)
+    open_endpoints = numpy.ones(len(sizes), dtype=bool)
     seats_left = float(seats)
-    while open_members.any():
-        expected[open_members] = sizes[open_members] * (seats_left / sizes[open_members].sum())
-        beyond = open_members & (expected >= viewers)
+    while open_endpoints.any():
+        expected[open_endpoints] = sizes[open_endpoints] * (seats_left / sizes[open_endpoints].sum())
+        beyond = open_endpoints & (expected >= controllers)
         if not beyond.any():
             break
-        expected[beyond] = viewers
-        open_members &= ~beyond
-        seats_left -= viewers * int(beyond.sum())
+        expected[beyond] = controllers
+        open_endpoints &= ~beyond
+        seats_left -= controllers * int(beyond.sum())
     return expected
 
 
 def most_holders(
-    expected: numpy.ndarray, viewers: int, overload: float, rounding: numpy.ndarray
+    expected: numpy.ndarray, controllers: int, overload: float, rounding: numpy.ndarray
 ) -> numpy.ndarray:
     """The bound on each node's holders: `overload` times the expected number, and at least that number
     rounded up.
@@ -37,4 +37,4 @@
     conductor or node that comes or goes shifts the bounds of a few nodes only, not of all at once.
     """
     bound = numpy.maximum(numpy.floor(expected * overload - rounding), numpy.ceil(expected))
-    return numpy.minimum(bound, viewers).astype(numpy.int64)
+    return numpy.minimum(bound, controllers).astype(numpy.int64)
--- a/oatcart/views/publisher.py
+++ b/oatcart/views/publisher.py
@@ -8,11 +8,11 @@
 
 from collections.abc import Callable, Collection, Iterable, Mapping
 
-from oatcart.views.configuration import Conductor, Configuration, NodeFields
+from oatcart.views.configuration import Configuration, NodeFields, ServedController
 from oatcart.views.deciding import Update, View
 from oatcart.views.entries import SERVING, Entry
 from oatcart.views.history import History
-from oatcart.views.records import Member, UnknownViewer, Viewer, ViewError, ViewLimits
+from oatcart.views.records import Controller, Endpoint, UnknownController, ViewError, ViewLimits
 from oatcart.views.revisions import Revisions
 from oatcart.views.trust import Outcome
 
@@ -35,21 +35,21 @@
         self.views: dict[str, View] = {}  # as decided last; there may be nodes in them that are gone
         self.histories: dict[str, History] = {}
         self.changed: set[str] = set()  # views that may be different from their histories
-        self.viewers = _viewers(configuration.conductors)
+        self.controllers = _controllers(configuration.controllers)
         self.silent: set[str] = set()  # conductors that do not count as alive: nothing is decided for them
 
     def configure(self, configuration: Configuration) -> None:
         """Another configuration. Views that stay the same get no new revision."""
         old, self.configuration = self.configuration, configuration
-        viewers = _viewers(configuration.conductors)
-        gone = self.viewers.keys() - viewers.keys()
-        self.viewers = viewers
-        self.silent &= viewers.keys()
+        controllers = _controllers(configuration.controllers)
+        gone = self.controllers.keys() - controllers.keys()
+        self.controllers = controllers
+        self.silent &= controllers.keys()
         self._forget(gone)
         if _bases(configuration) != _bases(old):
             self._decide_anew()
         elif self.entries:
-            self.decide(Update(viewers=self._alive(), gone=gone))
+            self.decide(Update(controllers=self._alive(), gone=gone))
 
     def leave(self, names: Collection[str]) -> None:
         """These conductors no longer count as alive: their shares of the nodes go to others."""
@@ -62,7 +62,7 @@
         """A conductor counts as alive again; its view is decided anew."""
         self.silent.discard(name)
         if self.entries:
-            self.decide(Update(viewers=[self.viewers[name]]))
+            self.decide(Update(controllers=[self.controllers[name]]))
 
     def take(self, outcome: Outcome) -> None:
         """What has changed of the list; `publish` makes it known. Nothing is decided before the first list: a
@@ -76,15 +76,15 @@
             self.entries.pop(node, None)
         touched = outcome.changed.keys() | outcome.removed
         self.changed.update(
-            name for name, history in self.histories.items() if not touched.isdisjoint(history.members)
+            name for name, history in self.histories.items() if not touched.isdisjoint(history.entries)
         )
-        members = [member(entry, self.configuration.nodes) for entry in outcome.changed.values()]
-        self.decide(Update(members=members, removed=outcome.removed))
+        endpoints = [endpoint_record(entry, self.configuration.nodes) for entry in outcome.changed.values()]
+        self.decide(Update(endpoints=endpoints, removed=outcome.removed))
 
     def decided(self, views: Mapping[str, View]) -> None:
         """Views as decided from now on; `publish` makes them known."""
         for name, view in views.items():
-            if name in self.viewers and name not in self.silent:
+            if name in self.controllers and name not in self.silent:
                 self.views[name] = view
                 self.changed.add(name)
 
@@ -98,21 +98,21 @@
             history, view = self.histories.get(name), self.views.get(name)
             if history is None or not isinstance(view, tuple):
                 continue
-            if history.replace(self._members(view), self.revisions.next()):
+            if history.replace(self._entries_of(view), self.revisions.next()):
                 published.append(name)
         return published
 
     def history(self, name: str) -> History:
-        """The history of a conductor's view; raises UnknownViewer or what else ViewError stands for."""
-        if name not in self.viewers:
-            raise UnknownViewer(name)
+        """The history of a conductor's view; raises UnknownController or what else ViewError stands for."""
+        if name not in self.controllers:
+            raise UnknownController(name)
         if name not in self.histories:
             view = self.views.get(name)
             if not self.entries or view is None:
                 raise NotDecided("no list of nodes is known yet, or the view is not decided yet")
             if isinstance(view, ViewError):
                 raise view
-            self.histories[name] = History(self.revisions.next(), self._members(view))
+            self.histories[name] = History(self.revisions.next(), self._entries_of(view))
             self.changed.discard(name)
         return self.histories[name]
 
@@ -120,15 +120,15 @@
         """The views that cannot be decided, and why."""
         return {name: str(view) for name, view in self.views.items() if isinstance(view, ViewError)}
 
-    def _alive(self) -> list[Viewer]:
-        return [viewer for name, viewer in self.viewers.items() if name not in self.silent]
+    def _alive(self) -> list[Controller]:
+        return [controller for name, controller in self.controllers.items() if name not in self.silent]
 
     def _forget(self, names: Iterable[str]) -> None:
         for name in names:
             self.views.pop(name, None)
             self.histories.pop(name, None)
 
-    def _members(self, view: tuple[str, ...]) -> dict[str, Entry]:
+    def _entries_of(self, view: tuple[str, ...]) -> dict[str, Entry]:
         return {node: self.entries[node] for node in view if node in self.entries}
 
     def _decide_anew(self) -> None:
@@ -136,18 +136,20 @@
             return
         self.decide(
             Update(
-                members=[member(entry, self.configuration.nodes) for entry in self.entries.values()],
-                viewers=self._alive(),
+                endpoints=[
+                    endpoint_record(entry, self.configuration.nodes) for entry in self.entries.values()
+                ],
+                controllers=self._alive(),
                 limits=self.configuration.limits,
                 seed=self.configuration.seed,
             )
         )
 
 
-def member(entry: Entry, nodes: NodeFields) -> Member:
+def endpoint_record(entry: Entry, nodes: NodeFields) -> Endpoint:
     """The entry as the decisions see it; a size of 0 or none stands for 1, as at a conductor."""
     service, region = entry.fields.get(nodes.service_field), entry.fields.get(nodes.region_field)
-    return Member(
+    return Endpoint(
         entry.id,
         region if isinstance(region, str) and region else nodes.region(entry.zone),
         entry.zone,
@@ -162,5 +164,5 @@
     return configuration.limits, configuration.seed, configuration.nodes
 
 
-def _viewers(conductors: Iterable[Conductor]) -> dict[str, Viewer]:
-    return {conductor.viewer.name: conductor.viewer for conductor in conductors}
+def _controllers(served: Iterable[ServedController]) -> dict[str, Controller]:
+    return {one.record.name: one.record for one in served}
--- a/oatcart/views/quotas.py
+++ b/oatcart/views/quotas.py
@@ -21,22 +21,22 @@
     places: int
 
 
-def least_needed(member_counts: Mapping[str, int]) -> int:
+def least_needed(endpoint_counts: Mapping[str, int]) -> int:
     """The capacity without which some service would have less than two nodes in the view."""
-    return sum(min(count, LEAST_PLACES) for count in member_counts.values())
+    return sum(min(count, LEAST_PLACES) for count in endpoint_counts.values())
 
 
-def share_places(member_counts: Mapping[str, int], capacity: int) -> dict[str, Quota]:
+def share_places(endpoint_counts: Mapping[str, int], capacity: int) -> dict[str, Quota]:
     """Share `capacity` places among the services, whose order decides which get one place more than the
     level.
 
     >>> share_places({"api": 900, "tiny": 3}, 100)
     {'api': Quota(seats=95, places=97), 'tiny': Quota(seats=3, places=3)}
     """
-    level = _fair_level(list(member_counts.values()), capacity)
-    spare = capacity - sum(min(count, level) for count in member_counts.values())
+    level = _fair_level(list(endpoint_counts.values()), capacity)
+    spare = capacity - sum(min(count, level) for count in endpoint_counts.values())
     quotas = {}
-    for service, count in member_counts.items():
+    for service, count in endpoint_counts.items():
         own_level = level
         if count > level and spare > 0:
             own_level += 1
--- a/oatcart/views/records.py
+++ b/oatcart/views/records.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 
-class Member(NamedTuple):
+class Endpoint(NamedTuple):
     """A node as discovery lists it.
 
     `size` is its relative capacity (above zero, no unit). `ready` is False while the node drains.
@@ -19,7 +19,7 @@
     ready: bool
 
 
-class Viewer(NamedTuple):
+class Controller(NamedTuple):
     """A conductor that is told of a part of the fleet. No `services` means that it needs all of them."""
 
     name: str
@@ -52,7 +52,7 @@
     """A view cannot be decided."""
 
 
-class UnknownViewer(ViewError):
+class UnknownController(ViewError):
     """No conductor of that name is known."""
 
     def __init__(self, name: str) -> None:
@@ -60,12 +60,12 @@
         self.name = name
 
 
-class InvalidMember(ViewError):
+class InvalidEndpoint(ViewError):
     """A node's record cannot be used: its size is not a finite number above zero."""
 
-    def __init__(self, member: Member) -> None:
-        super().__init__(f"node {member.id!r} has size {member.size!r}, not a finite number above zero")
-        self.member = member
+    def __init__(self, endpoint: Endpoint) -> None:
+        super().__init__(f"node {endpoint.id!r} has size {endpoint.size!r}, not a finite number above zero")
+        self.endpoint = endpoint
 
 
 class TooManyServices(ViewError):
--- a/oatcart/views/role.py
+++ b/oatcart/views/role.py
@@ -13,7 +13,7 @@
 from oatcart.net.loop import Loop, Wait
 from oatcart.net.reload import Unusable
 from oatcart.net.stream import Address
-from oatcart.views.configuration import Conductor, Configuration, Wrong, read
+from oatcart.views.configuration import Configuration, ServedController, Wrong, read
 from oatcart.views.deciding import DecidingThread, View
 from oatcart.views.follower import Follower
 from oatcart.views.leases import Leases, Silence
@@ -35,11 +35,11 @@
     name: str
 
 
-def _conductors_by_key(configuration: Configuration) -> dict[ListenKey, Conductor]:
+def _controllers_by_key(configuration: Configuration) -> dict[ListenKey, ServedController]:
     """The conductors that have an address of their own."""
     return {
-        ListenKey(one.address, "" if one.address[1] else one.viewer.name): one
-        for one in configuration.conductors
+        ListenKey(one.address, "" if one.address[1] else one.record.name): one
+        for one in configuration.controllers
         if one.address is not None
     }
 
@@ -78,7 +78,7 @@
     def start(self) -> None:
         """Listen everywhere and begin to follow."""
         self.main = self.server.listen(self.configuration.listen)
-        self.listeners = self._listen(_conductors_by_key(self.configuration))
+        self.listeners = self._listen(_controllers_by_key(self.configuration))
         self.log.say(
             "start",
             "control role listens at {}:{}, and at {} conductors' addresses".format(
@@ -86,7 +86,7 @@
             ),
         )
         if self.configuration.leases is not None:
-            self.leases = Leases(self.configuration.leases, self.publisher.viewers, self.loop.now)
+            self.leases = Leases(self.configuration.leases, self.publisher.controllers, self.loop.now)
             self._check_leases_later()
         self.deciding.start()
         self.follower.start()
@@ -128,19 +128,19 @@
 
     def reconfigure(self, new: Configuration) -> str:
         """Another configuration, all of it or nothing; hands back what is to be logged. Raises Unusable."""
-        old, wanted = self.configuration, _conductors_by_key(new)
+        old, wanted = self.configuration, _controllers_by_key(new)
         try:
             fresh = self._listen({key: one for key, one in wanted.items() if key not in self.listeners})
         except OSError as error:
             raise Unusable(error.strerror) from None
         self.publisher.configure(new)
         if self.leases is not None:
-            self.leases.configure(self.publisher.viewers, self.loop.now)
+            self.leases.configure(self.publisher.controllers, self.loop.now)
         gone = [key for key in self.listeners if key not in wanted]
         for key in gone:
             self.server.unlisten(self.listeners.pop(key))
         for key, listener in self.listeners.items():
-            self.server.hand_over(listener, wanted[key].viewer.name)
+            self.server.hand_over(listener, wanted[key].record.name)
         self.listeners |= fresh
         self.configuration, self.trusted.guard = new, new.guard
         self.follower.move(new.source)
@@ -149,7 +149,7 @@
         self._publish_soon()
         kept = [key for key in STARTED_ONCE if getattr(new, key) != getattr(old, key)]
         restart = f"; only a restart changes {', '.join(kept)}" if kept else ""
-        return f"{len(new.conductors)} conductors, {len(fresh)} addresses new, {len(gone)} gone{restart}"
+        return f"{len(new.controllers)} conductors, {len(fresh)} addresses new, {len(gone)} gone{restart}"
 
     def status(self) -> bytes:
         """How the control role stands, as JSON."""
@@ -163,7 +163,7 @@
                     "revision": self.follower.revision,
                     "heard_s_ago": round(heard, 3) if self.publisher.entries else None,
                 },
-                "conductors": len(self.publisher.viewers),
+                "conductors": len(self.publisher.controllers),
                 "connections": len(self.server.lives),
                 "leases": self._lease_status(),
                 "undecided_calls": {
@@ -173,7 +173,7 @@
                 },
                 "views": {
                     name: {
-                        "nodes": len(history.members),
+                        "nodes": len(history.entries),
                         "revision": history.revision,
                         "watches": len(self.server.waiting.get(name, ())),
                     }
@@ -183,17 +183,17 @@
             }
         )
 
-    def _listen(self, conductors: Mapping[ListenKey, Conductor]) -> dict[ListenKey, Listener]:
+    def _listen(self, controllers: Mapping[ListenKey, ServedController]) -> dict[ListenKey, Listener]:
         """Listeners for conductors; all or, with OSError, none."""
         listeners: dict[ListenKey, Listener] = {}
-        for key, conductor in conductors.items():
+        for key, served in controllers.items():
             try:
-                listeners[key] = self.server.listen(key.address, conductor.viewer.name)
+                listeners[key] = self.server.listen(key.address, served.record.name)
             except OSError as error:
                 for listener in listeners.values():
                     self.server.unlisten(listener)
                 at = "{}:{}".format(*key.address)
-                raise OSError(error.errno, f"{conductor.viewer.name}: {at}: {error.strerror}") from None
+                raise OSError(error.errno, f"{served.record.name}: {at}: {error.strerror}") from None
         return listeners
 
     def _taken(self, outcome: Outcome) -> None:
--- a/oatcart/views/server.py
+++ b/oatcart/views/server.py
@@ -20,7 +20,7 @@
 from oatcart.views.configuration import Bounds
 from oatcart.views.history import History
 from oatcart.views.publisher import NotDecided, Publisher
-from oatcart.views.records import UnknownViewer, ViewError
+from oatcart.views.records import UnknownController, ViewError
 from oatcart.views.requests import (
     BAD_REQUEST,
     NOT_FOUND,
@@ -255,7 +255,7 @@
         while True:
             try:
                 history = self.publisher.history(view)
-            except UnknownViewer as error:
+            except UnknownController as error:
                 raise RefusedRequest(NOT_FOUND, "unknown view", str(error)) from None
             except NotDecided as error:
                 if self.loop.now >= until:
--- a/oatcart/views/subsets.py
+++ b/oatcart/views/subsets.py
@@ -18,7 +18,14 @@
 from oatcart.views.keys import unit_hash
 from oatcart.views.pool import Pool
 from oatcart.views.quotas import Quota, least_needed, share_places
-from oatcart.views.records import InvalidMember, Member, TooManyServices, UnknownViewer, Viewer, ViewLimits
+from oatcart.views.records import (
+    Controller,
+    Endpoint,
+    InvalidEndpoint,
+    TooManyServices,
+    UnknownController,
+    ViewLimits,
+)
 
 
 class Subsets:
@@ -27,9 +34,9 @@
     def __init__(self, limits: ViewLimits, seed: int) -> None:
         self._limits = limits
         self._seed = seed
-        self._members: dict[str, Member] = {}
-        self._viewers: dict[str, Viewer] = {}
-        self._viewers_of_all: set[str] = set()
+        self._endpoints: dict[str, Endpoint] = {}
+        self._controllers: dict[str, Controller] = {}
+        self._controllers_of_all: set[str] = set()
         self._pools: dict[str, Pool] = {}
         self._counts_before: dict[
             str, int
@@ -43,57 +50,57 @@
 
     # Changes.
 
-    def put_member(self, member: Member) -> None:
-        """A node comes, or its record changes. InvalidMember where its size is not a finite number above
+    def put_endpoint(self, endpoint: Endpoint) -> None:
+        """A node comes, or its record changes. InvalidEndpoint where its size is not a finite number above
         zero."""
-        if not 0 < member.size < float("inf"):
-            raise InvalidMember(member)
-        before = self._members.get(member.id)
-        if before == member:
+        if not 0 < endpoint.size < float("inf"):
+            raise InvalidEndpoint(endpoint)
+        before = self._endpoints.get(endpoint.id)
+        if before == endpoint:
             return
-        if before is not None and before.service != member.service:
-            self.drop_member(member.id)
-            self._of_other_service.add(member.id)
-        self._note_count(member.service)
-        self._members[member.id] = member
-        self._pool(member.service).put_member(member)
-
-    def put_members(self, members: Iterable[Member]) -> None:
-        """`put_member` for each."""
-        for member in members:
-            self.put_member(member)
-
-    def drop_member(self, member_id: str) -> None:
+        if before is not None and before.service != endpoint.service:
+            self.remove_endpoint(endpoint.id)
+            self._of_other_service.add(endpoint.id)
+        self._note_count(endpoint.service)
+        self._endpoints[endpoint.id] = endpoint
+        self._pool(endpoint.service).put_endpoint(endpoint)
+
+    def put_endpoints(self, endpoints: Iterable[Endpoint]) -> None:
+        """`put_endpoint` for each."""
+        for endpoint in endpoints:
+            self.put_endpoint(endpoint)
+
+    def remove_endpoint(self, endpoint_id: str) -> None:
         """A node is deleted; nothing happens where it is not known."""
-        member = self._members.pop(member_id, None)
-        if member is None:
+        endpoint = self._endpoints.pop(endpoint_id, None)
+        if endpoint is None:
             return
-        self._note_count(member.service)
-        self._pool(member.service).drop_member(member_id)
+        self._note_count(endpoint.service)
+        self._pool(endpoint.service).remove_endpoint(endpoint_id)
 
-    def put_viewer(self, viewer: Viewer) -> None:
+    def put_controller(self, controller: Controller) -> None:
         """A conductor is alive, or its record changes."""
-        before = self._viewers.get(viewer.name)
-        if before == viewer:
+        before = self._controllers.get(controller.name)
+        if before == controller:
             return
-        if before is not None and before.services != viewer.services:
-            self._forget_viewer(before)
-        self._viewers[viewer.name] = viewer
-        if not viewer.services:
-            self._viewers_of_all.add(viewer.name)
-        self._unshared.add(viewer.name)
-
-    def put_viewers(self, viewers: Iterable[Viewer]) -> None:
-        """`put_viewer` for each."""
-        for viewer in viewers:
-            self.put_viewer(viewer)
-
-    def drop_viewer(self, name: str) -> None:
+        if before is not None and before.services != controller.services:
+            self._forget_controller(before)
+        self._controllers[controller.name] = controller
+        if not controller.services:
+            self._controllers_of_all.add(controller.name)
+        self._unshared.add(controller.name)
+
+    def put_controllers(self, controllers: Iterable[Controller]) -> None:
+        """`put_controller` for each."""
+        for controller in controllers:
+            self.put_controller(controller)
+
+    def remove_controller(self, name: str) -> None:
         """A conductor is no longer alive; nothing happens where it is not known."""
-        viewer = self._viewers.pop(name, None)
-        if viewer is None:
+        controller = self._controllers.pop(name, None)
+        if controller is None:
             return
-        self._forget_viewer(viewer)
+        self._forget_controller(controller)
         self._unshared.discard(name)
         self._views.pop(name, None)
         self._refused.pop(name, None)
@@ -104,21 +111,25 @@
     def view(self, name: str) -> tuple[str, ...]:
         """The ids of the nodes that a conductor is told of, sorted; ready and draining ones.
 
-        UnknownViewer where no such conductor is alive, TooManyServices where its services do not fit in a
+        UnknownController where no such conductor is alive, TooManyServices where its services do not fit in a
         view.
         """
         self._settle()
         if name in self._refused:
             raise TooManyServices(name, self._refused[name], self._limits.capacity)
-        if name not in self._viewers:
-            raise UnknownViewer(name)
+        if name not in self._controllers:
+            raise UnknownController(name)
         return self._views[name]
 
-    def holders(self, member_id: str) -> frozenset[str]:
+    def holders(self, endpoint_id: str) -> frozenset[str]:
         """The conductors that are told of a node; none where the node is not known."""
         self._settle()
-        member = self._members.get(member_id)
-        return frozenset() if member is None else frozenset(self._pools[member.service].holders_of(member_id))
+        endpoint = self._endpoints.get(endpoint_id)
+        return (
+            frozenset()
+            if endpoint is None
+            else frozenset(self._pools[endpoint.service].holders_of(endpoint_id))
+        )
 
     def take_changed(self) -> frozenset[str]:
         """The conductors, among those alive, whose view or a record in it changed since the last call."""
@@ -136,74 +147,74 @@
 
     def _note_count(self, service: str) -> None:
         pool = self._pools.get(service)
-        self._counts_before.setdefault(service, len(pool.members) if pool else 0)
+        self._counts_before.setdefault(service, len(pool.endpoints) if pool else 0)
         self._unsettled.add(service)
 
-    def _forget_viewer(self, viewer: Viewer) -> None:
-        for service in self._services_of(viewer):
+    def _forget_controller(self, controller: Controller) -> None:
+        for service in self._services_of(controller):
             if service in self._pools:
-                self._pools[service].drop_viewer(viewer.name)
+                self._pools[service].remove_controller(controller.name)
                 self._unsettled.add(service)
-        self._viewers_of_all.discard(viewer.name)
+        self._controllers_of_all.discard(controller.name)
 
-    def _services_of(self, viewer: Viewer) -> Iterable[str]:
-        return viewer.services or self._pools.keys()
+    def _services_of(self, controller: Controller) -> Iterable[str]:
+        return controller.services or self._pools.keys()
 
     def _settle(self) -> None:
         if not self._unsettled and not self._unshared:
             return
         self._note_shifted_quotas()
         for name in self._unshared:
-            self._share(self._viewers[name])
+            self._share(self._controllers[name])
         moved: set[str] = set(self._unshared)
         for service in self._unsettled:
             affected = self._pools[service].settle()
             moved |= affected.moved
-            self._changed |= affected.restated & self._viewers.keys()
+            self._changed |= affected.restated & self._controllers.keys()
         self._unshared.clear()
         self._unsettled.clear()
-        for name in moved & self._viewers.keys():
-            self._renew_view(self._viewers[name])
-        for member_id in self._of_other_service & self._members.keys():
-            self._changed |= self._pools[self._members[member_id].service].holders_of(member_id)
+        for name in moved & self._controllers.keys():
+            self._renew_view(self._controllers[name])
+        for endpoint_id in self._of_other_service & self._endpoints.keys():
+            self._changed |= self._pools[self._endpoints[endpoint_id].service].holders_of(endpoint_id)
         self._of_other_service.clear()
 
     def _note_shifted_quotas(self) -> None:
         """Note the conductors whose shares of their views change with the number of a service's nodes."""
         for service, count_before in self._counts_before.items():
             pool = self._pools[service]
-            count = len(pool.members)
+            count = len(pool.endpoints)
             if count == count_before:
                 continue
             if not count or not count_before:
-                self._unshared |= self._viewers_of_all
+                self._unshared |= self._controllers_of_all
             least = min(count, count_before)
             self._unshared.update(name for name, quota in pool.quotas.items() if quota.places >= least)
             self._unshared.update(
-                name for name in self._refused if service in self._services_of(self._viewers[name])
+                name for name in self._refused if service in self._services_of(self._controllers[name])
             )
         self._counts_before.clear()
 
-    def _share(self, viewer: Viewer) -> None:
+    def _share(self, controller: Controller) -> None:
         """Work out how many nodes of each service a conductor holds."""
-        services = self._in_own_order(viewer)
-        counts = {service: len(self._pool(service).members) for service in services}
+        services = self._in_own_order(controller)
+        counts = {service: len(self._pool(service).endpoints) for service in services}
         needed = least_needed(counts)
-        self._refused.pop(viewer.name, None)
+        self._refused.pop(controller.name, None)
         if needed > self._limits.capacity:
-            self._refused[viewer.name] = needed
-            self._forget_viewer(viewer)
-            if not viewer.services:
-                self._viewers_of_all.add(viewer.name)
+            self._refused[controller.name] = needed
+            self._forget_controller(controller)
+            if not controller.services:
+                self._controllers_of_all.add(controller.name)
             return
         for service, quota in share_places(counts, self._limits.capacity).items():
-            self._set_quota(service, viewer.name, quota)
+            self._set_quota(service, controller.name, quota)
 
-    def _in_own_order(self, viewer: Viewer) -> list[str]:
+    def _in_own_order(self, controller: Controller) -> list[str]:
         """A conductor's services, in an order of its own: the first get the places that do not divide."""
         return sorted(
-            set(self._services_of(viewer)),
-            key=lambda service: (unit_hash("order", f"{viewer.name}\0{service}", self._seed), service),
+            set(self._services_of(controller)),
+            key=lambda service: (unit_hash("order", f"{controller.name}\0{service}", self._seed), service),
         )
 
     def _set_quota(self, service: str, name: str, quota: Quota) -> None:
@@ -212,12 +223,12 @@
             pool.set_quota(name, quota)
             self._unsettled.add(service)
 
-    def _renew_view(self, viewer: Viewer) -> None:
+    def _renew_view(self, controller: Controller) -> None:
         held: list[str] = []
-        if viewer.name not in self._refused:
-            for service in set(self._services_of(viewer)):
-                held.extend(self._pools[service].held_by(viewer.name))
+        if controller.name not in self._refused:
+            for service in set(self._services_of(controller)):
+                held.extend(self._pools[service].held_by(controller.name))
         view = tuple(sorted(held))
-        if self._views.get(viewer.name) != view or viewer.name in self._refused:
-            self._changed.add(viewer.name)
-        self._views[viewer.name] = view
+        if self._views.get(controller.name) != view or controller.name in self._refused:
+            self._changed.add(controller.name)
+        self._views[controller.name] = view
--- a/tests/scale/test_scale_day.py
+++ b/tests/scale/test_scale_day.py
@@ -36,7 +36,7 @@
     RegionsRejoined,
     plan_day,
 )
-from oatcart.views.records import Viewer
+from oatcart.views.records import Controller
 
 NODES = 60
 SMALL_FLEET = replace(FleetSettings().scaled_to(NODES), regions=2, zones=6, services=6, nodes_per_rack=4)
@@ -146,7 +146,7 @@
 def day_of(*words: Word, others: dict[str, list[Word]] | None = None) -> tuple[History, ExpectedViews]:
     """One conductor that held `x` from the start and was told these words, and perhaps others."""
     told = {"c": [Word(1.0, "x", FIRST), *words]} | (others or {})
-    expected = ExpectedViews([Viewer(name, "r", "z1", ()) for name in told], UNBOUNDED, 1, ENTRIES)
+    expected = ExpectedViews([Controller(name, "r", "z1", ()) for name in told], UNBOUNDED, 1, ENTRIES)
     expected.take(DRAIN_CHANGES)
     return History(ENTRIES, DRAIN_CHANGES, told), expected
 
@@ -189,7 +189,7 @@
         Change(dropped_at, Kind.FAILURE, (back | {"phase": "DELETED"},)),
         Change(29.0, Kind.RETURN, (back | {"up_since_ms": 9},)),
     ]
-    expected = ExpectedViews([Viewer("c", "r", "z1", ())], UNBOUNDED, 1, ENTRIES)
+    expected = ExpectedViews([Controller("c", "r", "z1", ())], UNBOUNDED, 1, ENTRIES)
     expected.take(changes)
     words = [Word(1.0, "x", FIRST), Word(10.5, "x", DRAINING), Word(15.5, "x", None)]
     told = [*words, Word(30.0, "x", BACK._replace(up_since_ms=9))]
@@ -215,13 +215,13 @@
 def test_a_node_that_nobody_holds_concerns_nobody() -> None:
     change = Change(10.0, Kind.CONFIGURATION, (ENTRIES[1] | {"size": 2.0},))
     history = History(ENTRIES, [change], {"c": [Word(1.0, "x", FIRST)]})
-    expected = ExpectedViews([Viewer("c", "r", "z1", ())], UNBOUNDED, 1, ENTRIES)
+    expected = ExpectedViews([Controller("c", "r", "z1", ())], UNBOUNDED, 1, ENTRIES)
     found = deliveries(history, expected, [], 5.0)[Kind.CONFIGURATION]
     assert (found.nodes, found.unheld, found.pairs) == (1, 1, 0)
 
 
 def test_a_view_with_one_zone_of_two_is_not_usable() -> None:
-    expected = ExpectedViews([Viewer("c", "r", "z1", ("s",))], UNBOUNDED, 1, ENTRIES)
+    expected = ExpectedViews([Controller("c", "r", "z1", ("s",))], UNBOUNDED, 1, ENTRIES)
     assert expected.unusable("c", ["x", "y"]) == []
     assert expected.unusable("c", ["x"]) == ["s"]
     expected.take([Change(1.0, Kind.DRAIN, (ENTRIES[1] | {"phase": "DRAINING"},))])
--- a/tests/views/test_views_alive.py
+++ b/tests/views/test_views_alive.py
@@ -7,24 +7,24 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from oatcart.views.alive import AliveConductors, AliveSettings
-from oatcart.views.records import Viewer
+from oatcart.views.records import Controller
 
 SETTINGS = AliveSettings(lease=10.0, grace=60.0, hold=600.0, doubt_share=0.1, doubt_least=2)
 OVERDUE = SETTINGS.lease + SETTINGS.grace
 HOLD_OVER = OVERDUE + SETTINGS.hold
-FLEET = [Viewer(f"conductor-{number:02}", "west", "west-1", ("api",)) for number in range(40)]
+FLEET = [Controller(f"conductor-{number:02}", "west", "west-1", ("api",)) for number in range(40)]
 
 
-def alive_with(viewers=FLEET, now: float = 0.0) -> AliveConductors:
+def alive_with(controllers=FLEET, now: float = 0.0) -> AliveConductors:
     alive = AliveConductors(SETTINGS, now)
-    renew_all(alive, viewers, now)
+    renew_all(alive, controllers, now)
     alive.decide(now)
     return alive
 
 
-def renew_all(alive: AliveConductors, viewers, now: float) -> None:
-    for viewer in viewers:
-        alive.renew(viewer, now)
+def renew_all(alive: AliveConductors, controllers, now: float) -> None:
+    for controller in controllers:
+        alive.renew(controller, now)
 
 
 def test_a_conductor_counts_from_its_first_call_and_is_told_once():
@@ -67,7 +67,7 @@
         renew_all(alive, calling, now)
         decision = alive.decide(now)
         assert (decision.put, decision.dropped) == ((), ())
-    assert decision.doubted == tuple(viewer.name for viewer in silent)
+    assert decision.doubted == tuple(controller.name for controller in silent)
     renew_all(alive, silent, OVERDUE + 301.0)
     assert alive.decide(OVERDUE + 301.0)[:3] == ((), (), ())
 
@@ -75,8 +75,8 @@
 def test_many_that_fall_silent_one_after_the_other_are_doubted_too():
     alive = alive_with()
     renew_all(alive, FLEET[20:], 30.0)
-    for number, viewer in enumerate(FLEET[:20]):
-        alive.renew(viewer, 0.4 * number)
+    for number, controller in enumerate(FLEET[:20]):
+        alive.renew(controller, 0.4 * number)
     for tenths in range(800):
         now = 0.1 * tenths
         renew_all(alive, FLEET[20:], now)
@@ -87,7 +87,7 @@
     alive = alive_with()
     renew_all(alive, FLEET[20:], HOLD_OVER - 1)
     assert alive.decide(HOLD_OVER - 1).dropped == ()
-    assert alive.decide(HOLD_OVER).dropped == tuple(viewer.name for viewer in FLEET[:20])
+    assert alive.decide(HOLD_OVER).dropped == tuple(controller.name for controller in FLEET[:20])
 
 
 def test_doubt_ends_when_most_call_again_and_the_few_others_are_dropped():
@@ -141,13 +141,13 @@
         self.now = 0.0
         self.alive = AliveConductors(SETTINGS, 0.0)
         self.called_at: dict[str, float] = {}
-        self.told: dict[str, Viewer] = {}
+        self.told: dict[str, Controller] = {}
 
-    @rule(viewers=st.sets(st.sampled_from(FLEET)))
-    def call(self, viewers):
-        for viewer in viewers:
-            self.alive.renew(viewer, self.now)
-            self.called_at[viewer.name] = self.now
+    @rule(controllers=st.sets(st.sampled_from(FLEET)))
+    def call(self, controllers):
+        for controller in controllers:
+            self.alive.renew(controller, self.now)
+            self.called_at[controller.name] = self.now
 
     @rule(seconds=st.sampled_from((1.0, 10.0, 30.0, 70.0, 300.0)))
     def wait(self, seconds):
@@ -165,8 +165,8 @@
         decision = self.alive.decide(self.now)
         for name in decision.dropped:
             self.told.pop(name, None)
-        for viewer in decision.put:
-            self.told[viewer.name] = viewer
+        for controller in decision.put:
+            self.told[controller.name] = controller
         for name in self.called_at.keys() - self.told.keys():
             assert self.now - self.called_at.pop(name) >= OVERDUE
         assert self.told.keys() == self.called_at.keys()
--- a/tests/views/test_views_configuration.py
+++ b/tests/views/test_views_configuration.py
@@ -8,7 +8,7 @@
 
 from oatcart.views.configuration import Bounds, Configuration, Source, Wrong, read
 from oatcart.views.descriptors import check_descriptors, needed
-from oatcart.views.records import Viewer, ViewLimits
+from oatcart.views.records import Controller, ViewLimits
 from oatcart.views.trust import Guard
 
 ROOT = Path(__file__).parents[2]
@@ -23,8 +23,8 @@
 
 def test_the_shipped_file_holds_the_defaults_and_two_conductors():
     found = read(SHIPPED)
-    assert found._replace(conductors=()) == Configuration()
-    assert [(one.viewer.name, one.address[1]) for one in found.conductors] == [
+    assert found._replace(controllers=()) == Configuration()
+    assert [(one.record.name, one.address[1]) for one in found.controllers] == [
         ("example-0", 21000),
         ("example-1", 21001),
     ]
@@ -71,17 +71,17 @@
 """,
         )
     )
-    assert [(one.viewer, one.address) for one in found.conductors] == [
-        (Viewer("edge-0", "north", "a", ("x", "y")), ("127.0.0.1", 3000)),
-        (Viewer("edge-1", "north", "a", ("x", "y")), ("127.0.0.1", 3001)),
-        (Viewer("own", "south", "b", ()), ("127.0.0.2", 9)),
-        (Viewer("last", "north", "a", ()), ("127.0.0.1", 3003)),
+    assert [(one.record, one.address) for one in found.controllers] == [
+        (Controller("edge-0", "north", "a", ("x", "y")), ("127.0.0.1", 3000)),
+        (Controller("edge-1", "north", "a", ("x", "y")), ("127.0.0.1", 3001)),
+        (Controller("own", "south", "b", ()), ("127.0.0.2", 9)),
+        (Controller("last", "north", "a", ()), ("127.0.0.1", 3003)),
     ]
 
 
 def test_without_a_base_conductors_ask_by_name_alone(tmp_path):
     found = read(written(tmp_path, "conductors: [{name: c, zone: a}]"))
-    assert found.conductors[0].address is None
+    assert found.controllers[0].address is None
 
 
 GROUP_OF_TWO = "{name: 'c{number}', count: 2, zone: a}"
@@ -92,10 +92,10 @@
         '{"name":"d","zone":"b","services":["x"]}\n\n{"name":"e","zone":"a","region":"r"}\n'
     )
     text = "base: 127.0.0.1:3000\nconductors_file: more.jsonl\nconductors: [{name: c, zone: a}]\n"
-    assert [(one.viewer, one.address[1]) for one in read(written(tmp_path, text)).conductors] == [
-        (Viewer("c", "default", "a", ()), 3000),
-        (Viewer("d", "default", "b", ("x",)), 3001),
-        (Viewer("e", "r", "a", ()), 3002),
+    assert [(one.record, one.address[1]) for one in read(written(tmp_path, text)).controllers] == [
+        (Controller("c", "default", "a", ()), 3000),
+        (Controller("d", "default", "b", ("x",)), 3001),
+        (Controller("e", "r", "a", ()), 3002),
     ]
 
 
--- a/tests/views/test_views_conductor.py
+++ b/tests/views/test_views_controller.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from views_stage import Stage, conductor, node
+from views_stage import Stage, controller, node
 
 from oatcart.net.ending import Ended
 from oatcart.net.stream import dial
@@ -24,7 +24,7 @@
 }
 
 
-class Conductor:
+class ControllerProcess:
     """A conductor's process, and a proxy's stream to it that notes the table it is ordered."""
 
     def __init__(self, stage, folder, discovery):
@@ -80,7 +80,7 @@
 
 @pytest.fixture
 def stage():
-    one = Stage([conductor("c0", ["x"]), conductor("c1", ["y"])])
+    one = Stage([controller("c0", ["x"]), controller("c1", ["y"])])
     one.discovery.put(*(node(name, "ab"[number % 2], service=name[0]) for number, name in enumerate(FLEET)))
     one.ready()
     yield one
@@ -91,7 +91,7 @@
 
 
 def test_a_conductor_knows_just_its_view_and_sees_drain_deletion_and_return(stage, tmp_path):
-    one = Conductor(stage, tmp_path, stage.role.address_of("c0"))
+    one = ControllerProcess(stage, tmp_path, stage.role.address_of("c0"))
     one.holds("x0", "x1", "x2")
     stage.discovery.drain("x1")
     one.holds("x0", "x2")
@@ -107,8 +107,8 @@
 def test_a_conductor_that_cannot_be_served_yet_starts_with_nobody_and_gets_its_view_later(stage, tmp_path):
     """A view that is not in the file: refused, nothing of it is kept, and the conductor goes on asking."""
     address = stage.role.address_of("c0")
-    stage.role.publisher.configure(stage.role.configuration._replace(conductors=()))
-    one = Conductor(stage, tmp_path, address)
+    stage.role.publisher.configure(stage.role.configuration._replace(controllers=()))
+    one = ControllerProcess(stage, tmp_path, address)
     stage.until(lambda: "status 404" in one.log(), "the refusal")
     assert stage.role.publisher.histories == {}
     stage.role.publisher.configure(stage.role.configuration)
@@ -117,9 +117,9 @@
 
 
 def test_a_conductor_that_is_refused_keeps_its_list_and_is_told_what_it_missed(stage, tmp_path):
-    one = Conductor(stage, tmp_path, stage.role.address_of("c0"))
+    one = ControllerProcess(stage, tmp_path, stage.role.address_of("c0"))
     one.holds("x0", "x1", "x2")
-    stage.role.publisher.configure(stage.role.configuration._replace(conductors=()))
+    stage.role.publisher.configure(stage.role.configuration._replace(controllers=()))
     stage.role.server.wake(["c0"])
     stage.until(lambda: "status 404" in one.log(), "the refusal")
     stage.discovery.drain("x0")
@@ -132,7 +132,7 @@
 
 def test_a_control_role_that_dies_and_comes_back_costs_nothing_and_what_has_changed_is_told(stage, tmp_path):
     address = stage.role.address_of("c0")
-    one = Conductor(stage, tmp_path, address)
+    one = ControllerProcess(stage, tmp_path, address)
     one.holds("x0", "x1", "x2")
     stage.role.stop()
     stage.until(lambda: "the watch ended" in one.log(), "the conductor notices")
@@ -140,7 +140,7 @@
     stage.for_(0.3)
     assert set(one.table) == {"x0", "x1", "x2"}, "its list stands"
     stage.role = stage.start(
-        stage.configuration._replace(conductors=(conductor("c0", ["x"], address=address),))
+        stage.configuration._replace(controllers=(controller("c0", ["x"], address=address),))
     )
     one.holds("x1", "x2")
     one.end()
@@ -149,7 +149,7 @@
 def test_a_conductor_moves_to_another_control_role_and_back_at_a_reload(stage, tmp_path):
     """Revisions of two control roles have nothing to do with one another; what went meanwhile is gone at
     both."""
-    one = Conductor(stage, tmp_path, stage.role.address_of("c0"))
+    one = ControllerProcess(stage, tmp_path, stage.role.address_of("c0"))
     one.holds("x0", "x1", "x2")
     other = stage.start(stage.configuration)
     stage.discovery.drop("x0")
--- a/tests/views/test_views_deciding.py
+++ b/tests/views/test_views_deciding.py
@@ -1,24 +1,24 @@
 """Decisions in their own thread: what is told while one is under way, and what an error in one does."""
 
 import pytest
-from views_stage import Stage, conductor, ids, node, phases
+from views_stage import Stage, controller, ids, node, phases
 
 from oatcart.views.deciding import Decider, Update
-from oatcart.views.records import Member, TooManyServices, Viewer, ViewLimits
+from oatcart.views.records import Controller, Endpoint, TooManyServices, ViewLimits
 from oatcart.views.role import ControlRole
 
 
 @pytest.fixture
 def stage():
-    one = Stage([conductor("c0")])
+    one = Stage([controller("c0")])
     one.discovery.put(*(node(f"s-{number}") for number in range(4)))
     one.ready()
     yield one
     one.close()
 
 
-def member(name, service="x"):
-    return Member(name, "r", "a", service, 1.0, True)
+def endpoint(name, service="x"):
+    return Endpoint(name, "r", "a", service, 1.0, True)
 
 
 def hold_back(stage):
@@ -46,7 +46,7 @@
 
 def test_a_view_is_never_told_before_a_decision_on_the_first_list():
     """Failure: decided without a list, every view is empty, and a conductor told so loses its own."""
-    stage = Stage([conductor("c0")])
+    stage = Stage([controller("c0")])
     try:
         held = hold_back(stage)
         stage.discovery.put(node("s-0"))
@@ -63,7 +63,7 @@
 
 def test_an_unforeseen_error_in_a_decision_ends_the_process_not_the_views(stage):
     before = stage.get("c0")
-    stage.role.deciding.put(Update(members=[None]))
+    stage.role.deciding.put(Update(endpoints=[None]))
     stage.until(lambda: stage.role.deciding.failure, "the error")
     assert stage.get("c0") == before
     with pytest.raises(RuntimeError, match="a decision has failed"):
@@ -84,17 +84,19 @@
 
 def test_updates_that_wait_are_decided_together_and_only_what_changed_comes_back():
     decider = Decider()
-    everyone = [Viewer("c0", "r", "a", ("x",)), Viewer("c1", "r", "a", ("y",))]
-    first = Update([member("x0"), member("y0", "y")], viewers=everyone, limits=ViewLimits(), seed=3)
+    everyone = [Controller("c0", "r", "a", ("x",)), Controller("c1", "r", "a", ("y",))]
+    first = Update([endpoint("x0"), endpoint("y0", "y")], controllers=everyone, limits=ViewLimits(), seed=3)
     assert decider.decide([first]) == {"c0": ("x0",), "c1": ("y0",)}
-    assert decider.decide([Update([member("x1")]), Update(removed=["x0"])]) == {"c0": ("x1",)}
-    assert decider.decide([Update(gone=["c1"]), Update([member("y1", "y")])]) == {}
+    assert decider.decide([Update([endpoint("x1")]), Update(removed=["x0"])]) == {"c0": ("x1",)}
+    assert decider.decide([Update(gone=["c1"]), Update([endpoint("y1", "y")])]) == {}
 
 
 def test_a_view_that_cannot_be_decided_comes_back_as_the_reason():
     decider = Decider()
-    services = [Update([member(f"{one}{number}", one) for one in "xyz" for number in range(2)])]
-    views = decider.decide([Update(viewers=[Viewer("c0", "r", "a", ())], limits=ViewLimits(3)), *services])
+    services = [Update([endpoint(f"{one}{number}", one) for one in "xyz" for number in range(2)])]
+    views = decider.decide(
+        [Update(controllers=[Controller("c0", "r", "a", ())], limits=ViewLimits(3)), *services]
+    )
     assert isinstance(views["c0"], TooManyServices) and "needs 6 nodes" in str(views["c0"])
 
 
--- a/tests/views/test_views_leases.py
+++ b/tests/views/test_views_leases.py
@@ -5,14 +5,14 @@
 
 import orjson
 import pytest
-from views_stage import BOUNDS, Stage, conductor, ids, node
+from views_stage import BOUNDS, Stage, controller, ids, node
 
 from oatcart.net.http import Client
 from oatcart.views.alive import AliveSettings
 from oatcart.views.configuration import Configuration, Wrong, read
 from oatcart.views.deciding import Decider, Update
 from oatcart.views.leases import Leases
-from oatcart.views.publisher import member
+from oatcart.views.publisher import endpoint_record
 from oatcart.views.records import ViewLimits
 from oatcart.views.role import SLICE
 
@@ -30,7 +30,7 @@
 
 
 def staged(leases, names=NAMES, bounds=BOUNDS):
-    return Stage([conductor(name, ["x"]) for name in names], bounds, limits=LIMITS, leases=leases)
+    return Stage([controller(name, ["x"]) for name in names], bounds, limits=LIMITS, leases=leases)
 
 
 @pytest.fixture
@@ -89,8 +89,8 @@
     return Decider().decide(
         [
             Update(
-                members=[member(entry, nodes) for entry in publisher.entries.values()],
-                viewers=[publisher.viewers[name] for name in names],
+                endpoints=[endpoint_record(entry, nodes) for entry in publisher.entries.values()],
+                controllers=[publisher.controllers[name] for name in names],
                 limits=publisher.configuration.limits,
             )
         ]
@@ -266,9 +266,9 @@
     callers[3].stop()
     gone(stage, "c3")
     callers[7].stop()
-    listed = [one for one in stage.configuration.conductors if one.viewer.name != "c7"]
-    listed.append(conductor("new", ["x"]))
-    new = stage.configuration._replace(conductors=tuple(listed), leases=PATIENT, limits=ViewLimits(9))
+    listed = [one for one in stage.configuration.controllers if one.record.name != "c7"]
+    listed.append(controller("new", ["x"]))
+    new = stage.configuration._replace(controllers=tuple(listed), leases=PATIENT, limits=ViewLimits(9))
     assert "only a restart changes leases" in stage.role.reconfigure(new)
     alive = {*NAMES, "new"} - {"c3", "c7"}
     new_caller = Caller(stage, "new")
@@ -331,7 +331,7 @@
         call = stage.call(stage.role.main.address, "/v1/views/c7/servers")
         stage.for_(0.1)
         began = stage.loop.clock()
-        stage.role.reconfigure(stage.configuration._replace(conductors=stage.configuration.conductors[:7]))
+        stage.role.reconfigure(stage.configuration._replace(controllers=stage.configuration.controllers[:7]))
         stage.until(lambda: call.over, "an answer")
         assert "status 404" in str(call.ended) and call.at - began < 1.5
     finally:
@@ -377,11 +377,11 @@
 # Free of I/O.
 
 SLOW = AliveSettings(lease=30.0, grace=300.0, hold=3600.0, doubt_share=0.1, doubt_least=2)
-VIEWERS = {name: conductor(name).viewer for name in NAMES}
+CONTROLLERS = {name: controller(name).record for name in NAMES}
 
 
 def test_all_that_never_call_stay_through_the_grace_and_while_they_are_many():
-    leases = Leases(SLOW, VIEWERS, 0.0)
+    leases = Leases(SLOW, CONTROLLERS, 0.0)
     assert leases.check(329.0) == ((), (), False)
     left, doubted, is_new_doubt = leases.check(330.0)
     assert left == () and len(doubted) == 8 and is_new_doubt
@@ -389,7 +389,7 @@
 
 
 def test_one_leaves_once_and_comes_back_once():
-    leases = Leases(SLOW, VIEWERS, 0.0)
+    leases = Leases(SLOW, CONTROLLERS, 0.0)
     for name in NAMES[1:]:
         leases.renew(name, 320.0)
     assert leases.check(330.0).left == ("c0",) and leases.silent == {"c0"}
@@ -399,9 +399,9 @@
 
 
 def test_other_conductors_in_the_file():
-    leases = Leases(SLOW, VIEWERS, 0.0)
-    kept = {name: viewer for name, viewer in VIEWERS.items() if name != "c0"}
-    leases.configure(kept | {"new": conductor("new").viewer}, 200.0)
+    leases = Leases(SLOW, CONTROLLERS, 0.0)
+    kept = {name: controller for name, controller in CONTROLLERS.items() if name != "c0"}
+    leases.configure(kept | {"new": controller("new").record}, 200.0)
     for name in kept:
         leases.renew(name, 200.0)
     assert leases.check(529.0) == ((), (), False)
--- a/tests/views/test_views_server.py
+++ b/tests/views/test_views_server.py
@@ -5,7 +5,7 @@
 
 import orjson
 import pytest
-from views_stage import ANY_PORT, Exchange, Stage, conductor, ids, node, phases
+from views_stage import ANY_PORT, Exchange, Stage, controller, ids, node, phases
 
 from oatcart.net.http import Client
 from oatcart.net.reload import Unusable
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def stage():
-    one = Stage([conductor("c0", ["x"]), conductor("c1", ["y"]), conductor("c2", ["x", "y"])])
+    one = Stage([controller("c0", ["x"]), controller("c1", ["y"]), controller("c2", ["x", "y"])])
     one.discovery.put(*whole_fleet())
     one.ready()
     yield one
@@ -116,7 +116,7 @@
 
 def test_a_zones_drain_reaches_every_holder():
     names = [f"c{number}" for number in range(40)]
-    stage = Stage([conductor(name, ["x"]) for name in names])
+    stage = Stage([controller(name, ["x"]) for name in names])
     try:
         stage.discovery.put(*nodes("x", 30), *nodes("x", 30, "b"))
         stage.ready()
@@ -164,7 +164,7 @@
 
 
 def test_before_the_first_list_conductors_are_put_off_not_told_of_an_empty_one():
-    stage = Stage([conductor("c0")])
+    stage = Stage([controller("c0")])
     try:
         stage.discovery.status = 503
         answer = stage.asked(
@@ -182,7 +182,7 @@
 def test_a_view_whose_services_do_not_fit_is_refused_and_others_are_served():
     from oatcart.views.records import ViewLimits
 
-    stage = Stage([conductor("wide"), conductor("c0", ["x"])], limits=ViewLimits(most_members=3))
+    stage = Stage([controller("wide"), controller("c0", ["x"])], limits=ViewLimits(most_members=3))
     try:
         stage.discovery.put(*whole_fleet())
         stage.ready()
@@ -216,7 +216,7 @@
     revision = stage.get("c0")["revision"]
     for start in range(1, 5):
         stage.discovery.put(node("x-a0", service="x", up_since_ms=start))
-        stage.until(lambda start=start: history.members["x-a0"].fields["up_since_ms"] == start)
+        stage.until(lambda start=start: history.entries["x-a0"].fields["up_since_ms"] == start)
     answer = watch(stage, "c0", revision).result(stage)
     assert answer["complete"] is True and history.logged == 3
 
@@ -226,7 +226,7 @@
 
 def test_a_slow_reader_holds_one_answer_and_is_ended_while_others_are_served():
     bounds = Bounds(gather=0.02, unread_for=0.4)
-    stage = Stage([conductor("c0"), conductor("c1")], bounds)
+    stage = Stage([controller("c0"), controller("c1")], bounds)
     try:
         stage.discovery.put(*(node(f"s-{number}", pad="x" * 8000) for number in range(60)))
         stage.ready()
@@ -243,7 +243,7 @@
 
 
 def test_strangers_have_a_deadline_and_a_small_head():
-    stage = Stage([conductor("c0")], Bounds(gather=0.02, request_within=0.3))
+    stage = Stage([controller("c0")], Bounds(gather=0.02, request_within=0.3))
     try:
         assert stage.asked(stage.role.main.address, b"") == b""
         assert stage.asked(stage.role.main.address, b"GET /v1/vie") == b""
@@ -263,7 +263,7 @@
 
 
 def test_a_crowd_of_strangers_costs_no_one_who_is_in_use():
-    stage = Stage([conductor("c0")], Bounds(gather=0.02, connections=6))
+    stage = Stage([controller("c0")], Bounds(gather=0.02, connections=6))
     try:
         stage.discovery.put(*nodes("x", 3))
         stage.ready()
@@ -382,7 +382,7 @@
 
 
 def test_a_list_that_drops_too_many_is_held_and_asked_for_again():
-    stage = Stage([conductor("c0")], guard=Guard(drop_share=0.25, drop_least=3, hold=0.5))
+    stage = Stage([controller("c0")], guard=Guard(drop_share=0.25, drop_least=3, hold=0.5))
     try:
         fleet = nodes("x", 20)
         stage.discovery.put(*fleet)
@@ -400,7 +400,7 @@
 
 
 def test_a_list_that_was_short_once_costs_nobody():
-    stage = Stage([conductor("c0")], guard=Guard(drop_share=0.25, drop_least=3, hold=0.4))
+    stage = Stage([controller("c0")], guard=Guard(drop_share=0.25, drop_least=3, hold=0.4))
     try:
         fleet = nodes("x", 20)
         stage.discovery.put(*fleet)
@@ -432,8 +432,8 @@
 # Reloads.
 
 
-def reconfigured(stage, *conductors, **more):
-    return stage.role.reconfigure(stage.role.configuration._replace(conductors=conductors, **more))
+def reconfigured(stage, *controllers, **more):
+    return stage.role.reconfigure(stage.role.configuration._replace(controllers=controllers, **more))
 
 
 def test_a_reload_takes_in_conductors_and_lets_them_go(stage):
@@ -444,7 +444,7 @@
         stage.role.main.address, f"/v1/views/c1/servers?since={revision}&timeout_ms=9000", 10
     )
     stage.for_(0.1)
-    said = reconfigured(stage, conductor("c0", ["x"]), conductor("c3", ["y"]))
+    said = reconfigured(stage, controller("c0", ["x"]), controller("c3", ["y"]))
     assert said == "2 conductors, 1 addresses new, 2 gone"
     assert stage.get("c0") == kept and len(stage.get("c3")["members"]) == 4
     stage.until(lambda: watching.over, "the refusal of a view that is gone")
@@ -458,7 +458,7 @@
     revision = stage.get("c1")["revision"]
     watching = watch(stage, "c1", revision)
     stage.for_(0.1)
-    reconfigured(stage, conductor("c0", ["x"]), conductor("c1", ["x"]), conductor("c2", ["x", "y"]))
+    reconfigured(stage, controller("c0", ["x"]), controller("c1", ["x"]), controller("c2", ["x", "y"]))
     watching = watching if not watching.ended else watch(stage, "c1", revision)
     told = phases(watching.result(stage))
     assert {name for name, phase in told.items() if phase == "DELETED"} == set(
@@ -470,7 +470,7 @@
     taken = stage.discovery.address
     before = set(stage.role.listeners)
     with pytest.raises(Unusable, match="c4: .* in use"):
-        reconfigured(stage, conductor("c3"), conductor("c4", address=taken))
+        reconfigured(stage, controller("c3"), controller("c4", address=taken))
     assert set(stage.role.listeners) == before and len(stage.get("c1")["members"]) == 4
 
 
@@ -489,7 +489,7 @@
     other = Discovery(stage.loop)
     other.put(*(entry for entry in whole_fleet() if entry["id"] != "y-a0"))
     source = stage.role.configuration.source._replace(address=other.address)
-    reconfigured(stage, *stage.role.configuration.conductors, source=source)
+    reconfigured(stage, *stage.role.configuration.controllers, source=source)
     stage.until(lambda: "y-a0" not in ids(stage.get("c1")), "the other's list")
     other.die()
 
@@ -518,7 +518,7 @@
     published in the same second one had the same revision, and a conductor that moved was told nothing."""
     monkeypatch.setattr("time.time", lambda: 1.8e9)
     monkeypatch.setattr("oatcart.views.role.SystemRandom", EqualStrides)
-    stage = Stage([conductor("c0", ["x"]), conductor("c1", ["y"])])
+    stage = Stage([controller("c0", ["x"]), controller("c1", ["y"])])
     try:
         stage.discovery.put(*whole_fleet())
         stage.ready()
--- a/tests/views/test_views_trust.py
+++ b/tests/views/test_views_trust.py
@@ -14,8 +14,8 @@
     return {"id": name, "host_port": "127.0.0.1:5", "locality": "a", "phase": phase} | more
 
 
-def answer(members, revision=1, complete=True):
-    return parse_answer(orjson.dumps({"revision": revision, "complete": complete, "members": members}))
+def answer(endpoints, revision=1, complete=True):
+    return parse_answer(orjson.dumps({"revision": revision, "complete": complete, "members": endpoints}))
 
 
 def names(count):
@@ -101,11 +101,11 @@
 
 def test_a_node_whose_entry_is_spoilt_stays_as_it_was():
     trusted = standing()
-    members = [node(name) for name in names(20)]
-    members[4]["phase"] = "SPOILT"
-    members[5]["host_port"] = "nowhere"
-    members[6]["up_since_ms"] = -1
-    told = answer(members)
+    endpoints = [node(name) for name in names(20)]
+    endpoints[4]["phase"] = "SPOILT"
+    endpoints[5]["host_port"] = "nowhere"
+    endpoints[6]["up_since_ms"] = -1
+    told = answer(endpoints)
     outcome = trusted.take(1.0, told)
     assert told.whole and len(told.odd) == 3 and outcome == ({}, frozenset(), 0)
     assert trusted.entries["s-4"].phase == "SERVING"
--- a/tests/views/views_stage.py
+++ b/tests/views/views_stage.py
@@ -12,8 +12,8 @@
 from oatcart.net.log import Log
 from oatcart.net.loop import IN, Loop, Wait
 from oatcart.net.stream import Stream, dial
-from oatcart.views.configuration import Bounds, Conductor, Configuration, Source
-from oatcart.views.records import Viewer
+from oatcart.views.configuration import Bounds, Configuration, ServedController, Source
+from oatcart.views.records import Controller
 from oatcart.views.role import ControlRole
 from oatcart.views.server import Server
 from oatcart.views.trust import Guard
@@ -30,8 +30,8 @@
     return told | {"phase": phase, "size": 1.0, "up_since_ms": 0} | more
 
 
-def conductor(name, services=(), zone="a", address=ANY_PORT):
-    return Conductor(Viewer(name, "default", zone, tuple(services)), address)
+def controller(name, services=(), zone="a", address=ANY_PORT):
+    return ServedController(Controller(name, "default", zone, tuple(services)), address)
 
 
 class Discovery:
@@ -144,13 +144,13 @@
 class Stage:
     """A control role and its discovery."""
 
-    def __init__(self, conductors, bounds=BOUNDS, guard=GUARD, **more):
+    def __init__(self, controllers, bounds=BOUNDS, guard=GUARD, **more):
         self.out = io.StringIO()
         self.loop = Loop(time.monotonic, self.failed)
         self.discovery = Discovery(self.loop)
         source = SOON._replace(address=self.discovery.address)
         self.configuration = Configuration(
-            listen=ANY_PORT, source=source, guard=guard, bounds=bounds, conductors=tuple(conductors), **more
+            listen=ANY_PORT, source=source, guard=guard, bounds=bounds, controllers=tuple(controllers), **more
         )
         self.role = self.start(self.configuration)
 
@@ -193,7 +193,7 @@
         wanted = len(self.discovery.entries) if count is None else count
         publisher = self.role.publisher
         self.until(lambda: len(publisher.entries) == wanted, f"{wanted} nodes known")
-        self.until(lambda: publisher.views.keys() == publisher.viewers.keys(), "all views decided")
+        self.until(lambda: publisher.views.keys() == publisher.controllers.keys(), "all views decided")
 
     def call(self, address, path, within=5.0):
         """A call under way: its `body`, or the `ended` that it met, once it is over."""
