--- a/oatcart/views/publisher.py
+++ b/oatcart/views/publisher.py
@@ -11,15 +11,15 @@
 from oatcart.views.configuration import Configuration, NodeFields, ServedController
 from oatcart.views.deciding import Update, View
 from oatcart.views.entries import SERVING, Entry
-from oatcart.views.history import History
+from oatcart.views.history import ViewHistory
 from oatcart.views.records import Controller, Endpoint, UnknownController, ViewError, ViewLimits
-from oatcart.views.revisions import Revisions
+from oatcart.views.revisions import RevisionSequence
 from oatcart.views.trust import Outcome
 
 DEFAULT_SERVICE = "default"  # of an entry that names none
 
 
-class NotDecided(ViewError):
+class ViewNotDecided(ViewError):
     """Nothing can be told of a view yet: there is no list of nodes, or the decision is under way."""
 
 
@@ -28,15 +28,15 @@
     `decide` is handed what has to be decided; the views come back to `decided`."""
 
     def __init__(
-        self, configuration: Configuration, revisions: Revisions, decide: Callable[[Update], None]
+        self, configuration: Configuration, revisions: RevisionSequence, decide: Callable[[Update], None]
     ) -> None:
         self.configuration, self.revisions, self.decide = configuration, revisions, decide
         self.entries: dict[str, Entry] = {}
         self.views: dict[str, View] = {}  # as decided last; there may be nodes in them that are gone
-        self.histories: dict[str, History] = {}
-        self.changed: set[str] = set()  # views that may be different from their histories
+        self.histories: dict[str, ViewHistory] = {}
+        self.unpublished: set[str] = set()  # views that may be different from their histories
         self.controllers = _controllers(configuration.controllers)
-        self.silent: set[str] = set()  # conductors that do not count as alive: nothing is decided for them
+        self.expired: set[str] = set()  # conductors that do not count as alive: nothing is decided for them
 
     def configure(self, configuration: Configuration) -> None:
         """Another configuration. Views that stay the same get no new revision."""
@@ -44,49 +44,49 @@
         controllers = _controllers(configuration.controllers)
         gone = self.controllers.keys() - controllers.keys()
         self.controllers = controllers
-        self.silent &= controllers.keys()
-        self._forget(gone)
-        if _bases(configuration) != _bases(old):
-            self._decide_anew()
+        self.expired &= controllers.keys()
+        self._drop_views(gone)
+        if _decision_inputs(configuration) != _decision_inputs(old):
+            self._decide_all()
         elif self.entries:
-            self.decide(Update(controllers=self._alive(), gone=gone))
+            self.decide(Update(controllers=self._live_controllers(), gone=gone))
 
-    def leave(self, names: Collection[str]) -> None:
+    def expire(self, names: Collection[str]) -> None:
         """These conductors no longer count as alive: their shares of the nodes go to others."""
-        self.silent.update(names)
-        self._forget(names)
+        self.expired.update(names)
+        self._drop_views(names)
         if self.entries:
             self.decide(Update(gone=names))
 
-    def come_back(self, name: str) -> None:
+    def restore(self, name: str) -> None:
         """A conductor counts as alive again; its view is decided anew."""
-        self.silent.discard(name)
+        self.expired.discard(name)
         if self.entries:
             self.decide(Update(controllers=[self.controllers[name]]))
 
-    def take(self, outcome: Outcome) -> None:
+    def apply_list_changes(self, outcome: Outcome) -> None:
         """What has changed of the list; `publish` makes it known. Nothing is decided before the first list: a
         view of it would be empty, and a conductor that is told so loses its list."""
         if not self.entries:
             self.entries.update(outcome.changed)
-            self._decide_anew()
+            self._decide_all()
             return
         self.entries.update(outcome.changed)
-        for node in outcome.removed:
-            self.entries.pop(node, None)
+        for endpoint_id in outcome.removed:
+            self.entries.pop(endpoint_id, None)
         touched = outcome.changed.keys() | outcome.removed
-        self.changed.update(
+        self.unpublished.update(
             name for name, history in self.histories.items() if not touched.isdisjoint(history.entries)
         )
         endpoints = [endpoint_record(entry, self.configuration.nodes) for entry in outcome.changed.values()]
         self.decide(Update(endpoints=endpoints, removed=outcome.removed))
 
-    def decided(self, views: Mapping[str, View]) -> None:
+    def apply_views(self, views: Mapping[str, View]) -> None:
         """Views as decided from now on; `publish` makes them known."""
         for name, view in views.items():
-            if name in self.controllers and name not in self.silent:
+            if name in self.controllers and name not in self.expired:
                 self.views[name] = view
-                self.changed.add(name)
+                self.unpublished.add(name)
 
     def publish(self, names: Iterable[str]) -> list[str]:
         """Bring the histories of these views up to date; hands back those that have changed. A view that
@@ -94,7 +94,7 @@
         comes with another view's is told the whole list."""
         published = []
         for name in names:
-            self.changed.discard(name)
+            self.unpublished.discard(name)
             history, view = self.histories.get(name), self.views.get(name)
             if history is None or not isinstance(view, tuple):
                 continue
@@ -102,36 +102,36 @@
                 published.append(name)
         return published
 
-    def history(self, name: str) -> History:
+    def history(self, name: str) -> ViewHistory:
         """The history of a conductor's view; raises UnknownController or what else ViewError stands for."""
         if name not in self.controllers:
             raise UnknownController(name)
         if name not in self.histories:
             view = self.views.get(name)
             if not self.entries or view is None:
-                raise NotDecided("no list of nodes is known yet, or the view is not decided yet")
+                raise ViewNotDecided("no list of nodes is known yet, or the view is not decided yet")
             if isinstance(view, ViewError):
                 raise view
-            self.histories[name] = History(self.revisions.next(), self._entries_of(view))
-            self.changed.discard(name)
+            self.histories[name] = ViewHistory(self.revisions.next(), self._entries_of(view))
+            self.unpublished.discard(name)
         return self.histories[name]
 
     def failures(self) -> dict[str, str]:
         """The views that cannot be decided, and why."""
         return {name: str(view) for name, view in self.views.items() if isinstance(view, ViewError)}
 
-    def _alive(self) -> list[Controller]:
-        return [controller for name, controller in self.controllers.items() if name not in self.silent]
+    def _live_controllers(self) -> list[Controller]:
+        return [controller for name, controller in self.controllers.items() if name not in self.expired]
 
-    def _forget(self, names: Iterable[str]) -> None:
+    def _drop_views(self, names: Iterable[str]) -> None:
         for name in names:
             self.views.pop(name, None)
             self.histories.pop(name, None)
 
     def _entries_of(self, view: tuple[str, ...]) -> dict[str, Entry]:
-        return {node: self.entries[node] for node in view if node in self.entries}
+        return {endpoint_id: self.entries[endpoint_id] for endpoint_id in view if endpoint_id in self.entries}
 
-    def _decide_anew(self) -> None:
+    def _decide_all(self) -> None:
         if not self.entries:
             return
         self.decide(
@@ -139,7 +139,7 @@
                 endpoints=[
                     endpoint_record(entry, self.configuration.nodes) for entry in self.entries.values()
                 ],
-                controllers=self._alive(),
+                controllers=self._live_controllers(),
                 limits=self.configuration.limits,
                 seed=self.configuration.seed,
             )
@@ -159,7 +159,7 @@
     )
 
 
-def _bases(configuration: Configuration) -> tuple[ViewLimits, int, NodeFields]:
+def _decision_inputs(configuration: Configuration) -> tuple[ViewLimits, int, NodeFields]:
     """What all decisions depend on beside nodes and conductors."""
     return configuration.limits, configuration.seed, configuration.nodes
 
--- a/oatcart/views/revisions.py
+++ b/oatcart/views/revisions.py
@@ -15,14 +15,14 @@
 from random import Random
 
 # More than half of what a controller reads (1e13) is left to count in: 17 years at 10,000 revisions/s.
-FIRST_REVISIONS = 2**42  # revisions that an incarnation may begin with, from 1 on
+FIRST_REVISION_RANGE = 2**42  # revisions that an incarnation may begin with, from 1 on
 
 
-class Revisions:
+class RevisionSequence:
     """The revisions of one incarnation. `random` draws the first one; not seeded except in tests."""
 
     def __init__(self, random: Random) -> None:
-        self._last = random.randrange(FIRST_REVISIONS)
+        self._last = random.randrange(FIRST_REVISION_RANGE)
 
     def next(self) -> int:
         """Issues a revision, one above the last."""
--- a/oatcart/views/role.py
+++ b/oatcart/views/role.py
@@ -18,7 +18,7 @@
 from oatcart.views.follower import Follower
 from oatcart.views.leases import Leases, Silence
 from oatcart.views.publisher import Publisher
-from oatcart.views.revisions import Revisions
+from oatcart.views.revisions import RevisionSequence
 from oatcart.views.server import Listener, Server
 from oatcart.views.trust import Outcome, TrustedList
 
@@ -61,7 +61,7 @@
         self.configuration, self.loop, self.log = configuration, loop, log
         chance = SystemRandom()
         self.deciding = DecidingThread(loop, self._decided)
-        self.publisher = Publisher(configuration, Revisions(chance), self.deciding.put)
+        self.publisher = Publisher(configuration, RevisionSequence(chance), self.deciding.put)
         self.trusted = TrustedList(configuration.guard)
         self.follower = Follower(
             self.loop, self.log, configuration.source, self.trusted, chance.uniform, self._taken
@@ -198,7 +198,7 @@
 
     def _taken(self, outcome: Outcome) -> None:
         self._check_sizes(outcome)
-        self.publisher.take(outcome)
+        self.publisher.apply_list_changes(outcome)
         self._publish_soon()
 
     def _check_sizes(self, outcome: Outcome) -> None:
@@ -213,7 +213,7 @@
             )
 
     def _decided(self, views: Mapping[str, View]) -> None:
-        self.publisher.decided(views)
+        self.publisher.apply_views(views)
         self._publish_soon()
         if held := [name for name in views if self.server.undecided.get(name)]:
             self.loop.spawn(self._answer_undecided(held))
@@ -230,7 +230,7 @@
 
     def _called(self, name: str) -> None:
         if self.leases is not None and self.leases.renew(name, self.loop.now):
-            self.publisher.come_back(name)
+            self.publisher.restore(name)
             self.log.say("leases", f"{name} is back; its view is decided anew")
 
     def _check_leases_later(self) -> None:
@@ -243,7 +243,7 @@
                 self._called(name)
         silence = self.leases.check(self.loop.now)
         if silence.left:
-            self.publisher.leave(silence.left)
+            self.publisher.expire(silence.left)
         self._tell_silence(silence)
         self._check_leases_later()
 
@@ -275,8 +275,8 @@
         """Gather changes for a while, then bring the views up to date, some in a turn of the loop."""
         try:
             yield Wait(until=self.loop.now + self.configuration.bounds.gather)
-            while self.publisher.changed:
-                self.server.wake(self.publisher.publish([*islice(self.publisher.changed, SLICE)]))
+            while self.publisher.unpublished:
+                self.server.wake(self.publisher.publish([*islice(self.publisher.unpublished, SLICE)]))
                 yield self._next_turn()
         except Exception as error:
             self.failure = error
--- a/oatcart/views/server.py
+++ b/oatcart/views/server.py
@@ -18,8 +18,8 @@
 from oatcart.net.loop import IN, Loop, Task, Wait
 from oatcart.net.stream import MESSAGE_MOST, Address, Stream
 from oatcart.views.configuration import Bounds
-from oatcart.views.history import History
-from oatcart.views.publisher import NotDecided, Publisher
+from oatcart.views.history import ViewHistory
+from oatcart.views.publisher import Publisher, ViewNotDecided
 from oatcart.views.records import UnknownController, ViewError
 from oatcart.views.requests import (
     BAD_REQUEST,
@@ -240,15 +240,15 @@
             history = yield from self._history(stream, http, call.view)
             self._use(stream, call.view)
             if call.since is None:
-                return history.whole()
-            body = history.since(call.since)
+                return history.complete_list()
+            body = history.changes_since(call.since)
             if body is not None:
                 return body
             if self.loop.now >= until:
-                return history.nothing()
+                return history.no_changes()
             yield from self._wait(stream, http, self.waiting.setdefault(call.view, {}), until)
 
-    def _history(self, stream: Stream, http: h11.Connection, view: str) -> Generator[Wait, bool, History]:
+    def _history(self, stream: Stream, http: h11.Connection, view: str) -> Generator[Wait, bool, ViewHistory]:
         """The history of a view; a call for one that is not decided yet is held open for a bounded time."""
         until = self.loop.now + self.bounds.undecided_wait
         is_held = False
@@ -257,7 +257,7 @@
                 history = self.publisher.history(view)
             except UnknownController as error:
                 raise RefusedRequest(NOT_FOUND, "unknown view", str(error)) from None
-            except NotDecided as error:
+            except ViewNotDecided as error:
                 if self.loop.now >= until:
                     self.undecided_calls.refused += 1
                     raise RefusedRequest(UNAVAILABLE, f"no view for {view}", str(error)) from None
--- a/tests/views/test_views_leases.py
+++ b/tests/views/test_views_leases.py
@@ -246,8 +246,8 @@
     """Failure: a decision under way while a conductor leaves brings its view back for good."""
     stage = stages(PATIENT)
     view = views(stage)["c3"]
-    stage.role.publisher.leave(["c3"])
-    stage.role.publisher.decided({"c3": view})
+    stage.role.publisher.expire(["c3"])
+    stage.role.publisher.apply_views({"c3": view})
     assert "c3" not in views(stage)
 
 
@@ -365,11 +365,11 @@
 
     def publish(part):
         told.extend(part)
-        publisher.changed.difference_update(part)
+        publisher.unpublished.difference_update(part)
         return []
 
     publisher.publish = publish
-    publisher.changed.update(names)
+    publisher.unpublished.update(names)
     stage.role._publish_soon()
     assert most_of_one_turn(stage, told, len(names)) == SLICE and sorted(told) == sorted(names)
 
--- a/tests/views/test_views_server.py
+++ b/tests/views/test_views_server.py
@@ -212,13 +212,13 @@
 
 def test_whoever_is_too_far_behind_gets_the_whole_list(stage):
     history = stage.role.publisher.history("c0")
-    history.changes_most = 3
+    history.max_logged_ids = 3
     revision = stage.get("c0")["revision"]
     for start in range(1, 5):
         stage.discovery.put(node("x-a0", service="x", up_since_ms=start))
         stage.until(lambda start=start: history.entries["x-a0"].fields["up_since_ms"] == start)
     answer = watch(stage, "c0", revision).result(stage)
-    assert answer["complete"] is True and history.logged == 3
+    assert answer["complete"] is True and history.logged_ids == 3
 
 
 # Callers that cost too much.
