--- a/oatcart/views/history.py
+++ b/oatcart/views/history.py
@@ -1,8 +1,8 @@
-"""One view's revisions and its bounded log of changes. Free of I/O.
+"""One view's revisions and its bounded change log. Free of I/O.
 
-The log has one record a revision: the ids that it changed. A watcher that holds a revision which the log
-still covers gets what has changed since, each node once, as it stands now; any other watcher gets the whole
-view.
+The log has a record for each revision: the ids of the endpoints that it changed. A watcher that holds a
+revision which the log still covers gets what has changed since, each endpoint once, with its present entry.
+Any other watcher gets the complete view.
 """
 
 from collections import deque
@@ -11,19 +11,23 @@
 
 from oatcart.views.entries import Entry
 
-# As many ids as a view has; for whoever missed more the whole view is shorter.
+# As many ids as a view has: for a watcher that missed more, the complete view is shorter.
 MAX_LOGGED_IDS = 500
 
 
 class ViewChange(NamedTuple):
-    """A revision and the nodes that it changed."""
+    """A revision and the ids of the endpoints that it added, changed or removed."""
 
     revision: int
     endpoint_ids: tuple[str, ...]
 
 
 class ViewHistory:
-    """`first`: the revision of the view that it begins with."""
+    """The present entries of one view and the changes that led to them.
+
+    `first_revision` is the revision of `entries`; `max_logged_ids` bounds the ids in the log, over all of its
+    records.
+    """
 
     def __init__(
         self, first_revision: int, entries: Mapping[str, Entry], max_logged_ids: int = MAX_LOGGED_IDS
@@ -32,14 +36,18 @@
         self.entries = dict(entries)
         self.max_logged_ids = max_logged_ids
         self.changes: deque[ViewChange] = deque()
-        self.logged_ids = 0  # ids in the log
-        self.last_changed: dict[str, int] = {}  # the newest revision in the log that changed a node
-        self.removed_entries: dict[
-            str, Entry
-        ] = {}  # nodes in the log that are in the view no more, as they were last
+        self.logged_ids = 0
+        # Of the endpoints in the log: the newest revision that changed each, and the last entries of those
+        # that the view has no longer.
+        self.last_changed: dict[str, int] = {}
+        self.removed_entries: dict[str, Entry] = {}
 
     def replace(self, entries: Mapping[str, Entry], revision: int) -> bool:
-        """The view from that revision on; hands back whether anything is different."""
+        """Replaces the entries from that revision on. Returns whether anything differs; if nothing does, the
+        view keeps its revision.
+
+        Raises ValueError if the revision is not above the present one.
+        """
         if revision <= self.revision:
             raise ValueError(f"revision {revision} after {self.revision}")
         endpoint_ids = tuple(self._differing_ids(entries))
@@ -59,22 +67,21 @@
         return True
 
     def complete_list(self) -> bytes:
-        """The whole view as the body of an answer."""
+        """The body of an answer with the complete view."""
         return _encode_list(self.revision, True, (entry.encoded for entry in self.entries.values()))
 
     def changes_since(self, revision: int) -> bytes | None:
-        """The body that tells a watcher what it has missed; None where it has missed nothing."""
+        """The body with what has changed since a revision, None if nothing has. For a revision that the log
+        does not cover, or that this history has not issued, it is the complete view."""
         if revision == self.revision:
             return None
         endpoint_ids = self._ids_changed_since(revision)
         if endpoint_ids is None:
             return self.complete_list()
-        return _encode_list(
-            self.revision, False, (self._encoded(endpoint_id) for endpoint_id in endpoint_ids)
-        )
+        return _encode_list(self.revision, False, map(self._encoded, endpoint_ids))
 
     def no_changes(self) -> bytes:
-        """The body that ends a wait which has brought nothing."""
+        """The body that ends a watch without changes."""
         return _encode_list(self.revision, False, ())
 
     def _differing_ids(self, entries: Mapping[str, Entry]) -> Iterator[str]:
@@ -85,8 +92,8 @@
         yield from (endpoint_id for endpoint_id in self.entries if endpoint_id not in entries)
 
     def _ids_changed_since(self, revision: int) -> list[str] | None:
-        """The nodes changed since; None where the log does not reach back so far, or this history never
-        issued it."""
+        """The endpoints changed since a revision; None if the log does not cover it, or it was never issued
+        here."""
         if revision == self.oldest_revision:
             return list(self.last_changed)
         endpoint_ids: dict[str, None] = {}
@@ -97,11 +104,9 @@
         return None
 
     def _encoded(self, endpoint_id: str) -> bytes:
-        return (
-            self.entries[endpoint_id].encoded
-            if endpoint_id in self.entries
-            else self.removed_entries[endpoint_id].deleted
-        )
+        if endpoint_id in self.entries:
+            return self.entries[endpoint_id].encoded
+        return self.removed_entries[endpoint_id].deleted
 
     def _drop_oldest_change(self) -> None:
         change = self.changes.popleft()
--- a/oatcart/views/publisher.py
+++ b/oatcart/views/publisher.py
@@ -1,9 +1,9 @@
-"""The views in force: entries of nodes, what was decided of each view, and a history of each view asked for.
-Free of I/O.
+"""The views in force: the entries of all endpoints, the view decided for each controller, and the history of
+each view that was requested. Free of I/O.
 
-What is known of a node is told at once to whoever holds it: a drain, a change, its end. Which nodes a view
-has is decided elsewhere (`deciding`) and may come later. A view's history begins when its conductor first
-asks.
+A change of an endpoint's entry (draining, another address, its removal) is published at once to the
+controllers whose view has it. Which endpoints a view has is decided elsewhere (`deciding`) and may follow
+later. A view's history begins with the first request of its controller.
 """
 
 from collections.abc import Callable, Collection, Iterable, Mapping
@@ -17,31 +17,34 @@
 from oatcart.views.trust import Outcome
 
 DEFAULT_SERVICE = "default"  # of an entry that names none
+DEFAULT_NOMINAL_WEIGHT = 1.0  # of an entry whose size is missing or 0, as at a controller
 
 
 class ViewNotDecided(ViewError):
-    """Nothing can be told of a view yet: there is no list of nodes, or the decision is under way."""
+    """A view cannot be served yet: there is no endpoint list, or the decision is under way."""
 
 
 class Publisher:
-    """Takes what has changed of the list of nodes and hands out histories by the names of conductors.
-    `decide` is handed what has to be decided; the views come back to `decided`."""
+    """Applies changes of the endpoint list and of the views, and keeps the history of each view.
+
+    `decide` is called with the records that changed; the views decided from them are handed to `apply_views`.
+    """
 
     def __init__(
         self, configuration: Configuration, revisions: RevisionSequence, decide: Callable[[Update], None]
     ) -> None:
         self.configuration, self.revisions, self.decide = configuration, revisions, decide
         self.entries: dict[str, Entry] = {}
-        self.views: dict[str, View] = {}  # as decided last; there may be nodes in them that are gone
+        self.views: dict[str, View] = {}  # as last decided; they may have endpoints that are gone since
         self.histories: dict[str, ViewHistory] = {}
-        self.unpublished: set[str] = set()  # views that may be different from their histories
-        self.controllers = _controllers(configuration.controllers)
-        self.expired: set[str] = set()  # conductors that do not count as alive: nothing is decided for them
+        self.unpublished: set[str] = set()  # views that may differ from their histories
+        self.controllers = _records_by_name(configuration.controllers)
+        self.expired: set[str] = set()  # controllers without a lease: no view is decided for them
 
     def configure(self, configuration: Configuration) -> None:
-        """Another configuration. Views that stay the same get no new revision."""
+        """Takes over another configuration. Views that stay the same get no new revision."""
         old, self.configuration = self.configuration, configuration
-        controllers = _controllers(configuration.controllers)
+        controllers = _records_by_name(configuration.controllers)
         gone = self.controllers.keys() - controllers.keys()
         self.controllers = controllers
         self.expired &= controllers.keys()
@@ -52,21 +55,24 @@
             self.decide(Update(controllers=self._live_controllers(), gone=gone))
 
     def expire(self, names: Collection[str]) -> None:
-        """These conductors no longer count as alive: their shares of the nodes go to others."""
+        """The leases of these controllers have expired: the others' views are decided without them."""
         self.expired.update(names)
         self._drop_views(names)
         if self.entries:
             self.decide(Update(gone=names))
 
     def restore(self, name: str) -> None:
-        """A conductor counts as alive again; its view is decided anew."""
+        """An expired controller has a lease again: its view is decided anew."""
         self.expired.discard(name)
         if self.entries:
             self.decide(Update(controllers=[self.controllers[name]]))
 
     def apply_list_changes(self, outcome: Outcome) -> None:
-        """What has changed of the list; `publish` makes it known. Nothing is decided before the first list: a
-        view of it would be empty, and a conductor that is told so loses its list."""
+        """Applies changes of the endpoint list; `publish` makes them known.
+
+        Nothing is decided before the first list: the views would be empty, and a controller that receives an
+        empty list drops the one it has.
+        """
         if not self.entries:
             self.entries.update(outcome.changed)
             self._decide_all()
@@ -78,20 +84,23 @@
         self.unpublished.update(
             name for name, history in self.histories.items() if not touched.isdisjoint(history.entries)
         )
-        endpoints = [endpoint_record(entry, self.configuration.nodes) for entry in outcome.changed.values()]
+        nodes = self.configuration.nodes
+        endpoints = [endpoint_record(entry, nodes) for entry in outcome.changed.values()]
         self.decide(Update(endpoints=endpoints, removed=outcome.removed))
 
     def apply_views(self, views: Mapping[str, View]) -> None:
-        """Views as decided from now on; `publish` makes them known."""
+        """Takes over views as decided; `publish` makes them known."""
         for name, view in views.items():
             if name in self.controllers and name not in self.expired:
                 self.views[name] = view
                 self.unpublished.add(name)
 
     def publish(self, names: Iterable[str]) -> list[str]:
-        """Bring the histories of these views up to date; hands back those that have changed. A view that
-        cannot be decided stays as it was told last. No two views share a revision, so that a conductor which
-        comes with another view's is told the whole list."""
+        """Brings the histories of these views up to date and returns the names of those that changed.
+
+        A view that cannot be decided stays as it was last published. No two views share a revision, so a
+        controller that asks with the revision of another view gets the complete list.
+        """
         published = []
         for name in names:
             self.unpublished.discard(name)
@@ -103,7 +112,10 @@
         return published
 
     def history(self, name: str) -> ViewHistory:
-        """The history of a conductor's view; raises UnknownController or what else ViewError stands for."""
+        """The history of a controller's view, which begins with the first call.
+
+        Raises UnknownController, ViewNotDecided, or the ViewError for which the view cannot be decided.
+        """
         if name not in self.controllers:
             raise UnknownController(name)
         if name not in self.histories:
@@ -117,7 +129,7 @@
         return self.histories[name]
 
     def failures(self) -> dict[str, str]:
-        """The views that cannot be decided, and why."""
+        """The reasons for which views cannot be decided, by the names of controllers."""
         return {name: str(view) for name, view in self.views.items() if isinstance(view, ViewError)}
 
     def _live_controllers(self) -> list[Controller]:
@@ -134,11 +146,10 @@
     def _decide_all(self) -> None:
         if not self.entries:
             return
+        nodes = self.configuration.nodes
         self.decide(
             Update(
-                endpoints=[
-                    endpoint_record(entry, self.configuration.nodes) for entry in self.entries.values()
-                ],
+                endpoints=[endpoint_record(entry, nodes) for entry in self.entries.values()],
                 controllers=self._live_controllers(),
                 limits=self.configuration.limits,
                 seed=self.configuration.seed,
@@ -147,22 +158,23 @@
 
 
 def endpoint_record(entry: Entry, nodes: NodeFields) -> Endpoint:
-    """The entry as the decisions see it; a size of 0 or none stands for 1, as at a conductor."""
+    """The record from which views are decided, of an entry of the list; `nodes` says which fields have the
+    service and the region."""
     service, region = entry.fields.get(nodes.service_field), entry.fields.get(nodes.region_field)
     return Endpoint(
         entry.id,
         region if isinstance(region, str) and region else nodes.region(entry.zone),
         entry.zone,
         service if isinstance(service, str) and service else DEFAULT_SERVICE,
-        float(entry.fields.get("size") or 1.0),
+        float(entry.fields.get("size") or DEFAULT_NOMINAL_WEIGHT),
         entry.phase == SERVING,
     )
 
 
 def _decision_inputs(configuration: Configuration) -> tuple[ViewLimits, int, NodeFields]:
-    """What all decisions depend on beside nodes and conductors."""
+    """What all decisions depend on, apart from endpoints and controllers."""
     return configuration.limits, configuration.seed, configuration.nodes
 
 
-def _controllers(served: Iterable[ServedController]) -> dict[str, Controller]:
+def _records_by_name(served: Iterable[ServedController]) -> dict[str, Controller]:
     return {one.record.name: one.record for one in served}
