--- a/oatcart/views/entries.py
+++ b/oatcart/views/entries.py
@@ -17,11 +17,11 @@
 PHASES = frozenset((SERVING, DRAINING, DELETED))
 
 
-class MalformedAnswer(ValueError):
+class MalformedAnswerError(ValueError):
     """An answer that is no list of nodes."""
 
 
-class MalformedEntry(ValueError):
+class MalformedEntryError(ValueError):
     """An entry that cannot be used; names the field."""
 
 
@@ -57,22 +57,22 @@
 
 
 def parse_answer(body: bytes | memoryview) -> Answer:
-    """The answer in a body; raises MalformedAnswer. An entry without a readable id may be any node's, so a
-    list that has one leaves out nobody: it counts as changes."""
+    """The answer in a body; raises MalformedAnswerError. An entry without a readable id may be any node's, so
+    a list that has one leaves out nobody: it counts as changes."""
     try:
         told = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise MalformedAnswer(str(error)) from None
+        raise MalformedAnswerError(str(error)) from None
     if not isinstance(told, dict) or not isinstance(told.get("members"), list):
-        raise MalformedAnswer("no list of nodes")
+        raise MalformedAnswerError("no list of nodes")
     if not is_amount(told.get("revision")):
-        raise MalformedAnswer("no revision")
+        raise MalformedAnswerError("no revision")
     entries, unread, odd, nameless = {}, set(), [], False
     for fields in told["members"]:
         try:
             entry = parse_entry(fields)
             entries[entry.id] = entry
-        except MalformedEntry as error:
+        except MalformedEntryError as error:
             odd.append(str(error))
             node = fields.get("id") if isinstance(fields, dict) else None
             if _is_id(node):
@@ -84,19 +84,19 @@
 
 
 def parse_entry(fields: object) -> Entry:
-    """An entry whose fields a conductor can use; raises MalformedEntry."""
+    """An entry whose fields a conductor can use; raises MalformedEntryError."""
     if not isinstance(fields, dict):
-        raise MalformedEntry(f"{str(fields)[:NAME_SHOWN]!r} is no entry")
+        raise MalformedEntryError(f"{str(fields)[:NAME_SHOWN]!r} is no entry")
     node, phase, zone = fields.get("id"), fields.get("phase"), fields.get("locality")
     if not _is_id(node):
-        raise MalformedEntry(f"id: {str(node)[:NAME_SHOWN]!r} is no id")
+        raise MalformedEntryError(f"id: {str(node)[:NAME_SHOWN]!r} is no id")
     if phase not in PHASES:
-        raise MalformedEntry(f"{node}: phase: {str(phase)[:NAME_SHOWN]!r} is not known")
+        raise MalformedEntryError(f"{node}: phase: {str(phase)[:NAME_SHOWN]!r} is not known")
     if not isinstance(zone, str) or not zone:
-        raise MalformedEntry(f"{node}: locality: {str(zone)[:NAME_SHOWN]!r} is no zone")
+        raise MalformedEntryError(f"{node}: locality: {str(zone)[:NAME_SHOWN]!r} is no zone")
     for name in "size", "up_since_ms":
         if fields.get(name) is not None and not is_amount(fields[name]):
-            raise MalformedEntry(f"{node}: {name}: {str(fields[name])[:NAME_SHOWN]!r} is no amount")
+            raise MalformedEntryError(f"{node}: {name}: {str(fields[name])[:NAME_SHOWN]!r} is no amount")
     _check_address(node, fields.get("host_port"))
     return Entry(node, phase, zone, fields)
 
@@ -112,4 +112,4 @@
         address(host_port)
     except (AttributeError, TypeError, ValueError):
         shown = str(host_port)[:NAME_SHOWN]
-        raise MalformedEntry(f"{node}: host_port: {shown!r} is no numeric address and port") from None
+        raise MalformedEntryError(f"{node}: host_port: {shown!r} is no numeric address and port") from None
--- a/oatcart/views/follower.py
+++ b/oatcart/views/follower.py
@@ -14,8 +14,8 @@
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop, Task, Wait
 from oatcart.views.configuration import Source
-from oatcart.views.entries import Answer, MalformedAnswer, parse_answer
-from oatcart.views.trust import Outcome, RefusedAnswer, TrustedList
+from oatcart.views.entries import Answer, MalformedAnswerError, parse_answer
+from oatcart.views.trust import Outcome, RejectedAnswerError, TrustedList
 from oatcart.xds.source import Backoff
 
 WATCH_OVER = 2.0  # s beyond the wait that a watch asks for
@@ -23,7 +23,7 @@
 LEAST_WAIT = 0.05  # s; a shorter watch is not worth a call
 
 
-class StartedOver(Exception):
+class DiscoveryRestartedError(Exception):
     """Changes that may not follow on the revision in hand: discovery counts anew, or counts in nonsense."""
 
 
@@ -73,7 +73,7 @@
         while True:
             try:
                 yield from self._follow(backoff)
-            except (Ended, MalformedAnswer, RefusedAnswer, StartedOver) as error:
+            except (Ended, MalformedAnswerError, RejectedAnswerError, DiscoveryRestartedError) as error:
                 wait = backoff.next()
                 self.log.say(
                     "source",
@@ -120,16 +120,16 @@
         connection = client.stream
         body = yield from client.get(watch_path(since, wait), asked + wait + WATCH_OVER)
         if connection is not None and client.stream is not connection:
-            raise StartedOver("another connection, on which revisions may be another life's")
+            raise DiscoveryRestartedError("another connection, on which revisions may be another life's")
         answer = parse_answer(body)
         if answer.whole:
             return self._believe(answer)
         if answer.revision < since:
-            raise StartedOver(f"changes up to revision {answer.revision} after {since}")
+            raise DiscoveryRestartedError(f"changes up to revision {answer.revision} after {since}")
         if answer.revision > since:
             return self._believe(answer)
         if answer.entries or self.loop.now - asked < EARLY * wait:
-            raise StartedOver(f"an answer before its time that leaves revision {since}")
+            raise DiscoveryRestartedError(f"an answer before its time that leaves revision {since}")
         self.heard = self.loop.now
 
     def _believe(self, answer: Answer) -> None:
--- a/oatcart/views/publisher.py
+++ b/oatcart/views/publisher.py
@@ -12,7 +12,7 @@
 from oatcart.views.deciding import Update, View
 from oatcart.views.entries import SERVING, Entry
 from oatcart.views.history import ViewHistory
-from oatcart.views.records import Controller, Endpoint, UnknownController, ViewError, ViewLimits
+from oatcart.views.records import Controller, Endpoint, UnknownControllerError, ViewError, ViewLimits
 from oatcart.views.revisions import RevisionSequence
 from oatcart.views.trust import Outcome
 
@@ -20,7 +20,7 @@
 DEFAULT_NOMINAL_WEIGHT = 1.0  # of an entry whose size is missing or 0, as at a controller
 
 
-class ViewNotDecided(ViewError):
+class ViewNotDecidedError(ViewError):
     """A view cannot be served yet: there is no endpoint list, or the decision is under way."""
 
 
@@ -114,14 +114,15 @@
     def history(self, name: str) -> ViewHistory:
         """The history of a controller's view, which begins with the first call.
 
-        Raises UnknownController, ViewNotDecided, or the ViewError for which the view cannot be decided.
+        Raises UnknownControllerError, ViewNotDecidedError, or the ViewError for which the view cannot be
+        decided.
         """
         if name not in self.controllers:
-            raise UnknownController(name)
+            raise UnknownControllerError(name)
         if name not in self.histories:
             view = self.views.get(name)
             if not self.entries or view is None:
-                raise ViewNotDecided("no list of nodes is known yet, or the view is not decided yet")
+                raise ViewNotDecidedError("no list of nodes is known yet, or the view is not decided yet")
             if isinstance(view, ViewError):
                 raise view
             self.histories[name] = ViewHistory(self.revisions.next(), self._entries_of(view))
--- a/oatcart/views/records.py
+++ b/oatcart/views/records.py
@@ -52,7 +52,7 @@
     """A view cannot be decided."""
 
 
-class UnknownController(ViewError):
+class UnknownControllerError(ViewError):
     """No conductor of that name is known."""
 
     def __init__(self, name: str) -> None:
@@ -60,7 +60,7 @@
         self.name = name
 
 
-class InvalidEndpoint(ViewError):
+class InvalidEndpointError(ViewError):
     """A node's record cannot be used: its size is not a finite number above zero."""
 
     def __init__(self, endpoint: Endpoint) -> None:
@@ -68,7 +68,7 @@
         self.endpoint = endpoint
 
 
-class TooManyServices(ViewError):
+class TooManyServicesError(ViewError):
     """A conductor's services do not fit in its view at two nodes each (one, where a service has one)."""
 
     def __init__(self, name: str, needed: int, capacity: int) -> None:
--- a/oatcart/views/requests.py
+++ b/oatcart/views/requests.py
@@ -14,7 +14,7 @@
 OK, BAD_REQUEST, NOT_FOUND, METHOD_NOT_ALLOWED, UNAVAILABLE = 200, 400, 404, 405, 503
 
 
-class RefusedRequest(Exception):
+class RejectedRequestError(Exception):
     """A call that cannot be answered with a list: its status, what is refused and why."""
 
     def __init__(self, status: int, what: str, why: str) -> None:
@@ -40,14 +40,14 @@
 
 
 def parse_request(method: bytes, target: bytes, own_view: str | None) -> ListRequest | StatusRequest:
-    """The call that a request line stands for; raises RefusedRequest. `own_view`: the conductor whose address
-    was called, None at the main address."""
+    """The call that a request line stands for; raises RejectedRequestError. `own_view`: the conductor whose
+    address was called, None at the main address."""
     if method != GET:
-        raise RefusedRequest(METHOD_NOT_ALLOWED, _shown(method), "only GET is served")
+        raise RejectedRequestError(METHOD_NOT_ALLOWED, _shown(method), "only GET is served")
     path, _, query = target.decode("ascii", "replace").partition("?")
     if own_view is not None:
         if path != ROLL_PATH:
-            raise RefusedRequest(
+            raise RejectedRequestError(
                 NOT_FOUND, _shown(path), f"this is the address of {own_view}; it serves {ROLL_PATH}"
             )
         return _list_request(own_view, query)
@@ -56,7 +56,9 @@
     name = path.removeprefix(VIEWS_PATH + "/").removesuffix("/servers")
     if path != f"{VIEWS_PATH}/{name}/servers" or not name or "/" in name:
         served = f"{VIEWS_PATH}/NAME/servers and {VIEWS_PATH}"
-        raise RefusedRequest(NOT_FOUND, _shown(path), f"this address serves {served}; NAME is a conductor's")
+        raise RejectedRequestError(
+            NOT_FOUND, _shown(path), f"this address serves {served}; NAME is a conductor's"
+        )
     return _list_request(unquote(name), query)
 
 
@@ -71,7 +73,7 @@
 
 def _count(field: str, value: str) -> int:
     if not (value.isascii() and value.isdigit()) or len(value) > 16:
-        raise RefusedRequest(BAD_REQUEST, f"{field}={_shown(value)}", "it is no whole number")
+        raise RejectedRequestError(BAD_REQUEST, f"{field}={_shown(value)}", "it is no whole number")
     return int(value)
 
 
--- a/oatcart/views/server.py
+++ b/oatcart/views/server.py
@@ -19,15 +19,15 @@
 from oatcart.net.stream import MESSAGE_MOST, Address, Stream
 from oatcart.views.configuration import Bounds
 from oatcart.views.history import ViewHistory
-from oatcart.views.publisher import Publisher, ViewNotDecided
-from oatcart.views.records import UnknownController, ViewError
+from oatcart.views.publisher import Publisher, ViewNotDecidedError
+from oatcart.views.records import UnknownControllerError, ViewError
 from oatcart.views.requests import (
     BAD_REQUEST,
     NOT_FOUND,
     OK,
     UNAVAILABLE,
     ListRequest,
-    RefusedRequest,
+    RejectedRequestError,
     StatusRequest,
     parse_request,
 )
@@ -195,12 +195,12 @@
                 else (yield from self._list(stream, http, call))
             )
             yield from self._answer(stream, http, OK, body)
-        except RefusedRequest as refused:
+        except RejectedRequestError as refused:
             self.log.say("refused", f"{self._who(stream)}: {refused}")
             yield from self._answer(stream, http, refused.status, refused.body)
         except h11.RemoteProtocolError as error:
             if http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-                refused = RefusedRequest(BAD_REQUEST, "the request cannot be read", str(error))
+                refused = RejectedRequestError(BAD_REQUEST, "the request cannot be read", str(error))
                 yield from self._answer(stream, http, refused.status, refused.body)
             raise Ended(Ending.UNREADABLE, str(error)) from None
         return http.our_state is h11.DONE and http.their_state is h11.DONE
@@ -255,14 +255,14 @@
         while True:
             try:
                 history = self.publisher.history(view)
-            except UnknownController as error:
-                raise RefusedRequest(NOT_FOUND, "unknown view", str(error)) from None
-            except ViewNotDecided as error:
+            except UnknownControllerError as error:
+                raise RejectedRequestError(NOT_FOUND, "unknown view", str(error)) from None
+            except ViewNotDecidedError as error:
                 if self.loop.now >= until:
                     self.undecided_calls.refused += 1
-                    raise RefusedRequest(UNAVAILABLE, f"no view for {view}", str(error)) from None
+                    raise RejectedRequestError(UNAVAILABLE, f"no view for {view}", str(error)) from None
             except ViewError as error:
-                raise RefusedRequest(UNAVAILABLE, f"no view for {view}", str(error)) from None
+                raise RejectedRequestError(UNAVAILABLE, f"no view for {view}", str(error)) from None
             else:
                 self.undecided_calls.answered += is_held
                 return history
--- a/oatcart/views/subsets.py
+++ b/oatcart/views/subsets.py
@@ -21,9 +21,9 @@
 from oatcart.views.records import (
     Controller,
     Endpoint,
-    InvalidEndpoint,
-    TooManyServices,
-    UnknownController,
+    InvalidEndpointError,
+    TooManyServicesError,
+    UnknownControllerError,
     ViewLimits,
 )
 
@@ -51,10 +51,10 @@
     # Changes.
 
     def put_endpoint(self, endpoint: Endpoint) -> None:
-        """A node comes, or its record changes. InvalidEndpoint where its size is not a finite number above
-        zero."""
+        """A node comes, or its record changes. InvalidEndpointError where its size is not a finite number
+        above zero."""
         if not 0 < endpoint.size < float("inf"):
-            raise InvalidEndpoint(endpoint)
+            raise InvalidEndpointError(endpoint)
         before = self._endpoints.get(endpoint.id)
         if before == endpoint:
             return
@@ -111,14 +111,14 @@
     def view(self, name: str) -> tuple[str, ...]:
         """The ids of the nodes that a conductor is told of, sorted; ready and draining ones.
 
-        UnknownController where no such conductor is alive, TooManyServices where its services do not fit in a
-        view.
+        UnknownControllerError where no such conductor is alive, TooManyServicesError where its services
+        do not fit in a view.
         """
         self._settle()
         if name in self._refused:
-            raise TooManyServices(name, self._refused[name], self._limits.capacity)
+            raise TooManyServicesError(name, self._refused[name], self._limits.capacity)
         if name not in self._controllers:
-            raise UnknownController(name)
+            raise UnknownControllerError(name)
         return self._views[name]
 
     def holders(self, endpoint_id: str) -> frozenset[str]:
--- a/oatcart/views/trust.py
+++ b/oatcart/views/trust.py
@@ -30,7 +30,7 @@
     least_nodes: int = 1
 
 
-class RefusedAnswer(Exception):
+class RejectedAnswerError(Exception):
     """An answer of which nothing is believed; the list stays as it was."""
 
 
@@ -51,10 +51,10 @@
         self.doubted: dict[str, float] = {}  # since when a node is missing that is held on to
 
     def take(self, now: float, answer: Answer) -> Outcome:
-        """The changes that an answer makes; raises RefusedAnswer."""
+        """The changes that an answer makes; raises RejectedAnswerError."""
         told = {node: entry for node, entry in answer.entries.items() if entry.phase != DELETED}
         if answer.whole and len(told) < self.guard.least_nodes:
-            raise RefusedAnswer(f"it has {len(told)} nodes, fewer than {self.guard.least_nodes}")
+            raise RejectedAnswerError(f"it has {len(told)} nodes, fewer than {self.guard.least_nodes}")
         missing = self._missing(answer, told)
         held = self._held(now, missing, answer.whole)
         removed = frozenset(missing - held)
--- a/tests/views/test_views_deciding.py
+++ b/tests/views/test_views_deciding.py
@@ -4,7 +4,7 @@
 from views_stage import Stage, controller, ids, node, phases
 
 from oatcart.views.deciding import Decider, Update
-from oatcart.views.records import Controller, Endpoint, TooManyServices, ViewLimits
+from oatcart.views.records import Controller, Endpoint, TooManyServicesError, ViewLimits
 from oatcart.views.role import ControlRole
 
 
@@ -97,7 +97,7 @@
     views = decider.decide(
         [Update(controllers=[Controller("c0", "r", "a", ())], limits=ViewLimits(3)), *services]
     )
-    assert isinstance(views["c0"], TooManyServices) and "needs 6 nodes" in str(views["c0"])
+    assert isinstance(views["c0"], TooManyServicesError) and "needs 6 nodes" in str(views["c0"])
 
 
 def test_entries_longer_than_the_file_tells_are_logged(stage):
--- a/tests/views/test_views_subsets.py
+++ b/tests/views/test_views_subsets.py
@@ -12,9 +12,9 @@
 from oatcart.views.records import (
     Controller,
     Endpoint,
-    InvalidEndpoint,
-    TooManyServices,
-    UnknownController,
+    InvalidEndpointError,
+    TooManyServicesError,
+    UnknownControllerError,
     ViewLimits,
 )
 from oatcart.views.subsets import Subsets
@@ -175,10 +175,10 @@
 
 def test_unknown_conductors_and_unusable_sizes_are_refused():
     subsets = subsets_of(endpoints_of("api", 5), controllers_of(1, ("api",)))
-    with pytest.raises(UnknownController):
+    with pytest.raises(UnknownControllerError):
         subsets.view("nobody")
     for size in (0.0, -1.0, float("inf"), float("nan")):
-        with pytest.raises(InvalidEndpoint):
+        with pytest.raises(InvalidEndpointError):
             subsets.put_endpoint(Endpoint("odd", *ZONES[0], "api", size, True))
     assert subsets.holders("odd") == frozenset()
 
@@ -190,7 +190,7 @@
         endpoints, [Controller("greedy", *ZONES[0], services), Controller("all", *ZONES[0], ())]
     )
     for name in ("greedy", "all"):
-        with pytest.raises(TooManyServices) as refused:
+        with pytest.raises(TooManyServicesError) as refused:
             subsets.view(name)
         assert (refused.value.needed, refused.value.capacity) == (14, 12)
     for endpoint in endpoints_of(services[0], 4):
--- a/tests/views/test_views_trust.py
+++ b/tests/views/test_views_trust.py
@@ -4,8 +4,8 @@
 import orjson
 import pytest
 
-from oatcart.views.entries import MalformedAnswer, parse_answer
-from oatcart.views.trust import Guard, RefusedAnswer, TrustedList
+from oatcart.views.entries import MalformedAnswerError, parse_answer
+from oatcart.views.trust import Guard, RejectedAnswerError, TrustedList
 
 GUARD = Guard(drop_share=0.25, drop_least=2, hold=10.0, least_nodes=2)
 
@@ -64,10 +64,10 @@
 @pytest.mark.parametrize("count", [0, 1])
 def test_a_list_with_fewer_nodes_than_the_least_is_refused_and_nothing_goes(count):
     trusted = standing()
-    with pytest.raises(RefusedAnswer, match=f"{count} nodes, fewer than 2"):
+    with pytest.raises(RejectedAnswerError, match=f"{count} nodes, fewer than 2"):
         whole(trusted, 1.0, names(count))
     assert len(trusted.entries) == 20
-    with pytest.raises(RefusedAnswer):
+    with pytest.raises(RejectedAnswerError):
         whole(trusted, 100.0, names(count))
 
 
@@ -140,7 +140,7 @@
     ],
 )
 def test_an_answer_that_is_no_list_is_told_apart(body):
-    with pytest.raises(MalformedAnswer):
+    with pytest.raises(MalformedAnswerError):
         parse_answer(body)
 
 
