--- a/oatcart/views/__init__.py
+++ b/oatcart/views/__init__.py
@@ -1,5 +1,5 @@
-"""Which nodes of a large fleet each conductor is told of, and which conductors count as alive.
+"""Serves each controller of a large fleet a list of some of the endpoints, its view.
 
-Everything in `records`, `keys`, `quotas`, `matching`, `pool`, `subsets` and `alive` decides only: no sockets,
-no files, and no clock but the one handed in. The design and its measured figures are in `docs/views.md`.
+`records`, `keys`, `quotas`, `matching`, `pool`, `subsets` and `liveness` only decide: no sockets, no files, and
+no clock but the one that is handed in. The design and its measured figures are in `docs/views.md`.
 """
--- a/oatcart/views/configuration.py
+++ b/oatcart/views/configuration.py
@@ -8,7 +8,6 @@
 from ruamel.yaml.comments import CommentedMap
 
 from oatcart.net.stream import Address
-from oatcart.views.alive import AliveSettings
 from oatcart.views.controllers import (
     Group,
     ServedController,
@@ -18,6 +17,7 @@
     numeric_address,
     unfold,
 )
+from oatcart.views.liveness import LivenessSettings
 from oatcart.views.records import ViewLimits
 from oatcart.views.trust import Guard
 from oatcart.yaml_files import Wrong, load, name, size, span, table, whole, yes_or_no
@@ -87,7 +87,7 @@
     seed: int = 0
     bounds: Bounds = Bounds()
     controllers: tuple[ServedController, ...] = ()
-    leases: AliveSettings | None = None
+    leases: LivenessSettings | None = None
 
 
 def _factor(value: object) -> float:
@@ -174,6 +174,15 @@
     "doubt_share": _share,
     "doubt_least": whole(1, 1_000_000),
 }
+FIELD_OF_KEY = {
+    "leases": {
+        "lease": "lease_duration",
+        "grace": "grace_period",
+        "hold": "retention",
+        "doubt_share": "mass_expiry_share",
+        "doubt_least": "mass_expiry_count",
+    },
+}
 KEYS = {
     "listen": numeric_address,
     "base": _base,
@@ -224,9 +233,11 @@
     def _part(self, told: CommentedMap, top: dict, key: str, fields: dict) -> dict:
         if key not in top:
             return {}
-        return table(top[key], fields, f"{key}.", self.where, self.wrong, told.lc.key(key)[0])
+        values = table(top[key], fields, f"{key}.", self.where, self.wrong, told.lc.key(key)[0])
+        names = FIELD_OF_KEY.get(key, {})
+        return {names.get(name, name): value for name, value in values.items()}
 
-    def _leases(self, told: CommentedMap, top: dict) -> AliveSettings | None:
+    def _leases(self, told: CommentedMap, top: dict) -> LivenessSettings | None:
         """Leases are refused unless the file says that no other control role serves these conductors."""
         leases = self._part(told, top, "leases", LEASE_KEYS)
         is_enabled = leases.pop("enabled", False)
@@ -239,7 +250,7 @@
                 f"{here}: leases.enabled: control roles do not tell one another who called them, so their "
                 "views would differ; where this one alone serves its conductors, add only_control_role: true"
             )
-        return AliveSettings(**leases)
+        return LivenessSettings(**leases)
 
     def _regions(self, told: CommentedMap, top: dict) -> dict[str, str]:
         """Zones by region in the file, regions by zone here."""
--- a/oatcart/views/role.py
+++ b/oatcart/views/role.py
@@ -16,7 +16,7 @@
 from oatcart.views.configuration import Configuration, ServedController, Wrong, read
 from oatcart.views.deciding import DecidingThread, View
 from oatcart.views.follower import Follower
-from oatcart.views.leases import Leases, Silence
+from oatcart.views.leases import LeaseCheck, LeaseTable
 from oatcart.views.publisher import Publisher
 from oatcart.views.revisions import RevisionSequence
 from oatcart.views.server import Listener, Server
@@ -69,7 +69,7 @@
         self.server = Server(
             self.loop, self.log, self.publisher, configuration.bounds, self.status, self._called
         )
-        self.leases: Leases | None = None  # all conductors of the file count as alive
+        self.leases: LeaseTable | None = None  # all conductors of the file count as alive
         self.listeners: dict[ListenKey, Listener] = {}  # of conductors
         self.publishing = False  # a task gathers changes or brings views up to date
         self.failure: Exception | None = None  # of bringing views up to date
@@ -86,7 +86,7 @@
             ),
         )
         if self.configuration.leases is not None:
-            self.leases = Leases(self.configuration.leases, self.publisher.controllers, self.loop.now)
+            self.leases = LeaseTable(self.configuration.leases, self.publisher.controllers, self.loop.now)
             self._check_leases_later()
         self.deciding.start()
         self.follower.start()
@@ -234,37 +234,37 @@
             self.log.say("leases", f"{name} is back; its view is decided anew")
 
     def _check_leases_later(self) -> None:
-        self.loop.at(self.loop.now + self.leases.check_every, self._check_leases)
+        self.loop.at(self.loop.now + self.leases.check_interval, self._check_leases)
 
     def _check_leases(self) -> None:
         """A call that stands renews its lease as well."""
         for calls in self.server.waiting, self.server.undecided:
             for name in [name for name, streams in calls.items() if streams]:
                 self._called(name)
-        silence = self.leases.check(self.loop.now)
-        if silence.left:
-            self.publisher.expire(silence.left)
-        self._tell_silence(silence)
+        lease_check = self.leases.check(self.loop.now)
+        if lease_check.expired:
+            self.publisher.expire(lease_check.expired)
+        self._log_lease_check(lease_check)
         self._check_leases_later()
 
-    def _tell_silence(self, silence: Silence) -> None:
-        if silence.left:
+    def _log_lease_check(self, lease_check: LeaseCheck) -> None:
+        if lease_check.expired:
             self.log.say(
                 "leases",
-                f"{_shown(silence.left)} silent for longer than lease and grace; "
+                f"{_shown(lease_check.expired)} silent for longer than lease and grace; "
                 "others get their shares of the nodes",
             )
-        if silence.is_new_doubt:
+        if lease_check.is_retention_new:
             self.log.say(
                 "leases",
-                f"{_shown(silence.doubted)} silent for longer than lease and grace, "
+                f"{_shown(lease_check.retained)} silent for longer than lease and grace, "
                 "too many at once; they stay for the hold",
             )
 
     def _lease_status(self) -> dict[str, object] | None:
         if self.leases is None:
             return None
-        return {"silent": sorted(self.leases.silent), "doubted": len(self.leases.doubted)}
+        return {"silent": sorted(self.leases.expired), "doubted": len(self.leases.retained)}
 
     def _publish_soon(self) -> None:
         if not self.publishing:
--- a/tests/views/test_views_leases.py
+++ b/tests/views/test_views_leases.py
@@ -8,10 +8,10 @@
 from views_stage import BOUNDS, Stage, controller, ids, node
 
 from oatcart.net.http import Client
-from oatcart.views.alive import AliveSettings
 from oatcart.views.configuration import Configuration, Wrong, read
 from oatcart.views.deciding import Decider, Update
-from oatcart.views.leases import Leases
+from oatcart.views.leases import LeaseTable
+from oatcart.views.liveness import LivenessSettings
 from oatcart.views.publisher import endpoint_record
 from oatcart.views.records import ViewLimits
 from oatcart.views.role import SLICE
@@ -19,10 +19,14 @@
 SHIPPED = Path(__file__).parents[2] / "deploy" / "views.yaml"
 NAMES = [f"c{number}" for number in range(8)]
 LIMITS = ViewLimits(most_members=10)
-QUICK = AliveSettings(lease=0.1, grace=0.2, hold=60.0, doubt_share=0.2, doubt_least=1)
-OVERDUE = QUICK.lease + QUICK.grace
+QUICK = LivenessSettings(
+    lease_duration=0.1, grace_period=0.2, retention=60.0, mass_expiry_share=0.2, mass_expiry_count=1
+)
+OVERDUE = QUICK.lease_duration + QUICK.grace_period
 TURNS_MOST = 30  # of the loop, until all views are told
-PATIENT = AliveSettings(lease=0.1, grace=30.0, hold=60.0, doubt_share=0.2, doubt_least=1)
+PATIENT = LivenessSettings(
+    lease_duration=0.1, grace_period=30.0, retention=60.0, mass_expiry_share=0.2, mass_expiry_count=1
+)
 
 
 def fleet():
@@ -150,7 +154,7 @@
     stage.for_(0.2)
     began = stage.loop.clock()
     calls()
-    return set(stage.role.leases.check(began + PATIENT.lease + PATIENT.grace - 0.05).doubted)
+    return set(stage.role.leases.check(began + PATIENT.lease_duration + PATIENT.grace_period - 0.05).retained)
 
 
 def test_a_call_that_is_no_watch_renews_the_lease(stages):
@@ -178,9 +182,9 @@
     callers = [Caller(stage, name) for name in NAMES]
     before, revision = views(stage), callers[3].told["revision"]
     callers[3].stop()
-    stage.for_(3 * PATIENT.lease)
+    stage.for_(3 * PATIENT.lease_duration)
     back = Caller(stage, "c3")
-    stage.for_(2 * PATIENT.lease)
+    stage.for_(2 * PATIENT.lease_duration)
     assert views(stage) == before and back.told["revision"] == revision
     assert not stage.logged("leases:")
 
@@ -201,7 +205,7 @@
 def test_a_role_just_started_that_nobody_has_called_yet_drops_nobody(stages):
     stage = stages(PATIENT)
     before = views(stage)
-    stage.for_(4 * PATIENT.lease)
+    stage.for_(4 * PATIENT.lease_duration)
     assert len(before) == len(NAMES) and views(stage) == before
     assert ids(stage.get("c5")) == sorted(before["c5"])
 
@@ -376,30 +380,32 @@
 
 # Free of I/O.
 
-SLOW = AliveSettings(lease=30.0, grace=300.0, hold=3600.0, doubt_share=0.1, doubt_least=2)
+SLOW = LivenessSettings(
+    lease_duration=30.0, grace_period=300.0, retention=3600.0, mass_expiry_share=0.1, mass_expiry_count=2
+)
 CONTROLLERS = {name: controller(name).record for name in NAMES}
 
 
 def test_all_that_never_call_stay_through_the_grace_and_while_they_are_many():
-    leases = Leases(SLOW, CONTROLLERS, 0.0)
+    leases = LeaseTable(SLOW, CONTROLLERS, 0.0)
     assert leases.check(329.0) == ((), (), False)
-    left, doubted, is_new_doubt = leases.check(330.0)
-    assert left == () and len(doubted) == 8 and is_new_doubt
-    assert not leases.check(345.0).is_new_doubt and not leases.silent
+    expired, retained, is_retention_new = leases.check(330.0)
+    assert expired == () and len(retained) == 8 and is_retention_new
+    assert not leases.check(345.0).is_retention_new and not leases.expired
 
 
 def test_one_leaves_once_and_comes_back_once():
-    leases = Leases(SLOW, CONTROLLERS, 0.0)
+    leases = LeaseTable(SLOW, CONTROLLERS, 0.0)
     for name in NAMES[1:]:
         leases.renew(name, 320.0)
-    assert leases.check(330.0).left == ("c0",) and leases.silent == {"c0"}
-    assert leases.check(331.0).left == ()
-    assert leases.renew("c0", 400.0) and not leases.renew("c0", 401.0) and not leases.silent
+    assert leases.check(330.0).expired == ("c0",) and leases.expired == {"c0"}
+    assert leases.check(331.0).expired == ()
+    assert leases.renew("c0", 400.0) and not leases.renew("c0", 401.0) and not leases.expired
     assert not leases.renew("nobody", 402.0)
 
 
 def test_other_conductors_in_the_file():
-    leases = Leases(SLOW, CONTROLLERS, 0.0)
+    leases = LeaseTable(SLOW, CONTROLLERS, 0.0)
     kept = {name: controller for name, controller in CONTROLLERS.items() if name != "c0"}
     leases.configure(kept | {"new": controller("new").record}, 200.0)
     for name in kept:
@@ -407,7 +413,7 @@
     assert leases.check(529.0) == ((), (), False)
     for name in kept:
         leases.renew(name, 529.0)
-    assert leases.check(530.0).left == ("new",)
+    assert leases.check(530.0).expired == ("new",)
 
 
 # The file.
@@ -417,7 +423,7 @@
     text = SHIPPED.read_text().replace("enabled: false", "enabled: true")
     path = tmp_path / "views.yaml"
     path.write_text(text.replace("only_control_role: false", "only_control_role: true"))
-    assert read(path).leases == AliveSettings()
+    assert read(path).leases == LivenessSettings()
 
 
 def test_leases_are_read(tmp_path):
@@ -426,7 +432,7 @@
         "leases: {enabled: true, only_control_role: true, lease: 20s, grace: 2m, hold: 10m, doubt_share: 5%, "
         "doubt_least: 7}"
     )
-    assert read(path).leases == AliveSettings(20.0, 120.0, 600.0, 0.05, 7)
+    assert read(path).leases == LivenessSettings(20.0, 120.0, 600.0, 0.05, 7)
     path.write_text("leases: {lease: 20s}")
     assert read(path).leases is None
 
--- a/tests/views/test_views_alive.py
+++ b/tests/views/test_views_liveness.py
@@ -6,40 +6,42 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from oatcart.views.alive import AliveConductors, AliveSettings
+from oatcart.views.liveness import ControllerLiveness, LivenessSettings
 from oatcart.views.records import Controller
 
-SETTINGS = AliveSettings(lease=10.0, grace=60.0, hold=600.0, doubt_share=0.1, doubt_least=2)
-OVERDUE = SETTINGS.lease + SETTINGS.grace
-HOLD_OVER = OVERDUE + SETTINGS.hold
+SETTINGS = LivenessSettings(
+    lease_duration=10.0, grace_period=60.0, retention=600.0, mass_expiry_share=0.1, mass_expiry_count=2
+)
+OVERDUE = SETTINGS.lease_duration + SETTINGS.grace_period
+HOLD_OVER = OVERDUE + SETTINGS.retention
 FLEET = [Controller(f"conductor-{number:02}", "west", "west-1", ("api",)) for number in range(40)]
 
 
-def alive_with(controllers=FLEET, now: float = 0.0) -> AliveConductors:
-    alive = AliveConductors(SETTINGS, now)
+def alive_with(controllers=FLEET, now: float = 0.0) -> ControllerLiveness:
+    alive = ControllerLiveness(SETTINGS, now)
     renew_all(alive, controllers, now)
     alive.decide(now)
     return alive
 
 
-def renew_all(alive: AliveConductors, controllers, now: float) -> None:
+def renew_all(alive: ControllerLiveness, controllers, now: float) -> None:
     for controller in controllers:
         alive.renew(controller, now)
 
 
 def test_a_conductor_counts_from_its_first_call_and_is_told_once():
-    alive = AliveConductors(SETTINGS, 0.0)
+    alive = ControllerLiveness(SETTINGS, 0.0)
     alive.renew(FLEET[0], 1.0)
-    assert alive.decide(1.0).put == (FLEET[0],)
+    assert alive.decide(1.0).added == (FLEET[0],)
     alive.renew(FLEET[0], 2.0)
-    assert alive.decide(2.0).put == ()
+    assert alive.decide(2.0).added == ()
 
 
 def test_a_conductor_with_other_services_is_told_again():
     alive = alive_with()
     moved = FLEET[3]._replace(services=("api", "cart"))
     alive.renew(moved, 1.0)
-    assert alive.decide(1.0).put == (moved,)
+    assert alive.decide(1.0).added == (moved,)
 
 
 def test_a_restart_within_the_grace_moves_nothing():
@@ -54,10 +56,10 @@
     alive = alive_with()
     renew_all(alive, FLEET[1:], OVERDUE - 1)
     decision = alive.decide(OVERDUE - 1)
-    assert (decision.dropped, decision.next_at) == ((), OVERDUE)
-    assert alive.decide(OVERDUE).dropped == (FLEET[0].name,)
+    assert (decision.expired, decision.next_decision_at) == ((), OVERDUE)
+    assert alive.decide(OVERDUE).expired == (FLEET[0].name,)
     alive.renew(FLEET[0], OVERDUE + 1)
-    assert alive.decide(OVERDUE + 1).put == (FLEET[0],)
+    assert alive.decide(OVERDUE + 1).added == (FLEET[0],)
 
 
 def test_half_of_the_fleet_silent_at_once_is_held_and_comes_back_unmoved():
@@ -66,8 +68,8 @@
     for now in (30.0, OVERDUE, OVERDUE + 300.0):
         renew_all(alive, calling, now)
         decision = alive.decide(now)
-        assert (decision.put, decision.dropped) == ((), ())
-    assert decision.doubted == tuple(controller.name for controller in silent)
+        assert (decision.added, decision.expired) == ((), ())
+    assert decision.retained == tuple(controller.name for controller in silent)
     renew_all(alive, silent, OVERDUE + 301.0)
     assert alive.decide(OVERDUE + 301.0)[:3] == ((), (), ())
 
@@ -80,35 +82,35 @@
     for tenths in range(800):
         now = 0.1 * tenths
         renew_all(alive, FLEET[20:], now)
-        assert alive.decide(now).dropped == ()
+        assert alive.decide(now).expired == ()
 
 
 def test_the_hold_ends():
     alive = alive_with()
     renew_all(alive, FLEET[20:], HOLD_OVER - 1)
-    assert alive.decide(HOLD_OVER - 1).dropped == ()
-    assert alive.decide(HOLD_OVER).dropped == tuple(controller.name for controller in FLEET[:20])
+    assert alive.decide(HOLD_OVER - 1).expired == ()
+    assert alive.decide(HOLD_OVER).expired == tuple(controller.name for controller in FLEET[:20])
 
 
 def test_doubt_ends_when_most_call_again_and_the_few_others_are_dropped():
     alive = alive_with()
     renew_all(alive, FLEET[20:], OVERDUE + 5)
-    assert len(alive.decide(OVERDUE + 5).doubted) == 20
+    assert len(alive.decide(OVERDUE + 5).retained) == 20
     renew_all(alive, FLEET[1:20], OVERDUE + 6)
-    assert alive.decide(OVERDUE + 6).dropped == (FLEET[0].name,)
+    assert alive.decide(OVERDUE + 6).expired == (FLEET[0].name,)
 
 
 def test_a_control_machine_that_hears_nobody_holds_the_whole_fleet():
     alive = alive_with()
     decision = alive.decide(OVERDUE + 1)
-    assert (decision.dropped, len(decision.doubted)) == ((), len(FLEET))
+    assert (decision.expired, len(decision.retained)) == ((), len(FLEET))
 
 
 def test_a_restarted_control_machine_begins_with_the_conductors_it_is_told_of():
-    alive = AliveConductors(SETTINGS, 100.0, FLEET)
-    assert set(alive.decide(100.0).put) == set(FLEET)
+    alive = ControllerLiveness(SETTINGS, 100.0, FLEET)
+    assert set(alive.decide(100.0).added) == set(FLEET)
     renew_all(alive, FLEET[1:], 100.0 + OVERDUE - 1)
-    assert alive.decide(100.0 + OVERDUE).dropped == (FLEET[0].name,)
+    assert alive.decide(100.0 + OVERDUE).expired == (FLEET[0].name,)
 
 
 def test_an_older_call_told_late_neither_shortens_a_lease_nor_brings_an_older_record_back():
@@ -126,11 +128,11 @@
     alive.forget(FLEET[5].name)
     alive.forget("nobody")
     decision = alive.decide(OVERDUE + 1)
-    assert (decision.dropped, len(decision.doubted)) == ((FLEET[5].name,), len(FLEET) - 1)
+    assert (decision.expired, len(decision.retained)) == ((FLEET[5].name,), len(FLEET) - 1)
 
 
 def test_nothing_is_due_where_there_is_nobody():
-    assert AliveConductors(SETTINGS, 0.0).decide(0.0) == ((), (), (), inf)
+    assert ControllerLiveness(SETTINGS, 0.0).decide(0.0) == ((), (), (), inf)
 
 
 class Calls(RuleBasedStateMachine):
@@ -139,7 +141,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
-        self.alive = AliveConductors(SETTINGS, 0.0)
+        self.alive = ControllerLiveness(SETTINGS, 0.0)
         self.called_at: dict[str, float] = {}
         self.told: dict[str, Controller] = {}
 
@@ -163,17 +165,17 @@
     @invariant()
     def decided_as_stated(self):
         decision = self.alive.decide(self.now)
-        for name in decision.dropped:
+        for name in decision.expired:
             self.told.pop(name, None)
-        for controller in decision.put:
+        for controller in decision.added:
             self.told[controller.name] = controller
         for name in self.called_at.keys() - self.told.keys():
             assert self.now - self.called_at.pop(name) >= OVERDUE
         assert self.told.keys() == self.called_at.keys()
         silence = {name: self.now - called_at for name, called_at in self.called_at.items()}
-        assert set(decision.doubted) == {name for name, seconds in silence.items() if seconds >= OVERDUE}
-        assert all(silence[name] < HOLD_OVER for name in decision.doubted)
-        assert decision.next_at > self.now
+        assert set(decision.retained) == {name for name, seconds in silence.items() if seconds >= OVERDUE}
+        assert all(silence[name] < HOLD_OVER for name in decision.retained)
+        assert decision.next_decision_at > self.now
 
 
 TestCalls = Calls.TestCase
