--- a/oatcart/views/leases.py
+++ b/oatcart/views/leases.py
@@ -1,8 +1,8 @@
-"""The conductors of the file and their leases: who falls silent, who comes back. Free of I/O; the clock is
-handed in, in seconds.
+"""The leases of the controllers that the deploy file lists: which have expired, which are renewed. Free of
+I/O; the clock is handed in, in seconds.
 
-`AliveConductors` decides whose silence is believed. A conductor of the file that has never called has a lease
-from the start, so that a control role which has just started drops nobody.
+`ControllerLiveness` decides which expired leases end. A listed controller has a lease from the start of the
+control role, although it has never called, so that a restart expires nobody.
 """
 
 from collections.abc import Mapping
@@ -15,8 +15,11 @@
 
 
 class LeaseCheck(NamedTuple):
-    """What a check has found. `expired` do not count as alive from now on. `retained` are overdue and stay,
-    as too many are silent at once. `is_retention_new`: nobody was doubted at the last check."""
+    """The result of a check, by the names of controllers.
+
+    `expired` have no lease from now on. `retained` are overdue and keep theirs, as too many are at once.
+    `is_retention_new`: none was retained at the check before.
+    """
 
     expired: tuple[str, ...]
     retained: tuple[str, ...]
@@ -24,17 +27,18 @@
 
 
 class LeaseTable:
-    """The leases of the conductors of the file."""
+    """The leases of all listed controllers. `now`: s, when the control role started."""
 
     def __init__(self, settings: LivenessSettings, controllers: Mapping[str, Controller], now: float) -> None:
-        self.check_interval = settings.lease_duration / CHECKS_PER_LEASE
+        self.check_interval = settings.lease_duration / CHECKS_PER_LEASE  # s
         self.controllers = dict(controllers)
-        self.expired: set[str] = set()  # conductors of the file that do not count as alive
+        self.expired: set[str] = set()  # listed controllers without a lease
         self.retained: tuple[str, ...] = ()
         self._liveness = ControllerLiveness(settings, now, controllers.values())
 
     def renew(self, name: str, now: float) -> bool:
-        """A conductor calls; hands back whether it was silent and is back. Unknown names are ignored."""
+        """Renews the lease of a controller that called. Returns whether it had expired. Names that are not
+        listed are ignored."""
         controller = self.controllers.get(name)
         if controller is None:
             return False
@@ -44,7 +48,7 @@
         return was_expired
 
     def configure(self, controllers: Mapping[str, Controller], now: float) -> None:
-        """Other conductors in the file. New ones have a lease from now on; those that were silent stay so."""
+        """Takes over another list of controllers. New ones get a lease now, expired ones stay expired."""
         for name in self.controllers.keys() - controllers.keys():
             self._liveness.forget(name)
         for name in controllers.keys() - self.controllers.keys():
@@ -53,7 +57,7 @@
         self.controllers = dict(controllers)
 
     def check(self, now: float) -> LeaseCheck:
-        """Believe the silence of those that were silent for too long."""
+        """Ends the leases that are overdue, as far as `ControllerLiveness` does not retain them."""
         decision = self._liveness.decide(now)
         expired = tuple(name for name in decision.expired if name in self.controllers)
         self.expired.update(expired)
--- a/oatcart/views/liveness.py
+++ b/oatcart/views/liveness.py
@@ -1,9 +1,9 @@
-"""Which conductors count as alive. Free of I/O; the clock is handed in, in seconds.
+"""Decides which controllers have a lease. Free of I/O; the clock is handed in, in seconds.
 
-- Each call of a conductor renews its lease. It counts as alive at once.
-- One whose lease has run out is silent. It stays for a grace, so that a restart within it moves nothing.
-- While more than a stated share of the conductors are silent, the silence is doubted: a network cut is
-  likelier than the loss of so many conductors. All stay then, each for a stated hold after its grace.
+- Each call of a controller renews its lease.
+- A controller whose lease has lapsed keeps its place for a grace period, so that a restart changes no view.
+- While more than a stated share of the leases has lapsed, those that are overdue are retained: a network
+  partition is likelier than the loss of so many controllers. Each is retained for a bounded time.
 """
 
 from collections.abc import Iterable
@@ -16,10 +16,11 @@
 
 @dataclass(frozen=True)
 class LivenessSettings:
-    """How long silence is borne. `lease`, `grace` and `hold` are seconds.
+    """For how long a controller may be silent. Times in seconds.
 
-    Silence is doubted while the silent conductors are more than `mass_expiry_share` of all and more than
-    `mass_expiry_count`.
+    `lease_duration`: from a call to the end of its lease; `grace_period`: from there until it is overdue;
+    `retention`: for which an overdue one stays at most in a mass expiry. It is a mass expiry while the lapsed
+    leases are more than `mass_expiry_share` of all and more than `mass_expiry_count`.
     """
 
     lease_duration: float = 30.0
@@ -32,9 +33,9 @@
 class LivenessDecision(NamedTuple):
     """What has changed since the last decision.
 
-    `added` came or have another record, `expired` no longer count as alive. `retained` have been silent for
-    longer than the grace and stay while silence is doubted. `next_decision_at` is when the next decision is
-    due without a call; inf where everyone's silence has to begin first.
+    `added` are new or have another record, `expired` count no longer. `retained` are overdue and count still,
+    because of a mass expiry. `next_decision_at` is when the next decision is due without a call; inf if no
+    lease is known.
     """
 
     added: tuple[Controller, ...]
@@ -50,11 +51,10 @@
 
 
 class ControllerLiveness:
-    """The conductors that count as alive.
+    """The controllers that count, each with the end of its lease.
 
-    `known` are those that counted as alive before this control machine started, as far as it has been told:
-    their leases begin at its start, so that a restarted control machine decides the views that it decided
-    before.
+    `known` are those that counted before this start, if any: their leases begin at `now`, so that a restart
+    decides the same views as before.
     """
 
     def __init__(self, settings: LivenessSettings, now: float, known: Iterable[Controller] = ()) -> None:
@@ -66,10 +66,7 @@
             self.renew(controller, now)
 
     def renew(self, controller: Controller, called_at: float) -> None:
-        """A conductor called, here or, as another control machine tells, there.
-
-        Calls may be told in any order; the latest one counts.
-        """
+        """Renews a lease, by a call at `called_at`. Calls may be reported in any order; the latest counts."""
         expires_at = called_at + self._settings.lease_duration
         lease = self._leases.get(controller.name)
         if lease is None:
@@ -81,17 +78,17 @@
             lease.controller, lease.expires_at = controller, expires_at
 
     def forget(self, name: str) -> None:
-        """A conductor is known to be gone for good: it is dropped with the next decision, doubt or not."""
+        """Removes a controller that is gone for good: it expires with the next decision, mass expiry or
+        not."""
         if self._leases.pop(name, None) is None:
             return
         self._added.pop(name, None)
         self._forgotten.add(name)
 
     def decide(self, now: float) -> LivenessDecision:
-        """Drop those that were silent for too long, and tell all that changed."""
-        settings = self._settings
+        """Ends the leases that are overdue and not retained, and returns all that changed."""
         lapsed = {name: lease for name, lease in self._leases.items() if lease.expires_at <= now}
-        overdue = {name for name, lease in lapsed.items() if lease.expires_at + settings.grace_period <= now}
+        overdue = {name for name in lapsed if self._overdue_at(name) <= now}
         retained: set[str] = set()
         if self._is_mass_expiry(len(lapsed)):
             retained = {name for name in overdue if now < self._retained_until(name)}
@@ -110,16 +107,14 @@
         return decision
 
     def _is_mass_expiry(self, lapsed: int) -> bool:
-        return lapsed > max(
-            self._settings.mass_expiry_count, self._settings.mass_expiry_share * len(self._leases)
-        )
+        share = self._settings.mass_expiry_share * len(self._leases)
+        return lapsed > max(self._settings.mass_expiry_count, share)
+
+    def _overdue_at(self, name: str) -> float:
+        return self._leases[name].expires_at + self._settings.grace_period
 
     def _retained_until(self, name: str) -> float:
-        return self._leases[name].expires_at + self._settings.grace_period + self._settings.retention
+        return self._overdue_at(name) + self._settings.retention
 
     def _due_at(self, name: str, is_retained: bool) -> float:
-        return (
-            self._retained_until(name)
-            if is_retained
-            else self._leases[name].expires_at + self._settings.grace_period
-        )
+        return self._retained_until(name) if is_retained else self._overdue_at(name)
