--- a/oatcart/views/configuration.py
+++ b/oatcart/views/configuration.py
@@ -17,12 +17,12 @@
     numeric_address,
     unfold,
 )
+from oatcart.views.list_guard import ListGuard
 from oatcart.views.liveness import LivenessSettings
 from oatcart.views.records import ViewLimits
-from oatcart.views.trust import Guard
 from oatcart.yaml_files import Wrong, load, name, size, span, table, whole, yes_or_no
 
-__all__ = ["Bounds", "Configuration", "NodeFields", "ServedController", "Source", "Wrong", "read"]
+__all__ = ["Bounds", "Configuration", "NodeFields", "DiscoverySettings", "ServedController", "Wrong", "read"]
 
 WAIT_MOST = 60.0  # s; the protocol's
 UNDECIDED_WAIT_MOST = 3.0  # s; a conductor gives a call that is no watch 4 s
@@ -31,19 +31,19 @@
 DEFAULT_REGION = "default"
 
 
-class Source(NamedTuple):
-    """Discovery, which serves the whole list. Times in seconds, `list_most` in bytes.
+class DiscoverySettings(NamedTuple):
+    """Discovery, which serves the whole list. Times in seconds, `max_list_bytes` in bytes.
 
-    `wait`: that a watch waits; `answer_within`: for the whole list; `retry_most`: the longest wait after a
-    failure; `reconcile_every`: the whole list is asked for so often even where nothing has failed.
+    `watch_timeout`: that a watch waits; `fetch_timeout`: for the whole list; `max_backoff`: the longest wait
+    after a failure; `refetch_interval`: the whole list is asked for so often even where nothing has failed.
     """
 
     address: Address = ("127.0.0.1", 8500)
-    wait: float = 20.0
-    answer_within: float = 10.0
-    retry_most: float = 5.0
-    reconcile_every: float = 600.0
-    list_most: int = 16 * 1024 * 1024
+    watch_timeout: float = 20.0
+    fetch_timeout: float = 10.0
+    max_backoff: float = 5.0
+    refetch_interval: float = 600.0
+    max_list_bytes: int = 16 * 1024 * 1024
 
 
 class NodeFields(NamedTuple):
@@ -80,9 +80,9 @@
     """What the control role is started with. `leases`: None where all conductors count as alive."""
 
     listen: Address = ("127.0.0.1", 8600)
-    source: Source = Source()
+    source: DiscoverySettings = DiscoverySettings()
     nodes: NodeFields = NodeFields()
-    guard: Guard = Guard()
+    guard: ListGuard = ListGuard()
     limits: ViewLimits = ViewLimits()
     seed: int = 0
     bounds: Bounds = Bounds()
@@ -175,6 +175,19 @@
     "doubt_least": whole(1, 1_000_000),
 }
 FIELD_OF_KEY = {
+    "source": {
+        "wait": "watch_timeout",
+        "answer_within": "fetch_timeout",
+        "retry_most": "max_backoff",
+        "reconcile_every": "refetch_interval",
+        "list_most": "max_list_bytes",
+    },
+    "guard": {
+        "drop_share": "max_removed_share",
+        "drop_least": "mass_removal_count",
+        "hold": "confirmation_delay",
+        "least_nodes": "min_endpoints",
+    },
     "leases": {
         "lease": "lease_duration",
         "grace": "grace_period",
@@ -220,9 +233,9 @@
         controllers = self._controllers(told, top, nodes)
         return Configuration(
             top.get("listen", Configuration().listen),
-            Source(**source),
+            DiscoverySettings(**source),
             nodes,
-            Guard(**guard),
+            ListGuard(**guard),
             ViewLimits(**views),
             seed,
             Bounds(**bounds),
--- a/oatcart/views/entries.py
+++ b/oatcart/views/entries.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, eq=False)
-class Entry:
+class EndpointEntry:
     """A node as discovery tells of it. `fields`: all of its fields, as they came."""
 
     id: str
@@ -45,71 +45,81 @@
         return orjson.dumps(self.fields | {"phase": DELETED})
 
 
-class Answer(NamedTuple):
+class ListAnswer(NamedTuple):
     """A list of nodes. `whole`: nodes that it leaves out are gone. `odd`: what was left out of it, and why.
     `unread`: ids of nodes whose entry was left out."""
 
     revision: int
-    whole: bool
-    entries: dict[str, Entry]
-    unread: frozenset[str]
-    odd: tuple[str, ...]
+    is_complete: bool
+    entries: dict[str, EndpointEntry]
+    unreadable_ids: frozenset[str]
+    invalid_entries: tuple[str, ...]
 
 
-def parse_answer(body: bytes | memoryview) -> Answer:
+def parse_answer(body: bytes | memoryview) -> ListAnswer:
     """The answer in a body; raises MalformedAnswerError. An entry without a readable id may be any node's, so
     a list that has one leaves out nobody: it counts as changes."""
     try:
-        told = orjson.loads(body)
+        decoded = orjson.loads(body)
     except orjson.JSONDecodeError as error:
         raise MalformedAnswerError(str(error)) from None
-    if not isinstance(told, dict) or not isinstance(told.get("members"), list):
+    if not isinstance(decoded, dict) or not isinstance(decoded.get("members"), list):
         raise MalformedAnswerError("no list of nodes")
-    if not is_amount(told.get("revision")):
+    if not is_amount(decoded.get("revision")):
         raise MalformedAnswerError("no revision")
-    entries, unread, odd, nameless = {}, set(), [], False
-    for fields in told["members"]:
+    entries, unreadable_ids, invalid_entries, has_unreadable_id = {}, set(), [], False
+    for fields in decoded["members"]:
         try:
             entry = parse_entry(fields)
             entries[entry.id] = entry
         except MalformedEntryError as error:
-            odd.append(str(error))
-            node = fields.get("id") if isinstance(fields, dict) else None
-            if _is_id(node):
-                unread.add(node)
+            invalid_entries.append(str(error))
+            endpoint_id = fields.get("id") if isinstance(fields, dict) else None
+            if _is_id(endpoint_id):
+                unreadable_ids.add(endpoint_id)
             else:
-                nameless = True
-    whole = told.get("complete") is True and not nameless
-    return Answer(int(told["revision"]), whole, entries, frozenset(unread - entries.keys()), tuple(odd))
-
-
-def parse_entry(fields: object) -> Entry:
+                has_unreadable_id = True
+    is_complete = decoded.get("complete") is True and not has_unreadable_id
+    return ListAnswer(
+        int(decoded["revision"]),
+        is_complete,
+        entries,
+        frozenset(unreadable_ids - entries.keys()),
+        tuple(invalid_entries),
+    )
+
+
+def parse_entry(fields: object) -> EndpointEntry:
     """An entry whose fields a conductor can use; raises MalformedEntryError."""
     if not isinstance(fields, dict):
         raise MalformedEntryError(f"{str(fields)[:NAME_SHOWN]!r} is no entry")
-    node, phase, zone = fields.get("id"), fields.get("phase"), fields.get("locality")
-    if not _is_id(node):
-        raise MalformedEntryError(f"id: {str(node)[:NAME_SHOWN]!r} is no id")
+    endpoint_id, phase, zone = fields.get("id"), fields.get("phase"), fields.get("locality")
+    if not _is_id(endpoint_id):
+        raise MalformedEntryError(f"id: {str(endpoint_id)[:NAME_SHOWN]!r} is no id")
     if phase not in PHASES:
-        raise MalformedEntryError(f"{node}: phase: {str(phase)[:NAME_SHOWN]!r} is not known")
+        raise MalformedEntryError(f"{endpoint_id}: phase: {str(phase)[:NAME_SHOWN]!r} is not known")
     if not isinstance(zone, str) or not zone:
-        raise MalformedEntryError(f"{node}: locality: {str(zone)[:NAME_SHOWN]!r} is no zone")
+        raise MalformedEntryError(f"{endpoint_id}: locality: {str(zone)[:NAME_SHOWN]!r} is no zone")
     for name in "size", "up_since_ms":
         if fields.get(name) is not None and not is_amount(fields[name]):
-            raise MalformedEntryError(f"{node}: {name}: {str(fields[name])[:NAME_SHOWN]!r} is no amount")
-    _check_address(node, fields.get("host_port"))
-    return Entry(node, phase, zone, fields)
+            raise MalformedEntryError(
+                f"{endpoint_id}: {name}: {str(fields[name])[:NAME_SHOWN]!r} is no amount"
+            )
+    _check_address(endpoint_id, fields.get("host_port"))
+    return EndpointEntry(endpoint_id, phase, zone, fields)
 
 
-def _is_id(node: object) -> bool:
-    return isinstance(node, str) and 0 < len(node) <= ID_MOST
+def _is_id(endpoint_id: object) -> bool:
+    return isinstance(endpoint_id, str) and 0 < len(endpoint_id) <= ID_MOST
 
 
-def _check_address(node: str, host_port: object) -> None:
+def _check_address(endpoint_id: str, host_port: object) -> None:
     if not host_port:
         return  # a node without an address is told of all the same
     try:
         address(host_port)
     except (AttributeError, TypeError, ValueError):
         shown = str(host_port)[:NAME_SHOWN]
-        raise MalformedEntryError(f"{node}: host_port: {shown!r} is no numeric address and port") from None
+        raise MalformedEntryError(
+            f"{endpoint_id}: host_port: {shown!r} is no numeric address and port"
+        ) from None
--- a/oatcart/views/history.py
+++ b/oatcart/views/history.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Iterator, Mapping
 from typing import NamedTuple
 
-from oatcart.views.entries import Entry
+from oatcart.views.entries import EndpointEntry
 
 # As many ids as a view has: for a watcher that missed more, the complete view is shorter.
 MAX_LOGGED_IDS = 500
@@ -30,7 +30,7 @@
     """
 
     def __init__(
-        self, first_revision: int, entries: Mapping[str, Entry], max_logged_ids: int = MAX_LOGGED_IDS
+        self, first_revision: int, entries: Mapping[str, EndpointEntry], max_logged_ids: int = MAX_LOGGED_IDS
     ) -> None:
         self.revision = self.oldest_revision = first_revision
         self.entries = dict(entries)
@@ -40,9 +40,9 @@
         # Of the endpoints in the log: the newest revision that changed each, and the last entries of those
         # that the view has no longer.
         self.last_changed: dict[str, int] = {}
-        self.removed_entries: dict[str, Entry] = {}
+        self.removed_entries: dict[str, EndpointEntry] = {}
 
-    def replace(self, entries: Mapping[str, Entry], revision: int) -> bool:
+    def replace(self, entries: Mapping[str, EndpointEntry], revision: int) -> bool:
         """Replaces the entries from that revision on. Returns whether anything differs; if nothing does, the
         view keeps its revision.
 
@@ -84,7 +84,7 @@
         """The body that ends a watch without changes."""
         return _encode_list(self.revision, False, ())
 
-    def _differing_ids(self, entries: Mapping[str, Entry]) -> Iterator[str]:
+    def _differing_ids(self, entries: Mapping[str, EndpointEntry]) -> Iterator[str]:
         for endpoint_id, entry in entries.items():
             old = self.entries.get(endpoint_id)
             if old is not entry and (old is None or old.encoded != entry.encoded):
--- a/oatcart/views/follower.py
+++ b/oatcart/views/list_watcher.py
@@ -13,37 +13,38 @@
 from oatcart.net.http import Client
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop, Task, Wait
-from oatcart.views.configuration import Source
-from oatcart.views.entries import Answer, MalformedAnswerError, parse_answer
-from oatcart.views.trust import Outcome, RejectedAnswerError, TrustedList
+from oatcart.views.configuration import DiscoverySettings
+from oatcart.views.entries import ListAnswer, MalformedAnswerError, parse_answer
+from oatcart.views.list_guard import AcceptedList, ListChanges, RejectedAnswerError
 from oatcart.xds.source import Backoff
 
-WATCH_OVER = 2.0  # s beyond the wait that a watch asks for
-EARLY = 0.5  # of that wait: an answer that brings nothing comes at its end, give or take
-LEAST_WAIT = 0.05  # s; a shorter watch is not worth a call
+WATCH_ALLOWANCE = 2.0  # s beyond the wait that a watch asks for
+EARLIEST_SHARE = 0.5  # of that wait: an answer that brings nothing comes at its end, give or take
+MIN_WATCH = 0.05  # s; a shorter watch is not worth a call
 
 
 class DiscoveryRestartedError(Exception):
     """Changes that may not follow on the revision in hand: discovery counts anew, or counts in nonsense."""
 
 
-class Follower:
+class ListWatcher:
     """`take` is told of every change that is believed, and once of the first list."""
 
     def __init__(
         self,
         loop: Loop,
         log: Log,
-        source: Source,
-        trusted: TrustedList,
+        source: DiscoverySettings,
+        accepted: AcceptedList,
         uniform: Callable[[float, float], float],
-        take: Callable[[Outcome], None],
+        on_changes: Callable[[ListChanges], None],
     ) -> None:
-        self.loop, self.log, self.source, self.trusted, self.take = loop, log, source, trusted, take
+        self.loop, self.log, self.source = loop, log, source
+        self.accepted, self.on_changes = accepted, on_changes
         self.uniform = uniform
         self.revision = 0
-        self.heard = -inf  # when discovery last answered with something that could be used
-        self.last_whole = -inf  # when the whole list was last asked for
+        self.last_answer_at = -inf  # when discovery last answered with something that could be used
+        self.last_complete_at = -inf  # when the whole list was last asked for
         self.task: Task | None = None
 
     @property
@@ -53,7 +54,7 @@
 
     def start(self) -> None:
         """Follow from now on."""
-        self.task = self.loop.spawn(self._life())
+        self.task = self.loop.spawn(self._run())
 
     def stop(self) -> None:
         """Follow no more; the list stays."""
@@ -61,91 +62,94 @@
             self.loop.end(self.task)
         self.task = None
 
-    def move(self, source: Source) -> None:
+    def move(self, source: DiscoverySettings) -> None:
         """Follow at another source, or in another manner, from its whole list on."""
         if source != self.source:
             self.stop()
             self.source = source
             self.start()
 
-    def _life(self) -> Generator[Wait, bool, None]:
-        backoff = Backoff(self.source.retry_most, self.uniform)
+    def _run(self) -> Generator[Wait, bool, None]:
+        backoff = Backoff(self.source.max_backoff, self.uniform)
         while True:
             try:
-                yield from self._follow(backoff)
+                yield from self._watch_connection(backoff)
             except (Ended, MalformedAnswerError, RejectedAnswerError, DiscoveryRestartedError) as error:
                 wait = backoff.next()
                 self.log.say(
                     "source",
-                    f"{self._name()}: {error}; the last list stands, asked anew in {wait:.2f} s",
+                    f"{self._peer()}: {error}; the last list stands, asked anew in {wait:.2f} s",
                 )
                 yield Wait(until=self.loop.now + wait)
 
-    def _follow(self, backoff: Backoff) -> Generator[Wait, bool, None]:
+    def _watch_connection(self, backoff: Backoff) -> Generator[Wait, bool, None]:
         """One connection's life, from the whole list to the first failure."""
-        client = Client(self.loop, self.source.address, self.source.list_most)
+        client = Client(self.loop, self.source.address, self.source.max_list_bytes)
         try:
             while True:
-                due = self._whole_due()
+                due = self._complete_list_due()
                 if self.loop.now >= due:
-                    yield from self._whole(client)
-                elif self.loop.now + LEAST_WAIT >= due:
+                    yield from self._fetch_complete_list(client)
+                elif self.loop.now + MIN_WATCH >= due:
                     yield Wait(until=due)
                 else:
                     yield from self._watch(client)
                     backoff.answered()
         finally:
-            self.last_whole = -inf  # whatever failed, the next call is for the whole list
+            self.last_complete_at = -inf  # whatever failed, the next call is for the whole list
             client.close()
 
-    def _whole_due(self) -> float:
+    def _complete_list_due(self) -> float:
         """Never within a hold of the last one, as a doubt may outlast a list that cannot settle it."""
-        doubt = max(self.trusted.ask_again(), self.last_whole + self.trusted.guard.hold)
-        return min(doubt, self.last_whole + self.source.reconcile_every)
+        confirmation_due = max(
+            self.accepted.refetch_at(), self.last_complete_at + self.accepted.guard.confirmation_delay
+        )
+        return min(confirmation_due, self.last_complete_at + self.source.refetch_interval)
 
-    def _whole(self, client: Client) -> Generator[Wait, bool, None]:
-        asked = self.loop.now
-        body = yield from client.get(ROLL_PATH, asked + self.source.answer_within)
+    def _fetch_complete_list(self, client: Client) -> Generator[Wait, bool, None]:
+        requested_at = self.loop.now
+        body = yield from client.get(ROLL_PATH, requested_at + self.source.fetch_timeout)
         answer = parse_answer(body)
-        self._believe(answer)
+        self._accept(answer)
         self.log.say(
             "source",
-            f"{self._name()}: whole list of {len(answer.entries)} nodes at revision {answer.revision}",
+            f"{self._peer()}: whole list of {len(answer.entries)} nodes at revision {answer.revision}",
         )
-        self.last_whole = asked
+        self.last_complete_at = requested_at
 
     def _watch(self, client: Client) -> Generator[Wait, bool, None]:
-        asked, since = self.loop.now, self.revision
-        wait = min(self.source.wait, self._whole_due() - asked)
+        requested_at, since = self.loop.now, self.revision
+        wait = min(self.source.watch_timeout, self._complete_list_due() - requested_at)
         connection = client.stream
-        body = yield from client.get(watch_path(since, wait), asked + wait + WATCH_OVER)
+        body = yield from client.get(watch_path(since, wait), requested_at + wait + WATCH_ALLOWANCE)
         if connection is not None and client.stream is not connection:
             raise DiscoveryRestartedError("another connection, on which revisions may be another life's")
         answer = parse_answer(body)
-        if answer.whole:
-            return self._believe(answer)
+        if answer.is_complete:
+            return self._accept(answer)
         if answer.revision < since:
             raise DiscoveryRestartedError(f"changes up to revision {answer.revision} after {since}")
         if answer.revision > since:
-            return self._believe(answer)
-        if answer.entries or self.loop.now - asked < EARLY * wait:
+            return self._accept(answer)
+        if answer.entries or self.loop.now - requested_at < EARLIEST_SHARE * wait:
             raise DiscoveryRestartedError(f"an answer before its time that leaves revision {since}")
-        self.heard = self.loop.now
-
-    def _believe(self, answer: Answer) -> None:
-        first = not self.trusted.entries
-        outcome = self.trusted.take(self.loop.now, answer)
-        self.revision, self.heard = answer.revision, self.loop.now
-        for odd in answer.odd:
-            self.log.say("odd", odd)
-        if outcome.held:
+        self.last_answer_at = self.loop.now
+
+    def _accept(self, answer: ListAnswer) -> None:
+        first = not self.accepted.entries
+        changes = self.accepted.accept(self.loop.now, answer)
+        self.revision, self.last_answer_at = answer.revision, self.loop.now
+        for invalid_entry in answer.invalid_entries:
+            self.log.say("odd", invalid_entry)
+        if changes.unconfirmed:
+            delay = self.accepted.guard.confirmation_delay
             self.log.say(
                 "doubt",
-                f"{self._name()}: an answer drops {outcome.held} of {len(self.trusted.entries)} nodes "
-                f"at once; they stay, the list is asked for again in {self.trusted.guard.hold:g} s",
+                f"{self._peer()}: an answer drops {changes.unconfirmed} of {len(self.accepted.entries)} "
+                f"nodes at once; they stay, the list is asked for again in {delay:g} s",
             )
-        if outcome.changed or outcome.removed or first:
-            self.take(outcome)
+        if changes.changed or changes.removed or first:
+            self.on_changes(changes)
 
-    def _name(self) -> str:
+    def _peer(self) -> str:
         return "{}:{}".format(*self.source.address)
--- a/oatcart/views/publisher.py
+++ b/oatcart/views/publisher.py
@@ -10,11 +10,11 @@
 
 from oatcart.views.configuration import Configuration, NodeFields, ServedController
 from oatcart.views.deciding import Update, View
-from oatcart.views.entries import SERVING, Entry
+from oatcart.views.entries import SERVING, EndpointEntry
 from oatcart.views.history import ViewHistory
+from oatcart.views.list_guard import ListChanges
 from oatcart.views.records import Controller, Endpoint, UnknownControllerError, ViewError, ViewLimits
 from oatcart.views.revisions import RevisionSequence
-from oatcart.views.trust import Outcome
 
 DEFAULT_SERVICE = "default"  # of an entry that names none
 DEFAULT_NOMINAL_WEIGHT = 1.0  # of an entry whose size is missing or 0, as at a controller
@@ -34,7 +34,7 @@
         self, configuration: Configuration, revisions: RevisionSequence, decide: Callable[[Update], None]
     ) -> None:
         self.configuration, self.revisions, self.decide = configuration, revisions, decide
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, EndpointEntry] = {}
         self.views: dict[str, View] = {}  # as last decided; they may have endpoints that are gone since
         self.histories: dict[str, ViewHistory] = {}
         self.unpublished: set[str] = set()  # views that may differ from their histories
@@ -67,26 +67,26 @@
         if self.entries:
             self.decide(Update(controllers=[self.controllers[name]]))
 
-    def apply_list_changes(self, outcome: Outcome) -> None:
+    def apply_list_changes(self, changes: ListChanges) -> None:
         """Applies changes of the endpoint list; `publish` makes them known.
 
         Nothing is decided before the first list: the views would be empty, and a controller that receives an
         empty list drops the one it has.
         """
         if not self.entries:
-            self.entries.update(outcome.changed)
+            self.entries.update(changes.changed)
             self._decide_all()
             return
-        self.entries.update(outcome.changed)
-        for endpoint_id in outcome.removed:
+        self.entries.update(changes.changed)
+        for endpoint_id in changes.removed:
             self.entries.pop(endpoint_id, None)
-        touched = outcome.changed.keys() | outcome.removed
+        touched = changes.changed.keys() | changes.removed
         self.unpublished.update(
             name for name, history in self.histories.items() if not touched.isdisjoint(history.entries)
         )
         nodes = self.configuration.nodes
-        endpoints = [endpoint_record(entry, nodes) for entry in outcome.changed.values()]
-        self.decide(Update(endpoints=endpoints, removed=outcome.removed))
+        endpoints = [endpoint_record(entry, nodes) for entry in changes.changed.values()]
+        self.decide(Update(endpoints=endpoints, removed=changes.removed))
 
     def apply_views(self, views: Mapping[str, View]) -> None:
         """Takes over views as decided; `publish` makes them known."""
@@ -141,7 +141,7 @@
             self.views.pop(name, None)
             self.histories.pop(name, None)
 
-    def _entries_of(self, view: tuple[str, ...]) -> dict[str, Entry]:
+    def _entries_of(self, view: tuple[str, ...]) -> dict[str, EndpointEntry]:
         return {endpoint_id: self.entries[endpoint_id] for endpoint_id in view if endpoint_id in self.entries}
 
     def _decide_all(self) -> None:
@@ -158,7 +158,7 @@
         )
 
 
-def endpoint_record(entry: Entry, nodes: NodeFields) -> Endpoint:
+def endpoint_record(entry: EndpointEntry, nodes: NodeFields) -> Endpoint:
     """The record from which views are decided, of an entry of the list; `nodes` says which fields have the
     service and the region."""
     service, region = entry.fields.get(nodes.service_field), entry.fields.get(nodes.region_field)
--- a/oatcart/views/role.py
+++ b/oatcart/views/role.py
@@ -15,12 +15,12 @@
 from oatcart.net.stream import Address
 from oatcart.views.configuration import Configuration, ServedController, Wrong, read
 from oatcart.views.deciding import DecidingThread, View
-from oatcart.views.follower import Follower
 from oatcart.views.leases import LeaseCheck, LeaseTable
+from oatcart.views.list_guard import AcceptedList, ListChanges
+from oatcart.views.list_watcher import ListWatcher
 from oatcart.views.publisher import Publisher
 from oatcart.views.revisions import RevisionSequence
 from oatcart.views.server import Listener, Server
-from oatcart.views.trust import Outcome, TrustedList
 
 SLICE = 32  # views that are brought up to date in one turn of the loop
 TELL_EVERY = 30.0  # s between the log's lines on how this process keeps up
@@ -62,9 +62,9 @@
         chance = SystemRandom()
         self.deciding = DecidingThread(loop, self._decided)
         self.publisher = Publisher(configuration, RevisionSequence(chance), self.deciding.put)
-        self.trusted = TrustedList(configuration.guard)
-        self.follower = Follower(
-            self.loop, self.log, configuration.source, self.trusted, chance.uniform, self._taken
+        self.accepted = AcceptedList(configuration.guard)
+        self.watcher = ListWatcher(
+            self.loop, self.log, configuration.source, self.accepted, chance.uniform, self._apply_list_changes
         )
         self.server = Server(
             self.loop, self.log, self.publisher, configuration.bounds, self.status, self._called
@@ -89,7 +89,7 @@
             self.leases = LeaseTable(self.configuration.leases, self.publisher.controllers, self.loop.now)
             self._check_leases_later()
         self.deciding.start()
-        self.follower.start()
+        self.watcher.start()
         self._keep_telling()
 
     def turn(self, longest: float = inf) -> None:
@@ -99,7 +99,7 @@
         foresaw: whoever supervises the process starts it again, and conductors keep their lists meanwhile.
         """
         self.loop.turn(longest)
-        if self.follower.failed:
+        if self.watcher.failed:
             raise RuntimeError("the follower has failed; its log line tells why")
         if self.deciding.failure is not None:
             raise RuntimeError("a decision has failed") from self.deciding.failure
@@ -109,7 +109,7 @@
 
     def stop(self) -> None:
         """Follow and serve no more; all connections end."""
-        self.follower.stop()
+        self.watcher.stop()
         self.deciding.stop()
         for listener in (self.main, *self.listeners.values()):
             self.server.unlisten(listener)
@@ -142,8 +142,8 @@
         for key, listener in self.listeners.items():
             self.server.hand_over(listener, wanted[key].record.name)
         self.listeners |= fresh
-        self.configuration, self.trusted.guard = new, new.guard
-        self.follower.move(new.source)
+        self.configuration, self.accepted.guard = new, new.guard
+        self.watcher.move(new.source)
         self.server.wake([*self.server.waiting])  # a view that is gone is refused at once
         self.server.wake_undecided([*self.server.undecided])
         self._publish_soon()
@@ -153,14 +153,14 @@
 
     def status(self) -> bytes:
         """How the control role stands, as JSON."""
-        heard = self.loop.now - self.follower.heard
+        heard = self.loop.now - self.watcher.last_answer_at
         return orjson.dumps(
             {
                 "nodes": len(self.publisher.entries),
-                "held": len(self.trusted.doubted),
+                "held": len(self.accepted.unconfirmed_since),
                 "source": {
-                    "address": "{}:{}".format(*self.follower.source.address),
-                    "revision": self.follower.revision,
+                    "address": "{}:{}".format(*self.watcher.source.address),
+                    "revision": self.watcher.revision,
                     "heard_s_ago": round(heard, 3) if self.publisher.entries else None,
                 },
                 "conductors": len(self.publisher.controllers),
@@ -196,14 +196,14 @@
                 raise OSError(error.errno, f"{served.record.name}: {at}: {error.strerror}") from None
         return listeners
 
-    def _taken(self, outcome: Outcome) -> None:
-        self._check_sizes(outcome)
-        self.publisher.apply_list_changes(outcome)
+    def _apply_list_changes(self, changes: ListChanges) -> None:
+        self._check_sizes(changes)
+        self.publisher.apply_list_changes(changes)
         self._publish_soon()
 
-    def _check_sizes(self, outcome: Outcome) -> None:
+    def _check_sizes(self, changes: ListChanges) -> None:
         """The bytes of a view are bounded by its number of nodes and by what the file tells of an entry."""
-        longest = max((len(entry.encoded) for entry in outcome.changed.values()), default=0)
+        longest = max((len(entry.encoded) for entry in changes.changed.values()), default=0)
         told = self.configuration.limits.most_entry_bytes
         if longest > told:
             self.log.say(
--- a/tests/views/test_views_configuration.py
+++ b/tests/views/test_views_configuration.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from oatcart.views.configuration import Bounds, Configuration, Source, Wrong, read
+from oatcart.views.configuration import Bounds, Configuration, DiscoverySettings, Wrong, read
 from oatcart.views.descriptors import check_descriptors, needed
+from oatcart.views.list_guard import ListGuard
 from oatcart.views.records import Controller, ViewLimits
-from oatcart.views.trust import Guard
 
 ROOT = Path(__file__).parents[2]
 SHIPPED = ROOT / "deploy" / "views.yaml"
@@ -50,8 +50,8 @@
     )
     assert found.listen == ("127.0.0.1", 1)
     assert found.nodes.service_field == "svc" and found.nodes.region_field == "geo"
-    assert found.source == Source(("127.0.0.1", 2), 30.0, 3.0, 2.0, 300.0, 8 << 20)
-    assert found.guard == Guard(0.1, 3, 4.0, 20)
+    assert found.source == DiscoverySettings(("127.0.0.1", 2), 30.0, 3.0, 2.0, 300.0, 8 << 20)
+    assert found.guard == ListGuard(0.1, 3, 4.0, 20)
     assert found.limits == ViewLimits(50, 9000, 180, 1.5) and found.seed == 7
     assert found.bounds == Bounds(0.1, 1.0, 2.0, 3.0, 9, 2)
     assert [found.nodes.region(zone) for zone in ("n2", "s1", "x")] == ["north", "south", "default"]
--- a/tests/views/test_views_server.py
+++ b/tests/views/test_views_server.py
@@ -10,7 +10,7 @@
 from oatcart.net.http import Client
 from oatcart.net.reload import Unusable
 from oatcart.views.configuration import Bounds
-from oatcart.views.trust import Guard
+from oatcart.views.list_guard import ListGuard
 
 
 def nodes(service, count, zone="a"):
@@ -334,7 +334,7 @@
 
 
 def test_an_answer_longer_than_allowed_changes_nothing(stage):
-    stage.role.follower.move(stage.role.follower.source._replace(list_most=600))
+    stage.role.watcher.move(stage.role.watcher.source._replace(max_list_bytes=600))
     stage.until(lambda: stage.logged("a message was too long"), "a word in the log")
     assert len(stage.get("c2")["members"]) == 12
 
@@ -382,7 +382,10 @@
 
 
 def test_a_list_that_drops_too_many_is_held_and_asked_for_again():
-    stage = Stage([controller("c0")], guard=Guard(drop_share=0.25, drop_least=3, hold=0.5))
+    stage = Stage(
+        [controller("c0")],
+        guard=ListGuard(max_removed_share=0.25, mass_removal_count=3, confirmation_delay=0.5),
+    )
     try:
         fleet = nodes("x", 20)
         stage.discovery.put(*fleet)
@@ -400,16 +403,19 @@
 
 
 def test_a_list_that_was_short_once_costs_nobody():
-    stage = Stage([controller("c0")], guard=Guard(drop_share=0.25, drop_least=3, hold=0.4))
+    stage = Stage(
+        [controller("c0")],
+        guard=ListGuard(max_removed_share=0.25, mass_removal_count=3, confirmation_delay=0.4),
+    )
     try:
         fleet = nodes("x", 20)
         stage.discovery.put(*fleet)
         stage.ready()
         revision = stage.get("c0")["revision"]
         stage.discovery.start_over(fleet[:4])
-        stage.until(lambda: stage.role.trusted.doubted, "the doubt")
+        stage.until(lambda: stage.role.accepted.unconfirmed_since, "the doubt")
         stage.discovery.start_over(fleet)
-        stage.until(lambda: not stage.role.trusted.doubted, "its end")
+        stage.until(lambda: not stage.role.accepted.unconfirmed_since, "its end")
         assert stage.get("c0")["revision"] == revision
     finally:
         stage.close()
--- a/tests/views/views_stage.py
+++ b/tests/views/views_stage.py
@@ -12,16 +12,16 @@
 from oatcart.net.log import Log
 from oatcart.net.loop import IN, Loop, Wait
 from oatcart.net.stream import Stream, dial
-from oatcart.views.configuration import Bounds, Configuration, ServedController, Source
+from oatcart.views.configuration import Bounds, Configuration, DiscoverySettings, ServedController
+from oatcart.views.list_guard import ListGuard
 from oatcart.views.records import Controller
 from oatcart.views.role import ControlRole
 from oatcart.views.server import Server
-from oatcart.views.trust import Guard
 
 WITHIN = 8.0  # s of real time until something must have come; a met want ends the wait
 ANY_PORT = ("127.0.0.1", 0)
-BOUNDS, GUARD = Bounds(gather=0.02, undecided_wait=0.3), Guard(hold=0.3)
-SOON = Source(wait=1.0, answer_within=1.0, retry_most=0.1, reconcile_every=60.0)
+BOUNDS, GUARD = Bounds(gather=0.02, undecided_wait=0.3), ListGuard(confirmation_delay=0.3)
+SOON = DiscoverySettings(watch_timeout=1.0, fetch_timeout=1.0, max_backoff=0.1, refetch_interval=60.0)
 
 
 def node(name, zone="a", phase="SERVING", port=5000, **more):
