--- a/oatcart/views/entries.py
+++ b/oatcart/views/entries.py
@@ -1,7 +1,7 @@
-"""Answers of discovery and their entries, checked as a conductor checks them and encoded once.
+"""Answers of discovery and their entries, checked as a controller checks them and encoded once.
 
-Source: the discovery protocol, `GET /v1/servers`. An entry that a conductor could not use is not passed on:
-one such entry in a whole list would make the conductor take that list as changes only.
+Source: the discovery protocol, `GET /v1/servers`. An entry that a controller could not use is not passed on:
+one such entry in a complete list would make the controller take that list as changes only.
 """
 
 from dataclasses import dataclass
@@ -18,16 +18,17 @@
 
 
 class MalformedAnswerError(ValueError):
-    """An answer that is no list of nodes."""
+    """An answer that is not an endpoint list."""
 
 
 class MalformedEntryError(ValueError):
-    """An entry that cannot be used; names the field."""
+    """An entry that cannot be used. The message names the endpoint, the field and the value."""
 
 
 @dataclass(frozen=True, eq=False)
 class EndpointEntry:
-    """A node as discovery tells of it. `fields`: all of its fields, as they came."""
+    """An endpoint as discovery lists it, with the names of the wire. `phase`: SERVING, DRAINING or DELETED;
+    `fields`: all fields, as received."""
 
     id: str
     phase: str
@@ -36,18 +37,21 @@
 
     @cached_property
     def encoded(self) -> bytes:
-        """The entry as JSON, made once for all views that hold it."""
+        """The entry as JSON, encoded once for all views that have it."""
         return orjson.dumps(self.fields)
 
     @cached_property
     def deleted(self) -> bytes:
-        """The entry as a change that tells that the node has left the view."""
+        """The entry as the change that removes the endpoint from a view."""
         return orjson.dumps(self.fields | {"phase": DELETED})
 
 
 class ListAnswer(NamedTuple):
-    """A list of nodes. `whole`: nodes that it leaves out are gone. `odd`: what was left out of it, and why.
-    `unread`: ids of nodes whose entry was left out."""
+    """An endpoint list, or changes of one, by id.
+
+    `is_complete`: endpoints that it does not have are gone. `unreadable_ids`: of endpoints whose entry was
+    left out as malformed. `invalid_entries`: why, one message for each.
+    """
 
     revision: int
     is_complete: bool
@@ -57,16 +61,19 @@
 
 
 def parse_answer(body: bytes | memoryview) -> ListAnswer:
-    """The answer in a body; raises MalformedAnswerError. An entry without a readable id may be any node's, so
-    a list that has one leaves out nobody: it counts as changes."""
+    """Decodes the body of an answer; raises MalformedAnswerError.
+
+    An entry without a readable id may be that of any endpoint. A list with such an entry removes no endpoint:
+    it counts as changes.
+    """
     try:
         decoded = orjson.loads(body)
     except orjson.JSONDecodeError as error:
         raise MalformedAnswerError(str(error)) from None
     if not isinstance(decoded, dict) or not isinstance(decoded.get("members"), list):
-        raise MalformedAnswerError("no list of nodes")
+        raise MalformedAnswerError("the answer has no list of members")
     if not is_amount(decoded.get("revision")):
-        raise MalformedAnswerError("no revision")
+        raise MalformedAnswerError("the answer has no revision")
     entries, unreadable_ids, invalid_entries, has_unreadable_id = {}, set(), [], False
     for fields in decoded["members"]:
         try:
@@ -90,20 +97,20 @@
 
 
 def parse_entry(fields: object) -> EndpointEntry:
-    """An entry whose fields a conductor can use; raises MalformedEntryError."""
+    """Checks that a controller can use the fields of an entry; raises MalformedEntryError."""
     if not isinstance(fields, dict):
-        raise MalformedEntryError(f"{str(fields)[:NAME_SHOWN]!r} is no entry")
+        raise MalformedEntryError(f"{str(fields)[:NAME_SHOWN]!r} is not an entry")
     endpoint_id, phase, zone = fields.get("id"), fields.get("phase"), fields.get("locality")
     if not _is_id(endpoint_id):
-        raise MalformedEntryError(f"id: {str(endpoint_id)[:NAME_SHOWN]!r} is no id")
+        raise MalformedEntryError(f"id: {str(endpoint_id)[:NAME_SHOWN]!r} is not an id")
     if phase not in PHASES:
         raise MalformedEntryError(f"{endpoint_id}: phase: {str(phase)[:NAME_SHOWN]!r} is not known")
     if not isinstance(zone, str) or not zone:
-        raise MalformedEntryError(f"{endpoint_id}: locality: {str(zone)[:NAME_SHOWN]!r} is no zone")
+        raise MalformedEntryError(f"{endpoint_id}: locality: {str(zone)[:NAME_SHOWN]!r} is not a zone")
     for name in "size", "up_since_ms":
         if fields.get(name) is not None and not is_amount(fields[name]):
             raise MalformedEntryError(
-                f"{endpoint_id}: {name}: {str(fields[name])[:NAME_SHOWN]!r} is no amount"
+                f"{endpoint_id}: {name}: {str(fields[name])[:NAME_SHOWN]!r} is not an amount"
             )
     _check_address(endpoint_id, fields.get("host_port"))
     return EndpointEntry(endpoint_id, phase, zone, fields)
@@ -115,11 +122,11 @@
 
 def _check_address(endpoint_id: str, host_port: object) -> None:
     if not host_port:
-        return  # a node without an address is told of all the same
+        return  # an endpoint without an address is listed all the same
     try:
         address(host_port)
     except (AttributeError, TypeError, ValueError):
         shown = str(host_port)[:NAME_SHOWN]
         raise MalformedEntryError(
-            f"{endpoint_id}: host_port: {shown!r} is no numeric address and port"
+            f"{endpoint_id}: host_port: {shown!r} is not a numeric address and port"
         ) from None
--- a/oatcart/views/list_guard.py
+++ b/oatcart/views/list_guard.py
@@ -1,14 +1,14 @@
-"""What is believed of the list of nodes that discovery serves. Free of I/O.
+"""Decides which parts of discovery's answers are accepted. Free of I/O.
 
-Discovery may be wrong for one answer, and all views are made from it, so one bad answer would be felt
-everywhere at once. The rules:
+All views are made from one endpoint list, so one wrong answer would be felt everywhere at once. The rules:
 
-- New nodes, changed entries and drains are believed at once.
-- Nodes that were draining may go at once: their going was announced.
-- An answer that takes away more than a stated share of the serving nodes is doubted: those stay as they were,
-  and the whole list is asked for again after a hold. Nodes that are still missing then are gone.
-- A whole list with fewer nodes than a stated least, which is one at the least, is refused as a whole.
-- A node whose entry cannot be used stays as it was.
+- New endpoints, changed entries and draining are accepted at once.
+- Endpoints that were draining may be removed at once.
+- An answer that removes more than a stated share of the ready endpoints is a mass removal: these stay as
+  they are, unconfirmed, and the complete list is fetched again after a delay. Those still missing then are
+  removed.
+- A complete list with fewer endpoints than a stated minimum is rejected.
+- An endpoint whose entry is malformed stays as it was.
 """
 
 from math import inf
@@ -18,11 +18,11 @@
 
 
 class ListGuard(NamedTuple):
-    """Bounds of what one answer may take away.
+    """Bounds of what one answer may remove.
 
-    `max_removed_share`: the share of the serving nodes that may go at once; `mass_removal_count`: nodes that
-    may go at once however few there are; `confirmation_delay`: s until a doubted list is asked for again;
-    `min_endpoints`: in a whole list.
+    `max_removed_share`: of the ready endpoints; `mass_removal_count`: as many may be removed at once however
+    few endpoints there are; `confirmation_delay`: s until the complete list is fetched again after a mass
+    removal; `min_endpoints`: of a complete list.
     """
 
     max_removed_share: float = 0.25
@@ -32,11 +32,11 @@
 
 
 class RejectedAnswerError(Exception):
-    """An answer of which nothing is believed; the list stays as it was."""
+    """An answer of which nothing is accepted; the list stays as it was."""
 
 
 class ListChanges(NamedTuple):
-    """What an answer has changed. `unconfirmed`: nodes that it takes away and that stay for now."""
+    """What an answer has changed. `unconfirmed`: the number of endpoints that it removes and that stay."""
 
     changed: dict[str, EndpointEntry]
     removed: frozenset[str]
@@ -44,24 +44,27 @@
 
 
 class AcceptedList:
-    """The list in force: the last one that was believed."""
+    """The endpoint list in force, by id."""
 
     def __init__(self, guard: ListGuard) -> None:
         self.guard = guard
         self.entries: dict[str, EndpointEntry] = {}
-        self.unconfirmed_since: dict[str, float] = {}  # since when a node is missing that is held on to
+        self.unconfirmed_since: dict[str, float] = {}  # s, by endpoint: the first answer without it
 
     def accept(self, now: float, answer: ListAnswer) -> ListChanges:
-        """The changes that an answer makes; raises RejectedAnswerError."""
-        listed = {
-            endpoint_id: entry for endpoint_id, entry in answer.entries.items() if entry.phase != DELETED
-        }
+        """Applies what is accepted of an answer that came at `now` (s) and returns the changes.
+
+        Raises RejectedAnswerError if the answer has too few endpoints.
+        """
+        listed = {entry.id: entry for entry in answer.entries.values() if entry.phase != DELETED}
         if answer.is_complete and len(listed) < self.guard.min_endpoints:
-            raise RejectedAnswerError(f"it has {len(listed)} nodes, fewer than {self.guard.min_endpoints}")
+            raise RejectedAnswerError(
+                f"complete list of {len(listed)} endpoints, fewer than {self.guard.min_endpoints}"
+            )
         missing = self._missing(answer, listed)
         unconfirmed = self._unconfirmed(now, missing, answer.is_complete)
         removed = frozenset(missing - unconfirmed)
-        changed = {endpoint_id: entry for endpoint_id, entry in listed.items() if self._is_changed(entry)}
+        changed = {entry.id: entry for entry in listed.values() if self._is_changed(entry)}
         self._note_unconfirmed(now, unconfirmed, listed.keys() | removed | answer.unreadable_ids)
         self.entries.update(changed)
         for endpoint_id in removed:
@@ -69,33 +72,30 @@
         return ListChanges(changed, removed, len(unconfirmed))
 
     def refetch_at(self) -> float:
-        """When the whole list is to be asked for because of a doubt; inf where there is none."""
+        """When the complete list is to be fetched to confirm removals, s; inf if there are none."""
         return min(self.unconfirmed_since.values(), default=inf) + self.guard.confirmation_delay
 
     def _missing(self, answer: ListAnswer, listed: dict[str, EndpointEntry]) -> set[str]:
         if answer.is_complete:
             return self.entries.keys() - listed.keys() - answer.unreadable_ids
-        return {
-            endpoint_id
-            for endpoint_id in answer.entries
-            if endpoint_id not in listed and endpoint_id in self.entries
-        }
+        return (answer.entries.keys() - listed.keys()) & self.entries.keys()
 
     def _unconfirmed(self, now: float, missing: set[str], is_complete: bool) -> set[str]:
-        """The missing nodes that stay. Only a whole list at the hold's end confirms that they are gone."""
+        """The missing endpoints that stay. Only a complete list after the delay confirms their removal."""
         missing_ready = {endpoint_id for endpoint_id in missing if self.entries[endpoint_id].phase == SERVING}
-        new = {endpoint_id for endpoint_id in missing_ready if endpoint_id not in self.unconfirmed_since}
-        unconfirmed = new if self._is_mass_removal(len(new)) else set()
-        for endpoint_id in missing_ready - new:
-            if not is_complete or now < self.unconfirmed_since[endpoint_id] + self.guard.confirmation_delay:
+        newly_missing = missing_ready - self.unconfirmed_since.keys()
+        unconfirmed = newly_missing if self._is_mass_removal(len(newly_missing)) else set()
+        for endpoint_id in missing_ready - newly_missing:
+            confirmed_at = self.unconfirmed_since[endpoint_id] + self.guard.confirmation_delay
+            if not is_complete or now < confirmed_at:
                 unconfirmed.add(endpoint_id)
         return unconfirmed
 
-    def _is_mass_removal(self, missing_ready: int) -> bool:
-        if missing_ready <= self.guard.mass_removal_count:
+    def _is_mass_removal(self, count: int) -> bool:
+        if count <= self.guard.mass_removal_count:
             return False
-        serving = sum(entry.phase == SERVING for entry in self.entries.values())
-        return missing_ready > self.guard.max_removed_share * serving
+        ready = sum(entry.phase == SERVING for entry in self.entries.values())
+        return count > self.guard.max_removed_share * ready
 
     def _is_changed(self, entry: EndpointEntry) -> bool:
         old = self.entries.get(entry.id)
--- a/oatcart/views/list_watcher.py
+++ b/oatcart/views/list_watcher.py
@@ -1,8 +1,8 @@
-"""Follows the whole list of nodes at discovery, once for all conductors.
+"""Watches the complete endpoint list at discovery, once for all controllers.
 
-The whole list first, then watch after watch on one connection. After any failure the whole list is asked for
-again, as discovery may have started over meanwhile; so it is where changes go backwards, at the end of a
-hold, and from time to time. Whatever comes, the last list that was believed stays in force.
+The complete list comes first, then watch after watch on one connection. After any failure the complete list
+is fetched again, as discovery may have restarted meanwhile; so it is when changes go backwards, to confirm
+removals, and from time to time. Whatever comes, the last accepted list stays in force.
 """
 
 from collections.abc import Callable, Generator
@@ -18,17 +18,21 @@
 from oatcart.views.list_guard import AcceptedList, ListChanges, RejectedAnswerError
 from oatcart.xds.source import Backoff
 
-WATCH_ALLOWANCE = 2.0  # s beyond the wait that a watch asks for
-EARLIEST_SHARE = 0.5  # of that wait: an answer that brings nothing comes at its end, give or take
+WATCH_ALLOWANCE = 2.0  # s beyond the time that a watch asks discovery to wait
+EARLIEST_EMPTY_ANSWER = 0.5  # of that time; an empty answer before it shows a discovery that does not wait
 MIN_WATCH = 0.05  # s; a shorter watch is not worth a call
 
 
 class DiscoveryRestartedError(Exception):
-    """Changes that may not follow on the revision in hand: discovery counts anew, or counts in nonsense."""
+    """Changes that may not continue from the revision held: discovery may count revisions from another
+    start."""
 
 
 class ListWatcher:
-    """`take` is told of every change that is believed, and once of the first list."""
+    """Keeps `accepted` up to date. `on_changes` is called with each change, and once with the first list.
+
+    `uniform` draws a number between two bounds, for the backoff.
+    """
 
     def __init__(
         self,
@@ -43,27 +47,27 @@
         self.accepted, self.on_changes = accepted, on_changes
         self.uniform = uniform
         self.revision = 0
-        self.last_answer_at = -inf  # when discovery last answered with something that could be used
-        self.last_complete_at = -inf  # when the whole list was last asked for
+        self.last_answer_at = -inf  # s, the last usable answer
+        self.last_complete_at = -inf  # s, the last request of a complete list
         self.task: Task | None = None
 
     @property
     def failed(self) -> bool:
-        """Whether its task has ended by an error that nobody foresaw."""
+        """Whether its task has ended by an unexpected error."""
         return self.task is not None and self.task.over
 
     def start(self) -> None:
-        """Follow from now on."""
+        """Begins to watch, with the complete list."""
         self.task = self.loop.spawn(self._run())
 
     def stop(self) -> None:
-        """Follow no more; the list stays."""
+        """Stops watching; the list stays."""
         if self.task is not None and not self.task.over:
             self.loop.end(self.task)
         self.task = None
 
     def move(self, source: DiscoverySettings) -> None:
-        """Follow at another source, or in another manner, from its whole list on."""
+        """Watches at another address, or with other timeouts, from the complete list on."""
         if source != self.source:
             self.stop()
             self.source = source
@@ -78,12 +82,12 @@
                 wait = backoff.next()
                 self.log.say(
                     "source",
-                    f"{self._peer()}: {error}; the last list stands, asked anew in {wait:.2f} s",
+                    f"{self._peer()}: {error}; the last list stays in force, next try in {wait:.2f} s",
                 )
                 yield Wait(until=self.loop.now + wait)
 
     def _watch_connection(self, backoff: Backoff) -> Generator[Wait, bool, None]:
-        """One connection's life, from the whole list to the first failure."""
+        """Calls on one connection, from the complete list to the first failure."""
         client = Client(self.loop, self.source.address, self.source.max_list_bytes)
         try:
             while True:
@@ -96,14 +100,14 @@
                     yield from self._watch(client)
                     backoff.answered()
         finally:
-            self.last_complete_at = -inf  # whatever failed, the next call is for the whole list
+            self.last_complete_at = -inf  # after any failure the complete list comes first
             client.close()
 
     def _complete_list_due(self) -> float:
-        """Never within a hold of the last one, as a doubt may outlast a list that cannot settle it."""
-        confirmation_due = max(
-            self.accepted.refetch_at(), self.last_complete_at + self.accepted.guard.confirmation_delay
-        )
+        """When the next complete list is due, s. A removal may stay unconfirmed after one (its entry was
+        malformed), so the next is never sooner than the confirmation delay."""
+        earliest = self.last_complete_at + self.accepted.guard.confirmation_delay
+        confirmation_due = max(self.accepted.refetch_at(), earliest)
         return min(confirmation_due, self.last_complete_at + self.source.refetch_interval)
 
     def _fetch_complete_list(self, client: Client) -> Generator[Wait, bool, None]:
@@ -113,7 +117,7 @@
         self._accept(answer)
         self.log.say(
             "source",
-            f"{self._peer()}: whole list of {len(answer.entries)} nodes at revision {answer.revision}",
+            f"{self._peer()}: complete list of {len(answer.entries)} endpoints at revision {answer.revision}",
         )
         self.last_complete_at = requested_at
 
@@ -123,7 +127,9 @@
         connection = client.stream
         body = yield from client.get(watch_path(since, wait), requested_at + wait + WATCH_ALLOWANCE)
         if connection is not None and client.stream is not connection:
-            raise DiscoveryRestartedError("another connection, on which revisions may be another life's")
+            raise DiscoveryRestartedError(
+                "another connection, so revisions may be those of another incarnation"
+            )
         answer = parse_answer(body)
         if answer.is_complete:
             return self._accept(answer)
@@ -131,24 +137,25 @@
             raise DiscoveryRestartedError(f"changes up to revision {answer.revision} after {since}")
         if answer.revision > since:
             return self._accept(answer)
-        if answer.entries or self.loop.now - requested_at < EARLIEST_SHARE * wait:
-            raise DiscoveryRestartedError(f"an answer before its time that leaves revision {since}")
+        if answer.entries or self.loop.now - requested_at < EARLIEST_EMPTY_ANSWER * wait:
+            raise DiscoveryRestartedError(f"an empty answer at revision {since} before the watch timeout")
         self.last_answer_at = self.loop.now
 
     def _accept(self, answer: ListAnswer) -> None:
-        first = not self.accepted.entries
+        is_first = not self.accepted.entries
         changes = self.accepted.accept(self.loop.now, answer)
         self.revision, self.last_answer_at = answer.revision, self.loop.now
-        for invalid_entry in answer.invalid_entries:
-            self.log.say("odd", invalid_entry)
+        for problem in answer.invalid_entries:
+            self.log.say("invalid entry", problem)
         if changes.unconfirmed:
             delay = self.accepted.guard.confirmation_delay
+            known = len(self.accepted.entries)
             self.log.say(
-                "doubt",
-                f"{self._peer()}: an answer drops {changes.unconfirmed} of {len(self.accepted.entries)} "
-                f"nodes at once; they stay, the list is asked for again in {delay:g} s",
+                "mass removal",
+                f"{self._peer()}: an answer removes {changes.unconfirmed} of {known} endpoints at once; they "
+                f"stay, the complete list is fetched again in {delay:g} s",
             )
-        if changes.changed or changes.removed or first:
+        if changes.changed or changes.removed or is_first:
             self.on_changes(changes)
 
     def _peer(self) -> str:
--- a/tests/views/test_views_server.py
+++ b/tests/views/test_views_server.py
@@ -317,7 +317,7 @@
     before = stage.get("c2")
     stage.discovery.spoil = spoil
     stage.discovery.put(node("x-new", service="x"))
-    stage.until(lambda: stage.logged("the last list stands"), "a word in the log")
+    stage.until(lambda: stage.logged("the last list stays in force"), "a word in the log")
     assert stage.get("c2") == before
     stage.discovery.spoil = None
     stage.until(lambda: "x-new" in ids(stage.get("c2")), "the new node")
@@ -343,7 +343,7 @@
     revision = stage.get("c0")["revision"]
     watching = watch(stage, "c0", revision, 5000)
     stage.discovery.die()
-    stage.until(lambda: stage.logged("the last list stands"), "a word in the log")
+    stage.until(lambda: stage.logged("the last list stays in force"), "a word in the log")
     stage.for_(0.2)
     assert len(stage.get("c0")["members"]) == 8 and not watching.over
     stage.discovery.start()
@@ -378,7 +378,7 @@
     stage.discovery.wake()
     asked = len(stage.discovery.calls)
     stage.for_(0.8)
-    assert stage.logged("before its time") and len(stage.discovery.calls) - asked < 30
+    assert stage.logged("before the watch timeout") and len(stage.discovery.calls) - asked < 30
 
 
 def test_a_list_that_drops_too_many_is_held_and_asked_for_again():
@@ -393,7 +393,7 @@
         held = stage.get("c0")
         watching = watch(stage, "c0", held["revision"], 5000)
         stage.discovery.start_over(fleet[:4])
-        stage.until(lambda: stage.logged("an answer drops 16 of 20 nodes at once"), "the doubt")
+        stage.until(lambda: stage.logged("an answer removes 16 of 20 endpoints at once"), "the doubt")
         assert len(stage.get("c0")["members"]) == 20 and not watching.over
         told = phases(watching.result(stage))
         assert list(told.values()) == ["DELETED"] * 16
@@ -423,7 +423,7 @@
 
 def test_an_empty_list_in_place_of_the_fleet_is_never_believed(stage):
     stage.discovery.start_over([])
-    stage.until(lambda: stage.logged("it has 0 nodes, fewer than 1"), "the refusal")
+    stage.until(lambda: stage.logged("complete list of 0 endpoints, fewer than 1"), "the refusal")
     stage.for_(0.6)
     assert len(stage.get("c2")["members"]) == 12
 
