--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -21,7 +21,7 @@
 
 from oatcart.scale.configuration import FleetSettings
 from oatcart.scale.fleet import plan_fleet
-from oatcart.views.places import expected_holders
+from oatcart.views.holder_limits import expected_holders
 from oatcart.views.records import Controller, Endpoint, ViewLimits
 from oatcart.views.subsets import Subsets
 
@@ -94,7 +94,7 @@
     subsets = Subsets(ViewLimits(), seed)
     subsets.put_endpoints(fleet.endpoints.values())
     subsets.put_controllers(fleet.controllers.values())
-    subsets.take_changed()
+    subsets.pop_changed()
     return subsets
 
 
@@ -185,7 +185,7 @@
 
         def decide() -> None:
             change()
-            changed.append(self.subsets.take_changed())
+            changed.append(self.subsets.pop_changed())
 
         took = processor_ms(decide)
         self.views.pop(gone, None)
@@ -311,12 +311,12 @@
             subsets.remove_endpoint(endpoint.id)
         for controller in controllers:
             subsets.remove_controller(controller.name)
-        subsets.take_changed()
+        subsets.pop_changed()
 
     def heal() -> None:
         subsets.put_endpoints(endpoints)
         subsets.put_controllers(controllers)
-        subsets.take_changed()
+        subsets.pop_changed()
 
     lose_ms = processor_ms(lose)
     left = Fleet(
--- a/oatcart/scale/day_views.py
+++ b/oatcart/scale/day_views.py
@@ -43,14 +43,14 @@
         self._subsets.put_controllers(viewers)
         self._set(entries)
         self._history = {name: [ViewAt(-1, frozenset(self._subsets.view(name)))] for name in self.viewers}
-        self._subsets.take_changed()
+        self._subsets.pop_changed()
 
     def take(self, changes: Sequence[Change]) -> None:
         """Works out the views after those of all changes that were not taken yet."""
         for number in range(self.taken, len(changes)):
             change = changes[number]
             self._set(change.entries)
-            for name in self._subsets.take_changed():
+            for name in self._subsets.pop_changed():
                 nodes = frozenset(self._subsets.view(name))
                 if nodes != self._history[name][-1].nodes:
                     self._history[name].append(ViewAt(number, nodes))
--- a/oatcart/views/deciding.py
+++ b/oatcart/views/decisions.py
@@ -17,41 +17,41 @@
 View = tuple[str, ...] | ViewError
 """The nodes of a conductor's view, or why it cannot be decided."""
 
-WAKES_MOST = 4096  # bytes that are read of the wake pair at a time
+WAKE_READ_BYTES = 4096  # bytes that are read of the wake pair at a time
 
 
-class Update(NamedTuple):
+class RecordChanges(NamedTuple):
     """Changes of the records. `limits` and `seed`, where given, begin everything anew."""
 
     endpoints: Iterable[Endpoint] = ()
-    removed: Iterable[str] = ()
+    removed_endpoints: Iterable[str] = ()
     controllers: Iterable[Controller] = ()
-    gone: Iterable[str] = ()
+    removed_controllers: Iterable[str] = ()
     limits: ViewLimits | None = None
     seed: int = 0
 
 
-class Decider:
+class ViewDecider:
     """The decisions, one batch of updates after the other."""
 
     def __init__(self) -> None:
         self.subsets = Subsets(ViewLimits(), 0)
 
-    def decide(self, updates: Iterable[Update]) -> dict[str, View]:
+    def decide(self, changes: Iterable[RecordChanges]) -> dict[str, View]:
         """The views that may be others after these updates."""
-        for update in updates:
-            self._note(update)
-        return {name: self._view(name) for name in self.subsets.take_changed()}
-
-    def _note(self, update: Update) -> None:
-        if update.limits is not None:
-            self.subsets = Subsets(update.limits, update.seed)
-        for name in update.gone:
+        for change in changes:
+            self._apply(change)
+        return {name: self._view(name) for name in self.subsets.pop_changed()}
+
+    def _apply(self, change: RecordChanges) -> None:
+        if change.limits is not None:
+            self.subsets = Subsets(change.limits, change.seed)
+        for name in change.removed_controllers:
             self.subsets.remove_controller(name)
-        for node in update.removed:
+        for node in change.removed_endpoints:
             self.subsets.remove_endpoint(node)
-        self.subsets.put_controllers(update.controllers)
-        self.subsets.put_endpoints(update.endpoints)
+        self.subsets.put_controllers(change.controllers)
+        self.subsets.put_endpoints(change.endpoints)
 
     def _view(self, name: str) -> View:
         try:
@@ -60,60 +60,60 @@
             return error
 
 
-class DecidingThread:
+class DecisionThread:
     """Decides in a thread; `take` is told of views on the loop, in the order of the updates."""
 
-    def __init__(self, loop: Loop, take: Callable[[dict[str, View]], None]) -> None:
-        self.loop, self.take = loop, take
-        self.updates: SimpleQueue[Update | None] = SimpleQueue()
-        self.decided: SimpleQueue[dict[str, View] | Exception] = SimpleQueue()
-        self.woken, self.waker = socket.socketpair()
-        self.woken.setblocking(False)
+    def __init__(self, loop: Loop, on_views: Callable[[dict[str, View]], None]) -> None:
+        self.loop, self.on_views = loop, on_views
+        self.changes: SimpleQueue[RecordChanges | None] = SimpleQueue()
+        self.results: SimpleQueue[dict[str, View] | Exception] = SimpleQueue()
+        self.wake_receiver, self.wake_sender = socket.socketpair()
+        self.wake_receiver.setblocking(False)
         self.failure: Exception | None = None  # nothing is decided from then on
         self.thread = Thread(target=self._run, name="deciding", daemon=True)
 
     def start(self) -> None:
         """Decide from now on."""
         self.thread.start()
-        self.delivering = self.loop.spawn(self._deliver())
+        self.delivery = self.loop.spawn(self._deliver())
 
-    def put(self, update: Update) -> None:
+    def submit(self, change: RecordChanges) -> None:
         """Have it decided; what waits is decided together."""
-        self.updates.put(update)
+        self.changes.put(change)
 
     def stop(self) -> None:
         """Decide no more, once what is under way is done."""
-        self.updates.put(None)
+        self.changes.put(None)
         self.thread.join()
-        if not self.delivering.over:
-            self.loop.end(self.delivering)
-        self.loop.close(self.woken.fileno())
-        self.woken.close()
-        self.waker.close()
+        if not self.delivery.over:
+            self.loop.end(self.delivery)
+        self.loop.close(self.wake_receiver.fileno())
+        self.wake_receiver.close()
+        self.wake_sender.close()
 
     def _run(self) -> None:
-        decider = Decider()
+        decider = ViewDecider()
         while True:
-            batch = [self.updates.get()]
-            while not self.updates.empty():
-                batch.append(self.updates.get())
+            batch = [self.changes.get()]
+            while not self.changes.empty():
+                batch.append(self.changes.get())
             if None in batch:
                 return
             try:
-                self.decided.put(decider.decide(batch))
+                self.results.put(decider.decide(batch))
             except Exception as error:  # the loop is told, and ends the process
-                self.decided.put(error)
+                self.results.put(error)
                 return
             finally:
-                self.waker.send(b"\0")
+                self.wake_sender.send(b"\0")
 
     def _deliver(self) -> Generator[Wait, bool, None]:
         while True:
-            yield Wait(self.woken.fileno(), IN)
-            self.woken.recv(WAKES_MOST)
-            while not self.decided.empty():
-                views = self.decided.get()
+            yield Wait(self.wake_receiver.fileno(), IN)
+            self.wake_receiver.recv(WAKE_READ_BYTES)
+            while not self.results.empty():
+                views = self.results.get()
                 if isinstance(views, Exception):
                     self.failure = views
                     return
-                self.take(views)
+                self.on_views(views)
--- a/oatcart/views/keys.py
+++ b/oatcart/views/keys.py
@@ -30,7 +30,7 @@
 
 
 def pair_keys(
-    controller_hashes: numpy.ndarray, endpoint_hashes: numpy.ndarray, sizes: numpy.ndarray
+    controller_hashes: numpy.ndarray, endpoint_hashes: numpy.ndarray, weights: numpy.ndarray
 ) -> numpy.ndarray:
     """Keys of pairs; the arrays (uint64, uint64, float64) are broadcast against each other."""
     mixed = controller_hashes ^ endpoint_hashes
@@ -38,4 +38,4 @@
     mixed = (mixed ^ (mixed >> _SECOND_SHIFT)) * _SECOND_MULTIPLIER
     mixed ^= mixed >> _THIRD_SHIFT
     fractions = ((mixed >> _FRACTION_SHIFT).astype(numpy.float64) + 1.0) * _FRACTION_UNIT
-    return fractions / sizes
+    return fractions / weights
--- a/oatcart/views/matching.py
+++ b/oatcart/views/matching.py
@@ -12,11 +12,11 @@
 
 import numpy
 
-from oatcart.views.greedy import Service, match_all
+from oatcart.views.greedy import ServiceArrays, match_greedily
+from oatcart.views.holder_limits import expected_holders, max_holders
 from oatcart.views.keys import name_hash, pair_keys, unit_hash
-from oatcart.views.places import expected_holders, most_holders
+from oatcart.views.name_index import NameIndex
 from oatcart.views.records import Endpoint
-from oatcart.views.slots import Slots
 
 _NO_ZONE = -1
 _GROWTH = 1.25  # of arrays that are too short
@@ -40,9 +40,9 @@
     def __init__(self, overload: float, seed: int) -> None:
         self._overload = overload
         self._seed = seed
-        self.controllers = Slots()
-        self.endpoints = Slots()
-        self.touched: set[str] = set()
+        self.controllers = NameIndex()
+        self.endpoints = NameIndex()
+        self.changed: set[str] = set()
         self._zone_numbers: dict[tuple[str, str], int] = {}
         self._several_zones = False  # whether the service has nodes in two zones or more
         self._seekers: set[int] = set()  # conductors with a seat left
@@ -65,14 +65,14 @@
 
     # What holds.
 
-    def held_by(self, name: str) -> list[str]:
+    def endpoints_of(self, name: str) -> list[str]:
         """The nodes that a conductor holds."""
-        nodes = numpy.flatnonzero(self._held[self.controllers.number_of[name]])
+        nodes = numpy.flatnonzero(self._held[self.controllers.index_of[name]])
         return list(map(self.endpoints.names.__getitem__, nodes.tolist()))
 
     def spread_of(self, name: str) -> Spread:
         """How many ready nodes a conductor holds, and in how many zones."""
-        controller = self.controllers.number_of[name]
+        controller = self.controllers.index_of[name]
         ready = numpy.flatnonzero(self._held[controller] & self._ready)
         zones = self._zones[ready]
         several_zones = bool((zones != zones[:1]).any())
@@ -80,42 +80,42 @@
 
     def holders_of(self, endpoint_id: str) -> list[str]:
         """The conductors that hold a node."""
-        controllers = numpy.flatnonzero(self._held[:, self.endpoints.number_of[endpoint_id]])
+        controllers = numpy.flatnonzero(self._held[:, self.endpoints.index_of[endpoint_id]])
         return list(map(self.controllers.names.__getitem__, controllers.tolist()))
 
-    def endpoints_without_holder(self) -> list[str]:
+    def unheld_endpoints(self) -> list[str]:
         """The nodes that no conductor holds."""
         nodes = numpy.flatnonzero((self._zones != _NO_ZONE) & (self._loads == 0))
         return [self.endpoints.names[node] for node in nodes.tolist()]
 
-    def load_of(self, endpoint_id: str) -> int:
+    def holder_count(self, endpoint_id: str) -> int:
         """How many conductors hold a node."""
-        return int(self._loads[self.endpoints.number_of[endpoint_id]])
+        return int(self._loads[self.endpoints.index_of[endpoint_id]])
 
     def keys_of_controller(self, name: str, endpoint_ids: list[str]) -> list[float]:
         """The keys of one conductor's pairs with these nodes."""
         nodes = numpy.array(
-            [self.endpoints.number_of[endpoint_id] for endpoint_id in endpoint_ids], dtype=numpy.int64
+            [self.endpoints.index_of[endpoint_id] for endpoint_id in endpoint_ids], dtype=numpy.int64
         )
-        return self._keys(self.controllers.number_of[name], nodes).tolist()
+        return self._keys(self.controllers.index_of[name], nodes).tolist()
 
     def keys_of_endpoint(self, endpoint_id: str) -> Iterator[tuple[float, str]]:
         """The key and the name of each conductor with seats, for one node."""
-        keys = self._keys(slice(None), self.endpoints.number_of[endpoint_id])
-        for name, controller in self.controllers.number_of.items():
+        keys = self._keys(slice(None), self.endpoints.index_of[endpoint_id])
+        for name, controller in self.controllers.index_of.items():
             yield float(keys[controller]), name
 
     # Changes.
 
     def add_controller(self, name: str, seats: int) -> None:
         """A conductor comes with this many seats, at least one."""
-        controller = self.controllers.take(name)
+        controller = self.controllers.allocate(name)
         self._make_room()
         self._controller_hashes[controller] = name_hash("viewer", name, self._seed)
         self._seats[controller] = seats
         self._bounds[controller] = numpy.inf
         self._seekers.add(controller)
-        self.touched.add(name)
+        self.changed.add(name)
 
     def remove_controller(self, name: str) -> None:
         """A conductor goes, and its places are free again."""
@@ -124,17 +124,17 @@
         self._seats[controller] = 0
         self._bounds[controller] = -numpy.inf
         self._seekers.discard(controller)
-        self.touched.discard(name)
+        self.changed.discard(name)
 
     def resize_controller(self, name: str, seats: int) -> None:
         """A conductor has another number of seats, and chooses anew."""
-        controller = self.controllers.number_of[name]
+        controller = self.controllers.index_of[name]
         self._seats[controller] = seats
         self._seek(controller)
 
     def add_endpoint(self, endpoint: Endpoint) -> None:
         """A node comes."""
-        node = self.endpoints.take(endpoint.id)
+        node = self.endpoints.allocate(endpoint.id)
         self._make_room()
         zone = self._zone_numbers.setdefault((endpoint.region, endpoint.zone), len(self._zone_numbers))
         self._endpoint_hashes[node] = name_hash("member", endpoint.id, self._seed)
@@ -147,7 +147,7 @@
 
     def set_ready(self, endpoint_id: str, ready: bool) -> None:
         """A node is ready, or drains; the matching stays as it is."""
-        self._ready[self.endpoints.number_of[endpoint_id]] = ready
+        self._ready[self.endpoints.index_of[endpoint_id]] = ready
 
     def remove_endpoint(self, endpoint_id: str) -> None:
         """A node goes, and its holders have a seat left."""
@@ -168,7 +168,7 @@
         controllers = numpy.flatnonzero(self._seats)
         nodes = numpy.flatnonzero(self._zones != _NO_ZONE)
         self._set_places()
-        service = Service(
+        service = ServiceArrays(
             self._controller_hashes[controllers],
             self._seats[controllers],
             self._endpoint_hashes[nodes],
@@ -179,7 +179,7 @@
         before = self._held
         self._held = numpy.zeros_like(before)
         if len(controllers) and len(nodes):
-            self._held[numpy.ix_(controllers, nodes)] = match_all(service)
+            self._held[numpy.ix_(controllers, nodes)] = match_greedily(service)
         for controller in numpy.flatnonzero((before != self._held).any(axis=1)).tolist():
             self._touch(controller)
         self._seekers.clear()
@@ -308,7 +308,7 @@
     def _touch(self, controller: int) -> None:
         name = self.controllers.names[controller]
         if name is not None:
-            self.touched.add(name)
+            self.changed.add(name)
 
     # Sums kept beside the pairs.
 
@@ -323,7 +323,7 @@
         self._several_zones = bool((zones != zones[:1]).any())
         controllers = int(numpy.count_nonzero(self._seats))
         expected = expected_holders(self._sizes[nodes], int(self._seats.sum()), controllers)
-        self._places[nodes] = most_holders(expected, controllers, self._overload, self._roundings[nodes])
+        self._places[nodes] = max_holders(expected, controllers, self._overload, self._roundings[nodes])
 
     def _measure_controller(self, controller: int) -> None:
         held = numpy.flatnonzero(self._held[controller])
--- a/oatcart/views/publisher.py
+++ b/oatcart/views/publisher.py
@@ -2,14 +2,14 @@
 each view that was requested. Free of I/O.
 
 A change of an endpoint's entry (draining, another address, its removal) is published at once to the
-controllers whose view has it. Which endpoints a view has is decided elsewhere (`deciding`) and may follow
+controllers whose view has it. Which endpoints a view has is decided elsewhere (`decisions`) and may follow
 later. A view's history begins with the first request of its controller.
 """
 
 from collections.abc import Callable, Collection, Iterable, Mapping
 
 from oatcart.views.configuration import Configuration, NodeFields, ServedController
-from oatcart.views.deciding import Update, View
+from oatcart.views.decisions import RecordChanges, View
 from oatcart.views.entries import SERVING, EndpointEntry
 from oatcart.views.history import ViewHistory
 from oatcart.views.list_guard import ListChanges
@@ -31,7 +31,10 @@
     """
 
     def __init__(
-        self, configuration: Configuration, revisions: RevisionSequence, decide: Callable[[Update], None]
+        self,
+        configuration: Configuration,
+        revisions: RevisionSequence,
+        decide: Callable[[RecordChanges], None],
     ) -> None:
         self.configuration, self.revisions, self.decide = configuration, revisions, decide
         self.entries: dict[str, EndpointEntry] = {}
@@ -52,20 +55,20 @@
         if _decision_inputs(configuration) != _decision_inputs(old):
             self._decide_all()
         elif self.entries:
-            self.decide(Update(controllers=self._live_controllers(), gone=gone))
+            self.decide(RecordChanges(controllers=self._live_controllers(), removed_controllers=gone))
 
     def expire(self, names: Collection[str]) -> None:
         """The leases of these controllers have expired: the others' views are decided without them."""
         self.expired.update(names)
         self._drop_views(names)
         if self.entries:
-            self.decide(Update(gone=names))
+            self.decide(RecordChanges(removed_controllers=names))
 
     def restore(self, name: str) -> None:
         """An expired controller has a lease again: its view is decided anew."""
         self.expired.discard(name)
         if self.entries:
-            self.decide(Update(controllers=[self.controllers[name]]))
+            self.decide(RecordChanges(controllers=[self.controllers[name]]))
 
     def apply_list_changes(self, changes: ListChanges) -> None:
         """Applies changes of the endpoint list; `publish` makes them known.
@@ -86,7 +89,7 @@
         )
         nodes = self.configuration.nodes
         endpoints = [endpoint_record(entry, nodes) for entry in changes.changed.values()]
-        self.decide(Update(endpoints=endpoints, removed=changes.removed))
+        self.decide(RecordChanges(endpoints=endpoints, removed_endpoints=changes.removed))
 
     def apply_views(self, views: Mapping[str, View]) -> None:
         """Takes over views as decided; `publish` makes them known."""
@@ -149,7 +152,7 @@
             return
         nodes = self.configuration.nodes
         self.decide(
-            Update(
+            RecordChanges(
                 endpoints=[endpoint_record(entry, nodes) for entry in self.entries.values()],
                 controllers=self._live_controllers(),
                 limits=self.configuration.limits,
--- a/oatcart/views/quotas.py
+++ b/oatcart/views/quotas.py
@@ -9,44 +9,44 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-LEAST_PLACES = 2
-RESERVE = 2
+MIN_ENDPOINTS = 2
+REPLACEMENT_RESERVE = 2
 
 
 class Quota(NamedTuple):
     """One service's part of a view: `seats` are filled by rendezvous order, `places` bound the part as a
     whole."""
 
-    seats: int
-    places: int
+    matched: int
+    total: int
 
 
-def least_needed(endpoint_counts: Mapping[str, int]) -> int:
+def min_capacity(endpoint_counts: Mapping[str, int]) -> int:
     """The capacity without which some service would have less than two nodes in the view."""
-    return sum(min(count, LEAST_PLACES) for count in endpoint_counts.values())
+    return sum(min(count, MIN_ENDPOINTS) for count in endpoint_counts.values())
 
 
-def share_places(endpoint_counts: Mapping[str, int], capacity: int) -> dict[str, Quota]:
+def assign_quotas(endpoint_counts: Mapping[str, int], capacity: int) -> dict[str, Quota]:
     """Share `capacity` places among the services, whose order decides which get one place more than the
     level.
 
-    >>> share_places({"api": 900, "tiny": 3}, 100)
-    {'api': Quota(seats=95, places=97), 'tiny': Quota(seats=3, places=3)}
+    >>> assign_quotas({"api": 900, "tiny": 3}, 100)
+    {'api': Quota(matched=95, total=97), 'tiny': Quota(matched=3, total=3)}
     """
-    level = _fair_level(list(endpoint_counts.values()), capacity)
-    spare = capacity - sum(min(count, level) for count in endpoint_counts.values())
+    level = _max_min_level(list(endpoint_counts.values()), capacity)
+    remainder = capacity - sum(min(count, level) for count in endpoint_counts.values())
     quotas = {}
     for service, count in endpoint_counts.items():
-        own_level = level
-        if count > level and spare > 0:
-            own_level += 1
-            spare -= 1
-        reserve = max(0, min(RESERVE, own_level - LEAST_PLACES))
-        quotas[service] = Quota(min(count, own_level - reserve), min(count, own_level))
+        level_here = level
+        if count > level and remainder > 0:
+            level_here += 1
+            remainder -= 1
+        reserve = max(0, min(REPLACEMENT_RESERVE, level_here - MIN_ENDPOINTS))
+        quotas[service] = Quota(min(count, level_here - reserve), min(count, level_here))
     return quotas
 
 
-def _fair_level(counts: list[int], capacity: int) -> int:
+def _max_min_level(counts: list[int], capacity: int) -> int:
     """The greatest whole level at which the services' places together fit in the capacity.
 
     Where every service fits whole the level lies above all counts, with room for the reserve.
@@ -58,4 +58,4 @@
         if count > level:
             return level
         left -= count
-    return max(ascending, default=0) + RESERVE
+    return max(ascending, default=0) + REPLACEMENT_RESERVE
--- a/oatcart/views/role.py
+++ b/oatcart/views/role.py
@@ -14,7 +14,7 @@
 from oatcart.net.reload import Unusable
 from oatcart.net.stream import Address
 from oatcart.views.configuration import Configuration, ServedController, Wrong, read
-from oatcart.views.deciding import DecidingThread, View
+from oatcart.views.decisions import DecisionThread, View
 from oatcart.views.leases import LeaseCheck, LeaseTable
 from oatcart.views.list_guard import AcceptedList, ListChanges
 from oatcart.views.list_watcher import ListWatcher
@@ -60,8 +60,8 @@
     def __init__(self, configuration: Configuration, loop: Loop, log: Log) -> None:
         self.configuration, self.loop, self.log = configuration, loop, log
         chance = SystemRandom()
-        self.deciding = DecidingThread(loop, self._decided)
-        self.publisher = Publisher(configuration, RevisionSequence(chance), self.deciding.put)
+        self.decisions = DecisionThread(loop, self._apply_views)
+        self.publisher = Publisher(configuration, RevisionSequence(chance), self.decisions.submit)
         self.accepted = AcceptedList(configuration.guard)
         self.watcher = ListWatcher(
             self.loop, self.log, configuration.source, self.accepted, chance.uniform, self._apply_list_changes
@@ -88,7 +88,7 @@
         if self.configuration.leases is not None:
             self.leases = LeaseTable(self.configuration.leases, self.publisher.controllers, self.loop.now)
             self._check_leases_later()
-        self.deciding.start()
+        self.decisions.start()
         self.watcher.start()
         self._keep_telling()
 
@@ -101,8 +101,8 @@
         self.loop.turn(longest)
         if self.watcher.failed:
             raise RuntimeError("the follower has failed; its log line tells why")
-        if self.deciding.failure is not None:
-            raise RuntimeError("a decision has failed") from self.deciding.failure
+        if self.decisions.failure is not None:
+            raise RuntimeError("a decision has failed") from self.decisions.failure
         if self.failure is not None:
             raise RuntimeError("views cannot be brought up to date") from self.failure
         self.longest = max(self.longest, self.loop.clock() - self.loop.now)
@@ -110,7 +110,7 @@
     def stop(self) -> None:
         """Follow and serve no more; all connections end."""
         self.watcher.stop()
-        self.deciding.stop()
+        self.decisions.stop()
         for listener in (self.main, *self.listeners.values()):
             self.server.unlisten(listener)
         self.listeners = {}
@@ -212,7 +212,7 @@
                 "a view may take more than views.most_bytes",
             )
 
-    def _decided(self, views: Mapping[str, View]) -> None:
+    def _apply_views(self, views: Mapping[str, View]) -> None:
         self.publisher.apply_views(views)
         self._publish_soon()
         if held := [name for name in views if self.server.undecided.get(name)]:
--- a/oatcart/views/subsets.py
+++ b/oatcart/views/subsets.py
@@ -16,8 +16,7 @@
 from collections.abc import Iterable
 
 from oatcart.views.keys import unit_hash
-from oatcart.views.pool import Pool
-from oatcart.views.quotas import Quota, least_needed, share_places
+from oatcart.views.quotas import Quota, assign_quotas, min_capacity
 from oatcart.views.records import (
     Controller,
     Endpoint,
@@ -26,6 +25,7 @@
     UnknownControllerError,
     ViewLimits,
 )
+from oatcart.views.service_pool import ServicePool
 
 
 class Subsets:
@@ -37,15 +37,16 @@
         self._endpoints: dict[str, Endpoint] = {}
         self._controllers: dict[str, Controller] = {}
         self._controllers_of_all: set[str] = set()
-        self._pools: dict[str, Pool] = {}
+        self._pools: dict[str, ServicePool] = {}
         self._counts_before: dict[
             str, int
         ] = {}  # nodes of each service whose nodes changed, when last settled
-        self._of_other_service: set[str] = set()  # nodes that have changed their service
-        self._unsettled: set[str] = set()
-        self._unshared: set[str] = set()  # conductors whose quotas are to be worked out
+        self._changed_service: set[str] = set()  # nodes that have changed their service
+        self._changed_services: set[str] = set()
+        self._quota_changes: set[str] = set()  # conductors whose quotas are to be worked out
         self._views: dict[str, tuple[str, ...]] = {}
-        self._refused: dict[str, int] = {}  # the places that conductors would need whose services do not fit
+        # the places that conductors would need whose services do not fit
+        self._too_large: dict[str, int] = {}
         self._changed: set[str] = set()
 
     # Changes.
@@ -60,7 +61,7 @@
             return
         if before is not None and before.service != endpoint.service:
             self.remove_endpoint(endpoint.id)
-            self._of_other_service.add(endpoint.id)
+            self._changed_service.add(endpoint.id)
         self._note_count(endpoint.service)
         self._endpoints[endpoint.id] = endpoint
         self._pool(endpoint.service).put_endpoint(endpoint)
@@ -88,7 +89,7 @@
         self._controllers[controller.name] = controller
         if not controller.services:
             self._controllers_of_all.add(controller.name)
-        self._unshared.add(controller.name)
+        self._quota_changes.add(controller.name)
 
     def put_controllers(self, controllers: Iterable[Controller]) -> None:
         """`put_controller` for each."""
@@ -101,9 +102,9 @@
         if controller is None:
             return
         self._forget_controller(controller)
-        self._unshared.discard(name)
+        self._quota_changes.discard(name)
         self._views.pop(name, None)
-        self._refused.pop(name, None)
+        self._too_large.pop(name, None)
         self._changed.discard(name)
 
     # Questions.
@@ -114,16 +115,16 @@
         UnknownControllerError where no such conductor is alive, TooManyServicesError where its services
         do not fit in a view.
         """
-        self._settle()
-        if name in self._refused:
-            raise TooManyServicesError(name, self._refused[name], self._limits.capacity)
+        self._update()
+        if name in self._too_large:
+            raise TooManyServicesError(name, self._too_large[name], self._limits.capacity)
         if name not in self._controllers:
             raise UnknownControllerError(name)
         return self._views[name]
 
     def holders(self, endpoint_id: str) -> frozenset[str]:
         """The conductors that are told of a node; none where the node is not known."""
-        self._settle()
+        self._update()
         endpoint = self._endpoints.get(endpoint_id)
         return (
             frozenset()
@@ -131,55 +132,55 @@
             else frozenset(self._pools[endpoint.service].holders_of(endpoint_id))
         )
 
-    def take_changed(self) -> frozenset[str]:
+    def pop_changed(self) -> frozenset[str]:
         """The conductors, among those alive, whose view or a record in it changed since the last call."""
-        self._settle()
+        self._update()
         changed = frozenset(self._changed)
         self._changed.clear()
         return changed
 
     # Working changes out.
 
-    def _pool(self, service: str) -> Pool:
+    def _pool(self, service: str) -> ServicePool:
         if service not in self._pools:
-            self._pools[service] = Pool(self._limits.overload, self._seed)
+            self._pools[service] = ServicePool(self._limits.overload, self._seed)
         return self._pools[service]
 
     def _note_count(self, service: str) -> None:
         pool = self._pools.get(service)
         self._counts_before.setdefault(service, len(pool.endpoints) if pool else 0)
-        self._unsettled.add(service)
+        self._changed_services.add(service)
 
     def _forget_controller(self, controller: Controller) -> None:
         for service in self._services_of(controller):
             if service in self._pools:
                 self._pools[service].remove_controller(controller.name)
-                self._unsettled.add(service)
+                self._changed_services.add(service)
         self._controllers_of_all.discard(controller.name)
 
     def _services_of(self, controller: Controller) -> Iterable[str]:
         return controller.services or self._pools.keys()
 
-    def _settle(self) -> None:
-        if not self._unsettled and not self._unshared:
+    def _update(self) -> None:
+        if not self._changed_services and not self._quota_changes:
             return
-        self._note_shifted_quotas()
-        for name in self._unshared:
-            self._share(self._controllers[name])
-        moved: set[str] = set(self._unshared)
-        for service in self._unsettled:
+        self._note_quota_changes()
+        for name in self._quota_changes:
+            self._assign_quotas(self._controllers[name])
+        reassigned: set[str] = set(self._quota_changes)
+        for service in self._changed_services:
             affected = self._pools[service].settle()
-            moved |= affected.moved
-            self._changed |= affected.restated & self._controllers.keys()
-        self._unshared.clear()
-        self._unsettled.clear()
-        for name in moved & self._controllers.keys():
-            self._renew_view(self._controllers[name])
-        for endpoint_id in self._of_other_service & self._endpoints.keys():
+            reassigned |= affected.reassigned
+            self._changed |= affected.updated & self._controllers.keys()
+        self._quota_changes.clear()
+        self._changed_services.clear()
+        for name in reassigned & self._controllers.keys():
+            self._update_view(self._controllers[name])
+        for endpoint_id in self._changed_service & self._endpoints.keys():
             self._changed |= self._pools[self._endpoints[endpoint_id].service].holders_of(endpoint_id)
-        self._of_other_service.clear()
+        self._changed_service.clear()
 
-    def _note_shifted_quotas(self) -> None:
+    def _note_quota_changes(self) -> None:
         """Note the conductors whose shares of their views change with the number of a service's nodes."""
         for service, count_before in self._counts_before.items():
             pool = self._pools[service]
@@ -187,30 +188,30 @@
             if count == count_before:
                 continue
             if not count or not count_before:
-                self._unshared |= self._controllers_of_all
+                self._quota_changes |= self._controllers_of_all
             least = min(count, count_before)
-            self._unshared.update(name for name, quota in pool.quotas.items() if quota.places >= least)
-            self._unshared.update(
-                name for name in self._refused if service in self._services_of(self._controllers[name])
+            self._quota_changes.update(name for name, quota in pool.quotas.items() if quota.total >= least)
+            self._quota_changes.update(
+                name for name in self._too_large if service in self._services_of(self._controllers[name])
             )
         self._counts_before.clear()
 
-    def _share(self, controller: Controller) -> None:
+    def _assign_quotas(self, controller: Controller) -> None:
         """Work out how many nodes of each service a conductor holds."""
-        services = self._in_own_order(controller)
+        services = self._ordered_services(controller)
         counts = {service: len(self._pool(service).endpoints) for service in services}
-        needed = least_needed(counts)
-        self._refused.pop(controller.name, None)
+        needed = min_capacity(counts)
+        self._too_large.pop(controller.name, None)
         if needed > self._limits.capacity:
-            self._refused[controller.name] = needed
+            self._too_large[controller.name] = needed
             self._forget_controller(controller)
             if not controller.services:
                 self._controllers_of_all.add(controller.name)
             return
-        for service, quota in share_places(counts, self._limits.capacity).items():
+        for service, quota in assign_quotas(counts, self._limits.capacity).items():
             self._set_quota(service, controller.name, quota)
 
-    def _in_own_order(self, controller: Controller) -> list[str]:
+    def _ordered_services(self, controller: Controller) -> list[str]:
         """A conductor's services, in an order of its own: the first get the places that do not divide."""
         return sorted(
             set(self._services_of(controller)),
@@ -221,14 +222,14 @@
         pool = self._pools[service]
         if pool.quotas.get(name) != quota:
             pool.set_quota(name, quota)
-            self._unsettled.add(service)
+            self._changed_services.add(service)
 
-    def _renew_view(self, controller: Controller) -> None:
-        held: list[str] = []
-        if controller.name not in self._refused:
+    def _update_view(self, controller: Controller) -> None:
+        endpoint_ids: list[str] = []
+        if controller.name not in self._too_large:
             for service in set(self._services_of(controller)):
-                held.extend(self._pools[service].held_by(controller.name))
-        view = tuple(sorted(held))
-        if self._views.get(controller.name) != view or controller.name in self._refused:
+                endpoint_ids.extend(self._pools[service].endpoints_of(controller.name))
+        view = tuple(sorted(endpoint_ids))
+        if self._views.get(controller.name) != view or controller.name in self._too_large:
             self._changed.add(controller.name)
         self._views[controller.name] = view
--- a/tests/views/test_views_deciding.py
+++ b/tests/views/test_views_decisions.py
@@ -3,7 +3,7 @@
 import pytest
 from views_stage import Stage, controller, ids, node, phases
 
-from oatcart.views.deciding import Decider, Update
+from oatcart.views.decisions import RecordChanges, ViewDecider
 from oatcart.views.records import Controller, Endpoint, TooManyServicesError, ViewLimits
 from oatcart.views.role import ControlRole
 
@@ -40,7 +40,7 @@
     told = stage.get("c0", f"?since={revision}")
     assert phases(told) == {"s-0": "DRAINING", "s-1": "DELETED"}
     for update in held:
-        stage.role.deciding.put(update)
+        stage.role.decisions.submit(update)
     stage.until(lambda: "new" in ids(stage.get("c0")), "what was decided")
 
 
@@ -55,7 +55,7 @@
         refused = stage.call(address, "/v1/servers")
         stage.until(lambda: refused.over, "an answer")
         assert "status 503" in str(refused.ended) and len(held) == 1
-        stage.role.deciding.put(held[0])
+        stage.role.decisions.submit(held[0])
         assert ids(stage.get("c0")) == ["s-0"]
     finally:
         stage.close()
@@ -63,8 +63,8 @@
 
 def test_an_unforeseen_error_in_a_decision_ends_the_process_not_the_views(stage):
     before = stage.get("c0")
-    stage.role.deciding.put(Update(endpoints=[None]))
-    stage.until(lambda: stage.role.deciding.failure, "the error")
+    stage.role.decisions.submit(RecordChanges(endpoints=[None]))
+    stage.until(lambda: stage.role.decisions.failure, "the error")
     assert stage.get("c0") == before
     with pytest.raises(RuntimeError, match="a decision has failed"):
         stage.role.turn(0.0)
@@ -83,19 +83,26 @@
 
 
 def test_updates_that_wait_are_decided_together_and_only_what_changed_comes_back():
-    decider = Decider()
+    decider = ViewDecider()
     everyone = [Controller("c0", "r", "a", ("x",)), Controller("c1", "r", "a", ("y",))]
-    first = Update([endpoint("x0"), endpoint("y0", "y")], controllers=everyone, limits=ViewLimits(), seed=3)
+    first = RecordChanges(
+        [endpoint("x0"), endpoint("y0", "y")], controllers=everyone, limits=ViewLimits(), seed=3
+    )
     assert decider.decide([first]) == {"c0": ("x0",), "c1": ("y0",)}
-    assert decider.decide([Update([endpoint("x1")]), Update(removed=["x0"])]) == {"c0": ("x1",)}
-    assert decider.decide([Update(gone=["c1"]), Update([endpoint("y1", "y")])]) == {}
+    assert decider.decide([RecordChanges([endpoint("x1")]), RecordChanges(removed_endpoints=["x0"])]) == {
+        "c0": ("x1",)
+    }
+    assert (
+        decider.decide([RecordChanges(removed_controllers=["c1"]), RecordChanges([endpoint("y1", "y")])])
+        == {}
+    )
 
 
 def test_a_view_that_cannot_be_decided_comes_back_as_the_reason():
-    decider = Decider()
-    services = [Update([endpoint(f"{one}{number}", one) for one in "xyz" for number in range(2)])]
+    decider = ViewDecider()
+    services = [RecordChanges([endpoint(f"{one}{number}", one) for one in "xyz" for number in range(2)])]
     views = decider.decide(
-        [Update(controllers=[Controller("c0", "r", "a", ())], limits=ViewLimits(3)), *services]
+        [RecordChanges(controllers=[Controller("c0", "r", "a", ())], limits=ViewLimits(3)), *services]
     )
     assert isinstance(views["c0"], TooManyServicesError) and "needs 6 nodes" in str(views["c0"])
 
--- a/tests/views/test_views_leases.py
+++ b/tests/views/test_views_leases.py
@@ -9,7 +9,7 @@
 
 from oatcart.net.http import Client
 from oatcart.views.configuration import Configuration, Wrong, read
-from oatcart.views.deciding import Decider, Update
+from oatcart.views.decisions import RecordChanges, ViewDecider
 from oatcart.views.leases import LeaseTable
 from oatcart.views.liveness import LivenessSettings
 from oatcart.views.publisher import endpoint_record
@@ -90,9 +90,9 @@
     """The views of these conductors as a fresh start decides them."""
     publisher = stage.role.publisher
     nodes = publisher.configuration.nodes
-    return Decider().decide(
+    return ViewDecider().decide(
         [
-            Update(
+            RecordChanges(
                 endpoints=[endpoint_record(entry, nodes) for entry in publisher.entries.values()],
                 controllers=[publisher.controllers[name] for name in names],
                 limits=publisher.configuration.limits,
--- a/tests/views/test_views_subsets.py
+++ b/tests/views/test_views_subsets.py
@@ -131,7 +131,7 @@
 
     @invariant()
     def changes_are_told(self):
-        changed = self.subsets.take_changed()
+        changed = self.subsets.pop_changed()
         assert changed <= self.controllers.keys()
         for name in self.controllers:
             view = self.subsets.view(name)
@@ -195,7 +195,7 @@
         assert (refused.value.needed, refused.value.capacity) == (14, 12)
     for endpoint in endpoints_of(services[0], 4):
         subsets.remove_endpoint(endpoint.id)
-    assert subsets.take_changed() == {"greedy", "all"}
+    assert subsets.pop_changed() == {"greedy", "all"}
     assert len(subsets.view("greedy")) == len(subsets.view("all")) == 12
 
 
@@ -355,7 +355,7 @@
         for part in range(4):
             subsets.put_endpoints(endpoints[part::4])
             subsets.put_controllers(controllers[part::4])
-            subsets.take_changed()
+            subsets.pop_changed()
         decided.append(held_pairs(subsets, controllers))
     assert all(pairs == decided[0] for pairs in decided[1:])
 
@@ -383,20 +383,20 @@
 def test_holders_are_told_of_a_node_that_changes_its_service_though_they_hold_the_same_nodes():
     endpoint, controller = endpoints_of("api", 1)[0], controllers_of(1, ("api", "cart"))[0]
     subsets = subsets_of([endpoint], [controller])
-    subsets.take_changed()
+    subsets.pop_changed()
     subsets.put_endpoint(endpoint._replace(service="cart"))
     assert subsets.view(controller.name) == (endpoint.id,)
-    assert subsets.take_changed() == {controller.name}
+    assert subsets.pop_changed() == {controller.name}
 
 
 def test_a_drain_reaches_every_holder_and_moves_nobody():
     endpoints, controllers = planned_endpoints(), planned_controllers()
     subsets = subsets_of(endpoints, controllers, FLEET_LIMITS)
     before = held_pairs(subsets, controllers)
-    subsets.take_changed()
+    subsets.pop_changed()
     for endpoint in endpoints[::31]:
         subsets.put_endpoint(endpoint._replace(ready=False))
-        assert subsets.take_changed() == subsets.holders(endpoint.id)
+        assert subsets.pop_changed() == subsets.holders(endpoint.id)
     assert before <= held_pairs(subsets, controllers)
 
 
