--- /dev/null
+++ b/oatcart/views/matching_repair.py
@@ -0,0 +1,118 @@
+"""Repairs a matching after a few changes: only what they disturbed is worked out.
+
+A controller with an unfilled quota takes the best endpoints that admit it, and an endpoint below its holder
+limit takes the best controllers that want it, until nothing is left to repair. Each step replaces a pair by
+one with a smaller key, so this ends; and as the stable matching is unique, it ends at the one of
+`greedy.match_greedily`.
+"""
+
+import numpy
+
+from oatcart.views.matching_state import MatchingState
+
+
+def repair(state: MatchingState) -> None:
+    """Repairs the matching for the holder limits in `state`."""
+    _evict_beyond_limits(state)
+    _reopen_below_limits(state)
+    while state.unfilled_rows or state.reopened_columns:
+        if state.unfilled_rows:
+            _fill_quota(state, state.unfilled_rows.pop())
+        else:
+            _admit_holders(state, state.reopened_columns.pop())
+
+
+def _evict_beyond_limits(state: MatchingState) -> None:
+    for column in numpy.flatnonzero(state.holder_counts > state.holder_limits).tolist():
+        while state.holder_counts[column] > state.holder_limits[column]:
+            state.evict_last_holder(column)
+        state.update_column_threshold(column)
+
+
+def _reopen_below_limits(state: MatchingState) -> None:
+    """Brings the thresholds of all endpoints in line with their limits, which may have changed."""
+    is_open = state.holder_counts < state.holder_limits
+    newly_open = numpy.flatnonzero(is_open & numpy.isfinite(state.column_thresholds))
+    state.reopened_columns.update(newly_open.tolist())
+    state.column_thresholds[is_open] = numpy.inf
+    for column in numpy.flatnonzero(~is_open & numpy.isposinf(state.column_thresholds)).tolist():
+        state.update_column_threshold(column)
+
+
+def _fill_quota(state: MatchingState, row: int) -> None:
+    """A controller chooses anew among the endpoints that it has and those that admit it."""
+    keys = state.keys(row, slice(None))
+    assigned = state.assigned[row]
+    keys[~assigned & (keys >= state.column_thresholds)] = numpy.inf
+    is_chosen = numpy.zeros_like(assigned)
+    is_chosen[_best_columns(state, keys, int(state.quotas[row]))] = True
+    for column in numpy.flatnonzero(assigned & ~is_chosen).tolist():
+        state.release(row, column)
+    for column in numpy.flatnonzero(~assigned & is_chosen).tolist():
+        state.assign(row, column)
+        if state.holder_counts[column] > state.holder_limits[column]:
+            state.evict_last_holder(column)
+        state.update_column_threshold(column)
+    state.update_row_threshold(row)
+
+
+def _best_columns(state: MatchingState, keys: numpy.ndarray, quota: int) -> numpy.ndarray:
+    """The endpoints of the smallest finite keys. If all were in one zone of several, the last is of another
+    zone or none."""
+    best = _smallest(keys, quota)
+    zones = state.zones[best]
+    if not state.has_several_zones or quota < 2 or len(best) < quota or (zones != zones[0]).any():
+        return best
+    elsewhere = numpy.where(state.zones != zones[0], keys, numpy.inf)
+    return numpy.concatenate([best[:-1], _smallest(elsewhere, 1)])
+
+
+def _admit_holders(state: MatchingState, column: int) -> None:
+    """An endpoint takes the best controllers that want it, also in place of holders that came meanwhile."""
+    state.update_column_threshold(column)
+    keys = state.keys(slice(None), column)
+    is_unwilling = state.assigned[:, column] | (keys >= state.row_thresholds)
+    keys[is_unwilling | (keys >= state.column_thresholds[column])] = numpy.inf
+    for row in _smallest(keys, len(keys)).tolist():
+        if keys[row] >= state.column_thresholds[column]:
+            break
+        if _take_endpoint(state, row, column, keys[row]):
+            if state.holder_counts[column] > state.holder_limits[column]:
+                state.evict_last_holder(column)
+            if state.holder_counts[column] == state.holder_limits[column]:
+                state.update_column_threshold(column)
+
+
+def _take_endpoint(state: MatchingState, row: int, column: int, key: float) -> bool:
+    """A controller takes an endpoint, within its quota or in place of one with a larger key. Returns False if
+    neither is possible."""
+    rivals = _rivals(state, row, column)
+    if len(rivals):
+        rival_keys = state.keys(row, rivals)
+        last = int(numpy.argmax(rival_keys))
+        if rival_keys[last] <= key:
+            return False
+        state.release(row, int(rivals[last]))
+    state.assign(row, column)
+    state.update_row_threshold(row)
+    return True
+
+
+def _rivals(state: MatchingState, row: int, column: int) -> numpy.ndarray:
+    """The endpoints of which the controller would release one for this endpoint; none if its quota has
+    room."""
+    columns = numpy.flatnonzero(state.assigned[row])
+    quota = int(state.quotas[row])
+    if state.has_several_zones and quota > 1:
+        same_zone = columns[state.zones[columns] == state.zones[column]]
+        if len(same_zone) == quota - 1:
+            return same_zone
+    return columns if len(columns) == quota else columns[:0]
+
+
+def _smallest(keys: numpy.ndarray, count: int) -> numpy.ndarray:
+    """The indices of the `count` smallest finite keys, the smallest first; fewer if fewer are finite."""
+    finite = numpy.flatnonzero(numpy.isfinite(keys))
+    if len(finite) > count:
+        finite = finite[numpy.argpartition(keys[finite], count)[:count]]
+    return finite[numpy.argsort(keys[finite])]
--- a/oatcart/views/name_index.py
+++ b/oatcart/views/name_index.py
@@ -1,8 +1,8 @@
-"""Whole numbers for names, from 0 up, for use as array indices; numbers of dropped names are used again."""
+"""Gives names the indices of arrays, from 0 up; the indices of removed names are used again."""
 
 
 class NameIndex:
-    """Numbers in use by name, and names by number (None where the number is free)."""
+    """The index of each name, and the name at each index (None if the index is free)."""
 
     def __init__(self) -> None:
         self.index_of: dict[str, int] = {}
@@ -10,7 +10,7 @@
         self._free: list[int] = []
 
     def allocate(self, name: str) -> int:
-        """A number for a name that has none yet."""
+        """Gives an index to a name that has none."""
         if self._free:
             index = self._free.pop()
             self.names[index] = name
@@ -21,7 +21,7 @@
         return index
 
     def release(self, name: str) -> int:
-        """The number that the name had and that is free now. A name without a number is a KeyError."""
+        """Frees the index of a name and returns it. Raises KeyError if the name has none."""
         index = self.index_of.pop(name)
         self.names[index] = None
         self._free.append(index)
--- a/oatcart/views/quotas.py
+++ b/oatcart/views/quotas.py
@@ -1,34 +1,32 @@
-"""How many places each service gets in one conductor's view: max-min fair sharing of the view's capacity.
+"""How many endpoints of each service one controller's view has: max-min fair sharing of the view's capacity.
 
-Every service gets the same number of places, the level, but never more than it has nodes; what small services
-leave goes to the larger ones. A service with more nodes than places keeps `RESERVE` of its places free for
-ready nodes that stand in for draining ones. A service's own growth beyond the level changes no quota, so that
-it moves nothing.
+Every service gets the same number, the level, but never more than it has endpoints; what small services leave
+goes to the larger ones. A service with more endpoints than its quota keeps a reserve for ready endpoints that
+replace draining ones. A service that grows beyond the level changes no quota, so its growth moves nothing.
 """
 
 from collections.abc import Mapping
 from typing import NamedTuple
 
-MIN_ENDPOINTS = 2
-REPLACEMENT_RESERVE = 2
+MIN_ENDPOINTS = 2  # of a service in a view
+REPLACEMENT_RESERVE = 2  # endpoints of a service's quota that the matching does not assign
 
 
 class Quota(NamedTuple):
-    """One service's part of a view: `seats` are filled by rendezvous order, `places` bound the part as a
-    whole."""
+    """Endpoints of one service in a view. `matched` are assigned by the matching, `total` bounds all."""
 
     matched: int
     total: int
 
 
 def min_capacity(endpoint_counts: Mapping[str, int]) -> int:
-    """The capacity without which some service would have less than two nodes in the view."""
+    """The view capacity below which some service would have less than `MIN_ENDPOINTS` of its endpoints."""
     return sum(min(count, MIN_ENDPOINTS) for count in endpoint_counts.values())
 
 
 def assign_quotas(endpoint_counts: Mapping[str, int], capacity: int) -> dict[str, Quota]:
-    """Share `capacity` places among the services, whose order decides which get one place more than the
-    level.
+    """Shares `capacity` endpoints among the services. What the level leaves over goes to the first services,
+    one endpoint each.
 
     >>> assign_quotas({"api": 900, "tiny": 3}, 100)
     {'api': Quota(matched=95, total=97), 'tiny': Quota(matched=3, total=3)}
@@ -37,19 +35,19 @@
     remainder = capacity - sum(min(count, level) for count in endpoint_counts.values())
     quotas = {}
     for service, count in endpoint_counts.items():
-        level_here = level
+        service_level = level
         if count > level and remainder > 0:
-            level_here += 1
+            service_level += 1
             remainder -= 1
-        reserve = max(0, min(REPLACEMENT_RESERVE, level_here - MIN_ENDPOINTS))
-        quotas[service] = Quota(min(count, level_here - reserve), min(count, level_here))
+        reserve = max(0, min(REPLACEMENT_RESERVE, service_level - MIN_ENDPOINTS))
+        quotas[service] = Quota(min(count, service_level - reserve), min(count, service_level))
     return quotas
 
 
 def _max_min_level(counts: list[int], capacity: int) -> int:
-    """The greatest whole level at which the services' places together fit in the capacity.
+    """The greatest whole level at which the services together fit in the capacity.
 
-    Where every service fits whole the level lies above all counts, with room for the reserve.
+    If all services fit completely, the level lies above all counts by the reserve.
     """
     left = capacity
     ascending = sorted(counts)
--- a/oatcart/views/service_pool.py
+++ b/oatcart/views/service_pool.py
@@ -87,12 +87,12 @@
             return list(self.endpoints)
         if name in self._overrides:
             return self._overrides[name]
-        return self._matching.endpoints_of(name) if name in self._matching.controllers.index_of else []
+        return self._matching.endpoints_of(name) if self._matching.has_controller(name) else []
 
     def holders_of(self, endpoint_id: str) -> set[str]:
         """The conductors that are told of a node."""
         holders = set(self._complete_holders)
-        if endpoint_id in self._matching.endpoints.index_of:
+        if self._matching.has_endpoint(endpoint_id):
             holders.update(self._matching.holders_of(endpoint_id))
         for name, held in self._overrides.items():
             if endpoint_id in held:
@@ -108,11 +108,10 @@
         updated_endpoints = self._change_endpoints()
         reassigned = self._change_controllers()
         if len(self._endpoints_before) + len(self._controllers_changed) > self._max_repaired():
-            self._matching.rebuild()
+            self._matching.recompute()
         else:
-            self._matching.settle()
-        reassigned |= self._matching.changed
-        self._matching.changed.clear()
+            self._matching.repair()
+        reassigned |= self._matching.pop_changed()
         if any(self._was_added_or_removed(endpoint_id) for endpoint_id in self._endpoints_before):
             reassigned |= self._complete_holders
         updated = self._update_overrides(reassigned, updated_endpoints)
@@ -161,7 +160,7 @@
             quota = self.quotas.get(name)
             self._complete_holders.discard(name)
             is_partial = quota is not None and quota.matched < count
-            was_partial = name in self._matching.controllers.index_of
+            was_partial = self._matching.has_controller(name)
             if is_partial and was_partial:
                 self._matching.resize_controller(name, quota.matched)
             elif is_partial:
@@ -185,7 +184,7 @@
         affected = reassigned | holders | self._overrides.keys()
         needs = coverage_needs(self._ready_by_zone)
         if needs != self._needs:
-            affected |= self._matching.controllers.index_of.keys()
+            affected |= self._matching.controllers()
         self._needs = needs
         for name in affected:
             if self._update_override(name):
@@ -195,7 +194,7 @@
     def _update_override(self, name: str) -> bool:
         """Note what a conductor holds beside the matching; whether that changed."""
         before = self._overrides.pop(name, None)
-        if name not in self._matching.controllers.index_of:
+        if not self._matching.has_controller(name):
             return before is not None
         swaps = self._swaps.get(name, [])
         if not swaps and self._suffices(name):
