--- a/oatcart/views/service_pool.py
+++ b/oatcart/views/service_pool.py
@@ -1,6 +1,7 @@
-"""One service: its nodes, the conductors that need it, and which of the nodes each of them is told of.
+"""One service: its endpoints, the controllers that need it, and which of the endpoints are in each one's
+view.
 
-A conductor whose quota has a seat for every node holds the service whole. The others share it by the
+A controller whose quota allows all endpoints is a complete holder. The others share the endpoints by the
 matching.
 """
 
@@ -20,14 +21,17 @@
 from oatcart.views.quotas import Quota
 from oatcart.views.records import Endpoint
 
-_MIN_REPAIRED_CHANGES = 4  # this many changes at once, and
-_RECORDS_PER_CHANGE = 50  # one more for so many conductors and nodes, are mended; more are matched anew
+# The matching is repaired after at most this many changes, and one more for so many records; after more it is
+# cheaper to recompute it.
+_MIN_REPAIRED_CHANGES = 4
+_RECORDS_PER_CHANGE = 50
 
 
 class AffectedControllers(NamedTuple):
-    """Conductors that changes concern.
+    """The names of controllers that changes concern.
 
-    `moved` may hold other nodes than before, `restated` hold a node that stays with another record.
+    `reassigned` may have other endpoints than before, `updated` have an endpoint that stays with another
+    record.
     """
 
     reassigned: set[str]
@@ -35,7 +39,10 @@
 
 
 class ServicePool:
-    """The records of one service. Changes are noted, and worked out together by `settle`."""
+    """The records of one service. Changes are noted at once and worked out together by `settle`.
+
+    `overload`: see `Matching`.
+    """
 
     def __init__(self, overload: float, seed: int) -> None:
         self.endpoints: dict[str, Endpoint] = {}
@@ -45,17 +52,14 @@
         self._matching = Matching(overload, seed)
         self._complete_holders: set[str] = set()
         self._swaps: dict[str, list[Swap]] = {}
-        self._overrides: dict[
-            str, list[str]
-        ] = {}  # by conductor, what it holds where the matching says otherwise
+        # By controller: its endpoints, if they are not those of the matching.
+        self._overrides: dict[str, list[str]] = {}
         self._needs = CoverageNeeds(0, 0)
         self._endpoints_before: dict[str, Endpoint | None] = {}
         self._controllers_changed: set[str] = set()
 
-    # Changes.
-
     def put_endpoint(self, endpoint: Endpoint) -> None:
-        """A node comes, or its record changes."""
+        """Adds an endpoint, or replaces its record."""
         self._endpoints_before.setdefault(endpoint.id, self.endpoints.get(endpoint.id))
         self.endpoints[endpoint.id] = endpoint
         self._forget_ready(endpoint.id)
@@ -64,25 +68,23 @@
             self._ready_by_zone[zone_of(endpoint)] += 1
 
     def remove_endpoint(self, endpoint_id: str) -> None:
-        """A node is deleted."""
+        """Removes an endpoint. Raises KeyError if it is not known."""
         self._endpoints_before.setdefault(endpoint_id, self.endpoints.get(endpoint_id))
         del self.endpoints[endpoint_id]
         self._forget_ready(endpoint_id)
 
     def set_quota(self, name: str, quota: Quota) -> None:
-        """A conductor needs the service, or gets another number of places for it."""
+        """Gives a controller its quota of the service, the first or another one."""
         self.quotas[name] = quota
         self._controllers_changed.add(name)
 
     def remove_controller(self, name: str) -> None:
-        """A conductor needs the service no longer."""
+        """Removes a controller that needs the service no longer, if it did."""
         if self.quotas.pop(name, None) is not None:
             self._controllers_changed.add(name)
 
-    # What holds, once settled.
-
     def endpoints_of(self, name: str) -> list[str]:
-        """The nodes that a conductor is told of; empty where it does not need the service."""
+        """The endpoints in a controller's view, once settled; none if it does not need the service."""
         if name in self._complete_holders:
             return list(self.endpoints)
         if name in self._overrides:
@@ -90,19 +92,19 @@
         return self._matching.endpoints_of(name) if self._matching.has_controller(name) else []
 
     def holders_of(self, endpoint_id: str) -> set[str]:
-        """The conductors that are told of a node."""
+        """The controllers whose views have an endpoint, once settled."""
         holders = set(self._complete_holders)
         if self._matching.has_endpoint(endpoint_id):
             holders.update(self._matching.holders_of(endpoint_id))
-        for name, held in self._overrides.items():
-            if endpoint_id in held:
+        for name, endpoint_ids in self._overrides.items():
+            if endpoint_id in endpoint_ids:
                 holders.add(name)
             else:
                 holders.discard(name)
         return holders
 
     def settle(self) -> AffectedControllers:
-        """Work the changes out."""
+        """Works the noted changes out."""
         if not self._endpoints_before and not self._controllers_changed:
             return AffectedControllers(set(), set())
         updated_endpoints = self._change_endpoints()
@@ -131,7 +133,7 @@
         return (self._endpoints_before[endpoint_id] is None) != (endpoint_id not in self.endpoints)
 
     def _change_endpoints(self) -> list[str]:
-        """Bring the matching's nodes up to date; the nodes that stay with another record."""
+        """Brings the endpoints of the matching up to date; returns those that stay with another record."""
         updated = []
         for endpoint_id, before in self._endpoints_before.items():
             endpoint = self.endpoints.get(endpoint_id)
@@ -149,7 +151,7 @@
         return updated
 
     def _change_controllers(self) -> set[str]:
-        """Bring the matching's conductors up to date; those that this concerns."""
+        """Brings the controllers of the matching up to date; returns those that this concerns."""
         count = len(self.endpoints)
         self._controllers_changed.update(
             name
@@ -157,24 +159,28 @@
             if (quota.matched >= count) != (name in self._complete_holders)
         )
         for name in self._controllers_changed:
-            quota = self.quotas.get(name)
-            self._complete_holders.discard(name)
-            is_partial = quota is not None and quota.matched < count
-            was_partial = self._matching.has_controller(name)
-            if is_partial and was_partial:
-                self._matching.resize_controller(name, quota.matched)
-            elif is_partial:
-                self._matching.add_controller(name, quota.matched)
-            else:
-                if was_partial:
-                    self._matching.remove_controller(name)
-                if quota is not None:
-                    self._complete_holders.add(name)
+            self._change_controller(name, count)
         return set(self._controllers_changed)
 
+    def _change_controller(self, name: str, count: int) -> None:
+        """Moves a controller in or out of the matching, whose service has `count` endpoints."""
+        quota = self.quotas.get(name)
+        self._complete_holders.discard(name)
+        is_partial = quota is not None and quota.matched < count
+        was_partial = self._matching.has_controller(name)
+        if is_partial and was_partial:
+            self._matching.resize_controller(name, quota.matched)
+        elif is_partial:
+            self._matching.add_controller(name, quota.matched)
+        else:
+            if was_partial:
+                self._matching.remove_controller(name)
+            if quota is not None:
+                self._complete_holders.add(name)
+
     def _update_overrides(self, reassigned: set[str], updated_endpoints: list[str]) -> set[str]:
-        """Exchanges and stand-ins where they may have changed; the conductors that hold a node of another
-        record."""
+        """Works out swaps and replacements where they may have changed, and adds to `reassigned`. Returns the
+        controllers that have one of the updated endpoints."""
         swaps = swaps_for_unheld(self._matching, self.endpoints)
         for name in swaps.keys() | self._swaps.keys():
             if swaps.get(name) != self._swaps.get(name):
@@ -192,14 +198,15 @@
         return holders.union(*(self.holders_of(endpoint_id) for endpoint_id in updated_endpoints))
 
     def _update_override(self, name: str) -> bool:
-        """Note what a conductor holds beside the matching; whether that changed."""
+        """Works out whether a controller has other endpoints than by the matching; returns whether that
+        changed."""
         before = self._overrides.pop(name, None)
         if not self._matching.has_controller(name):
             return before is not None
         swaps = self._swaps.get(name, [])
         if not swaps and self._suffices(name):
             return before is not None
-        held = with_replacements(
+        endpoint_ids = with_replacements(
             self._matching,
             name,
             self.quotas[name],
@@ -208,16 +215,16 @@
             self._ready_endpoints,
             self._needs,
         )
-        if set(held) != set(self._matching.endpoints_of(name)):
-            self._overrides[name] = held
+        if set(endpoint_ids) != set(self._matching.endpoints_of(name)):
+            self._overrides[name] = endpoint_ids
         return before != self._overrides.get(name)
 
     def _suffices(self, name: str) -> bool:
-        """Whether the matching alone gives a conductor all that it needs."""
+        """Whether the matching alone gives a controller all that it needs."""
         spread = self._matching.spread_of(name)
         return spread.ready >= self._needs.endpoints and spread.zones >= self._needs.zones
 
 
 def _differ_in_readiness_only(one: Endpoint, other: Endpoint) -> bool:
-    """Whether two records of a node leave every conductor's choice as it is."""
+    """Whether two records of an endpoint lead to the same matching."""
     return one._replace(ready=other.ready) == other
