--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -134,7 +134,7 @@
         if not partial:
             continue
         seats = sum(map(len, partial))
-        sizes = numpy.array([endpoint.size for endpoint in endpoints])
+        sizes = numpy.array([endpoint.nominal_weight for endpoint in endpoints])
         holders = numpy.array([sum(endpoint.id in held for held in partial) for endpoint in endpoints])
         expected = expected_holders(sizes, seats, len(partial))
         counted = (expected >= LEAST_EXPECTED) & (expected < len(partial))
--- a/oatcart/scale/day_views.py
+++ b/oatcart/scale/day_views.py
@@ -16,7 +16,7 @@
 from oatcart.views.records import Controller, ViewLimits
 from oatcart.views.subsets import Subsets
 
-UNBOUNDED = ViewLimits(most_members=10**9, most_bytes=10**9, most_entry_bytes=1)
+UNBOUNDED = ViewLimits(max_endpoints=10**9, max_bytes=10**9, max_entry_bytes=1)
 ZONES_LEAST = 2  # of each service in a view, where the service has nodes ready in as many
 
 
--- a/oatcart/views/configuration.py
+++ b/oatcart/views/configuration.py
@@ -9,25 +9,33 @@
 
 from oatcart.net.stream import Address
 from oatcart.views.controllers import (
-    Group,
+    ControllerGroup,
     ServedController,
     distinct_names,
-    filed_groups,
-    listed_groups,
+    expand_groups,
+    groups_of_file,
+    groups_of_list,
     numeric_address,
-    unfold,
 )
 from oatcart.views.list_guard import ListGuard
 from oatcart.views.liveness import LivenessSettings
 from oatcart.views.records import ViewLimits
 from oatcart.yaml_files import Wrong, load, name, size, span, table, whole, yes_or_no
 
-__all__ = ["Bounds", "Configuration", "NodeFields", "DiscoverySettings", "ServedController", "Wrong", "read"]
-
-WAIT_MOST = 60.0  # s; the protocol's
-UNDECIDED_WAIT_MOST = 3.0  # s; a conductor gives a call that is no watch 4 s
-LEASE_LEAST = 1.0  # s; all leases are looked at twice in one
-SEED_MOST = 2**64 - 1
+__all__ = [
+    "ServerBounds",
+    "Configuration",
+    "NodeFields",
+    "DiscoverySettings",
+    "ServedController",
+    "Wrong",
+    "read",
+]
+
+MAX_WATCH_TIMEOUT = 60.0  # s; the protocol's
+MAX_UNDECIDED_TIMEOUT = 3.0  # s; a conductor gives a call that is no watch 4 s
+MIN_LEASE_DURATION = 1.0  # s; all leases are looked at twice in one
+MAX_SEED = 2**64 - 1
 DEFAULT_REGION = "default"
 
 
@@ -58,22 +66,23 @@
         return self.region_of_zone.get(zone, DEFAULT_REGION)
 
 
-class Bounds(NamedTuple):
+class ServerBounds(NamedTuple):
     """Bounds of what others may cost. Times in seconds.
 
-    `gather`: changes are gathered so long before watchers are woken; `unread_for`: an answer may stay unread
-    with no progress; `request_within`: a stranger's first request; `idle_most`: a kept connection between two
-    requests; `connections`: open at once, all together; `connections_each`: at one conductor's address;
-    `undecided_wait`: a call for a view that is not decided yet is held open at most.
+    `batching_delay`: changes are gathered so long before watchers are woken; `write_timeout`: an answer may
+    stay unread with no progress; `first_request_timeout`: a stranger's first request; `idle_timeout`: a kept
+    connection between two requests; `max_connections`: open at once, all together;
+    `max_connections_per_view`: at one conductor's address; `undecided_timeout`: a call for a view that is not
+    decided yet is held open at most.
     """
 
-    gather: float = 0.2
-    unread_for: float = 10.0
-    request_within: float = 5.0
-    idle_most: float = 60.0
-    connections: int = 4096
-    connections_each: int = 4
-    undecided_wait: float = 2.0
+    batching_delay: float = 0.2
+    write_timeout: float = 10.0
+    first_request_timeout: float = 5.0
+    idle_timeout: float = 60.0
+    max_connections: int = 4096
+    max_connections_per_view: int = 4
+    undecided_timeout: float = 2.0
 
 
 class Configuration(NamedTuple):
@@ -85,7 +94,7 @@
     guard: ListGuard = ListGuard()
     limits: ViewLimits = ViewLimits()
     seed: int = 0
-    bounds: Bounds = Bounds()
+    bounds: ServerBounds = ServerBounds()
     controllers: tuple[ServedController, ...] = ()
     leases: LivenessSettings | None = None
 
@@ -116,21 +125,21 @@
 
 def _wait(value: object) -> float:
     wait = span(value)
-    if wait > WAIT_MOST:
+    if wait > MAX_WATCH_TIMEOUT:
         raise ValueError(f"{value} is longer than a watch may wait, 60s")
     return wait
 
 
 def _undecided_wait(value: object) -> float:
     wait = span(value)
-    if wait > UNDECIDED_WAIT_MOST:
+    if wait > MAX_UNDECIDED_TIMEOUT:
         raise ValueError(f"{value} is longer than 3s; a conductor ends its call after 4s")
     return wait
 
 
 def _lease(value: object) -> float:
     lease = span(value)
-    if lease < LEASE_LEAST:
+    if lease < MIN_LEASE_DURATION:
         raise ValueError(f"{value} is shorter than 1s")
     return lease
 
@@ -154,7 +163,7 @@
     "most_bytes": whole(1, 1 << 20),
     "most_entry_bytes": whole(1, 65536),
     "overload": _factor,
-    "seed": whole(0, SEED_MOST),
+    "seed": whole(0, MAX_SEED),
 }
 BOUND_KEYS = {
     "gather": span,
@@ -175,6 +184,15 @@
     "doubt_least": whole(1, 1_000_000),
 }
 FIELD_OF_KEY = {
+    "bounds": {
+        "gather": "batching_delay",
+        "unread_for": "write_timeout",
+        "request_within": "first_request_timeout",
+        "idle_most": "idle_timeout",
+        "connections": "max_connections",
+        "connections_each": "max_connections_per_view",
+        "undecided_wait": "undecided_timeout",
+    },
     "source": {
         "wait": "watch_timeout",
         "answer_within": "fetch_timeout",
@@ -182,6 +200,11 @@
         "reconcile_every": "refetch_interval",
         "list_most": "max_list_bytes",
     },
+    "views": {
+        "most_members": "max_endpoints",
+        "most_bytes": "max_bytes",
+        "most_entry_bytes": "max_entry_bytes",
+    },
     "guard": {
         "drop_share": "max_removed_share",
         "drop_least": "mass_removal_count",
@@ -196,7 +219,7 @@
         "doubt_least": "mass_expiry_count",
     },
 }
-KEYS = {
+TOP_KEYS = {
     "listen": numeric_address,
     "base": _base,
     "service_field": name,
@@ -217,10 +240,10 @@
 
     def __init__(self, folder: Path, where: Callable[[int], str]) -> None:
         self.folder, self.where = folder, where
-        self.wrong: list[str] = []
+        self.problems: list[str] = []
 
     def configuration(self, told: object) -> Configuration:
-        top = table(told, KEYS, "", self.where, self.wrong, 0)
+        top = table(told, TOP_KEYS, "", self.where, self.problems, 0)
         views = self._part(told, top, "views", VIEW_KEYS)
         nodes = NodeFields(
             top.get("service_field", "service"), top.get("region_field", "region"), self._regions(told, top)
@@ -238,7 +261,7 @@
             ListGuard(**guard),
             ViewLimits(**views),
             seed,
-            Bounds(**bounds),
+            ServerBounds(**bounds),
             controllers,
             leases,
         )
@@ -246,7 +269,7 @@
     def _part(self, told: CommentedMap, top: dict, key: str, fields: dict) -> dict:
         if key not in top:
             return {}
-        values = table(top[key], fields, f"{key}.", self.where, self.wrong, told.lc.key(key)[0])
+        values = table(top[key], fields, f"{key}.", self.where, self.problems, told.lc.key(key)[0])
         names = FIELD_OF_KEY.get(key, {})
         return {names.get(name, name): value for name, value in values.items()}
 
@@ -259,7 +282,7 @@
             return None
         if not is_only_control_role:
             here = self.where(top["leases"].lc.key("enabled")[0])
-            self.wrong.append(
+            self.problems.append(
                 f"{here}: leases.enabled: control roles do not tell one another who called them, so their "
                 "views would differ; where this one alone serves its conductors, add only_control_role: true"
             )
@@ -276,24 +299,26 @@
             if isinstance(top["regions"], CommentedMap)
             else {}
         )
-        for region, zones in table(top["regions"], fields, "regions.", self.where, self.wrong, line).items():
+        for region, zones in table(
+            top["regions"], fields, "regions.", self.where, self.problems, line
+        ).items():
             for zone in zones:
                 if zone in found:
                     here = self.where(top["regions"].lc.key(region)[0])
-                    self.wrong.append(f"{here}: regions.{region}: zone {zone} is in {found[zone]} already")
+                    self.problems.append(f"{here}: regions.{region}: zone {zone} is in {found[zone]} already")
                 found[zone] = str(region)
         return found
 
     def _controllers(self, told: CommentedMap, top: dict, nodes: NodeFields) -> tuple[ServedController, ...]:
         listed, filed = top.get("conductors"), top.get("conductors_file")
-        groups: list[Group] = []
+        groups: list[ControllerGroup] = []
         if listed is not None:
             line = told.lc.key("conductors")[0]
-            groups += listed_groups(listed, line, self.where, self.wrong)
+            groups += groups_of_list(listed, line, self.where, self.problems)
         if filed is not None:
-            groups += filed_groups(self.folder / filed, self.wrong)
+            groups += groups_of_file(self.folder / filed, self.problems)
         listen = top.get("listen", Configuration().listen)
-        return unfold(groups, listen, top.get("base"), nodes.region, self.wrong)
+        return expand_groups(groups, listen, top.get("base"), nodes.region, self.problems)
 
 
 def read(path: str | Path) -> Configuration:
@@ -303,6 +328,6 @@
         return Configuration()
     reader = _Reader(Path(path).parent, where)
     found = reader.configuration(told)
-    if reader.wrong:
-        raise Wrong("\n".join(reader.wrong))
+    if reader.problems:
+        raise Wrong("\n".join(reader.problems))
     return found
--- a/oatcart/views/controllers.py
+++ b/oatcart/views/controllers.py
@@ -29,11 +29,11 @@
     address: Address | None
 
 
-class Group(NamedTuple):
+class ControllerGroup(NamedTuple):
     """One entry of the list as it stands. `at`: how errors name it; `where`: how a line of its file is
     named."""
 
-    told: object
+    value: object
     at: str
     line: int
     where: Callable[[int], str]
@@ -54,7 +54,7 @@
     return tuple(name(one) for one in value)
 
 
-KEYS = {
+GROUP_KEYS = {
     "name": name,
     "count": whole(1, CONTROLLERS_MOST),
     "zone": name,
@@ -64,16 +64,18 @@
 }
 
 
-def listed_groups(told: object, line: int, where: Callable[[int], str], wrong: list[str]) -> Iterator[Group]:
+def groups_of_list(
+    value: object, line: int, where: Callable[[int], str], problems: list[str]
+) -> Iterator[ControllerGroup]:
     """The entries of `conductors` in the YAML file, which stands at that line."""
-    if not isinstance(told, CommentedSeq):
-        wrong.append(f"{where(line)}: conductors is no list")
+    if not isinstance(value, CommentedSeq):
+        problems.append(f"{where(line)}: conductors is no list")
         return
-    for place, group in enumerate(told):
-        yield Group(group, f"conductors[{place}].", told.lc.item(place)[0], where)
+    for place, group in enumerate(value):
+        yield ControllerGroup(group, f"conductors[{place}].", value.lc.item(place)[0], where)
 
 
-def filed_groups(path: Path, wrong: list[str]) -> Iterator[Group]:
+def groups_of_file(path: Path, problems: list[str]) -> Iterator[ControllerGroup]:
     """The entries of a file of JSON lines."""
 
     def where(line: int) -> str:
@@ -82,34 +84,34 @@
     try:
         lines = path.read_bytes().splitlines()
     except OSError as error:
-        wrong.append(f"{path}: {error.strerror}")
+        problems.append(f"{path}: {error.strerror}")
         return
     for number, text in enumerate(lines):
         if not text.strip():
             continue
         try:
-            told = orjson.loads(text)
+            value = orjson.loads(text)
         except orjson.JSONDecodeError as error:
-            wrong.append(f"{where(number)}: {error}")
+            problems.append(f"{where(number)}: {error}")
             continue
-        yield Group(_with_line(told, number), "", number, where)
+        yield ControllerGroup(_with_line(value, number), "", number, where)
 
 
-def _with_line(told: object, line: int) -> object:
-    if not isinstance(told, dict):
-        return told
-    found = CommentedMap(told)
-    for key in told:
+def _with_line(value: object, line: int) -> object:
+    if not isinstance(value, dict):
+        return value
+    found = CommentedMap(value)
+    for key in value:
         found.lc.add_kv_line_col(key, [line, 0, line, 0])
     return found
 
 
-def unfold(
-    groups: Iterable[Group],
+def expand_groups(
+    groups: Iterable[ControllerGroup],
     listen: Address,
     base: Address | None,
     region_of: Callable[[str], str],
-    wrong: list[str],
+    problems: list[str],
 ) -> tuple[ServedController, ...]:
     """All conductors of all groups. Each is listened for at its own address or, by its position, above the
     base."""
@@ -117,56 +119,60 @@
     names: set[str] = set()
     taken = {listen: "listen"}
     for group in groups:
-        for served in _endpoints(group, base, len(found), region_of, wrong):
-            _check_distinct(served, names, taken, group.where(group.line), wrong)
+        for served in _expanded(group, base, len(found), region_of, problems):
+            _check_distinct(served, names, taken, group.where(group.line), problems)
             found.append(served)
     if len(found) > CONTROLLERS_MOST:
-        wrong.append(f"conductors: {len(found)}, more than {CONTROLLERS_MOST}")
+        problems.append(f"conductors: {len(found)}, more than {CONTROLLERS_MOST}")
     return tuple(found)
 
 
-def _endpoints(
-    group: Group, base: Address | None, position: int, region_of: Callable[[str], str], wrong: list[str]
+def _expanded(
+    group: ControllerGroup,
+    base: Address | None,
+    position: int,
+    region_of: Callable[[str], str],
+    problems: list[str],
 ) -> Iterator[ServedController]:
     """The conductors of one entry: one, or `count` of them whose names bear a number."""
-    before = len(wrong)
-    fields = table(group.told, KEYS, group.at, group.where, wrong, group.line)
-    _check_fields(group, fields, wrong)
-    if len(wrong) > before:
+    before = len(problems)
+    fields = table(group.value, GROUP_KEYS, group.at, group.where, problems, group.line)
+    _check_fields(group, fields, problems)
+    if len(problems) > before:
         return
     region = fields.get("region", region_of(fields["zone"]))
     for number in range(fields.get("count", 1)):
-        called = fields["name"].replace(NUMBER_FIELD, str(number)) if "count" in fields else fields["name"]
-        record = Controller(called, region, fields["zone"], fields.get("services", ()))
+        name_here = fields["name"].replace(NUMBER_FIELD, str(number)) if "count" in fields else fields["name"]
+        record = Controller(name_here, region, fields["zone"], fields.get("services", ()))
         yield ServedController(record, fields.get("address") or _above(base, position + number))
 
 
-def _check_fields(group: Group, fields: dict, wrong: list[str]) -> None:
+def _check_fields(group: ControllerGroup, fields: dict, problems: list[str]) -> None:
     here = group.where(group.line)
-    if isinstance(group.told, CommentedMap):
-        missing = [key for key in ("name", "zone") if key not in group.told]
-        wrong += [f"{here}: {group.at}{key} is missing" for key in missing]
+    if isinstance(group.value, CommentedMap):
+        missing = [key for key in ("name", "zone") if key not in group.value]
+        problems += [f"{here}: {group.at}{key} is missing" for key in missing]
     if "count" in fields and NUMBER_FIELD not in fields.get("name", NUMBER_FIELD):
-        wrong.append(f"{here}: {group.at}name: a group's needs {NUMBER_FIELD}")
+        problems.append(f"{here}: {group.at}name: a group's needs {NUMBER_FIELD}")
     if "count" in fields and "address" in fields:
-        wrong.append(f"{here}: {group.at}address: a group is listened for above the base")
+        problems.append(f"{here}: {group.at}address: a group is listened for above the base")
 
 
 def _check_distinct(
-    served: ServedController, names: set[str], taken: dict[Address, str], here: str, wrong: list[str]
+    served: ServedController, names: set[str], taken: dict[Address, str], here: str, problems: list[str]
 ) -> None:
-    called, address = served.record.name, served.address
-    if called in names:
-        wrong.append(f"{here}: conductors: the name {called} stands there twice")
-    names.add(called)
+    name_here, address = served.record.name, served.address
+    if name_here in names:
+        problems.append(f"{here}: conductors: the name {name_here} stands there twice")
+    names.add(name_here)
     if address is None or not address[1]:  # none of its own, or any port that is free
         return
     if address[1] >= PORTS:
-        wrong.append(f"{here}: conductors: {called} would have port {address[1]}; set a lower base")
+        problems.append(f"{here}: conductors: {name_here} would have port {address[1]}; set a lower base")
     if address in taken:
         shown = "{}:{}".format(*address)
-        wrong.append(f"{here}: conductors: {called} and {taken[address]} would both have {shown}")
-    taken[address] = called
+        problems.append(f"{here}: conductors: {name_here} and {taken[address]} would both have {shown}")
+    taken[address] = name_here
 
 
 def _above(base: Address | None, position: int) -> Address | None:
--- a/oatcart/views/matching.py
+++ b/oatcart/views/matching.py
@@ -125,7 +125,7 @@
         zone = endpoint.region, endpoint.zone
         state.zones[column] = self._zone_indices.setdefault(zone, len(self._zone_indices))
         state.endpoint_hashes[column] = name_hash(ENDPOINT_KIND, endpoint.id, self._seed)
-        state.weights[column] = endpoint.size
+        state.weights[column] = endpoint.nominal_weight
         state.rounding_offsets[column] = unit_hash(_ROUNDING_KIND, endpoint.id, self._seed)
         state.is_ready[column] = endpoint.ready
         state.column_thresholds[column] = numpy.inf
--- a/oatcart/views/records.py
+++ b/oatcart/views/records.py
@@ -7,7 +7,7 @@
 class Endpoint(NamedTuple):
     """A node as discovery lists it.
 
-    `size` is its relative capacity (above zero, no unit). `ready` is False while the node drains.
+    `nominal_weight` is its relative capacity (above zero, no unit). `ready` is False while the node drains.
     A zone lies in one region; the same zone name in two regions names two zones.
     """
 
@@ -15,7 +15,7 @@
     region: str
     zone: str
     service: str
-    size: float
+    nominal_weight: float
     ready: bool
 
 
@@ -32,20 +32,20 @@
 class ViewLimits:
     """The bounds of one view, and of how unevenly views may hold nodes.
 
-    `most_members` counts nodes, ready and draining. `most_bytes` bounds the list as it is served, of which
-    one entry takes at most `most_entry_bytes`. `overload` is how many times its proportional number of
+    `max_endpoints` counts nodes, ready and draining. `max_bytes` bounds the list as it is served, of which
+    one entry takes at most `max_entry_bytes`. `overload` is how many times its proportional number of
     holders a node may have.
     """
 
-    most_members: int = 500
-    most_bytes: int = 70_000
-    most_entry_bytes: int = 145
+    max_endpoints: int = 500
+    max_bytes: int = 70_000
+    max_entry_bytes: int = 145
     overload: float = 1.25
 
     @property
     def capacity(self) -> int:
         """The number of nodes that keeps both bounds whatever the entries are."""
-        return min(self.most_members, self.most_bytes // self.most_entry_bytes)
+        return min(self.max_endpoints, self.max_bytes // self.max_entry_bytes)
 
 
 class ViewError(Exception):
@@ -64,7 +64,9 @@
     """A node's record cannot be used: its size is not a finite number above zero."""
 
     def __init__(self, endpoint: Endpoint) -> None:
-        super().__init__(f"node {endpoint.id!r} has size {endpoint.size!r}, not a finite number above zero")
+        super().__init__(
+            f"node {endpoint.id!r} has size {endpoint.nominal_weight!r}, not a finite number above zero"
+        )
         self.endpoint = endpoint
 
 
--- a/oatcart/views/requests.py
+++ b/oatcart/views/requests.py
@@ -9,22 +9,22 @@
 
 GET = b"GET"
 VIEWS_PATH = "/v1/views"
-WAIT_MOST_MS = 60_000  # the protocol's
-NAME_SHOWN = 80  # letters of what is refused
+MAX_WATCH_MS = 60_000  # the protocol's
+MAX_SHOWN_LETTERS = 80  # letters of what is refused
 OK, BAD_REQUEST, NOT_FOUND, METHOD_NOT_ALLOWED, UNAVAILABLE = 200, 400, 404, 405, 503
 
 
 class RejectedRequestError(Exception):
     """A call that cannot be answered with a list: its status, what is refused and why."""
 
-    def __init__(self, status: int, what: str, why: str) -> None:
-        super().__init__(f"{status}: {what}: {why}")
-        self.status, self.what, self.why = status, what, why
+    def __init__(self, status: int, subject: str, reason: str) -> None:
+        super().__init__(f"{status}: {subject}: {reason}")
+        self.status, self.subject, self.reason = status, subject, reason
 
     @property
     def body(self) -> bytes:
         """The refusal as JSON."""
-        return orjson.dumps({"error": self.what, "why": self.why})
+        return orjson.dumps({"error": self.subject, "why": self.reason})
 
 
 class ListRequest(NamedTuple):
@@ -32,7 +32,7 @@
 
     view: str
     since: int | None = None
-    wait: float = 0.0
+    timeout: float = 0.0
 
 
 class StatusRequest(NamedTuple):
@@ -67,7 +67,7 @@
     if "since" not in fields:
         return ListRequest(view)
     since = _count("since", fields["since"])
-    wait_ms = min(WAIT_MOST_MS, _count("timeout_ms", fields.get("timeout_ms", "0")))
+    wait_ms = min(MAX_WATCH_MS, _count("timeout_ms", fields.get("timeout_ms", "0")))
     return ListRequest(view, since, wait_ms / 1000)
 
 
@@ -80,4 +80,4 @@
 def _shown(text: str | bytes) -> str:
     if isinstance(text, bytes):
         text = text.decode("ascii", "replace")
-    return text[:NAME_SHOWN]
+    return text[:MAX_SHOWN_LETTERS]
--- a/oatcart/views/role.py
+++ b/oatcart/views/role.py
@@ -22,10 +22,10 @@
 from oatcart.views.revisions import RevisionSequence
 from oatcart.views.server import Listener, Server
 
-SLICE = 32  # views that are brought up to date in one turn of the loop
-TELL_EVERY = 30.0  # s between the log's lines on how this process keeps up
-NAMES_SHOWN = 5  # of conductors in one line of the log
-STARTED_ONCE = "listen", "bounds", "leases"  # what only a restart changes
+VIEWS_PER_TURN = 32  # views that are brought up to date in one turn of the loop
+TURNS_LOG_INTERVAL = 30.0  # s between the log's lines on how this process keeps up
+MAX_NAMES_SHOWN = 5  # of conductors in one line of the log
+RESTART_ONLY = "listen", "bounds", "leases"  # what only a restart changes
 
 
 class ListenKey(NamedTuple):
@@ -44,14 +44,14 @@
     }
 
 
-def _shown(names: Iterable[str]) -> str:
+def _named(names: Iterable[str]) -> str:
     """
-    >>> _shown(["a", "b"]), _shown("abcdefg")
+    >>> _named(["a", "b"]), _named("abcdefg")
     ('2 conductors (a, b)', '7 conductors (a, b, c, d, e, ...)')
     """
     names = sorted(names)
-    more = ", ..." if len(names) > NAMES_SHOWN else ""
-    return f"{len(names)} conductors ({', '.join(names[:NAMES_SHOWN])}{more})"
+    more = ", ..." if len(names) > MAX_NAMES_SHOWN else ""
+    return f"{len(names)} conductors ({', '.join(names[:MAX_NAMES_SHOWN])}{more})"
 
 
 class ControlRole:
@@ -59,21 +59,21 @@
 
     def __init__(self, configuration: Configuration, loop: Loop, log: Log) -> None:
         self.configuration, self.loop, self.log = configuration, loop, log
-        chance = SystemRandom()
+        random = SystemRandom()
         self.decisions = DecisionThread(loop, self._apply_views)
-        self.publisher = Publisher(configuration, RevisionSequence(chance), self.decisions.submit)
+        self.publisher = Publisher(configuration, RevisionSequence(random), self.decisions.submit)
         self.accepted = AcceptedList(configuration.guard)
         self.watcher = ListWatcher(
-            self.loop, self.log, configuration.source, self.accepted, chance.uniform, self._apply_list_changes
+            self.loop, self.log, configuration.source, self.accepted, random.uniform, self._apply_list_changes
         )
         self.server = Server(
-            self.loop, self.log, self.publisher, configuration.bounds, self.status, self._called
+            self.loop, self.log, self.publisher, configuration.bounds, self.status, self._renew_lease
         )
         self.leases: LeaseTable | None = None  # all conductors of the file count as alive
         self.listeners: dict[ListenKey, Listener] = {}  # of conductors
         self.publishing = False  # a task gathers changes or brings views up to date
         self.failure: Exception | None = None  # of bringing views up to date
-        self.longest = 0.0  # s that a turn of the loop took, since the last line on it
+        self.longest_turn = 0.0  # s that a turn of the loop took, since the last line on it
 
     def start(self) -> None:
         """Listen everywhere and begin to follow."""
@@ -87,25 +87,25 @@
         )
         if self.configuration.leases is not None:
             self.leases = LeaseTable(self.configuration.leases, self.publisher.controllers, self.loop.now)
-            self._check_leases_later()
+            self._schedule_lease_check()
         self.decisions.start()
         self.watcher.start()
-        self._keep_telling()
+        self._log_turns()
 
-    def turn(self, longest: float = inf) -> None:
-        """One turn of the loop, `longest` s of waiting at most.
+    def turn(self, max_wait: float = inf) -> None:
+        """One turn of the loop, `max_wait` s of waiting at most.
 
         Raises RuntimeError where following, deciding or publishing has failed by an error that nobody
         foresaw: whoever supervises the process starts it again, and conductors keep their lists meanwhile.
         """
-        self.loop.turn(longest)
+        self.loop.turn(max_wait)
         if self.watcher.failed:
             raise RuntimeError("the follower has failed; its log line tells why")
         if self.decisions.failure is not None:
             raise RuntimeError("a decision has failed") from self.decisions.failure
         if self.failure is not None:
             raise RuntimeError("views cannot be brought up to date") from self.failure
-        self.longest = max(self.longest, self.loop.clock() - self.loop.now)
+        self.longest_turn = max(self.longest_turn, self.loop.clock() - self.loop.now)
 
     def stop(self) -> None:
         """Follow and serve no more; all connections end."""
@@ -128,28 +128,31 @@
 
     def reconfigure(self, new: Configuration) -> str:
         """Another configuration, all of it or nothing; hands back what is to be logged. Raises Unusable."""
-        old, wanted = self.configuration, _controllers_by_key(new)
+        old, served_by_key = self.configuration, _controllers_by_key(new)
         try:
-            fresh = self._listen({key: one for key, one in wanted.items() if key not in self.listeners})
+            new_listeners = self._listen(
+                {key: one for key, one in served_by_key.items() if key not in self.listeners}
+            )
         except OSError as error:
             raise Unusable(error.strerror) from None
         self.publisher.configure(new)
         if self.leases is not None:
             self.leases.configure(self.publisher.controllers, self.loop.now)
-        gone = [key for key in self.listeners if key not in wanted]
+        gone = [key for key in self.listeners if key not in served_by_key]
         for key in gone:
             self.server.unlisten(self.listeners.pop(key))
         for key, listener in self.listeners.items():
-            self.server.hand_over(listener, wanted[key].record.name)
-        self.listeners |= fresh
+            self.server.reassign(listener, served_by_key[key].record.name)
+        self.listeners |= new_listeners
         self.configuration, self.accepted.guard = new, new.guard
         self.watcher.move(new.source)
-        self.server.wake([*self.server.waiting])  # a view that is gone is refused at once
+        self.server.wake_watches([*self.server.watching])  # a view that is gone is refused at once
         self.server.wake_undecided([*self.server.undecided])
-        self._publish_soon()
-        kept = [key for key in STARTED_ONCE if getattr(new, key) != getattr(old, key)]
-        restart = f"; only a restart changes {', '.join(kept)}" if kept else ""
-        return f"{len(new.controllers)} conductors, {len(fresh)} addresses new, {len(gone)} gone{restart}"
+        self._schedule_publication()
+        unchanged = [key for key in RESTART_ONLY if getattr(new, key) != getattr(old, key)]
+        restart = f"; only a restart changes {', '.join(unchanged)}" if unchanged else ""
+        addresses = f"{len(new_listeners)} addresses new, {len(gone)} gone"
+        return f"{len(new.controllers)} conductors, {addresses}{restart}"
 
     def status(self) -> bytes:
         """How the control role stands, as JSON."""
@@ -164,18 +167,18 @@
                     "heard_s_ago": round(heard, 3) if self.publisher.entries else None,
                 },
                 "conductors": len(self.publisher.controllers),
-                "connections": len(self.server.lives),
+                "connections": len(self.server.tasks),
                 "leases": self._lease_status(),
                 "undecided_calls": {
                     "held": sum(map(len, self.server.undecided.values())),
                     "answered": self.server.undecided_calls.answered,
-                    "refused": self.server.undecided_calls.refused,
+                    "refused": self.server.undecided_calls.rejected,
                 },
                 "views": {
                     name: {
                         "nodes": len(history.entries),
                         "revision": history.revision,
-                        "watches": len(self.server.waiting.get(name, ())),
+                        "watches": len(self.server.watching.get(name, ())),
                     }
                     for name, history in self.publisher.histories.items()
                 },
@@ -199,65 +202,65 @@
     def _apply_list_changes(self, changes: ListChanges) -> None:
         self._check_sizes(changes)
         self.publisher.apply_list_changes(changes)
-        self._publish_soon()
+        self._schedule_publication()
 
     def _check_sizes(self, changes: ListChanges) -> None:
         """The bytes of a view are bounded by its number of nodes and by what the file tells of an entry."""
         longest = max((len(entry.encoded) for entry in changes.changed.values()), default=0)
-        told = self.configuration.limits.most_entry_bytes
-        if longest > told:
+        allowed = self.configuration.limits.max_entry_bytes
+        if longest > allowed:
             self.log.say(
                 "size",
-                f"an entry takes {longest} bytes, more than views.most_entry_bytes {told}: "
+                f"an entry takes {longest} bytes, more than views.most_entry_bytes {allowed}: "
                 "a view may take more than views.most_bytes",
             )
 
     def _apply_views(self, views: Mapping[str, View]) -> None:
         self.publisher.apply_views(views)
-        self._publish_soon()
-        if held := [name for name in views if self.server.undecided.get(name)]:
-            self.loop.spawn(self._answer_undecided(held))
+        self._schedule_publication()
+        if waiting := [name for name in views if self.server.undecided.get(name)]:
+            self.loop.spawn(self._answer_undecided(waiting))
 
     def _answer_undecided(self, names: list[str]) -> Generator[Wait, bool, None]:
         """Answer the calls that are held open for these views, some views in a turn of the loop."""
-        for start in range(0, len(names), SLICE):
-            self.server.wake_undecided(names[start : start + SLICE])
+        for start in range(0, len(names), VIEWS_PER_TURN):
+            self.server.wake_undecided(names[start : start + VIEWS_PER_TURN])
             yield self._next_turn()
 
     def _next_turn(self) -> Wait:
         """A time after this turn's: what is due by `loop.now` is run in the same turn."""
         return Wait(until=self.loop.clock())
 
-    def _called(self, name: str) -> None:
+    def _renew_lease(self, name: str) -> None:
         if self.leases is not None and self.leases.renew(name, self.loop.now):
             self.publisher.restore(name)
             self.log.say("leases", f"{name} is back; its view is decided anew")
 
-    def _check_leases_later(self) -> None:
+    def _schedule_lease_check(self) -> None:
         self.loop.at(self.loop.now + self.leases.check_interval, self._check_leases)
 
     def _check_leases(self) -> None:
         """A call that stands renews its lease as well."""
-        for calls in self.server.waiting, self.server.undecided:
+        for calls in self.server.watching, self.server.undecided:
             for name in [name for name, streams in calls.items() if streams]:
-                self._called(name)
+                self._renew_lease(name)
         lease_check = self.leases.check(self.loop.now)
         if lease_check.expired:
             self.publisher.expire(lease_check.expired)
         self._log_lease_check(lease_check)
-        self._check_leases_later()
+        self._schedule_lease_check()
 
     def _log_lease_check(self, lease_check: LeaseCheck) -> None:
         if lease_check.expired:
             self.log.say(
                 "leases",
-                f"{_shown(lease_check.expired)} silent for longer than lease and grace; "
+                f"{_named(lease_check.expired)} silent for longer than lease and grace; "
                 "others get their shares of the nodes",
             )
         if lease_check.is_retention_new:
             self.log.say(
                 "leases",
-                f"{_shown(lease_check.retained)} silent for longer than lease and grace, "
+                f"{_named(lease_check.retained)} silent for longer than lease and grace, "
                 "too many at once; they stay for the hold",
             )
 
@@ -266,7 +269,7 @@
             return None
         return {"silent": sorted(self.leases.expired), "doubted": len(self.leases.retained)}
 
-    def _publish_soon(self) -> None:
+    def _schedule_publication(self) -> None:
         if not self.publishing:
             self.publishing = True
             self.loop.spawn(self._publish())
@@ -274,9 +277,11 @@
     def _publish(self) -> Generator[Wait, bool, None]:
         """Gather changes for a while, then bring the views up to date, some in a turn of the loop."""
         try:
-            yield Wait(until=self.loop.now + self.configuration.bounds.gather)
+            yield Wait(until=self.loop.now + self.configuration.bounds.batching_delay)
             while self.publisher.unpublished:
-                self.server.wake(self.publisher.publish([*islice(self.publisher.unpublished, SLICE)]))
+                self.server.wake_watches(
+                    self.publisher.publish([*islice(self.publisher.unpublished, VIEWS_PER_TURN)])
+                )
                 yield self._next_turn()
         except Exception as error:
             self.failure = error
@@ -284,12 +289,12 @@
         finally:
             self.publishing = False
 
-    def _keep_telling(self) -> None:
-        watches = sum(map(len, self.server.waiting.values()))
+    def _log_turns(self) -> None:
+        watches = sum(map(len, self.server.watching.values()))
         self.log.say(
             "turns",
-            f"longest {self.longest * 1000:.1f} ms, {len(self.publisher.entries)} nodes, "
-            f"{len(self.publisher.histories)} views, {watches} watches, {len(self.server.lives)} connections",
+            f"longest {self.longest_turn * 1000:.1f} ms, {len(self.publisher.entries)} nodes, "
+            f"{len(self.publisher.histories)} views, {watches} watches, {len(self.server.tasks)} connections",
         )
-        self.longest = 0.0
-        self.loop.at(self.loop.now + TELL_EVERY, self._keep_telling)
+        self.longest_turn = 0.0
+        self.loop.at(self.loop.now + TURNS_LOG_INTERVAL, self._log_turns)
--- a/oatcart/views/server.py
+++ b/oatcart/views/server.py
@@ -17,7 +17,7 @@
 from oatcart.net.log import Log
 from oatcart.net.loop import IN, Loop, Task, Wait
 from oatcart.net.stream import MESSAGE_MOST, Address, Stream
-from oatcart.views.configuration import Bounds
+from oatcart.views.configuration import ServerBounds
 from oatcart.views.history import ViewHistory
 from oatcart.views.publisher import Publisher, ViewNotDecidedError
 from oatcart.views.records import UnknownControllerError, ViewError
@@ -32,12 +32,12 @@
     parse_request,
 )
 
-HEAD_MOST = 16 * 1024  # bytes of a request's head, and of what is sent ahead of an answer
-ROOM = 1024  # bytes that are read of a connection at a time; a conductor's request takes some hundred
+MAX_HEAD_BYTES = 16 * 1024  # bytes of a request's head, and of what is sent ahead of an answer
+READ_BYTES = 1024  # bytes that are read of a connection at a time; a conductor's request takes some hundred
 BACKLOG = 64  # connections not yet accepted, of one address
-ACCEPTS_MOST = 64  # of one address in one turn of the loop
-NO_ROOM_WAIT = 0.2  # s without accepting where there are no descriptors
-UNSENT_LOOK = 0.05  # s between two looks at whether an answer has gone out
+MAX_ACCEPTS = 64  # of one address in one turn of the loop
+ACCEPT_BACKOFF = 0.2  # s without accepting where there are no descriptors
+UNSENT_CHECK_INTERVAL = 0.05  # s between two looks at whether an answer has gone out
 RETRY_AFTER = b"1"  # s; a hint for those that are answered with 503
 
 
@@ -47,7 +47,7 @@
     503 when their time was over."""
 
     answered: int = 0
-    refused: int = 0
+    rejected: int = 0
 
 
 class Listener:
@@ -73,17 +73,17 @@
         loop: Loop,
         log: Log,
         publisher: Publisher,
-        bounds: Bounds,
+        bounds: ServerBounds,
         status: Callable[[], bytes],
-        called: Callable[[str], None] = lambda name: None,
+        on_call: Callable[[str], None] = lambda name: None,
     ) -> None:
         self.loop, self.log, self.publisher, self.bounds, self.status = loop, log, publisher, bounds, status
-        self.called = called
-        self.lives: dict[Stream, Task] = {}  # of all connections
-        self.strangers: dict[Stream, None] = {}  # that have asked for nothing yet, oldest first
+        self.on_call = on_call
+        self.tasks: dict[Stream, Task] = {}  # of all connections
+        self.unidentified: dict[Stream, None] = {}  # that have asked for nothing yet, oldest first
         self.view_of: dict[Stream, str] = {}  # what a connection asked for last
-        self.by_view: dict[str, dict[Stream, None]] = {}  # that have asked for a view, oldest first
-        self.waiting: dict[str, dict[Stream, None]] = {}  # whose watch of a view stands
+        self.streams_of_view: dict[str, dict[Stream, None]] = {}  # that have asked for a view, oldest first
+        self.watching: dict[str, dict[Stream, None]] = {}  # whose watch of a view stands
         self.undecided: dict[str, dict[Stream, None]] = {}  # held open until their view is decided
         self.undecided_calls = UndecidedCalls()
 
@@ -106,18 +106,18 @@
         self.loop.end(listener.accepting)
         self.loop.close(listener.sock.fileno())
         listener.sock.close()
-        self._end_all(listener)
+        self._close_all(listener)
 
-    def hand_over(self, listener: Listener, view: str) -> None:
+    def reassign(self, listener: Listener, view: str) -> None:
         """Have an address be another conductor's from now on."""
         if listener.view != view:
             listener.view = view
-            self._end_all(listener)
+            self._close_all(listener)
 
-    def wake(self, names: Iterable[str]) -> None:
+    def wake_watches(self, names: Iterable[str]) -> None:
         """Have the watches of these views look for what is new."""
         for name in names:
-            self._wake(self.waiting.get(name, ()))
+            self._wake(self.watching.get(name, ()))
 
     def wake_undecided(self, names: Iterable[str]) -> None:
         """Have the calls that are held open for these views look whether they are decided."""
@@ -126,60 +126,63 @@
 
     def _wake(self, streams: Iterable[Stream]) -> None:
         for stream in [*streams]:
-            if stream in self.lives:
-                self.loop.expire(self.lives[stream])
+            if stream in self.tasks:
+                self.loop.expire(self.tasks[stream])
 
     def _accept(self, listener: Listener) -> Generator[Wait, bool, None]:
         while True:
             yield Wait(listener.sock.fileno(), IN)
             try:
-                for _ in range(ACCEPTS_MOST):
+                for _ in range(MAX_ACCEPTS):
                     sock, _ = listener.sock.accept()
                     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                    self._let_in(sock, listener)
+                    self._admit(sock, listener)
             except BlockingIOError:
                 continue
             except OSError as error:
                 if error.errno != errno.ECONNABORTED:
                     self.log.say("connection", f"cannot accept: {ended_by(error)}")
-                    yield Wait(until=self.loop.now + NO_ROOM_WAIT)
+                    yield Wait(until=self.loop.now + ACCEPT_BACKOFF)
 
-    def _let_in(self, sock: socket.socket, listener: Listener) -> None:
+    def _admit(self, sock: socket.socket, listener: Listener) -> None:
         """Where there is no room the oldest stranger makes way, else this one; never who is in use. What has
         come of the oldest already is read first, as it may be a request."""
-        stream = Stream(self.loop, sock, ROOM, HEAD_MOST, MESSAGE_MOST)
-        self.strangers[stream] = None
+        stream = Stream(self.loop, sock, READ_BYTES, MAX_HEAD_BYTES, MESSAGE_MOST)
+        self.unidentified[stream] = None
         listener.streams[stream] = None
-        life = self.loop.spawn(self._life(stream, listener))
+        task = self.loop.spawn(self._serve(stream, listener))
         if stream.sock.fileno() < 0:
             return  # it was over at once
-        self.lives[stream] = life
-        while len(self.lives) > self.bounds.connections and self.strangers:
-            oldest = next(iter(self.strangers))
+        self.tasks[stream] = task
+        while len(self.tasks) > self.bounds.max_connections and self.unidentified:
+            oldest = next(iter(self.unidentified))
             oldest.late = Ending.CROWDED
-            self.loop.expire(self.lives[oldest])
-        if len(self.lives) > self.bounds.connections:
+            self.loop.expire(self.tasks[oldest])
+        if len(self.tasks) > self.bounds.max_connections:
             self.log.say("connection", f"a stranger gone: {Ended(Ending.CROWDED)}")
-            self._end(stream)
+            self._close(stream)
 
-    def _life(self, stream: Stream, listener: Listener) -> Generator[Wait, bool, None]:
+    def _serve(self, stream: Stream, listener: Listener) -> Generator[Wait, bool, None]:
         """The life of a connection. It is logged where it ends by anything but the other side's leaving."""
-        http, until = h11.Connection(h11.SERVER, HEAD_MOST), self.loop.now + self.bounds.request_within
+        http, until = (
+            h11.Connection(h11.SERVER, MAX_HEAD_BYTES),
+            self.loop.now + self.bounds.first_request_timeout,
+        )
         try:
             while True:
                 more = yield from self._exchange(stream, http, listener.view, until)
                 if not more:
                     return
                 http.start_next_cycle()
-                until = self.loop.now + self.bounds.idle_most
+                until = self.loop.now + self.bounds.idle_timeout
         except Ended as ended:
             if ended.ending not in (Ending.CLOSED, Ending.RESET):
-                self.log.say("connection", f"{self._who(stream)} gone: {ended}")
+                self.log.say("connection", f"{self._peer(stream)} gone: {ended}")
         finally:
             del listener.streams[stream]
-            self.strangers.pop(stream, None)
-            self.lives.pop(stream, None)
-            self._forget(stream)
+            self.unidentified.pop(stream, None)
+            self.tasks.pop(stream, None)
+            self._forget_view(stream)
             stream.close()
 
     def _exchange(
@@ -195,13 +198,13 @@
                 else (yield from self._list(stream, http, call))
             )
             yield from self._answer(stream, http, OK, body)
-        except RejectedRequestError as refused:
-            self.log.say("refused", f"{self._who(stream)}: {refused}")
-            yield from self._answer(stream, http, refused.status, refused.body)
+        except RejectedRequestError as rejected:
+            self.log.say("refused", f"{self._peer(stream)}: {rejected}")
+            yield from self._answer(stream, http, rejected.status, rejected.body)
         except h11.RemoteProtocolError as error:
             if http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-                refused = RejectedRequestError(BAD_REQUEST, "the request cannot be read", str(error))
-                yield from self._answer(stream, http, refused.status, refused.body)
+                rejected = RejectedRequestError(BAD_REQUEST, "the request cannot be read", str(error))
+                yield from self._answer(stream, http, rejected.status, rejected.body)
             raise Ended(Ending.UNREADABLE, str(error)) from None
         return http.our_state is h11.DONE and http.their_state is h11.DONE
 
@@ -222,10 +225,10 @@
                 request = event
             elif isinstance(event, h11.Data):
                 unused += len(event.data)
-                if unused > HEAD_MOST:
+                if unused > MAX_HEAD_BYTES:
                     raise Ended(Ending.TOO_LONG)
             elif isinstance(event, h11.EndOfMessage):
-                self.strangers.pop(stream, None)
+                self.unidentified.pop(stream, None)
                 stream.late = Ending.SILENT
                 return request
             else:
@@ -234,11 +237,11 @@
     def _list(self, stream: Stream, http: h11.Connection, call: ListRequest) -> Generator[Wait, bool, bytes]:
         """The body that answers a call for a view; a watch waits here until there is news or its time is
         over."""
-        self.called(call.view)
-        until = self.loop.now + call.wait
+        self.on_call(call.view)
+        until = self.loop.now + call.timeout
         while True:
             history = yield from self._history(stream, http, call.view)
-            self._use(stream, call.view)
+            self._note_view(stream, call.view)
             if call.since is None:
                 return history.complete_list()
             body = history.changes_since(call.since)
@@ -246,12 +249,12 @@
                 return body
             if self.loop.now >= until:
                 return history.no_changes()
-            yield from self._wait(stream, http, self.waiting.setdefault(call.view, {}), until)
+            yield from self._wait(stream, http, self.watching.setdefault(call.view, {}), until)
 
     def _history(self, stream: Stream, http: h11.Connection, view: str) -> Generator[Wait, bool, ViewHistory]:
         """The history of a view; a call for one that is not decided yet is held open for a bounded time."""
-        until = self.loop.now + self.bounds.undecided_wait
-        is_held = False
+        until = self.loop.now + self.bounds.undecided_timeout
+        has_waited = False
         while True:
             try:
                 history = self.publisher.history(view)
@@ -259,23 +262,23 @@
                 raise RejectedRequestError(NOT_FOUND, "unknown view", str(error)) from None
             except ViewNotDecidedError as error:
                 if self.loop.now >= until:
-                    self.undecided_calls.refused += 1
+                    self.undecided_calls.rejected += 1
                     raise RejectedRequestError(UNAVAILABLE, f"no view for {view}", str(error)) from None
             except ViewError as error:
                 raise RejectedRequestError(UNAVAILABLE, f"no view for {view}", str(error)) from None
             else:
-                self.undecided_calls.answered += is_held
+                self.undecided_calls.answered += has_waited
                 return history
-            is_held = True
-            self._use(stream, view)
+            has_waited = True
+            self._note_view(stream, view)
             yield from self._wait(stream, http, self.undecided.setdefault(view, {}), until)
 
     def _wait(
-        self, stream: Stream, http: h11.Connection, waiting: dict[Stream, None], until: float
+        self, stream: Stream, http: h11.Connection, watching: dict[Stream, None], until: float
     ) -> Generator[Wait, bool, None]:
         """Until `wake` or `wake_undecided`, the time is over, or the other side says something. Meanwhile the
         connection is in `waiting`."""
-        waiting[stream] = None
+        watching[stream] = None
         try:
             part = yield from stream.some(until)
         except Ended as ended:
@@ -283,11 +286,11 @@
                 raise
             return
         finally:
-            waiting.pop(stream)
+            watching.pop(stream)
         if not part:
             raise Ended(Ending.CLOSED)
         http.receive_data(part)  # a further request, sent ahead
-        if len(http.trailing_data[0]) > HEAD_MOST:
+        if len(http.trailing_data[0]) > MAX_HEAD_BYTES:
             raise Ended(Ending.TOO_LONG)
 
     def _answer(
@@ -299,41 +302,41 @@
             headers.append((b"Retry-After", RETRY_AFTER))
         parts = http.send(h11.Response(status_code=status, headers=headers)), http.send(h11.Data(data=body))
         stream.write(b"".join(parts) + http.send(h11.EndOfMessage()))
-        left, late = len(stream.unsent), self.loop.now + self.bounds.unread_for
+        left, late = len(stream.unsent), self.loop.now + self.bounds.write_timeout
         while stream.unsent:
-            yield Wait(until=self.loop.now + UNSENT_LOOK)
+            yield Wait(until=self.loop.now + UNSENT_CHECK_INTERVAL)
             if len(stream.unsent) < left:
-                left, late = len(stream.unsent), self.loop.now + self.bounds.unread_for
+                left, late = len(stream.unsent), self.loop.now + self.bounds.write_timeout
             elif self.loop.now >= late:
                 raise Ended(Ending.UNREAD)
 
-    def _use(self, stream: Stream, view: str) -> None:
+    def _note_view(self, stream: Stream, view: str) -> None:
         """A connection has asked for that view; the oldest of too many makes way."""
         if self.view_of.get(stream) == view:
             return
-        self._forget(stream)
+        self._forget_view(stream)
         self.view_of[stream] = view
-        streams = self.by_view.setdefault(view, {})
+        streams = self.streams_of_view.setdefault(view, {})
         streams[stream] = None
-        if len(streams) > self.bounds.connections_each:
-            self._end(next(iter(streams)))
+        if len(streams) > self.bounds.max_connections_per_view:
+            self._close(next(iter(streams)))
 
-    def _forget(self, stream: Stream) -> None:
+    def _forget_view(self, stream: Stream) -> None:
         view = self.view_of.pop(stream, None)
         if view is None:
             return
-        del self.by_view[view][stream]
-        if not self.by_view[view]:
-            del self.by_view[view]
+        del self.streams_of_view[view][stream]
+        if not self.streams_of_view[view]:
+            del self.streams_of_view[view]
 
-    def _who(self, stream: Stream) -> str:
+    def _peer(self, stream: Stream) -> str:
         """The conductor at the other end, as far as it is known."""
         return self.view_of.get(stream, "a stranger")
 
-    def _end(self, stream: Stream) -> None:
-        if stream in self.lives:
-            self.loop.end(self.lives[stream])
+    def _close(self, stream: Stream) -> None:
+        if stream in self.tasks:
+            self.loop.end(self.tasks[stream])
 
-    def _end_all(self, listener: Listener) -> None:
+    def _close_all(self, listener: Listener) -> None:
         for stream in [*listener.streams]:
-            self._end(stream)
+            self._close(stream)
--- a/oatcart/views/subsets.py
+++ b/oatcart/views/subsets.py
@@ -54,7 +54,7 @@
     def put_endpoint(self, endpoint: Endpoint) -> None:
         """A node comes, or its record changes. InvalidEndpointError where its size is not a finite number
         above zero."""
-        if not 0 < endpoint.size < float("inf"):
+        if not 0 < endpoint.nominal_weight < float("inf"):
             raise InvalidEndpointError(endpoint)
         before = self._endpoints.get(endpoint.id)
         if before == endpoint:
--- a/tests/views/test_views_configuration.py
+++ b/tests/views/test_views_configuration.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from oatcart.views.configuration import Bounds, Configuration, DiscoverySettings, Wrong, read
-from oatcart.views.descriptors import check_descriptors, needed
+from oatcart.views.configuration import Configuration, DiscoverySettings, ServerBounds, Wrong, read
+from oatcart.views.descriptors import check_descriptors, required_descriptors
 from oatcart.views.list_guard import ListGuard
 from oatcart.views.records import Controller, ViewLimits
 
@@ -53,7 +53,7 @@
     assert found.source == DiscoverySettings(("127.0.0.1", 2), 30.0, 3.0, 2.0, 300.0, 8 << 20)
     assert found.guard == ListGuard(0.1, 3, 4.0, 20)
     assert found.limits == ViewLimits(50, 9000, 180, 1.5) and found.seed == 7
-    assert found.bounds == Bounds(0.1, 1.0, 2.0, 3.0, 9, 2)
+    assert found.bounds == ServerBounds(0.1, 1.0, 2.0, 3.0, 9, 2)
     assert [found.nodes.region(zone) for zone in ("n2", "s1", "x")] == ["north", "south", "default"]
 
 
@@ -174,7 +174,7 @@
 
 def test_more_descriptors_than_the_process_may_have_are_refused(monkeypatch):
     configuration = read(SHIPPED)
-    assert needed(configuration) == 2 + 4096 + 32
+    assert required_descriptors(configuration) == 2 + 4096 + 32
     monkeypatch.setattr("resource.getrlimit", lambda _: (4129, 4129))
     with pytest.raises(Wrong, match="4130 descriptors are needed .* 4129 are allowed"):
         check_descriptors(configuration)
--- a/tests/views/test_views_leases.py
+++ b/tests/views/test_views_leases.py
@@ -14,11 +14,11 @@
 from oatcart.views.liveness import LivenessSettings
 from oatcart.views.publisher import endpoint_record
 from oatcart.views.records import ViewLimits
-from oatcart.views.role import SLICE
+from oatcart.views.role import VIEWS_PER_TURN
 
 SHIPPED = Path(__file__).parents[2] / "deploy" / "views.yaml"
 NAMES = [f"c{number}" for number in range(8)]
-LIMITS = ViewLimits(most_members=10)
+LIMITS = ViewLimits(max_endpoints=10)
 QUICK = LivenessSettings(
     lease_duration=0.1, grace_period=0.2, retention=60.0, mass_expiry_share=0.2, mass_expiry_count=1
 )
@@ -286,7 +286,7 @@
 
 
 def test_a_call_before_the_first_list_is_held_open_and_answered_with_the_view():
-    stage = staged(None, bounds=BOUNDS._replace(undecided_wait=3.0))
+    stage = staged(None, bounds=BOUNDS._replace(undecided_timeout=3.0))
     try:
         early = [call_whole(stage, name) for name in NAMES]
         stage.for_(0.1)
@@ -310,14 +310,14 @@
         refused = call_whole(stage, "c0")
         stage.until(lambda: refused.over, "an answer")
         assert "status 503" in str(refused.ended)
-        assert BOUNDS.undecided_wait <= refused.at - began < BOUNDS.undecided_wait + 1.0
+        assert BOUNDS.undecided_timeout <= refused.at - began < BOUNDS.undecided_timeout + 1.0
         assert undecided_status(stage) == {"held": 0, "answered": 0, "refused": 1}
     finally:
         stage.close()
 
 
 def test_held_calls_of_one_conductor_are_bounded_and_end_with_their_connections():
-    stage = staged(None, bounds=BOUNDS._replace(undecided_wait=3.0, connections_each=2))
+    stage = staged(None, bounds=BOUNDS._replace(undecided_timeout=3.0, max_connections_per_view=2))
     try:
         calls = [call_whole(stage, "c0") for _ in range(5)]
         stage.until(lambda: sum(call.over for call in calls) == 3, "the oldest made way")
@@ -330,7 +330,7 @@
 
 
 def test_a_held_call_for_a_conductor_that_leaves_the_file_is_refused_at_once():
-    stage = staged(None, bounds=BOUNDS._replace(undecided_wait=3.0))
+    stage = staged(None, bounds=BOUNDS._replace(undecided_timeout=3.0))
     try:
         call = stage.call(stage.role.main.address, "/v1/views/c7/servers")
         stage.for_(0.1)
@@ -355,17 +355,17 @@
 def test_held_calls_are_answered_over_several_turns_of_the_loop(stages):
     """Failure: what waits until `loop.now` runs in the same turn, so all views are told in one long turn."""
     stage, told = stages(None), []
-    names = [f"view-{number}" for number in range(3 * SLICE)]
+    names = [f"view-{number}" for number in range(3 * VIEWS_PER_TURN)]
     stage.role.server.wake_undecided = told.extend
     stage.loop.spawn(stage.role._answer_undecided(names))
-    assert most_of_one_turn(stage, told, len(names)) == SLICE and told == names
+    assert most_of_one_turn(stage, told, len(names)) == VIEWS_PER_TURN and told == names
 
 
 def test_views_are_published_over_several_turns_of_the_loop(stages):
     """Failure: as above."""
     stage, told = stages(None), []
     stage.until(lambda: not stage.role.publishing, "all published")
-    publisher, names = stage.role.publisher, [f"view-{number}" for number in range(3 * SLICE)]
+    publisher, names = stage.role.publisher, [f"view-{number}" for number in range(3 * VIEWS_PER_TURN)]
 
     def publish(part):
         told.extend(part)
@@ -374,8 +374,8 @@
 
     publisher.publish = publish
     publisher.unpublished.update(names)
-    stage.role._publish_soon()
-    assert most_of_one_turn(stage, told, len(names)) == SLICE and sorted(told) == sorted(names)
+    stage.role._schedule_publication()
+    assert most_of_one_turn(stage, told, len(names)) == VIEWS_PER_TURN and sorted(told) == sorted(names)
 
 
 # Free of I/O.
--- a/tests/views/test_views_server.py
+++ b/tests/views/test_views_server.py
@@ -9,7 +9,7 @@
 
 from oatcart.net.http import Client
 from oatcart.net.reload import Unusable
-from oatcart.views.configuration import Bounds
+from oatcart.views.configuration import ServerBounds
 from oatcart.views.list_guard import ListGuard
 
 
@@ -102,7 +102,7 @@
         answer = following.result(stage)
         assert [entry["up_since_ms"] for entry in answer["members"]] == [start]
         revision = answer["revision"]
-    assert len(stage.role.server.lives) == 1
+    assert len(stage.role.server.tasks) == 1
 
 
 def test_a_node_that_goes_and_comes_back_is_told_both_times(stage):
@@ -182,7 +182,7 @@
 def test_a_view_whose_services_do_not_fit_is_refused_and_others_are_served():
     from oatcart.views.records import ViewLimits
 
-    stage = Stage([controller("wide"), controller("c0", ["x"])], limits=ViewLimits(most_members=3))
+    stage = Stage([controller("wide"), controller("c0", ["x"])], limits=ViewLimits(max_endpoints=3))
     try:
         stage.discovery.put(*whole_fleet())
         stage.ready()
@@ -225,15 +225,15 @@
 
 
 def test_a_slow_reader_holds_one_answer_and_is_ended_while_others_are_served():
-    bounds = Bounds(gather=0.02, unread_for=0.4)
+    bounds = ServerBounds(batching_delay=0.02, write_timeout=0.4)
     stage = Stage([controller("c0"), controller("c1")], bounds)
     try:
         stage.discovery.put(*(node(f"s-{number}", pad="x" * 8000) for number in range(60)))
         stage.ready()
         request = b"GET /v1/servers HTTP/1.1\r\nHost: x\r\n\r\n"
         slow = Exchange(stage.loop, stage.role.address_of("c0"), request * 40, reads=False)
-        stage.until(lambda: any(stream.unsent for stream in stage.role.server.lives), "an answer left unread")
-        assert max(len(stream.unsent) for stream in stage.role.server.lives) < 500_000
+        stage.until(lambda: any(stream.unsent for stream in stage.role.server.tasks), "an answer left unread")
+        assert max(len(stream.unsent) for stream in stage.role.server.tasks) < 500_000
         assert len(stage.get("c1")["members"]) == 60
         stage.until(lambda: stage.logged("c0 gone: the other side left too much unread"), "its end")
         slow.stream.close()
@@ -243,7 +243,7 @@
 
 
 def test_strangers_have_a_deadline_and_a_small_head():
-    stage = Stage([controller("c0")], Bounds(gather=0.02, request_within=0.3))
+    stage = Stage([controller("c0")], ServerBounds(batching_delay=0.02, first_request_timeout=0.3))
     try:
         assert stage.asked(stage.role.main.address, b"") == b""
         assert stage.asked(stage.role.main.address, b"GET /v1/vie") == b""
@@ -251,7 +251,7 @@
         flood = stage.asked(stage.role.main.address, b"GET / HTTP/1.1\r\nA: " + b"x" * 40_000)
         assert flood.startswith((b"HTTP/1.1 400", b""))
         assert stage.asked(stage.role.main.address, b"what?\r\n\r\n").startswith(b"HTTP/1.1 400")
-        stage.until(lambda: not stage.role.server.lives, "all of them gone")
+        stage.until(lambda: not stage.role.server.tasks, "all of them gone")
     finally:
         stage.close()
 
@@ -263,16 +263,16 @@
 
 
 def test_a_crowd_of_strangers_costs_no_one_who_is_in_use():
-    stage = Stage([controller("c0")], Bounds(gather=0.02, connections=6))
+    stage = Stage([controller("c0")], ServerBounds(batching_delay=0.02, max_connections=6))
     try:
         stage.discovery.put(*nodes("x", 3))
         stage.ready()
         watching = watch(stage, "c0", stage.get("c0")["revision"])
-        stage.until(lambda: stage.role.server.waiting.get("c0"), "the watch stands")
+        stage.until(lambda: stage.role.server.watching.get("c0"), "the watch stands")
         crowd = [Exchange(stage.loop, stage.role.main.address, b"") for _ in range(20)]
         stage.until(lambda: stage.logged("there was no room"), "some that are gone")
         stage.for_(0.1)
-        assert len(stage.role.server.lives) <= 6 and not watching.over
+        assert len(stage.role.server.tasks) <= 6 and not watching.over
         stage.discovery.drain("x-a0")
         assert phases(watching.result(stage)) == {"x-a0": "DRAINING"} and len(crowd) == 20
     finally:
--- a/tests/views/test_views_subsets.py
+++ b/tests/views/test_views_subsets.py
@@ -22,7 +22,7 @@
 SEED = 7
 SERVICES = ("api", "cart", "search")
 ZONES = (("west", "west-1"), ("west", "west-2"), ("east", "east-1"), ("east", "east-2"))
-SMALL = ViewLimits(most_members=12)
+SMALL = ViewLimits(max_endpoints=12)
 
 
 def endpoints_of(service: str, count: int, zones=ZONES, size: float = 1.0) -> list[Endpoint]:
@@ -63,11 +63,11 @@
         number=st.integers(0, 30),
         place=st.sampled_from(ZONES),
         service=st.sampled_from(SERVICES),
-        size=st.sampled_from((1.0, 2.0, 4.0)),
+        weight=st.sampled_from((1.0, 2.0, 4.0)),
         ready=st.booleans(),
     )
-    def put_endpoint(self, number, place, service, size, ready):
-        endpoint = Endpoint(f"node-{number}", *place, service, size, ready)
+    def put_endpoint(self, number, place, service, weight, ready):
+        endpoint = Endpoint(f"node-{number}", *place, service, weight, ready)
         self.endpoints[endpoint.id] = endpoint
         self.subsets.put_endpoint(endpoint)
 
@@ -168,7 +168,7 @@
 
 def test_the_bound_in_bytes_bounds_the_number_of_nodes():
     assert ViewLimits().capacity == 70_000 // 145
-    limits = ViewLimits(most_members=500, most_bytes=1450, most_entry_bytes=145)
+    limits = ViewLimits(max_endpoints=500, max_bytes=1450, max_entry_bytes=145)
     subsets = subsets_of(endpoints_of("api", 100), controllers_of(20, ("api",)), limits)
     assert max(len(view) for view in views_of(subsets, controllers_of(20, ("api",))).values()) <= 10
 
@@ -203,14 +203,14 @@
 def test_busiest_to_mean_is_within_the_overload_and_none_is_unseen(controllers):
     sizes = (1.0, 2.0, 4.0)
     endpoints = [
-        endpoint._replace(size=sizes[number % len(sizes)])
+        endpoint._replace(nominal_weight=sizes[number % len(sizes)])
         for number, endpoint in enumerate(endpoints_of("api", 150))
     ]
-    subsets = subsets_of(endpoints, controllers_of(controllers, ("api",)), ViewLimits(most_members=50))
+    subsets = subsets_of(endpoints, controllers_of(controllers, ("api",)), ViewLimits(max_endpoints=50))
     seats = sum(len(subsets.view(controller.name)) for controller in controllers_of(controllers, ("api",)))
-    by_size = seats / sum(endpoint.size for endpoint in endpoints)
+    by_size = seats / sum(endpoint.nominal_weight for endpoint in endpoints)
     for endpoint in endpoints:
-        expected = by_size * endpoint.size
+        expected = by_size * endpoint.nominal_weight
         holders = len(subsets.holders(endpoint.id))
         assert 0 < holders <= min(controllers, max(1.25 * expected, expected + 1))
 
@@ -238,14 +238,14 @@
 
 
 FLEET_SERVICES = {"api": 200, "cart": 110, "search": 60, "tiny": 5, "single": 1}
-FLEET_LIMITS = ViewLimits(most_members=80)
+FLEET_LIMITS = ViewLimits(max_endpoints=80)
 
 
 def planned_endpoints() -> list[Endpoint]:
     """A fleet with a few large services and small ones, sizes of 1, 2 and 4, over four zones."""
     sizes = (1.0, 1.0, 2.0, 1.0, 4.0)
     return [
-        endpoint._replace(size=sizes[number % len(sizes)])
+        endpoint._replace(nominal_weight=sizes[number % len(sizes)])
         for service, count in FLEET_SERVICES.items()
         for number, endpoint in enumerate(endpoints_of(service, count))
     ]
--- a/tests/views/views_stage.py
+++ b/tests/views/views_stage.py
@@ -12,7 +12,7 @@
 from oatcart.net.log import Log
 from oatcart.net.loop import IN, Loop, Wait
 from oatcart.net.stream import Stream, dial
-from oatcart.views.configuration import Bounds, Configuration, DiscoverySettings, ServedController
+from oatcart.views.configuration import Configuration, DiscoverySettings, ServedController, ServerBounds
 from oatcart.views.list_guard import ListGuard
 from oatcart.views.records import Controller
 from oatcart.views.role import ControlRole
@@ -20,7 +20,7 @@
 
 WITHIN = 8.0  # s of real time until something must have come; a met want ends the wait
 ANY_PORT = ("127.0.0.1", 0)
-BOUNDS, GUARD = Bounds(gather=0.02, undecided_wait=0.3), ListGuard(confirmation_delay=0.3)
+BOUNDS, GUARD = ServerBounds(batching_delay=0.02, undecided_timeout=0.3), ListGuard(confirmation_delay=0.3)
 SOON = DiscoverySettings(watch_timeout=1.0, fetch_timeout=1.0, max_backoff=0.1, refetch_interval=60.0)
 
 
@@ -47,7 +47,7 @@
 
     def start(self):
         self.serving = Server(self.loop, None, None, None, None)
-        self.serving._let_in = self._let_in
+        self.serving._admit = self._admit
         self.listener = self.serving.listen(self.address)
         self.address = self.listener.address
 
@@ -90,7 +90,7 @@
             if not task.over and task.wait.fd == -1:
                 self.loop.expire(task)
 
-    def _let_in(self, sock, listener):
+    def _admit(self, sock, listener):
         stream = Stream(self.loop, sock)
         self.streams.append((self.loop.spawn(self._life(stream)), stream))
 
