--- a/oatcart/scale/day_trial.py
+++ b/oatcart/scale/day_trial.py
@@ -31,7 +31,7 @@
 from oatcart.scale.troubles import Event, RegionsCut
 from oatcart.scale.view_trial import ViewTrial
 from oatcart.views.configuration import Configuration
-from oatcart.views.configuration import read as read_views
+from oatcart.views.configuration_file import read as read_views
 from oatcart.views.records import Controller
 
 SAMPLE_EVERY_S = 1.0
--- a/oatcart/scale/day_views.py
+++ b/oatcart/scale/day_views.py
@@ -10,7 +10,7 @@
 from oatcart.scale.day_relay import EntryState, entry_state
 from oatcart.scale.day_schedule import Change, Kind
 from oatcart.scale.discovery import DELETED
-from oatcart.views.configuration import NodeFields
+from oatcart.views.configuration import EndpointFields
 from oatcart.views.entries import SERVING, parse_entry
 from oatcart.views.publisher import endpoint_record
 from oatcart.views.records import Controller, ViewLimits
@@ -97,5 +97,5 @@
                 self._subsets.remove_endpoint(entry["id"])
                 self.entries.pop(entry["id"], None)
             else:
-                self._subsets.put_endpoint(endpoint_record(parse_entry(entry), NodeFields()))
+                self._subsets.put_endpoint(endpoint_record(parse_entry(entry), EndpointFields()))
                 self.entries[entry["id"]] = entry
--- a/oatcart/views/__main__.py
+++ b/oatcart/views/__main__.py
@@ -21,9 +21,11 @@
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop
 from oatcart.net.reload import reloads, wake_pair
-from oatcart.views.configuration import Configuration, Wrong, read
+from oatcart.views.configuration import Configuration
+from oatcart.views.configuration_file import read
 from oatcart.views.descriptors import check_descriptors
 from oatcart.views.role import ControlRole
+from oatcart.yaml_files import Wrong
 
 UNUSABLE = 2
 
--- /dev/null
+++ b/oatcart/views/configuration_file.py
@@ -0,0 +1,237 @@
+"""Reads and checks `deploy/views.yaml`. Each problem names file, line and field, and all are reported at
+once.
+
+The keys of the file are mapped to the fields of `configuration` here and nowhere else.
+"""
+
+from collections.abc import Callable
+from pathlib import Path
+from typing import NamedTuple
+
+from ruamel.yaml.comments import CommentedMap
+
+from oatcart.net.stream import Address
+from oatcart.views.configuration import Configuration, DiscoverySettings, EndpointFields, ServerBounds
+from oatcart.views.controllers import (
+    ControllerGroup,
+    ServedController,
+    distinct_names,
+    expand_groups,
+    groups_of_file,
+    groups_of_list,
+    numeric_address,
+)
+from oatcart.views.list_guard import ListGuard
+from oatcart.views.liveness import LivenessSettings
+from oatcart.views.records import ViewLimits
+from oatcart.yaml_files import Wrong, load, name, size, span, table, whole, yes_or_no
+
+MAX_WATCH_TIMEOUT = 60.0  # s, by the protocol
+MAX_UNDECIDED_TIMEOUT = 3.0  # s; a controller ends a call that is no watch after 4 s
+MIN_LEASE_DURATION = 1.0  # s
+MAX_SEED = 2**64 - 1
+MAX_COUNT = 1_000_000  # of endpoints or controllers
+
+
+class Setting(NamedTuple):
+    """A key's field in the code, and its parser, which raises ValueError for a value that is not valid."""
+
+    field: str
+    parse: Callable[[object], object]
+
+
+def _factor(value: object) -> float:
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not 1 <= value <= 100:
+        raise ValueError(f"{value} is no factor from 1 to 100")
+    return float(value)
+
+
+def _base_address(value: object) -> Address:
+    address = numeric_address(value)
+    if not address[1]:
+        raise ValueError(f"{value!r} has no port to count from")
+    return address
+
+
+def _share(value: object) -> float:
+    """
+    >>> _share("25%")
+    0.25
+    """
+    digits = str(value).removesuffix("%")
+    if not str(value).endswith("%") or not digits.isdecimal() or not 0 < int(digits) < 100:
+        raise ValueError(f"{value} is no share; write it as 25%")
+    return int(digits) / 100
+
+
+def _watch_timeout(value: object) -> float:
+    timeout = span(value)
+    if timeout > MAX_WATCH_TIMEOUT:
+        raise ValueError(f"{value} is longer than a watch may wait, 60s")
+    return timeout
+
+
+def _undecided_timeout(value: object) -> float:
+    timeout = span(value)
+    if timeout > MAX_UNDECIDED_TIMEOUT:
+        raise ValueError(f"{value} is longer than 3s; a controller ends its call after 4s")
+    return timeout
+
+
+def _lease_duration(value: object) -> float:
+    duration = span(value)
+    if duration < MIN_LEASE_DURATION:
+        raise ValueError(f"{value} is shorter than 1s")
+    return duration
+
+
+SOURCE_SETTINGS = {
+    "address": Setting("address", numeric_address),
+    "wait": Setting("watch_timeout", _watch_timeout),
+    "answer_within": Setting("fetch_timeout", span),
+    "retry_most": Setting("max_backoff", span),
+    "reconcile_every": Setting("refetch_interval", span),
+    "list_most": Setting("max_list_bytes", size),
+}
+GUARD_SETTINGS = {
+    "drop_share": Setting("max_removed_share", _share),
+    "drop_least": Setting("mass_removal_count", whole(1, MAX_COUNT)),
+    "hold": Setting("confirmation_delay", span),
+    "least_nodes": Setting("min_endpoints", whole(1, MAX_COUNT)),
+}
+VIEW_SETTINGS = {
+    "most_members": Setting("max_endpoints", whole(1, 100_000)),
+    "most_bytes": Setting("max_bytes", whole(1, 1 << 20)),
+    "most_entry_bytes": Setting("max_entry_bytes", whole(1, 65536)),
+    "overload": Setting("overload", _factor),
+    "seed": Setting("seed", whole(0, MAX_SEED)),
+}
+BOUND_SETTINGS = {
+    "gather": Setting("batching_delay", span),
+    "unread_for": Setting("write_timeout", span),
+    "request_within": Setting("first_request_timeout", span),
+    "idle_most": Setting("idle_timeout", span),
+    "connections": Setting("max_connections", whole(1, 100_000)),
+    "connections_each": Setting("max_connections_per_view", whole(1, 64)),
+    "undecided_wait": Setting("undecided_timeout", _undecided_timeout),
+}
+LEASE_SETTINGS = {
+    "enabled": Setting("is_enabled", yes_or_no),
+    "only_control_role": Setting("is_only_control_role", yes_or_no),
+    "lease": Setting("lease_duration", _lease_duration),
+    "grace": Setting("grace_period", span),
+    "hold": Setting("retention", span),
+    "doubt_share": Setting("mass_expiry_share", _share),
+    "doubt_least": Setting("mass_expiry_count", whole(1, MAX_COUNT)),
+}
+# The parsers of the keys at the top; None: a part or list with keys of its own.
+TOP_KEYS = {
+    "listen": numeric_address,
+    "base": _base_address,
+    "service_field": name,
+    "region_field": name,
+    "source": None,
+    "regions": None,
+    "guard": None,
+    "views": None,
+    "bounds": None,
+    "leases": None,
+    "conductors_file": name,
+    "conductors": None,
+}
+
+
+class _Reader:
+    """One reading of a file. `folder` has the file; `where` names a line of it, counted from 0."""
+
+    def __init__(self, document: CommentedMap, folder: Path, where: Callable[[int], str]) -> None:
+        self.document, self.folder, self.where = document, folder, where
+        self.problems: list[str] = []
+        self.top = table(document, TOP_KEYS, "", where, self.problems, 0)
+
+    def configuration(self) -> Configuration:
+        """The settings of the file, to be used if `problems` stays empty."""
+        views = self._part("views", VIEW_SETTINGS)
+        fields = EndpointFields(
+            self.top.get("service_field", EndpointFields().service_field),
+            self.top.get("region_field", EndpointFields().region_field),
+            self._region_of_zone(),
+        )
+        return Configuration(
+            listen=self._listen(),
+            source=DiscoverySettings(**self._part("source", SOURCE_SETTINGS)),
+            endpoint_fields=fields,
+            guard=ListGuard(**self._part("guard", GUARD_SETTINGS)),
+            seed=views.pop("seed", 0),
+            limits=ViewLimits(**views),
+            bounds=ServerBounds(**self._part("bounds", BOUND_SETTINGS)),
+            leases=self._leases(),
+            controllers=self._controllers(fields),
+        )
+
+    def _listen(self) -> Address:
+        return self.top.get("listen", Configuration().listen)
+
+    def _line(self, key: str) -> int:
+        return self.document.lc.key(key)[0]
+
+    def _part(self, key: str, settings: dict[str, Setting]) -> dict:
+        """The values of one part, by field."""
+        if key not in self.top:
+            return {}
+        parsers = {name: setting.parse for name, setting in settings.items()}
+        values = table(self.top[key], parsers, f"{key}.", self.where, self.problems, self._line(key))
+        return {settings[name].field: value for name, value in values.items()}
+
+    def _leases(self) -> LivenessSettings | None:
+        """Leases are refused unless the file says that no other control role serves these controllers."""
+        values = self._part("leases", LEASE_SETTINGS)
+        is_enabled = values.pop("is_enabled", False)
+        is_only_control_role = values.pop("is_only_control_role", False)
+        if not is_enabled:
+            return None
+        if not is_only_control_role:
+            here = self.where(self.top["leases"].lc.key("enabled")[0])
+            self.problems.append(
+                f"{here}: leases.enabled: control roles do not tell one another who called them, so their "
+                "views would differ; where this one alone serves its controllers, add only_control_role: true"
+            )
+        return LivenessSettings(**values)
+
+    def _region_of_zone(self) -> dict[str, str]:
+        """The file has the zones by region."""
+        found: dict[str, str] = {}
+        if "regions" not in self.top:
+            return found
+        regions = self.top["regions"]
+        parsers = dict.fromkeys(regions or (), distinct_names) if isinstance(regions, CommentedMap) else {}
+        line = self._line("regions")
+        for region, zones in table(regions, parsers, "regions.", self.where, self.problems, line).items():
+            for zone in zones:
+                if zone in found:
+                    here = self.where(regions.lc.key(region)[0])
+                    self.problems.append(f"{here}: regions.{region}: zone {zone} is in {found[zone]} already")
+                found[zone] = str(region)
+        return found
+
+    def _controllers(self, fields: EndpointFields) -> tuple[ServedController, ...]:
+        """Those of the list, then those of the file of JSON lines, whose path is relative to this file."""
+        groups: list[ControllerGroup] = []
+        listed, path = self.top.get("conductors"), self.top.get("conductors_file")
+        if listed is not None:
+            groups += groups_of_list(listed, self._line("conductors"), self.where, self.problems)
+        if path is not None:
+            groups += groups_of_file(self.folder / path, self.problems)
+        return expand_groups(groups, self._listen(), self.top.get("base"), fields.region, self.problems)
+
+
+def read(path: str | Path) -> Configuration:
+    """The settings of a file; raises Wrong with all problems, a line each."""
+    document, where = load(path)
+    if document is None:
+        return Configuration()
+    reader = _Reader(document, Path(path).parent, where)
+    configuration = reader.configuration()
+    if reader.problems:
+        raise Wrong("\n".join(reader.problems))
+    return configuration
--- a/oatcart/views/controllers.py
+++ b/oatcart/views/controllers.py
@@ -1,8 +1,7 @@
-"""The conductors that a control role serves, as its file lists them: one by one, in groups, or in a file of
-JSON lines.
+"""The controllers that the deploy file lists: one by one, in groups, or in a file of JSON lines.
 
-A large fleet's list is written by a program, and YAML that keeps its lines takes a millisecond a conductor to
-read; a file of JSON lines, one conductor a line with the same keys, takes a small part of that.
+A large list is written by a program. YAML that keeps its lines takes about a millisecond a controller to
+read; JSON lines, one controller a line with the same keys, take a small part of that.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -18,20 +17,21 @@
 from oatcart.yaml_files import name, table, whole
 
 PORTS = 65536
-CONTROLLERS_MOST = 20_000
-NUMBER_FIELD = "{number}"  # in the name of a group of conductors
+MAX_CONTROLLERS = 20_000
+NUMBER_FIELD = "{number}"  # in the name of a group; replaced by numbers from 0 up
 
 
 class ServedController(NamedTuple):
-    """A conductor that is served. `address`: its own, None where it asks by name alone."""
+    """A controller that is served. `address`: its own listening address, None if it requests its view by name
+    alone."""
 
     record: Controller
     address: Address | None
 
 
 class ControllerGroup(NamedTuple):
-    """One entry of the list as it stands. `at`: how errors name it; `where`: how a line of its file is
-    named."""
+    """One entry of the list, not yet checked. `at` is its path in messages; `where` names a line of its file,
+    counted from 0."""
 
     value: object
     at: str
@@ -56,7 +56,7 @@
 
 GROUP_KEYS = {
     "name": name,
-    "count": whole(1, CONTROLLERS_MOST),
+    "count": whole(1, MAX_CONTROLLERS),
     "zone": name,
     "region": name,
     "services": distinct_names,
@@ -67,12 +67,12 @@
 def groups_of_list(
     value: object, line: int, where: Callable[[int], str], problems: list[str]
 ) -> Iterator[ControllerGroup]:
-    """The entries of `conductors` in the YAML file, which stands at that line."""
+    """The entries of `conductors` in the YAML file, whose value begins at that line."""
     if not isinstance(value, CommentedSeq):
         problems.append(f"{where(line)}: conductors is no list")
         return
-    for place, group in enumerate(value):
-        yield ControllerGroup(group, f"conductors[{place}].", value.lc.item(place)[0], where)
+    for position, group in enumerate(value):
+        yield ControllerGroup(group, f"conductors[{position}].", value.lc.item(position)[0], where)
 
 
 def groups_of_file(path: Path, problems: list[str]) -> Iterator[ControllerGroup]:
@@ -86,18 +86,19 @@
     except OSError as error:
         problems.append(f"{path}: {error.strerror}")
         return
-    for number, text in enumerate(lines):
+    for line, text in enumerate(lines):
         if not text.strip():
             continue
         try:
             value = orjson.loads(text)
         except orjson.JSONDecodeError as error:
-            problems.append(f"{where(number)}: {error}")
+            problems.append(f"{where(line)}: {error}")
             continue
-        yield ControllerGroup(_with_line(value, number), "", number, where)
+        yield ControllerGroup(_with_line(value, line), "", line, where)
 
 
 def _with_line(value: object, line: int) -> object:
+    """A JSON object as a YAML map, all of whose keys are at that line."""
     if not isinstance(value, dict):
         return value
     found = CommentedMap(value)
@@ -113,17 +114,17 @@
     region_of: Callable[[str], str],
     problems: list[str],
 ) -> tuple[ServedController, ...]:
-    """All conductors of all groups. Each is listened for at its own address or, by its position, above the
-    base."""
+    """All controllers of all groups. A controller without an address of its own gets the port above `base`
+    that is its position in the list, if there is a base."""
     found: list[ServedController] = []
     names: set[str] = set()
-    taken = {listen: "listen"}
+    users = {listen: "listen"}
     for group in groups:
         for served in _expanded(group, base, len(found), region_of, problems):
-            _check_distinct(served, names, taken, group.where(group.line), problems)
+            _check_distinct(served, names, users, group.where(group.line), problems)
             found.append(served)
-    if len(found) > CONTROLLERS_MOST:
-        problems.append(f"conductors: {len(found)}, more than {CONTROLLERS_MOST}")
+    if len(found) > MAX_CONTROLLERS:
+        problems.append(f"conductors: {len(found)}, more than {MAX_CONTROLLERS}")
     return tuple(found)
 
 
@@ -134,16 +135,18 @@
     region_of: Callable[[str], str],
     problems: list[str],
 ) -> Iterator[ServedController]:
-    """The conductors of one entry: one, or `count` of them whose names bear a number."""
-    before = len(problems)
+    """The controllers of one entry: one, or `count` with a number in their names."""
+    problems_before = len(problems)
     fields = table(group.value, GROUP_KEYS, group.at, group.where, problems, group.line)
     _check_fields(group, fields, problems)
-    if len(problems) > before:
+    if len(problems) > problems_before:
         return
     region = fields.get("region", region_of(fields["zone"]))
     for number in range(fields.get("count", 1)):
-        name_here = fields["name"].replace(NUMBER_FIELD, str(number)) if "count" in fields else fields["name"]
-        record = Controller(name_here, region, fields["zone"], fields.get("services", ()))
+        own_name = fields["name"]
+        if "count" in fields:
+            own_name = own_name.replace(NUMBER_FIELD, str(number))
+        record = Controller(own_name, region, fields["zone"], fields.get("services", ()))
         yield ServedController(record, fields.get("address") or _above(base, position + number))
 
 
@@ -159,20 +162,21 @@
 
 
 def _check_distinct(
-    served: ServedController, names: set[str], taken: dict[Address, str], here: str, problems: list[str]
+    served: ServedController, names: set[str], users: dict[Address, str], here: str, problems: list[str]
 ) -> None:
-    name_here, address = served.record.name, served.address
-    if name_here in names:
-        problems.append(f"{here}: conductors: the name {name_here} stands there twice")
-    names.add(name_here)
-    if address is None or not address[1]:  # none of its own, or any port that is free
+    """Checks a name and an address against those before; `users` has the names by address."""
+    own_name, address = served.record.name, served.address
+    if own_name in names:
+        problems.append(f"{here}: conductors: the name {own_name} stands there twice")
+    names.add(own_name)
+    if address is None or not address[1]:  # port 0 asks for any free port
         return
     if address[1] >= PORTS:
-        problems.append(f"{here}: conductors: {name_here} would have port {address[1]}; set a lower base")
-    if address in taken:
+        problems.append(f"{here}: conductors: {own_name} would have port {address[1]}; set a lower base")
+    if address in users:
         shown = "{}:{}".format(*address)
-        problems.append(f"{here}: conductors: {name_here} and {taken[address]} would both have {shown}")
-    taken[address] = name_here
+        problems.append(f"{here}: conductors: {own_name} and {users[address]} would both have {shown}")
+    users[address] = own_name
 
 
 def _above(base: Address | None, position: int) -> Address | None:
--- a/oatcart/views/descriptors.py
+++ b/oatcart/views/descriptors.py
@@ -2,7 +2,8 @@
 
 import resource
 
-from oatcart.views.configuration import Configuration, Wrong
+from oatcart.views.configuration import Configuration
+from oatcart.yaml_files import Wrong
 
 # descriptors: standard streams, epoll, the wake pair, the main listener, the call to discovery; half
 # spare
--- a/oatcart/views/publisher.py
+++ b/oatcart/views/publisher.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable, Collection, Iterable, Mapping
 
-from oatcart.views.configuration import Configuration, NodeFields, ServedController
+from oatcart.views.configuration import Configuration, EndpointFields, ServedController
 from oatcart.views.decisions import RecordChanges, View
 from oatcart.views.entries import SERVING, EndpointEntry
 from oatcart.views.history import ViewHistory
@@ -87,8 +87,8 @@
         self.unpublished.update(
             name for name, history in self.histories.items() if not touched.isdisjoint(history.entries)
         )
-        nodes = self.configuration.nodes
-        endpoints = [endpoint_record(entry, nodes) for entry in changes.changed.values()]
+        fields = self.configuration.endpoint_fields
+        endpoints = [endpoint_record(entry, fields) for entry in changes.changed.values()]
         self.decide(RecordChanges(endpoints=endpoints, removed_endpoints=changes.removed))
 
     def apply_views(self, views: Mapping[str, View]) -> None:
@@ -150,10 +150,10 @@
     def _decide_all(self) -> None:
         if not self.entries:
             return
-        nodes = self.configuration.nodes
+        fields = self.configuration.endpoint_fields
         self.decide(
             RecordChanges(
-                endpoints=[endpoint_record(entry, nodes) for entry in self.entries.values()],
+                endpoints=[endpoint_record(entry, fields) for entry in self.entries.values()],
                 controllers=self._live_controllers(),
                 limits=self.configuration.limits,
                 seed=self.configuration.seed,
@@ -161,13 +161,12 @@
         )
 
 
-def endpoint_record(entry: EndpointEntry, nodes: NodeFields) -> Endpoint:
-    """The record from which views are decided, of an entry of the list; `nodes` says which fields have the
-    service and the region."""
-    service, region = entry.fields.get(nodes.service_field), entry.fields.get(nodes.region_field)
+def endpoint_record(entry: EndpointEntry, fields: EndpointFields) -> Endpoint:
+    """The record of an entry, from which views are decided; `fields` names those of service and region."""
+    service, region = entry.fields.get(fields.service_field), entry.fields.get(fields.region_field)
     return Endpoint(
         entry.id,
-        region if isinstance(region, str) and region else nodes.region(entry.zone),
+        region if isinstance(region, str) and region else fields.region(entry.zone),
         entry.zone,
         service if isinstance(service, str) and service else DEFAULT_SERVICE,
         float(entry.fields.get("size") or DEFAULT_NOMINAL_WEIGHT),
@@ -175,9 +174,9 @@
     )
 
 
-def _decision_inputs(configuration: Configuration) -> tuple[ViewLimits, int, NodeFields]:
+def _decision_inputs(configuration: Configuration) -> tuple[ViewLimits, int, EndpointFields]:
     """What all decisions depend on, apart from endpoints and controllers."""
-    return configuration.limits, configuration.seed, configuration.nodes
+    return configuration.limits, configuration.seed, configuration.endpoint_fields
 
 
 def _records_by_name(served: Iterable[ServedController]) -> dict[str, Controller]:
--- a/oatcart/views/role.py
+++ b/oatcart/views/role.py
@@ -13,7 +13,8 @@
 from oatcart.net.loop import Loop, Wait
 from oatcart.net.reload import Unusable
 from oatcart.net.stream import Address
-from oatcart.views.configuration import Configuration, ServedController, Wrong, read
+from oatcart.views.configuration import Configuration, ServedController
+from oatcart.views.configuration_file import read
 from oatcart.views.decisions import DecisionThread, View
 from oatcart.views.leases import LeaseCheck, LeaseTable
 from oatcart.views.list_guard import AcceptedList, ListChanges
@@ -21,6 +22,7 @@
 from oatcart.views.publisher import Publisher
 from oatcart.views.revisions import RevisionSequence
 from oatcart.views.server import Listener, Server
+from oatcart.yaml_files import Wrong
 
 VIEWS_PER_TURN = 32  # views that are brought up to date in one turn of the loop
 TURNS_LOG_INTERVAL = 30.0  # s between the log's lines on how this process keeps up
--- a/tests/views/test_views_configuration.py
+++ b/tests/views/test_views_configuration.py
@@ -6,10 +6,12 @@
 
 import pytest
 
-from oatcart.views.configuration import Configuration, DiscoverySettings, ServerBounds, Wrong, read
+from oatcart.views.configuration import Configuration, DiscoverySettings, ServerBounds
+from oatcart.views.configuration_file import read
 from oatcart.views.descriptors import check_descriptors, required_descriptors
 from oatcart.views.list_guard import ListGuard
 from oatcart.views.records import Controller, ViewLimits
+from oatcart.yaml_files import Wrong
 
 ROOT = Path(__file__).parents[2]
 SHIPPED = ROOT / "deploy" / "views.yaml"
@@ -49,12 +51,12 @@
         )
     )
     assert found.listen == ("127.0.0.1", 1)
-    assert found.nodes.service_field == "svc" and found.nodes.region_field == "geo"
+    assert found.endpoint_fields.service_field == "svc" and found.endpoint_fields.region_field == "geo"
     assert found.source == DiscoverySettings(("127.0.0.1", 2), 30.0, 3.0, 2.0, 300.0, 8 << 20)
     assert found.guard == ListGuard(0.1, 3, 4.0, 20)
     assert found.limits == ViewLimits(50, 9000, 180, 1.5) and found.seed == 7
     assert found.bounds == ServerBounds(0.1, 1.0, 2.0, 3.0, 9, 2)
-    assert [found.nodes.region(zone) for zone in ("n2", "s1", "x")] == ["north", "south", "default"]
+    assert [found.endpoint_fields.region(zone) for zone in ("n2", "s1", "x")] == ["north", "south", "default"]
 
 
 def test_positions_are_ports_groups_count_and_an_own_address_takes_its_position_with_it(tmp_path):
--- a/tests/views/test_views_leases.py
+++ b/tests/views/test_views_leases.py
@@ -8,13 +8,15 @@
 from views_stage import BOUNDS, Stage, controller, ids, node
 
 from oatcart.net.http import Client
-from oatcart.views.configuration import Configuration, Wrong, read
+from oatcart.views.configuration import Configuration
+from oatcart.views.configuration_file import read
 from oatcart.views.decisions import RecordChanges, ViewDecider
 from oatcart.views.leases import LeaseTable
 from oatcart.views.liveness import LivenessSettings
 from oatcart.views.publisher import endpoint_record
 from oatcart.views.records import ViewLimits
 from oatcart.views.role import VIEWS_PER_TURN
+from oatcart.yaml_files import Wrong
 
 SHIPPED = Path(__file__).parents[2] / "deploy" / "views.yaml"
 NAMES = [f"c{number}" for number in range(8)]
@@ -89,7 +91,7 @@
 def decided_for(stage, names):
     """The views of these conductors as a fresh start decides them."""
     publisher = stage.role.publisher
-    nodes = publisher.configuration.nodes
+    nodes = publisher.configuration.endpoint_fields
     return ViewDecider().decide(
         [
             RecordChanges(
