--- a/oatcart/views/__main__.py
+++ b/oatcart/views/__main__.py
@@ -1,7 +1,7 @@
-"""`python -m oatcart.views deploy/views.yaml`: the control role that serves each conductor a bounded view of
-the fleet.
+"""`python -m oatcart.views deploy/views.yaml`: the control role, which serves each controller a bounded view
+of the fleet.
 
-Exit codes: 0 when told to end, 2 where the file cannot be used or an address cannot be listened at.
+Exit codes: 0 after SIGTERM or SIGINT, 2 if the file is invalid or an address cannot be listened at.
 """
 
 # ruff: noqa: E402 - signals are set before the imports that take time
@@ -27,7 +27,7 @@
 from oatcart.views.role import ControlRole
 from oatcart.yaml_files import Wrong
 
-UNUSABLE = 2
+EXIT_INVALID = 2
 
 
 def assemble(configuration: Configuration) -> ControlRole:
@@ -38,23 +38,24 @@
 
 
 def main(words: list[str] | None = None) -> int:
+    """Runs the command with these arguments, by default those of the process; returns the exit code."""
     parser = argparse.ArgumentParser(prog="oatcart.views", description=__doc__)
     parser.add_argument("file", help="the control role's settings, YAML")
     parser.add_argument("--check", action="store_true", help="read and check the file, start nothing")
-    told = parser.parse_args(words)
-    woken = wake_pair()
+    arguments = parser.parse_args(words)
+    wake_receiver = wake_pair()
     try:
-        configuration = read(told.file)
+        configuration = read(arguments.file)
         check_descriptors(configuration)
-        if told.check:
-            print(f"{told.file} can be used: {len(configuration.controllers)} conductors")
+        if arguments.check:
+            print(f"{arguments.file} can be used: {len(configuration.controllers)} controllers")
             return 0
         role = assemble(configuration)
         role.start()
     except (Wrong, OSError) as error:
         print(error, file=sys.stderr)
-        return UNUSABLE
-    role.loop.spawn(reloads(role.loop, role.log, woken, lambda: role.reload(told.file)))
+        return EXIT_INVALID
+    role.loop.spawn(reloads(role.loop, role.log, wake_receiver, lambda: role.reload(arguments.file)))
     while True:
         role.turn()
 
--- a/oatcart/views/requests.py
+++ b/oatcart/views/requests.py
@@ -1,4 +1,7 @@
-"""Calls to the control role as they stand on the wire, and the refusals that answer them. Free of I/O."""
+"""Calls to the control role as they stand on the wire, and the bodies of rejections. Free of I/O.
+
+Source: the discovery protocol, `GET /v1/servers`, and `docs/views-operations.md`.
+"""
 
 from typing import NamedTuple
 from urllib.parse import parse_qs, unquote
@@ -9,13 +12,14 @@
 
 GET = b"GET"
 VIEWS_PATH = "/v1/views"
-MAX_WATCH_MS = 60_000  # the protocol's
-MAX_SHOWN_LETTERS = 80  # letters of what is refused
+MAX_WATCH_MS = 60_000  # by the protocol; a longer wait is cut
+MAX_SHOWN_LETTERS = 80  # of a rejected method, path or value
+MAX_DIGITS = 16  # of a number in a query
 OK, BAD_REQUEST, NOT_FOUND, METHOD_NOT_ALLOWED, UNAVAILABLE = 200, 400, 404, 405, 503
 
 
 class RejectedRequestError(Exception):
-    """A call that cannot be answered with a list: its status, what is refused and why."""
+    """A call that is answered with an error: the HTTP status, what is rejected and the reason."""
 
     def __init__(self, status: int, subject: str, reason: str) -> None:
         super().__init__(f"{status}: {subject}: {reason}")
@@ -23,12 +27,13 @@
 
     @property
     def body(self) -> bytes:
-        """The refusal as JSON."""
+        """The body of the answer, JSON."""
         return orjson.dumps({"error": self.subject, "why": self.reason})
 
 
 class ListRequest(NamedTuple):
-    """A call for a view's list. `since`: the revision in hand, None for the whole list. `wait`: s."""
+    """A call for a view. `since`: the revision held, None for the complete list; `timeout`: s to wait for
+    changes."""
 
     view: str
     since: int | None = None
@@ -36,12 +41,12 @@
 
 
 class StatusRequest(NamedTuple):
-    """A call for how the control role stands."""
+    """A call for the state of the control role."""
 
 
 def parse_request(method: bytes, target: bytes, own_view: str | None) -> ListRequest | StatusRequest:
-    """The call that a request line stands for; raises RejectedRequestError. `own_view`: the conductor whose
-    address was called, None at the main address."""
+    """Parses a request line; raises RejectedRequestError. `own_view`: the controller whose address was
+    called, None at the main address."""
     if method != GET:
         raise RejectedRequestError(METHOD_NOT_ALLOWED, _shown(method), "only GET is served")
     path, _, query = target.decode("ascii", "replace").partition("?")
@@ -72,7 +77,7 @@
 
 
 def _count(field: str, value: str) -> int:
-    if not (value.isascii() and value.isdigit()) or len(value) > 16:
+    if not (value.isascii() and value.isdigit()) or len(value) > MAX_DIGITS:
         raise RejectedRequestError(BAD_REQUEST, f"{field}={_shown(value)}", "it is no whole number")
     return int(value)
 
--- a/tests/views/test_views_configuration.py
+++ b/tests/views/test_views_configuration.py
@@ -189,7 +189,7 @@
 
 def test_a_check_starts_nothing_and_ends_with_0():
     found = run(SHIPPED, "--check")
-    assert (found.returncode, found.stderr) == (0, "") and "can be used: 2 conductors" in found.stdout
+    assert (found.returncode, found.stderr) == (0, "") and "can be used: 2 controllers" in found.stdout
 
 
 def test_a_file_that_cannot_be_used_ends_with_2_and_says_all(tmp_path):
--- a/tests/views/test_views_decisions.py
+++ b/tests/views/test_views_decisions.py
@@ -78,7 +78,7 @@
     stage.get("c0")
     stage.discovery.drain("s-0")
     stage.until(lambda: failures, "the error")
-    with pytest.raises(RuntimeError, match="views cannot be brought up to date"):
+    with pytest.raises(RuntimeError, match="views cannot be published"):
         stage.role.turn(0.0)
 
 
--- a/tests/views/test_views_leases.py
+++ b/tests/views/test_views_leases.py
@@ -139,7 +139,7 @@
     moved = max(len(pairs(before) - pairs(after)), len(pairs(after) - pairs(before)))
     assert moved <= 2 * len(before["c3"])  # 17 holders and fewer of a node: its share again, at the most
     assert lease_status(stage) == {"silent": ["c3"], "doubted": 0}
-    assert stage.logged("leases: 1 conductors (c3) silent")
+    assert stage.logged("leases: 1 controllers (c3) expired")
 
 
 def test_a_watch_that_stands_renews_the_lease(stages):
@@ -197,11 +197,11 @@
     before = views(stage)
     for caller in callers[:4]:
         caller.stop()
-    stage.until(lambda: stage.logged("leases: 4 conductors (c0, c1, c2, c3) silent"), "the doubt")
+    stage.until(lambda: stage.logged("leases: 4 controllers (c0, c1, c2, c3) overdue"), "the doubt")
     stage.for_(1.5 * OVERDUE)
     assert views(stage) == before
     assert lease_status(stage) == {"silent": [], "doubted": 4}
-    assert stage.out.getvalue().count("they stay for the hold") == 1
+    assert stage.out.getvalue().count("a mass expiry, they stay") == 1
 
 
 def test_a_role_just_started_that_nobody_has_called_yet_drops_nobody(stages):
@@ -229,7 +229,9 @@
     back = Caller(stage, "c3")
     assert ids(back.told) == sorted(before["c3"])
     stage.until(lambda: views(stage) == before, "the views as before")
-    assert lease_status(stage)["silent"] == [] and stage.logged("leases: c3 is back")
+    assert lease_status(stage)["silent"] == [] and stage.logged(
+        "leases: c3 called after its lease had expired"
+    )
     assert undecided_status(stage) == {"held": 0, "answered": 1, "refused": 0}
 
 
@@ -366,7 +368,7 @@
 def test_views_are_published_over_several_turns_of_the_loop(stages):
     """Failure: as above."""
     stage, told = stages(None), []
-    stage.until(lambda: not stage.role.publishing, "all published")
+    stage.until(lambda: not stage.role.is_publishing, "all published")
     publisher, names = stage.role.publisher, [f"view-{number}" for number in range(3 * VIEWS_PER_TURN)]
 
     def publish(part):
--- a/tests/views/test_views_server.py
+++ b/tests/views/test_views_server.py
@@ -451,7 +451,7 @@
     )
     stage.for_(0.1)
     said = reconfigured(stage, controller("c0", ["x"]), controller("c3", ["y"]))
-    assert said == "2 conductors, 1 addresses new, 2 gone"
+    assert said == "2 controllers, 1 addresses new, 2 gone"
     assert stage.get("c0") == kept and len(stage.get("c3")["members"]) == 4
     stage.until(lambda: watching.over, "the refusal of a view that is gone")
     assert "404" in str(watching.ended)
