--- a/oatcart/views/__main__.py
+++ b/oatcart/views/__main__.py
@@ -25,7 +25,7 @@
 from oatcart.views.configuration_file import read
 from oatcart.views.descriptors import check_descriptors
 from oatcart.views.role import ControlRole
-from oatcart.yaml_files import Wrong
+from oatcart.yaml_files import InvalidConfigurationError
 
 EXIT_INVALID = 2
 
@@ -52,7 +52,7 @@
             return 0
         role = assemble(configuration)
         role.start()
-    except (Wrong, OSError) as error:
+    except (InvalidConfigurationError, OSError) as error:
         print(error, file=sys.stderr)
         return EXIT_INVALID
     role.loop.spawn(reloads(role.loop, role.log, wake_receiver, lambda: role.reload(arguments.file)))
--- a/oatcart/views/configuration_file.py
+++ b/oatcart/views/configuration_file.py
@@ -24,7 +24,7 @@
 from oatcart.views.list_guard import ListGuard
 from oatcart.views.liveness import LivenessSettings
 from oatcart.views.records import ViewLimits
-from oatcart.yaml_files import Wrong, load, name, size, span, table, whole, yes_or_no
+from oatcart.yaml_files import InvalidConfigurationError, load, name, size, span, table, whole, yes_or_no
 
 MAX_WATCH_TIMEOUT = 60.0  # s, by the protocol
 MAX_UNDECIDED_TIMEOUT = 3.0  # s; a controller ends a call that is no watch after 4 s
@@ -226,12 +226,12 @@
 
 
 def read(path: str | Path) -> Configuration:
-    """The settings of a file; raises Wrong with all problems, a line each."""
+    """The settings of a file; raises InvalidConfigurationError with all problems, a line each."""
     document, where = load(path)
     if document is None:
         return Configuration()
     reader = _Reader(document, Path(path).parent, where)
     configuration = reader.configuration()
     if reader.problems:
-        raise Wrong("\n".join(reader.problems))
+        raise InvalidConfigurationError("\n".join(reader.problems))
     return configuration
--- a/oatcart/views/descriptors.py
+++ b/oatcart/views/descriptors.py
@@ -3,7 +3,7 @@
 import resource
 
 from oatcart.views.configuration import Configuration
-from oatcart.yaml_files import Wrong
+from oatcart.yaml_files import InvalidConfigurationError
 
 # Standard streams, epoll, the wake pair, the main listener and the call to discovery, twice over.
 RESERVED_DESCRIPTORS = 32
@@ -16,10 +16,10 @@
 
 
 def check_descriptors(configuration: Configuration) -> None:
-    """Raises Wrong if the limit is too low. The limit itself is left to the operators."""
+    """Raises InvalidConfigurationError if the limit is too low. The limit itself is left to the operators."""
     limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if limit != resource.RLIM_INFINITY and required_descriptors(configuration) > limit:
-        raise Wrong(
+        raise InvalidConfigurationError(
             f"{required_descriptors(configuration)} descriptors are needed (addresses of controllers, "
             f"bounds.connections), {limit} are allowed; raise the limit (ulimit -n, LimitNOFILE) or lower "
             "bounds.connections"
--- a/oatcart/views/role.py
+++ b/oatcart/views/role.py
@@ -24,7 +24,7 @@
 from oatcart.views.publisher import Publisher
 from oatcart.views.revisions import RevisionSequence
 from oatcart.views.server import Server
-from oatcart.yaml_files import Wrong
+from oatcart.yaml_files import InvalidConfigurationError
 
 VIEWS_PER_TURN = 32  # that are published in one turn of the loop
 TURNS_LOG_INTERVAL = 30.0  # s between two log lines with the longest turn
@@ -126,7 +126,7 @@
         Unusable."""
         try:
             return self.reconfigure(read(path))
-        except Wrong as error:
+        except InvalidConfigurationError as error:
             raise Unusable(str(error)) from None
 
     def reconfigure(self, new: Configuration) -> str:
--- a/oatcart/yaml_files.py
+++ b/oatcart/yaml_files.py
@@ -18,8 +18,12 @@
 SIZES = {"KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
 
 
-class Wrong(Exception):
-    """What is wrong with a file, all of it: a line each."""
+class InvalidConfigurationError(Exception):
+    """A configuration file is invalid. The message has a line for each problem: file, line and field."""
+
+
+# The name in packages that have not taken the new one.
+Wrong = InvalidConfigurationError
 
 
 def span(value: object) -> float:
@@ -88,29 +92,29 @@
 
 
 def table(
-    told: object, fields: dict, at: str, where: Callable[[int], str], wrong: list[str], line: int
+    told: object, fields: dict, at: str, where: Callable[[int], str], problems: list[str], line: int
 ) -> dict:
     if not isinstance(told, CommentedMap):
-        wrong.append(f"{where(line)}: {at or 'the file'} is no table of keys")
+        problems.append(f"{where(line)}: {at or 'the file'} is no table of keys")
         return {}
     out = {}
     for key, value in told.items():
         here, full = where(told.lc.key(key)[0]), f"{at}{key}"
         if key not in fields:
             near = get_close_matches(str(key), fields, 1)
-            wrong.append(f"{here}: {full} is not known" + (f"; did you mean {near[0]}?" if near else ""))
+            problems.append(f"{here}: {full} is not known" + (f"; did you mean {near[0]}?" if near else ""))
         elif fields[key] is None:
             out[key] = value
         else:
             try:
                 out[key] = fields[key](value)
             except ValueError as error:
-                wrong.append(f"{here}: {full}: {error}")
+                problems.append(f"{here}: {full}: {error}")
     return out
 
 
 def load(path: str | Path) -> tuple[object, Callable[[int], str]]:
-    """What stands in a file, and how a line of it is named; raises Wrong."""
+    """What stands in a file, and how a line of it is named; raises InvalidConfigurationError."""
 
     def where(line: int) -> str:
         return f"{path}:{line + 1}"
@@ -119,6 +123,8 @@
         return YAML(typ="rt").load(Path(path).read_text(encoding="utf-8")), where
     except MarkedYAMLError as error:
         mark = error.problem_mark or error.context_mark
-        raise Wrong(f"{where(mark.line if mark else 0)}: {error.problem or error.context}") from None
+        raise InvalidConfigurationError(
+            f"{where(mark.line if mark else 0)}: {error.problem or error.context}"
+        ) from None
     except (OSError, UnicodeDecodeError) as error:
-        raise Wrong(f"{path}: {error}") from None
+        raise InvalidConfigurationError(f"{path}: {error}") from None
--- a/tests/views/test_views_configuration.py
+++ b/tests/views/test_views_configuration.py
@@ -11,7 +11,7 @@
 from oatcart.views.descriptors import check_descriptors, required_descriptors
 from oatcart.views.list_guard import ListGuard
 from oatcart.views.records import Controller, ViewLimits
-from oatcart.yaml_files import Wrong
+from oatcart.yaml_files import InvalidConfigurationError
 
 ROOT = Path(__file__).parents[2]
 SHIPPED = ROOT / "deploy" / "views.yaml"
@@ -105,13 +105,13 @@
     (tmp_path / "more.jsonl").write_text(
         '{"name":"c","zone":"a"}\n{"name":\n7\n{"name":"d"}\n{"name":"c","zone":"a"}\n{"name":"e","zne":"a"}\n'
     )
-    with pytest.raises(Wrong) as wrong:
+    with pytest.raises(InvalidConfigurationError) as wrong:
         read(written(tmp_path, "conductors_file: more.jsonl"))
     said = str(wrong.value)
     assert "more.jsonl:2: unexpected" in said and "more.jsonl:3: the file is no table of keys" in said
     assert "more.jsonl:4: zone is missing" in said and "more.jsonl:5: conductors: the name c stands" in said
     assert "more.jsonl:6: zne is not known; did you mean zone?" in said
-    with pytest.raises(Wrong, match="none.jsonl: No such file"):
+    with pytest.raises(InvalidConfigurationError, match="none.jsonl: No such file"):
         read(written(tmp_path, "conductors_file: none.jsonl"))
 
 
@@ -168,7 +168,7 @@
     ],
 )
 def test_errors_name_file_line_and_field(tmp_path, text, said):
-    with pytest.raises(Wrong) as wrong:
+    with pytest.raises(InvalidConfigurationError) as wrong:
         read(written(tmp_path, text))
     for one in said:
         assert f"views.yaml:{one}" in str(wrong.value), str(wrong.value)
@@ -178,7 +178,7 @@
     configuration = read(SHIPPED)
     assert required_descriptors(configuration) == 2 + 4096 + 32
     monkeypatch.setattr("resource.getrlimit", lambda _: (4129, 4129))
-    with pytest.raises(Wrong, match="4130 descriptors are needed .* 4129 are allowed"):
+    with pytest.raises(InvalidConfigurationError, match="4130 descriptors are needed .* 4129 are allowed"):
         check_descriptors(configuration)
 
 
--- a/tests/views/test_views_leases.py
+++ b/tests/views/test_views_leases.py
@@ -16,7 +16,7 @@
 from oatcart.views.publisher import endpoint_record
 from oatcart.views.records import ViewLimits
 from oatcart.views.role import VIEWS_PER_TURN
-from oatcart.yaml_files import Wrong
+from oatcart.yaml_files import InvalidConfigurationError
 
 SHIPPED = Path(__file__).parents[2] / "deploy" / "views.yaml"
 NAMES = [f"c{number}" for number in range(8)]
@@ -462,6 +462,6 @@
 def test_bad_values_are_refused_with_file_line_and_field(tmp_path, text, said):
     path = tmp_path / "views.yaml"
     path.write_text(text)
-    with pytest.raises(Wrong) as wrong:
+    with pytest.raises(InvalidConfigurationError) as wrong:
         read(path)
     assert f"{path}:" in str(wrong.value) and said in str(wrong.value)
