--- /dev/null
+++ b/oatcart/views/name_index.py
@@ -0,0 +1,28 @@
+"""Gives names the indices of arrays, from 0 up; the indices of removed names are used again."""
+
+
+class NameIndex:
+    """The index of each name, and the name at each index (None if the index is free)."""
+
+    def __init__(self) -> None:
+        self.index_of: dict[str, int] = {}
+        self.names: list[str | None] = []
+        self._free: list[int] = []
+
+    def allocate(self, name: str) -> int:
+        """Gives an index to a name that has none."""
+        if self._free:
+            index = self._free.pop()
+            self.names[index] = name
+        else:
+            index = len(self.names)
+            self.names.append(name)
+        self.index_of[name] = index
+        return index
+
+    def release(self, name: str) -> int:
+        """Frees the index of a name and returns it. Raises KeyError if the name has none."""
+        index = self.index_of.pop(name)
+        self.names[index] = None
+        self._free.append(index)
+        return index
--- /dev/null
+++ b/tests/views/test_views_list_guard.py
@@ -0,0 +1,153 @@
+"""What is accepted of discovery's answers: draining at once, a mass removal only when a later list confirms
+it."""
+
+import orjson
+import pytest
+
+from oatcart.views.entries import MalformedAnswerError, parse_answer
+from oatcart.views.list_guard import AcceptedList, ListGuard, RejectedAnswerError
+
+GUARD = ListGuard(max_removed_share=0.25, mass_removal_count=2, confirmation_delay=10.0, min_endpoints=2)
+
+
+def node(name, phase="SERVING", **more):
+    return {"id": name, "host_port": "127.0.0.1:5", "locality": "a", "phase": phase} | more
+
+
+def answer(endpoints, revision=1, complete=True):
+    return parse_answer(orjson.dumps({"revision": revision, "complete": complete, "members": endpoints}))
+
+
+def names(count):
+    return [f"s-{number}" for number in range(count)]
+
+
+def accepted_list(count=20, guard=GUARD):
+    accepted = AcceptedList(guard)
+    accepted.accept(0.0, answer([node(name) for name in names(count)]))
+    return accepted
+
+
+def accept_complete(accepted, now, left, **phases):
+    return accepted.accept(now, answer([node(name, phases.get(name, "SERVING")) for name in left]))
+
+
+def test_removals_within_the_share_are_accepted_at_once():
+    accepted = accepted_list()
+    changes = accept_complete(accepted, 1.0, names(15))
+    assert changes.removed == set(names(20)[15:]) and changes.unconfirmed == 0 and len(accepted.entries) == 15
+
+
+def test_a_mass_removal_stays_unconfirmed_until_a_list_after_the_delay_confirms_it():
+    accepted = accepted_list()
+    changes = accept_complete(accepted, 1.0, names(14))
+    assert (changes.removed, changes.unconfirmed, accepted.refetch_at()) == (frozenset(), 6, 11.0)
+    assert accept_complete(accepted, 5.0, names(14)).removed == frozenset() and accepted.refetch_at() == 11.0
+    assert accept_complete(accepted, 11.0, names(14)).removed == set(names(20)[14:])
+    assert len(accepted.entries) == 14 and accepted.refetch_at() > 1e9
+
+
+def test_an_endpoint_listed_again_within_the_delay_was_never_removed():
+    accepted = accepted_list()
+    accept_complete(accepted, 1.0, names(2))
+    changes = accept_complete(accepted, 11.0, names(20))
+    assert changes == ({}, frozenset(), 0) and len(accepted.entries) == 20 and not accepted.unconfirmed_since
+
+
+def test_other_changes_are_accepted_while_removals_are_unconfirmed():
+    accepted = accepted_list()
+    changes = accept_complete(accepted, 1.0, [*names(10), "new"], **{"s-3": "DRAINING"})
+    assert set(changes.changed) == {"new", "s-3"} and changes.unconfirmed == 10
+    assert accepted.entries["s-3"].phase == "DRAINING"
+
+
+@pytest.mark.parametrize("count", [0, 1])
+def test_a_list_with_fewer_endpoints_than_the_minimum_is_rejected_and_removes_nothing(count):
+    accepted = accepted_list()
+    with pytest.raises(RejectedAnswerError, match=f"{count} endpoints, fewer than 2"):
+        accept_complete(accepted, 1.0, names(count))
+    assert len(accepted.entries) == 20
+    with pytest.raises(RejectedAnswerError):
+        accept_complete(accepted, 100.0, names(count))
+
+
+def test_draining_endpoints_may_all_be_removed():
+    accepted = accepted_list()
+    drained = dict.fromkeys(names(18), "DRAINING")
+    assert len(accept_complete(accepted, 1.0, names(20), **drained).changed) == 18
+    assert len(accept_complete(accepted, 2.0, names(20)[18:]).removed) == 18
+
+
+def test_deletions_among_changes_are_unconfirmed_like_gaps_in_a_list():
+    accepted = accepted_list()
+    gone = [node(name, "DELETED") for name in names(8)]
+    changes = accepted.accept(1.0, answer(gone, 2, complete=False))
+    assert (changes.removed, changes.unconfirmed) == (frozenset(), 8)
+    again = accepted.accept(20.0, answer(gone, 3, complete=False))
+    assert again.unconfirmed == 8, "only a complete list confirms"
+    assert len(accept_complete(accepted, 21.0, names(20)[8:]).removed) == 8
+
+
+def test_a_few_deletions_among_changes_are_accepted():
+    accepted = accepted_list()
+    changes = accepted.accept(
+        1.0, answer([node("s-0", "DELETED"), node("never", "DELETED")], 2, complete=False)
+    )
+    assert changes.removed == {"s-0"} and not changes.changed
+
+
+def test_a_small_fleet_may_lose_as_many_as_are_no_mass_removal():
+    accepted = accepted_list(4)
+    assert accept_complete(accepted, 1.0, names(2)).removed == {"s-2", "s-3"}
+
+
+def test_an_endpoint_whose_entry_is_malformed_stays_as_it_was():
+    accepted = accepted_list()
+    endpoints = [node(name) for name in names(20)]
+    endpoints[4]["phase"] = "SPOILT"
+    endpoints[5]["host_port"] = "nowhere"
+    endpoints[6]["up_since_ms"] = -1
+    received = answer(endpoints)
+    changes = accepted.accept(1.0, received)
+    assert received.is_complete and len(received.invalid_entries) == 3 and changes == ({}, frozenset(), 0)
+    assert accepted.entries["s-4"].phase == "SERVING"
+
+
+def test_an_unconfirmed_endpoint_whose_entry_is_malformed_is_listed():
+    accepted = accepted_list()
+    accept_complete(accepted, 1.0, names(10))
+    accepted.accept(11.0, answer([*map(node, names(10)), *(node(name, "SPOILT") for name in names(20)[10:])]))
+    assert len(accepted.entries) == 20 and not accepted.unconfirmed_since
+
+
+@pytest.mark.parametrize("spoilt", [7, None, {}, {"id": ""}, {"id": 5}, {"id": "x" * 257}])
+def test_a_list_with_an_entry_without_readable_id_removes_nobody(spoilt):
+    accepted = accepted_list()
+    received = answer([spoilt, *map(node, names(18))])
+    assert not received.is_complete and accepted.accept(1.0, received).removed == frozenset()
+
+
+@pytest.mark.parametrize(
+    "body",
+    [
+        b"",
+        b"what?",
+        b"[]",
+        b'{"revision":1}',
+        b'{"revision":1,"members":{}}',
+        b'{"members":[]}',
+        b'{"revision":"1","members":[]}',
+        b'{"revision":-1,"members":[]}',
+        b'{"revision":1,"complete":true,"members":[{"id',
+    ],
+)
+def test_an_answer_that_is_not_a_list_is_malformed(body):
+    with pytest.raises(MalformedAnswerError):
+        parse_answer(body)
+
+
+def test_entries_are_passed_on_as_received():
+    fields = node("s-1", flavor="m2", cell=3, size=1.5, up_since_ms=1700000000123, other={"a": [1, None]})
+    entry = answer([fields]).entries["s-1"]
+    assert orjson.loads(entry.encoded) == fields
+    assert orjson.loads(entry.deleted) == fields | {"phase": "DELETED"}
