--- a/benchmarks/trace_layouts.py
+++ b/benchmarks/trace_layouts.py
@@ -13,8 +13,7 @@
 import msgpack
 import zstandard
 
-from oatcart.trace import format as form
-from oatcart.trace import generate
+from oatcart.trace import file_format, generate
 
 SIZES = (256, 1024, 4096, 16384)
 
@@ -31,19 +30,19 @@
         f"{'records a block':>16} {'rows':>8} {'+dict':>8} {'columns':>8} {'rows ms':>8} {'columns ms':>11}"
     )
     for size in SIZES:
-        plain = zstandard.ZstdCompressor(level=form.LEVEL)
-        trained = zstandard.ZstdCompressor(level=form.LEVEL, dict_data=dictionary)
+        plain = zstandard.ZstdCompressor(level=file_format.ZSTD_LEVEL)
+        trained = zstandard.ZstdCompressor(level=file_format.ZSTD_LEVEL, dict_data=dictionary)
         parts = [records[at : at + size] for at in range(0, len(records), size)]
         packed = [b"".join(rows[at : at + size]) for at in range(0, len(records), size)]
         by_rows = [plain.compress(one) for one in packed]
         by_dict = sum(len(trained.compress(one)) for one in packed)
-        columns = [form.block(at, one) for at, one in enumerate(parts)]
+        columns = [file_format.encode_block(at, one) for at, one in enumerate(parts)]
         began = time.perf_counter()
         for one in by_rows:
             list(msgpack.Unpacker(io.BytesIO(zstandard.ZstdDecompressor().decompress(one)), use_list=False))
         middle = time.perf_counter()
         for one in columns:
-            form.read_block(one[form.HEADER.size :])
+            file_format.decode_block(one[file_format.BLOCK_HEADER.size :])
         ended = time.perf_counter()
         found = out[size] = {
             "rows": sum(map(len, by_rows)) / len(records),
--- a/oatcart/trace/__main__.py
+++ b/oatcart/trace/__main__.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from math import inf
 
-from oatcart.trace import format as form
+from oatcart.trace import file_format
 from oatcart.trace.merge import merge
 from oatcart.trace.plan import BLOCK_RECORDS
 from oatcart.trace.reader import Trace
@@ -57,11 +57,11 @@
     """A trace of records that were read; hands back how many. An existing file is left as it is."""
     count, index = 0, []
     with open(path, "xb") as file:
-        file.write(form.header(facts))
+        file.write(file_format.encode_header(facts))
 
         def flush(rows: list[tuple]) -> None:
-            data, at = form.block(len(index), rows, fields), file.tell()
-            head = form.read_head(data)
+            data, at = file_format.encode_block(len(index), rows, fields), file.tell()
+            head = file_format.decode_block_header(data)
             index.append((at, len(data), head.count, head.first, head.last))
             file.write(data)
 
@@ -76,7 +76,7 @@
                 rows = []
         if rows:
             flush(rows)
-        file.write(form.footer(index))
+        file.write(file_format.encode_footer(index))
     return count
 
 
@@ -305,7 +305,7 @@
     args = parser.parse_args(words)
     try:
         return args.do(args)
-    except (form.Bad, OSError) as error:
+    except (file_format.CorruptTrace, OSError) as error:
         print(f"{', '.join(args.files)}: {error}", file=sys.stderr)
         return BAD
 
--- a/oatcart/trace/format.py
+++ b/oatcart/trace/file_format.py
@@ -22,21 +22,23 @@
 
 from oatcart.trace.records import FIELDS, FIELDS_MERGED, Record
 
-MAGIC, BLOCK, FOOTER, END = b"OATTRACE", b"OTB1", b"OTX1", b"OTXE"
+FILE_MAGIC, BLOCK_MAGIC, FOOTER_MAGIC, END_MAGIC = b"OATTRACE", b"OTB1", b"OTX1", b"OTXE"
 VERSION = 1  # of the grammar; a reader refuses a higher one, fields and kinds may come and go within it
-HEAD, HEADER, TAIL = struct.Struct("<8sHI"), struct.Struct("<4sIIddQQ"), struct.Struct("<QI4s")
-LEVEL = 6  # of zstd: 10 makes blocks 1% smaller and nearly doubles what they cost
+FILE_HEADER = struct.Struct("<8sHI")
+BLOCK_HEADER = struct.Struct("<4sIIddQQ")
+FOOTER_TAIL = struct.Struct("<QI4s")
+ZSTD_LEVEL = 6  # of zstd: 10 makes blocks 1% smaller and nearly doubles what they cost
 # bytes; what is larger is no trace of ours
-FACTS_MOST, PAYLOAD_MOST, PLAIN_MOST = 1 << 20, 64 << 20, 512 << 20
+MAX_METADATA_BYTES, MAX_PAYLOAD_BYTES, MAX_UNCOMPRESSED_BYTES = 1 << 20, 64 << 20, 512 << 20
 PLAIN, STEPS, RAW = 0, 1, 2  # codings of a column of numbers
 MICRO = 1e6
 
 
-class Bad(ValueError):
+class CorruptTrace(ValueError):
     """Bytes that are no such thing."""
 
 
-class Head(NamedTuple):
+class BlockHeader(NamedTuple):
     """A block's header; `length` is its payload's."""
 
     length: int
@@ -47,25 +49,25 @@
     checksum: int
 
 
-def header(facts: dict) -> bytes:
+def encode_header(facts: dict) -> bytes:
     body = msgpack.packb(facts)
-    whole = HEAD.pack(MAGIC, VERSION, len(body)) + body
+    whole = FILE_HEADER.pack(FILE_MAGIC, VERSION, len(body)) + body
     return whole + struct.pack("<Q", xxhash.xxh64_intdigest(whole))
 
 
-def read_header(data: bytes) -> tuple[dict, int]:
-    """The facts and where the first block begins; raises Bad."""
-    if len(data) < HEAD.size or data[:8] != MAGIC:
-        raise Bad("this is no trace")
-    _, version, length = HEAD.unpack_from(data)
+def decode_header(data: bytes) -> tuple[dict, int]:
+    """The facts and where the first block begins; raises CorruptTrace."""
+    if len(data) < FILE_HEADER.size or data[:8] != FILE_MAGIC:
+        raise CorruptTrace("this is no trace")
+    _, version, length = FILE_HEADER.unpack_from(data)
     if version > VERSION:
-        raise Bad(f"version {version} of the format; this reader knows {VERSION}")
-    end = HEAD.size + length
-    if length > FACTS_MOST or len(data) < end + 8:
-        raise Bad("the header is cut")
+        raise CorruptTrace(f"version {version} of the format; this reader knows {VERSION}")
+    end = FILE_HEADER.size + length
+    if length > MAX_METADATA_BYTES or len(data) < end + 8:
+        raise CorruptTrace("the header is cut")
     if struct.unpack_from("<Q", data, end)[0] != xxhash.xxh64_intdigest(data[:end]):
-        raise Bad("the header is spoilt")
-    return msgpack.unpackb(data[HEAD.size : end]), end + 8
+        raise CorruptTrace("the header is spoilt")
+    return msgpack.unpackb(data[FILE_HEADER.size : end]), end + 8
 
 
 # -- columns
@@ -139,7 +141,7 @@
 # -- blocks
 
 
-def block(number: int, records: Sequence[tuple], fields: dict = FIELDS) -> bytes:
+def encode_block(number: int, records: Sequence[tuple], fields: dict = FIELDS) -> bytes:
     """A whole block of records as `records.make` makes them; their order is kept."""
     by_kind: dict[str, list] = {}
     for record in records:
@@ -150,7 +152,7 @@
         places[kind] = len(parts)
         columns = list(zip(*rows, strict=True))[1:]
         if len(columns) != len(fields[kind]):
-            raise Bad(f"a record of kind {kind} has {len(columns)} fields, not {len(fields[kind])}")
+            raise CorruptTrace(f"a record of kind {kind} has {len(columns)} fields, not {len(fields[kind])}")
         parts.append(
             [
                 kind,
@@ -160,39 +162,39 @@
             ]
         )
     order = _numbers(np.asarray([places[record[0]] for record in records], "<i8"))
-    body = zstandard.ZstdCompressor(level=LEVEL).compress(msgpack.packb([list(names), parts, order]))
+    body = zstandard.ZstdCompressor(level=ZSTD_LEVEL).compress(msgpack.packb([list(names), parts, order]))
     times = [record[1] for record in records]
     plain = struct.pack("<IIddQ", len(body), len(records), min(times), max(times), number)
-    return BLOCK + plain + struct.pack("<Q", xxhash.xxh64_intdigest(plain + body)) + body
+    return BLOCK_MAGIC + plain + struct.pack("<Q", xxhash.xxh64_intdigest(plain + body)) + body
 
 
-def read_head(data: bytes, at: int = 0) -> Head:
-    """A block's header at a place; raises Bad."""
-    if len(data) - at < HEADER.size:
-        raise Bad("a block's header is cut")
-    magic, *rest = HEADER.unpack_from(data, at)
-    head = Head(*rest)
-    if magic != BLOCK or head.length > PAYLOAD_MOST:
-        raise Bad("no block begins here")
+def decode_block_header(data: bytes, at: int = 0) -> BlockHeader:
+    """A block's header at a place; raises CorruptTrace."""
+    if len(data) - at < BLOCK_HEADER.size:
+        raise CorruptTrace("a block's header is cut")
+    magic, *rest = BLOCK_HEADER.unpack_from(data, at)
+    head = BlockHeader(*rest)
+    if magic != BLOCK_MAGIC or head.length > MAX_PAYLOAD_BYTES:
+        raise CorruptTrace("no block begins here")
     return head
 
 
-def whole(data: bytes, at: int, head: Head) -> bool:
+def is_intact(data: bytes, at: int, head: BlockHeader) -> bool:
     """Whether a block is as it was written."""
-    body = data[at + HEADER.size : at + HEADER.size + head.length]
+    body = data[at + BLOCK_HEADER.size : at + BLOCK_HEADER.size + head.length]
     return (
         len(body) == head.length
-        and xxhash.xxh64_intdigest(data[at + 4 : at + HEADER.size - 8] + body) == head.checksum
+        and xxhash.xxh64_intdigest(data[at + 4 : at + BLOCK_HEADER.size - 8] + body) == head.checksum
     )
 
 
-def read_block(payload: bytes, known: dict = FIELDS_MERGED) -> tuple[list[Record], dict[str, int]]:
+def decode_block(payload: bytes, known: dict = FIELDS_MERGED) -> tuple[list[Record], dict[str, int]]:
     """The records of a block in their order, and how many of unknown kinds were skipped, by kind. A field
     that is not known is left out, one that the file lacks is missing."""
     collects = gc.isenabled()
     gc.disable()  # thousands of records at once, none of them rubbish: looking through them doubles the time
     try:
-        plain = zstandard.ZstdDecompressor().decompress(payload, max_output_size=PLAIN_MOST)
+        plain = zstandard.ZstdDecompressor().decompress(payload, max_output_size=MAX_UNCOMPRESSED_BYTES)
         names, parts, order = msgpack.unpackb(plain, strict_map_key=False)
         rows, skipped = [], {}
         for kind, fields, count, columns in parts:
@@ -221,34 +223,34 @@
         IndexError,
         KeyError,
     ) as error:
-        raise Bad(f"a block cannot be read: {error}") from None
+        raise CorruptTrace(f"a block cannot be read: {error}") from None
     finally:
         if collects:
             gc.enable()
 
 
-def footer(index: Sequence[tuple]) -> bytes:
-    body = zstandard.ZstdCompressor(level=LEVEL).compress(msgpack.packb([list(one) for one in index]))
-    return FOOTER + body + TAIL.pack(xxhash.xxh64_intdigest(body), len(body), END)
+def encode_footer(index: Sequence[tuple]) -> bytes:
+    body = zstandard.ZstdCompressor(level=ZSTD_LEVEL).compress(msgpack.packb([list(one) for one in index]))
+    return FOOTER_MAGIC + body + FOOTER_TAIL.pack(xxhash.xxh64_intdigest(body), len(body), END_MAGIC)
 
 
-def read_footer(tail: bytes) -> tuple[list[tuple], int]:
-    """The index and the footer's length, from the end of a file; raises Bad where there is none."""
-    if len(tail) < TAIL.size:
-        raise Bad("no footer")
-    checksum, length, end = TAIL.unpack_from(tail, len(tail) - TAIL.size)
-    size = 4 + length + TAIL.size
-    if end != END:
-        raise Bad("no footer")
+def decode_footer(tail: bytes) -> tuple[list[tuple], int]:
+    """The index and the footer's length, from the end of a file; raises CorruptTrace where there is none."""
+    if len(tail) < FOOTER_TAIL.size:
+        raise CorruptTrace("no footer")
+    checksum, length, end = FOOTER_TAIL.unpack_from(tail, len(tail) - FOOTER_TAIL.size)
+    size = 4 + length + FOOTER_TAIL.size
+    if end != END_MAGIC:
+        raise CorruptTrace("no footer")
     if len(tail) < size:
-        raise Short(size)
-    body = tail[-size + 4 : -TAIL.size]
-    if tail[-size : -size + 4] != FOOTER or xxhash.xxh64_intdigest(body) != checksum:
-        raise Bad("the footer is spoilt")
+        raise FooterIncomplete(size)
+    body = tail[-size + 4 : -FOOTER_TAIL.size]
+    if tail[-size : -size + 4] != FOOTER_MAGIC or xxhash.xxh64_intdigest(body) != checksum:
+        raise CorruptTrace("the footer is spoilt")
     return [tuple(one) for one in msgpack.unpackb(zstandard.ZstdDecompressor().decompress(body))], size
 
 
-class Short(Bad):
+class FooterIncomplete(CorruptTrace):
     """More of the end is needed."""
 
     def __init__(self, size: int) -> None:
--- a/oatcart/trace/reader.py
+++ b/oatcart/trace/reader.py
@@ -7,7 +7,7 @@
 from math import inf
 from pathlib import Path
 
-from oatcart.trace import format as form
+from oatcart.trace import file_format
 from oatcart.trace.records import Record
 
 TAIL_FIRST = 64 * 1024  # bytes of the end that are read to find the footer; an hour's index is a tenth of it
@@ -26,10 +26,10 @@
         self.read_bytes = 0
         try:
             self.length = os.fstat(self.file.fileno()).st_size
-            self.facts, self.begin = form.read_header(
+            self.facts, self.begin = file_format.decode_header(
                 self._at(
                     0,
-                    min(self.length, form.HEAD.size + form.FACTS_MOST + 8)
+                    min(self.length, file_format.FILE_HEADER.size + file_format.MAX_METADATA_BYTES + 8)
                     if self.length < TAIL_FIRST
                     else TAIL_FIRST,
                 )
@@ -54,12 +54,12 @@
         size = min(self.length - self.begin, TAIL_FIRST)
         try:
             try:
-                return form.read_footer(self._at(self.length - size, size))[0], True
-            except form.Short as short:
+                return file_format.decode_footer(self._at(self.length - size, size))[0], True
+            except file_format.FooterIncomplete as short:
                 if short.size > self.length - self.begin:
-                    raise form.Bad("the footer is spoilt") from None
-                return form.read_footer(self._at(self.length - short.size, short.size))[0], True
-        except form.Bad as error:
+                    raise file_format.CorruptTrace("the footer is spoilt") from None
+                return file_format.decode_footer(self._at(self.length - short.size, short.size))[0], True
+        except file_format.CorruptTrace as error:
             self.missing.append(f"{error}: the index was made anew from the blocks")
             return self.scan(), False
 
@@ -68,12 +68,12 @@
         index, at, gap = [], self.begin, None
         while at < self.length:
             try:
-                data = self._at(at, form.HEADER.size)
-                head = form.read_head(data)
-                size = form.HEADER.size + head.length
-                if not form.whole(self._at(at, size), 0, head):
-                    raise form.Bad("spoilt or cut")
-            except form.Bad:
+                data = self._at(at, file_format.BLOCK_HEADER.size)
+                head = file_format.decode_block_header(data)
+                size = file_format.BLOCK_HEADER.size + head.length
+                if not file_format.is_intact(self._at(at, size), 0, head):
+                    raise file_format.CorruptTrace("spoilt or cut")
+            except file_format.CorruptTrace:
                 if gap is None:
                     gap = at
                 at = self._next(at + 1)
@@ -92,10 +92,10 @@
         step = 1 << 20
         while at < self.length:
             data = self._at(at, step)
-            found = data.find(form.BLOCK)
+            found = data.find(file_format.BLOCK_MAGIC)
             if found >= 0:
                 return at + found
-            at += max(1, len(data) - len(form.BLOCK) + 1)
+            at += max(1, len(data) - len(file_format.BLOCK_MAGIC) + 1)
         return self.length
 
     def records(
@@ -113,11 +113,11 @@
                 continue
             data = self._at(offset, length)
             try:
-                head = form.read_head(data)
-                if not form.whole(data, 0, head):
-                    raise form.Bad("it is spoilt")
-                found, skipped = form.read_block(data[form.HEADER.size :])
-            except form.Bad as error:
+                head = file_format.decode_block_header(data)
+                if not file_format.is_intact(data, 0, head):
+                    raise file_format.CorruptTrace("it is spoilt")
+                found, skipped = file_format.decode_block(data[file_format.BLOCK_HEADER.size :])
+            except file_format.CorruptTrace as error:
                 self.missing.append(f"a block of {count} records from {begins:.3f} to {ends:.3f}: {error}")
                 continue
             self.skipped.update(skipped)
@@ -138,7 +138,7 @@
     with open(path, "r+b") as file:
         file.truncate(end)
         file.seek(end)
-        file.write(form.footer(index))
+        file.write(file_format.encode_footer(index))
         file.flush()
         os.fsync(file.fileno())
     return f"its index was repaired, {len(index)} blocks are whole"
--- a/oatcart/trace/writer.py
+++ b/oatcart/trace/writer.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from oatcart.trace import format as form
+from oatcart.trace import file_format
 from oatcart.trace.plan import BLOCK_RECORDS, Disk, Keeper, Pace, Stored, over
 from oatcart.trace.reader import repair
 
@@ -115,7 +115,7 @@
             try:
                 if not busy(path) and (what := repair(path)):
                     self.say("trace", f"{path.name}: {what}")
-            except (OSError, form.Bad) as error:
+            except (OSError, file_format.CorruptTrace) as error:
                 self.say("trace", f"{path.name} is left as it is: {error}")
 
     def work(self, last: bool = False) -> None:
@@ -145,9 +145,9 @@
         def block() -> None:
             if self.fd is None:
                 self._begin(now)
-            data = form.block(self.number, records)
+            data = file_format.encode_block(self.number, records)
             self.store.write(self.fd, data)
-            head = form.read_head(data)
+            head = file_format.decode_block_header(data)
             self.index.append((self.size, len(data), head.count, head.first, head.last))
             self.size, self.number = self.size + len(data), self.number + 1
 
@@ -178,13 +178,17 @@
         path = self.folder / f"{self.instance}-{int(now * 1000):016}-{self.files:06}{SUFFIX}"
         self.fd, self.index, self.size, self.number = self.store.open(path), [], 0, 0
         self.pace.opened(now)
-        data = form.header(self.facts | {"instance": self.instance, "opened": now, "unix": self.unix()})
+        data = file_format.encode_header(
+            self.facts | {"instance": self.instance, "opened": now, "unix": self.unix()}
+        )
         self.store.write(self.fd, data)
         self.size = len(data)
         if self.starts:
-            data = form.block(0, self.starts)
+            data = file_format.encode_block(0, self.starts)
             self.store.write(self.fd, data)
-            self.index.append((self.size, len(data), len(self.starts), *form.read_head(data)[2:4]))
+            self.index.append(
+                (self.size, len(data), len(self.starts), *file_format.decode_block_header(data)[2:4])
+            )
             self.size, self.number = self.size + len(data), 1
 
     def _retain(self) -> None:
@@ -198,7 +202,10 @@
     def _end(self) -> None:
         self._try(
             self.clock(),
-            lambda: (self.store.write(self.fd, form.footer(self.index)), self.store.sync(self.fd)),
+            lambda: (
+                self.store.write(self.fd, file_format.encode_footer(self.index)),
+                self.store.sync(self.fd),
+            ),
         )
         self._close()
 
--- a/tests/trace/test_tools.py
+++ b/tests/trace/test_tools.py
@@ -203,14 +203,16 @@
     """All that the file holds, unpacked: what a search for names goes through."""
     import zstandard
 
-    from oatcart.trace import format as form
+    from oatcart.trace import file_format
 
     data = path.read_bytes()
     with Trace(path) as trace:
         parts = [data[: trace.begin]]
         for offset, length, *_ in trace.index:
             parts.append(
-                zstandard.ZstdDecompressor().decompress(data[offset + form.HEADER.size : offset + length])
+                zstandard.ZstdDecompressor().decompress(
+                    data[offset + file_format.BLOCK_HEADER.size : offset + length]
+                )
             )
     return b"".join(parts)
 
--- a/tests/trace/test_trace.py
+++ b/tests/trace/test_trace.py
@@ -6,8 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oatcart.trace import format as form
-from oatcart.trace import generate
+from oatcart.trace import file_format, generate
 from oatcart.trace.plan import Disk, Keeper, Stored, over
 from oatcart.trace.reader import Trace, repair
 from oatcart.trace.records import CLOCK, FIELDS, NAME, REQ, ROUND, SHED, START, TRY, make
@@ -32,10 +31,10 @@
 @given(RECORDS)
 @settings(max_examples=150, deadline=None, derandomize=True)
 def test_what_is_written_is_read(records):
-    data = form.block(7, records)
-    head = form.read_head(data)
-    assert form.whole(data, 0, head) and head.number == 7 and head.count == len(records)
-    found, skipped = form.read_block(data[form.HEADER.size :])
+    data = file_format.encode_block(7, records)
+    head = file_format.decode_block_header(data)
+    assert file_format.is_intact(data, 0, head) and head.number == 7 and head.count == len(records)
+    found, skipped = file_format.decode_block(data[file_format.BLOCK_HEADER.size :])
     assert [(one.kind, *one.fields.values()) for one in found] == records and not skipped
     assert head.first == min(one[1] for one in records) and head.last == max(one[1] for one in records)
 
@@ -101,7 +100,7 @@
     for size in range(len(data)):
         cut.write_bytes(data[:size])
         if size < begin:
-            with pytest.raises(form.Bad):
+            with pytest.raises(file_format.CorruptTrace):
                 Trace(cut)
             continue
         found, missing = times(cut)
@@ -122,7 +121,7 @@
     for at in range(len(data)):
         spoilt.write_bytes(data[:at] + bytes([data[at] ^ 1 << at % 8]) + data[at + 1 :])
         if at < begin:
-            with pytest.raises(form.Bad):
+            with pytest.raises(file_format.CorruptTrace):
                 Trace(spoilt)
             continue
         found, missing = times(spoilt)
@@ -194,7 +193,7 @@
                         assert record.fields["why"] == "disk"
                     else:
                         found.append(record.fields["at"])
-        except form.Bad:
+        except file_format.CorruptTrace:
             assert path.stat().st_size < 64  # a header that was never whole
     assert sorted(set(found)) == found and set(found) <= set(put)
     assert len(found) + shed == len(put)
@@ -284,28 +283,33 @@
 
 def test_a_reader_behind_and_a_reader_ahead():
     newer = {**FIELDS, REQ: (*FIELDS[REQ], ("colour", "name")), "ghost": (("at", "us"), ("what", "any"))}
-    data = form.block(0, [(*req(1.0), "red"), ("ghost", 2.0, [1]), make(CLOCK, 3.0, 4.0, 0.0)], newer)
-    found, skipped = form.read_block(data[form.HEADER.size :])
+    data = file_format.encode_block(
+        0, [(*req(1.0), "red"), ("ghost", 2.0, [1]), make(CLOCK, 3.0, 4.0, 0.0)], newer
+    )
+    found, skipped = file_format.decode_block(data[file_format.BLOCK_HEADER.size :])
     assert (
         [one.kind for one in found] == [REQ, CLOCK]
         and skipped == {"ghost": 1}
         and "colour" not in found[0].fields
     )
     older = {REQ: FIELDS[REQ][:-2]}
-    data = form.block(0, [req(1.0)[:-2]], older)
-    assert form.read_block(data[form.HEADER.size :])[0][0].fields.keys() == dict(FIELDS[REQ][:-2]).keys()
-    head = form.header({"a": 1})
-    assert form.read_header(head) == ({"a": 1}, len(head))
-    ahead = head[:8] + struct.pack("<H", form.VERSION + 1) + head[10:]
-    with pytest.raises(form.Bad, match=f"version {form.VERSION + 1}"):
-        form.read_header(ahead)
-    with pytest.raises(form.Bad, match="no trace"):
-        form.read_header(b"something else altogether")
+    data = file_format.encode_block(0, [req(1.0)[:-2]], older)
+    assert (
+        file_format.decode_block(data[file_format.BLOCK_HEADER.size :])[0][0].fields.keys()
+        == dict(FIELDS[REQ][:-2]).keys()
+    )
+    head = file_format.encode_header({"a": 1})
+    assert file_format.decode_header(head) == ({"a": 1}, len(head))
+    ahead = head[:8] + struct.pack("<H", file_format.VERSION + 1) + head[10:]
+    with pytest.raises(file_format.CorruptTrace, match=f"version {file_format.VERSION + 1}"):
+        file_format.decode_header(ahead)
+    with pytest.raises(file_format.CorruptTrace, match="no trace"):
+        file_format.decode_header(b"something else altogether")
 
 
 def test_what_does_not_fit_its_kind_is_an_error_here_and_now():
-    with pytest.raises(form.Bad, match="req has 2 fields"):
-        form.block(0, [(REQ, 1.0, 2)])
+    with pytest.raises(file_format.CorruptTrace, match="req has 2 fields"):
+        file_format.encode_block(0, [(REQ, 1.0, 2)])
 
 
 def test_the_generated_hour_is_the_same_for_the_same_seed():
