--- a/oatcart/trace/__main__.py
+++ b/oatcart/trace/__main__.py
@@ -305,7 +305,7 @@
     args = parser.parse_args(words)
     try:
         return args.do(args)
-    except (file_format.CorruptTrace, OSError) as error:
+    except (file_format.CorruptTraceError, OSError) as error:
         print(f"{', '.join(args.files)}: {error}", file=sys.stderr)
         return BAD
 
--- /dev/null
+++ b/oatcart/trace/columns.py
@@ -0,0 +1,107 @@
+"""Encodes and decodes the columns of a block: all values of one field, stored together.
+
+An encoded column is the list [coding, least, width, planes] and, for DELTA, the first value after them. The
+planes hold byte 0 of all numbers, then byte 1 of all, and so on, which zstd compresses best. `docs/trace.md`
+has the grammar.
+"""
+
+from collections.abc import Sequence
+from enum import IntEnum
+
+import msgpack
+import numpy as np
+
+MICROSECONDS = 1e6  # in a second
+MAX_WIDTH = 8  # bytes of a number
+
+
+class ColumnCoding(IntEnum):
+    """How the numbers of a column are stored."""
+
+    DIRECT = 0  # each less the least of the column
+    DELTA = 1  # the difference from the one before, less the least difference
+    FLOAT64 = 2  # all 64 bits
+
+
+def encode_integers(values: np.ndarray) -> list:
+    """Encode 64-bit integers, DIRECT or DELTA, whichever needs fewer bytes a number."""
+    if not len(values):
+        return [ColumnCoding.DIRECT, 0, 1, b""]
+    direct = [ColumnCoding.DIRECT, *_pack(values)]
+    if len(values) == 1:
+        return direct
+    differences = np.diff(values, prepend=values[:1])
+    delta = [ColumnCoding.DELTA, *_pack(differences), int(values[0])]
+    return min(direct, delta, key=lambda column: (column[2], column[0]))
+
+
+def _pack(values: np.ndarray) -> list:
+    """[least, width, planes] of some integers in the fewest bytes a number."""
+    least = int(values.min())
+    spread = int(values.max()) - least
+    width = next((size for size in range(1, MAX_WIDTH) if spread < 1 << 8 * size), MAX_WIDTH)
+    shifted = (values - np.int64(least)).astype("<u8")  # may wrap; decode_integers wraps back
+    planes = shifted.view(np.uint8).reshape(-1, MAX_WIDTH)[:, :width].T
+    return [least, width, planes.tobytes()]
+
+
+def decode_integers(column: list, count: int) -> np.ndarray:
+    """Decode a column of `count` 64-bit integers."""
+    coding, least, width, data, *first = column
+    if not count:
+        return np.zeros(0, "<i8")
+    planes = np.frombuffer(data, np.uint8).reshape(width, count)
+    padded = np.zeros((count, MAX_WIDTH), np.uint8)
+    padded[:, :width] = planes.T
+    values = padded.reshape(-1).view("<u8").astype("<i8") + np.int64(least)
+    if coding == ColumnCoding.DELTA:
+        values[0] = first[0]
+        values = np.cumsum(values)
+    return values
+
+
+def encode_column(field_type: str, values: Sequence, names: dict[str, int]) -> list:
+    """Encode the values of one field.
+
+    `field_type` is one of those that `records` describes. `names` is the block's string table, from string to
+    place; strings that it lacks are added to it.
+    """
+    if field_type == "us":
+        return encode_integers(np.rint(np.asarray(values, "<f8") * MICROSECONDS).astype("<i8"))
+    if field_type == "int":
+        return encode_integers(np.asarray(values, "<i8"))
+    if field_type == "float":
+        planes = np.asarray(values, "<f8").view(np.uint8).reshape(-1, MAX_WIDTH).T
+        return [ColumnCoding.FLOAT64, 0, MAX_WIDTH, planes.tobytes()]
+    if field_type == "name":
+        return encode_integers(np.asarray([names.setdefault(name, len(names)) for name in values], "<i8"))
+    parts = [msgpack.packb(value) for value in values] if field_type == "any" else list(values)
+    lengths = encode_integers(np.asarray([len(part) for part in parts], "<i8"))
+    return [*lengths, b"".join(parts)]
+
+
+def decode_column(field_type: str, column: list, count: int, names: list[str]) -> list:
+    """Decode the `count` values of one field; `names` is the block's string table. Times are in seconds."""
+    if field_type == "us":
+        return (decode_integers(column, count) / MICROSECONDS).tolist()
+    if field_type == "int":
+        return decode_integers(column, count).tolist()
+    if field_type == "float":
+        planes = np.frombuffer(column[3], np.uint8).reshape(MAX_WIDTH, count)
+        return np.ascontiguousarray(planes.T).reshape(-1).view("<f8").tolist()
+    if field_type == "name":
+        return [names[place] for place in decode_integers(column, count).tolist()]
+    return _decode_parts(field_type, column, count)
+
+
+def _decode_parts(field_type: str, column: list, count: int) -> list:
+    """Decode a column of byte strings or of msgpack values, whose lengths come first."""
+    *lengths, data = column
+    values, start = [], 0
+    for length in decode_integers(lengths, count).tolist():
+        part = data[start : start + length]
+        if field_type == "any":
+            part = msgpack.unpackb(part, use_list=False, strict_map_key=False)
+        values.append(part)
+        start += length
+    return values
--- a/oatcart/trace/file_format.py
+++ b/oatcart/trace/file_format.py
@@ -1,18 +1,20 @@
-"""The file's grammar in code: header, blocks, footer. Bytes in, bytes out; no files here.
+"""Encodes and decodes the parts of a trace file: header, blocks, footer. Does no I/O.
 
-    file    = header block* [footer] header  = "OATTRACE" u16 version, u32 length, msgpack facts, u64 xxh64 of
-    all before block   = "OTB1" u32 length, u32 count, f64 first, f64 last, u64 number, u64 xxh64 of (these
-    fields, payload), payload payload = zstd(msgpack of [names, [[kind, fields, columns]...], order]) footer
-    = "OTX1" zstd(msgpack of [[offset, length, count, first, last]...]), u64 xxh64, u32 length, "OTXE"
+    file = header block* [footer]
+    header = "OATTRACE" u16 version, u32 length, msgpack metadata, u64 xxh64 of all before it
+    block = "OTB1" u32 length, u32 count, f64 first, f64 last, u64 number, u64 xxh64, payload
+    payload = zstd(msgpack of [names, [[kind, fields, count, columns]...], order])
+    footer = "OTX1" zstd(msgpack of [[offset, length, count, first, last]...]), u64 xxh64, u32 length, "OTXE"
 
-All numbers are little-endian; `length` counts the payload. A block stands alone: its names and the schema of
-its records are in it. A column is [coding, bytes]: numbers less their least, or the steps between them, in
-the fewest bytes a number, each byte's plane together, as zstd finds most there.
+All numbers are little-endian; `length` is that of the payload in bytes, `count` the number of records,
+`first` and `last` the least and greatest time of a block in seconds. A block's checksum covers its header's
+fields and the payload. A block stands alone: its string table and the fields of its records are in it.
 """
 
 import gc
 import struct
-from collections.abc import Sequence
+from collections.abc import Mapping, Sequence
+from itertools import compress
 from typing import NamedTuple
 
 import msgpack
@@ -20,26 +22,42 @@
 import xxhash
 import zstandard
 
+from oatcart.trace.columns import decode_column, decode_integers, encode_column, encode_integers
 from oatcart.trace.records import FIELDS, FIELDS_MERGED, Record
 
-FILE_MAGIC, BLOCK_MAGIC, FOOTER_MAGIC, END_MAGIC = b"OATTRACE", b"OTB1", b"OTX1", b"OTXE"
-VERSION = 1  # of the grammar; a reader refuses a higher one, fields and kinds may come and go within it
-FILE_HEADER = struct.Struct("<8sHI")
-BLOCK_HEADER = struct.Struct("<4sIIddQQ")
-FOOTER_TAIL = struct.Struct("<QI4s")
-ZSTD_LEVEL = 6  # of zstd: 10 makes blocks 1% smaller and nearly doubles what they cost
-# bytes; what is larger is no trace of ours
-MAX_METADATA_BYTES, MAX_PAYLOAD_BYTES, MAX_UNCOMPRESSED_BYTES = 1 << 20, 64 << 20, 512 << 20
-PLAIN, STEPS, RAW = 0, 1, 2  # codings of a column of numbers
-MICRO = 1e6
+FILE_MAGIC = b"OATTRACE"
+BLOCK_MAGIC = b"OTB1"
+FOOTER_MAGIC = b"OTX1"
+END_MAGIC = b"OTXE"
+VERSION = 1  # a reader rejects a higher one; fields and record kinds may come and go within a version
+FILE_HEADER = struct.Struct("<8sHI")  # magic, version, length
+BLOCK_HEADER = struct.Struct("<4sIIddQQ")  # magic, the fields of BlockHeader
+BLOCK_FIELDS = struct.Struct("<IIddQ")  # the fields of BlockHeader before its checksum
+CHECKSUM = struct.Struct("<Q")
+FOOTER_TAIL = struct.Struct("<QI4s")  # checksum, length, magic
+ZSTD_LEVEL = 6  # 10 saves 1% of the size for nearly twice the CPU time
+MAX_METADATA_BYTES = 1 << 20
+MAX_PAYLOAD_BYTES = 64 << 20
+MAX_UNCOMPRESSED_BYTES = 512 << 20
 
+Fields = Mapping[str, Sequence[tuple[str, str]]]  # by record kind, the names and types of its fields
 
-class CorruptTrace(ValueError):
-    """Bytes that are no such thing."""
+
+class CorruptTraceError(ValueError):
+    """The bytes are not a trace, or are damaged; the message says which part."""
+
+
+class FooterIncompleteError(CorruptTraceError):
+    """More bytes of the file's end are needed to decode the footer."""
+
+    def __init__(self, size: int) -> None:
+        """Take the footer's length in bytes."""
+        super().__init__(f"the footer has {size} bytes")
+        self.size = size
 
 
 class BlockHeader(NamedTuple):
-    """A block's header; `length` is its payload's."""
+    """A block's header: payload length in bytes, number of records, least and greatest time in seconds."""
 
     length: int
     count: int
@@ -49,172 +67,112 @@
     checksum: int
 
 
-def encode_header(facts: dict) -> bytes:
-    body = msgpack.packb(facts)
-    whole = FILE_HEADER.pack(FILE_MAGIC, VERSION, len(body)) + body
-    return whole + struct.pack("<Q", xxhash.xxh64_intdigest(whole))
+class IndexEntry(NamedTuple):
+    """A block in a file's index: offset and length in bytes (with its header), records, times in seconds."""
+
+    offset: int
+    length: int
+    count: int
+    first: float
+    last: float
+
+
+def index_entry(offset: int, block: bytes) -> IndexEntry:
+    """The index entry of an encoded block that is written at an offset."""
+    header = decode_block_header(block)
+    return IndexEntry(offset, len(block), header.count, header.first, header.last)
+
+
+def encode_header(metadata: dict) -> bytes:
+    """Encode a file's header. `metadata`: instance name, time of opening and the like, msgpack types."""
+    body = msgpack.packb(metadata)
+    checked = FILE_HEADER.pack(FILE_MAGIC, VERSION, len(body)) + body
+    return checked + CHECKSUM.pack(xxhash.xxh64_intdigest(checked))
 
 
 def decode_header(data: bytes) -> tuple[dict, int]:
-    """The facts and where the first block begins; raises CorruptTrace."""
+    """Decode a file's header: its metadata and the offset of the first block. Raises CorruptTraceError."""
     if len(data) < FILE_HEADER.size or data[:8] != FILE_MAGIC:
-        raise CorruptTrace("this is no trace")
+        raise CorruptTraceError("this is not a trace file")
     _, version, length = FILE_HEADER.unpack_from(data)
     if version > VERSION:
-        raise CorruptTrace(f"version {version} of the format; this reader knows {VERSION}")
+        raise CorruptTraceError(f"version {version} of the format; this reader knows {VERSION}")
     end = FILE_HEADER.size + length
-    if length > MAX_METADATA_BYTES or len(data) < end + 8:
-        raise CorruptTrace("the header is cut")
-    if struct.unpack_from("<Q", data, end)[0] != xxhash.xxh64_intdigest(data[:end]):
-        raise CorruptTrace("the header is spoilt")
-    return msgpack.unpackb(data[FILE_HEADER.size : end]), end + 8
-
-
-# -- columns
-
-
-def _numbers(values: np.ndarray) -> list:
-    """Whole numbers as a column, the smaller of two codings."""
-    if not len(values):
-        return [PLAIN, 0, 1, b""]
-    found = [_fewest(PLAIN, values)]
-    if len(values) > 1:
-        steps = np.diff(values, prepend=values[:1])
-        found.append([STEPS, *_fewest(STEPS, steps)[1:], int(values[0])])
-    return min(found, key=lambda one: (one[2], one[0]))
-
-
-def _fewest(coding: int, values: np.ndarray) -> list:
-    least = int(values.min())
-    spread = int(values.max()) - least
-    width = next((size for size in (1, 2, 3, 4, 5, 6, 7) if spread < 1 << 8 * size), 8)
-    shifted = (values - np.int64(least)).astype("<u8")  # wraps as the reader's sum does
-    return [coding, least, width, shifted.view(np.uint8).reshape(-1, 8)[:, :width].T.tobytes()]
-
-
-def _read_numbers(column: list, count: int) -> np.ndarray:
-    coding, least, width, data, *first = column
-    if not count:
-        return np.zeros(0, "<i8")
-    planes = np.frombuffer(data, np.uint8).reshape(width, count)
-    whole = np.zeros((count, 8), np.uint8)
-    whole[:, :width] = planes.T
-    values = whole.reshape(-1).view("<u8").astype("<i8") + np.int64(least)
-    if coding == STEPS:
-        values[0] = first[0]
-        values = np.cumsum(values)
-    return values
-
-
-def _column(kind: str, values: Sequence, names: dict[str, int]) -> list:
-    if kind == "us":
-        return _numbers(np.rint(np.asarray(values, "<f8") * MICRO).astype("<i8"))
-    if kind == "int":
-        return _numbers(np.asarray(values, "<i8"))
-    if kind == "float":
-        return [RAW, 0, 8, np.asarray(values, "<f8").view(np.uint8).reshape(-1, 8).T.tobytes()]
-    if kind == "name":
-        return _numbers(np.asarray([names.setdefault(one, len(names)) for one in values], "<i8"))
-    parts = [msgpack.packb(one) for one in values] if kind == "any" else list(values)
-    return [*_numbers(np.asarray([len(one) for one in parts], "<i8")), b"".join(parts)]
-
-
-def _read_column(kind: str, column: list, count: int, names: list[str]) -> list:
-    if kind == "us":
-        return (_read_numbers(column, count) / MICRO).tolist()
-    if kind == "int":
-        return _read_numbers(column, count).tolist()
-    if kind == "float":
-        planes = np.frombuffer(column[3], np.uint8).reshape(8, count)
-        return np.ascontiguousarray(planes.T).reshape(-1).view("<f8").tolist()
-    if kind == "name":
-        return [names[at] for at in _read_numbers(column, count).tolist()]
-    sizes = _read_numbers(column[:-1], count).tolist()
-    out, at, data = [], 0, column[-1]
-    for size in sizes:
-        part = data[at : at + size]
-        out.append(msgpack.unpackb(part, use_list=False, strict_map_key=False) if kind == "any" else part)
-        at += size
-    return out
-
-
-# -- blocks
-
-
-def encode_block(number: int, records: Sequence[tuple], fields: dict = FIELDS) -> bytes:
-    """A whole block of records as `records.make` makes them; their order is kept."""
+    if length > MAX_METADATA_BYTES or len(data) < end + CHECKSUM.size:
+        raise CorruptTraceError("the file's header is truncated")
+    if CHECKSUM.unpack_from(data, end)[0] != xxhash.xxh64_intdigest(data[:end]):
+        raise CorruptTraceError("the file's header fails its checksum")
+    return msgpack.unpackb(data[FILE_HEADER.size : end]), end + CHECKSUM.size
+
+
+def encode_block(number: int, records: Sequence[tuple], fields: Fields = FIELDS) -> bytes:
+    """Encode a block of at least one record, in their order.
+
+    A record is its kind and the values of its fields, in the order that `fields` gives. Raises
+    CorruptTraceError where a record has another number of values.
+    """
     by_kind: dict[str, list] = {}
     for record in records:
         by_kind.setdefault(record[0], []).append(record)
     names: dict[str, int] = {}
-    parts, places = [], {}
-    for kind, rows in by_kind.items():
-        places[kind] = len(parts)
-        columns = list(zip(*rows, strict=True))[1:]
-        if len(columns) != len(fields[kind]):
-            raise CorruptTrace(f"a record of kind {kind} has {len(columns)} fields, not {len(fields[kind])}")
-        parts.append(
-            [
-                kind,
-                [list(one) for one in fields[kind]],
-                len(rows),
-                [_column(how, column, names) for (_, how), column in zip(fields[kind], columns, strict=True)],
-            ]
-        )
-    order = _numbers(np.asarray([places[record[0]] for record in records], "<i8"))
-    body = zstandard.ZstdCompressor(level=ZSTD_LEVEL).compress(msgpack.packb([list(names), parts, order]))
+    parts = [_encode_kind(kind, rows, fields[kind], names) for kind, rows in by_kind.items()]
+    places = {kind: place for place, kind in enumerate(by_kind)}
+    order = encode_integers(np.asarray([places[record[0]] for record in records], "<i8"))
+    packed = msgpack.packb([list(names), parts, order])
+    payload = zstandard.ZstdCompressor(level=ZSTD_LEVEL).compress(packed)
     times = [record[1] for record in records]
-    plain = struct.pack("<IIddQ", len(body), len(records), min(times), max(times), number)
-    return BLOCK_MAGIC + plain + struct.pack("<Q", xxhash.xxh64_intdigest(plain + body)) + body
-
-
-def decode_block_header(data: bytes, at: int = 0) -> BlockHeader:
-    """A block's header at a place; raises CorruptTrace."""
-    if len(data) - at < BLOCK_HEADER.size:
-        raise CorruptTrace("a block's header is cut")
-    magic, *rest = BLOCK_HEADER.unpack_from(data, at)
-    head = BlockHeader(*rest)
-    if magic != BLOCK_MAGIC or head.length > MAX_PAYLOAD_BYTES:
-        raise CorruptTrace("no block begins here")
-    return head
-
-
-def is_intact(data: bytes, at: int, head: BlockHeader) -> bool:
-    """Whether a block is as it was written."""
-    body = data[at + BLOCK_HEADER.size : at + BLOCK_HEADER.size + head.length]
-    return (
-        len(body) == head.length
-        and xxhash.xxh64_intdigest(data[at + 4 : at + BLOCK_HEADER.size - 8] + body) == head.checksum
-    )
-
-
-def decode_block(payload: bytes, known: dict = FIELDS_MERGED) -> tuple[list[Record], dict[str, int]]:
-    """The records of a block in their order, and how many of unknown kinds were skipped, by kind. A field
-    that is not known is left out, one that the file lacks is missing."""
+    header = BLOCK_FIELDS.pack(len(payload), len(records), min(times), max(times), number)
+    checksum = CHECKSUM.pack(xxhash.xxh64_intdigest(header + payload))
+    return BLOCK_MAGIC + header + checksum + payload
+
+
+def _encode_kind(
+    kind: str, rows: Sequence[tuple], fields: Sequence[tuple[str, str]], names: dict[str, int]
+) -> list:
+    """Encode all records of one kind: the kind, its fields, their number, a column a field."""
+    _, *columns = zip(*rows, strict=True)
+    if len(columns) != len(fields):
+        raise CorruptTraceError(f"a record of kind {kind} has {len(columns)} fields, not {len(fields)}")
+    encoded = [
+        encode_column(field_type, column, names)
+        for (_, field_type), column in zip(fields, columns, strict=True)
+    ]
+    return [kind, [list(field) for field in fields], len(rows), encoded]
+
+
+def decode_block_header(data: bytes, offset: int = 0) -> BlockHeader:
+    """Decode the header of the block at an offset. Raises CorruptTraceError."""
+    if len(data) - offset < BLOCK_HEADER.size:
+        raise CorruptTraceError("a block's header is truncated")
+    magic, *values = BLOCK_HEADER.unpack_from(data, offset)
+    header = BlockHeader(*values)
+    if magic != BLOCK_MAGIC or header.length > MAX_PAYLOAD_BYTES:
+        raise CorruptTraceError("no block begins here")
+    return header
+
+
+def is_intact(data: bytes, offset: int, header: BlockHeader) -> bool:
+    """Whether the block at an offset is complete and matches its checksum."""
+    start = offset + BLOCK_HEADER.size
+    payload = data[start : start + header.length]
+    if len(payload) != header.length:
+        return False
+    checked = data[offset + len(BLOCK_MAGIC) : start - CHECKSUM.size] + payload
+    return xxhash.xxh64_intdigest(checked) == header.checksum
+
+
+def decode_block(payload: bytes, known: Fields = FIELDS_MERGED) -> tuple[list[Record], dict[str, int]]:
+    """Decode a block's payload: its records in order, and the number skipped of each unknown kind.
+
+    `known` are the record kinds and fields of this version: other fields are left out, and those that the
+    file lacks are missing. Raises CorruptTraceError.
+    """
     collects = gc.isenabled()
-    gc.disable()  # thousands of records at once, none of them rubbish: looking through them doubles the time
+    gc.disable()  # thousands of live objects are made at once: collections among them double the time
     try:
-        plain = zstandard.ZstdDecompressor().decompress(payload, max_output_size=MAX_UNCOMPRESSED_BYTES)
-        names, parts, order = msgpack.unpackb(plain, strict_map_key=False)
-        rows, skipped = [], {}
-        for kind, fields, count, columns in parts:
-            if kind not in known:
-                skipped[kind] = count
-                rows.append(None)
-                continue
-            ours = {name for name, _ in known[kind]}
-            kept = [
-                (name, _read_column(how, column, count, names))
-                for (name, how), column in zip(fields, columns, strict=True)
-                if name in ours
-            ]
-            titles = [name for name, _ in kept]
-            columns = zip(*(values for _, values in kept), strict=True)
-            rows.append(iter([Record(kind, dict(zip(titles, values, strict=False))) for values in columns]))
-        total = sum(part[2] for part in parts)
-        return [
-            next(rows[place]) for place in _read_numbers(order, total).tolist() if rows[place] is not None
-        ], skipped
+        decompressor = zstandard.ZstdDecompressor()
+        packed = decompressor.decompress(payload, max_output_size=MAX_UNCOMPRESSED_BYTES)
+        return _decode_records(packed, known)
     except (
         zstandard.ZstdError,
         msgpack.UnpackException,
@@ -223,36 +181,70 @@
         IndexError,
         KeyError,
     ) as error:
-        raise CorruptTrace(f"a block cannot be read: {error}") from None
+        raise CorruptTraceError(f"a block cannot be decoded: {error}") from None
     finally:
         if collects:
             gc.enable()
 
 
-def encode_footer(index: Sequence[tuple]) -> bytes:
-    body = zstandard.ZstdCompressor(level=ZSTD_LEVEL).compress(msgpack.packb([list(one) for one in index]))
-    return FOOTER_MAGIC + body + FOOTER_TAIL.pack(xxhash.xxh64_intdigest(body), len(body), END_MAGIC)
+def _decode_records(packed: bytes, known: Fields) -> tuple[list[Record], dict[str, int]]:
+    """Decode the msgpack body of a block; see `decode_block`."""
+    names, parts, order = msgpack.unpackb(packed, strict_map_key=False)
+    by_place, skipped, total = [], {}, 0
+    for kind, fields, count, columns in parts:
+        total += count
+        if kind in known:
+            by_place.append(iter(_decode_kind(kind, fields, count, columns, names, known[kind])))
+        else:
+            by_place.append(None)
+            skipped[kind] = count
+    places = decode_integers(order, total).tolist()
+    records = [next(by_place[place]) for place in places if by_place[place] is not None]
+    return records, skipped
+
+
+def _decode_kind(
+    kind: str,
+    fields: Sequence,
+    count: int,
+    columns: Sequence[list],
+    names: list[str],
+    known: Sequence[tuple[str, str]],
+) -> list[Record]:
+    """Decode all records of one kind, with those of their fields that are known."""
+    known_names = {name for name, _ in known}
+    kept = [name in known_names for name, _ in fields]
+    titles = [name for name, _ in compress(fields, kept)]
+    values = [
+        decode_column(field_type, column, count, names)
+        for (_, field_type), column in compress(zip(fields, columns, strict=True), kept)
+    ]
+    return [Record(kind, dict(zip(titles, row, strict=False))) for row in zip(*values, strict=True)]
 
 
-def decode_footer(tail: bytes) -> tuple[list[tuple], int]:
-    """The index and the footer's length, from the end of a file; raises CorruptTrace where there is none."""
-    if len(tail) < FOOTER_TAIL.size:
-        raise CorruptTrace("no footer")
-    checksum, length, end = FOOTER_TAIL.unpack_from(tail, len(tail) - FOOTER_TAIL.size)
-    size = 4 + length + FOOTER_TAIL.size
-    if end != END_MAGIC:
-        raise CorruptTrace("no footer")
-    if len(tail) < size:
-        raise FooterIncomplete(size)
-    body = tail[-size + 4 : -FOOTER_TAIL.size]
-    if tail[-size : -size + 4] != FOOTER_MAGIC or xxhash.xxh64_intdigest(body) != checksum:
-        raise CorruptTrace("the footer is spoilt")
-    return [tuple(one) for one in msgpack.unpackb(zstandard.ZstdDecompressor().decompress(body))], size
-
+def encode_footer(index: Sequence[tuple]) -> bytes:
+    """Encode a file's footer from the index entries of its blocks."""
+    packed = msgpack.packb([list(entry) for entry in index])
+    body = zstandard.ZstdCompressor(level=ZSTD_LEVEL).compress(packed)
+    return FOOTER_MAGIC + body + FOOTER_TAIL.pack(xxhash.xxh64_intdigest(body), len(body), END_MAGIC)
 
-class FooterIncomplete(CorruptTrace):
-    """More of the end is needed."""
 
-    def __init__(self, size: int) -> None:
-        super().__init__(f"{size} bytes of the end are needed")
-        self.size = size
+def decode_footer(end: bytes) -> tuple[list[IndexEntry], int]:
+    """Decode the footer from the last bytes of a file: the index, and the footer's length in bytes.
+
+    Raises FooterIncompleteError where `end` holds its last part only, CorruptTraceError where there is none.
+    """
+    if len(end) < FOOTER_TAIL.size:
+        raise CorruptTraceError("no footer")
+    checksum, length, magic = FOOTER_TAIL.unpack_from(end, len(end) - FOOTER_TAIL.size)
+    if magic != END_MAGIC:
+        raise CorruptTraceError("no footer")
+    size = len(FOOTER_MAGIC) + length + FOOTER_TAIL.size
+    if len(end) < size:
+        raise FooterIncompleteError(size)
+    start = len(end) - size
+    body = end[start + len(FOOTER_MAGIC) : -FOOTER_TAIL.size]
+    if not end.startswith(FOOTER_MAGIC, start) or xxhash.xxh64_intdigest(body) != checksum:
+        raise CorruptTraceError("the footer fails its checksum")
+    entries = msgpack.unpackb(zstandard.ZstdDecompressor().decompress(body))
+    return [IndexEntry(*entry) for entry in entries], size
--- a/oatcart/trace/reader.py
+++ b/oatcart/trace/reader.py
@@ -55,11 +55,11 @@
         try:
             try:
                 return file_format.decode_footer(self._at(self.length - size, size))[0], True
-            except file_format.FooterIncomplete as short:
+            except file_format.FooterIncompleteError as short:
                 if short.size > self.length - self.begin:
-                    raise file_format.CorruptTrace("the footer is spoilt") from None
+                    raise file_format.CorruptTraceError("the footer is spoilt") from None
                 return file_format.decode_footer(self._at(self.length - short.size, short.size))[0], True
-        except file_format.CorruptTrace as error:
+        except file_format.CorruptTraceError as error:
             self.missing.append(f"{error}: the index was made anew from the blocks")
             return self.scan(), False
 
@@ -72,8 +72,8 @@
                 head = file_format.decode_block_header(data)
                 size = file_format.BLOCK_HEADER.size + head.length
                 if not file_format.is_intact(self._at(at, size), 0, head):
-                    raise file_format.CorruptTrace("spoilt or cut")
-            except file_format.CorruptTrace:
+                    raise file_format.CorruptTraceError("spoilt or cut")
+            except file_format.CorruptTraceError:
                 if gap is None:
                     gap = at
                 at = self._next(at + 1)
@@ -115,9 +115,9 @@
             try:
                 head = file_format.decode_block_header(data)
                 if not file_format.is_intact(data, 0, head):
-                    raise file_format.CorruptTrace("it is spoilt")
+                    raise file_format.CorruptTraceError("it is spoilt")
                 found, skipped = file_format.decode_block(data[file_format.BLOCK_HEADER.size :])
-            except file_format.CorruptTrace as error:
+            except file_format.CorruptTraceError as error:
                 self.missing.append(f"a block of {count} records from {begins:.3f} to {ends:.3f}: {error}")
                 continue
             self.skipped.update(skipped)
--- a/oatcart/trace/writer.py
+++ b/oatcart/trace/writer.py
@@ -115,7 +115,7 @@
             try:
                 if not busy(path) and (what := repair(path)):
                     self.say("trace", f"{path.name}: {what}")
-            except (OSError, file_format.CorruptTrace) as error:
+            except (OSError, file_format.CorruptTraceError) as error:
                 self.say("trace", f"{path.name} is left as it is: {error}")
 
     def work(self, last: bool = False) -> None:
--- a/tests/trace/test_trace.py
+++ b/tests/trace/test_trace.py
@@ -100,7 +100,7 @@
     for size in range(len(data)):
         cut.write_bytes(data[:size])
         if size < begin:
-            with pytest.raises(file_format.CorruptTrace):
+            with pytest.raises(file_format.CorruptTraceError):
                 Trace(cut)
             continue
         found, missing = times(cut)
@@ -121,7 +121,7 @@
     for at in range(len(data)):
         spoilt.write_bytes(data[:at] + bytes([data[at] ^ 1 << at % 8]) + data[at + 1 :])
         if at < begin:
-            with pytest.raises(file_format.CorruptTrace):
+            with pytest.raises(file_format.CorruptTraceError):
                 Trace(spoilt)
             continue
         found, missing = times(spoilt)
@@ -193,7 +193,7 @@
                         assert record.fields["why"] == "disk"
                     else:
                         found.append(record.fields["at"])
-        except file_format.CorruptTrace:
+        except file_format.CorruptTraceError:
             assert path.stat().st_size < 64  # a header that was never whole
     assert sorted(set(found)) == found and set(found) <= set(put)
     assert len(found) + shed == len(put)
@@ -301,14 +301,14 @@
     head = file_format.encode_header({"a": 1})
     assert file_format.decode_header(head) == ({"a": 1}, len(head))
     ahead = head[:8] + struct.pack("<H", file_format.VERSION + 1) + head[10:]
-    with pytest.raises(file_format.CorruptTrace, match=f"version {file_format.VERSION + 1}"):
+    with pytest.raises(file_format.CorruptTraceError, match=f"version {file_format.VERSION + 1}"):
         file_format.decode_header(ahead)
-    with pytest.raises(file_format.CorruptTrace, match="no trace"):
+    with pytest.raises(file_format.CorruptTraceError, match="not a trace file"):
         file_format.decode_header(b"something else altogether")
 
 
 def test_what_does_not_fit_its_kind_is_an_error_here_and_now():
-    with pytest.raises(file_format.CorruptTrace, match="req has 2 fields"):
+    with pytest.raises(file_format.CorruptTraceError, match="req has 2 fields"):
         file_format.encode_block(0, [(REQ, 1.0, 2)])
 
 
