--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -20,7 +20,7 @@
 import zstandard
 
 from oatcart.trace import generate
-from oatcart.trace.reader import Trace
+from oatcart.trace.reader import TraceReader
 from oatcart.trace.records import FIELDS, ROUND, START
 from oatcart.trace.tap import Said, Tap, started
 from oatcart.trace.writer import Writer
@@ -40,8 +40,8 @@
         {},
         lambda: clock[0],
         lambda kind, text: print(text, file=sys.stderr),
-        file_bytes=1 << 40,
-        file_for=1e9,
+        max_file_bytes=1 << 40,
+        max_file_age=1e9,
     )
     titles = {kind: [name for name, _ in fields] for kind, fields in FIELDS.items()}
     packer = zstandard.ZstdCompressor(level=6).stream_writer(open(baseline, "wb")) if baseline else None  # noqa: SIM115
@@ -52,13 +52,13 @@
         writer.put(record)
         if clock[0] >= due:
             due = clock[0] + WORK_EVERY
-            writer.work()
+            writer.write_due()
         cpu += time.thread_time() - began
         if packer:
             row = dict(zip(titles[record[0]], record[1:], strict=True), kind_of=record[0])
             packer.write(json.dumps(row, default=lambda one: one.hex()).encode() + b"\n")
     began = time.thread_time()
-    writer.work(last=True)
+    writer.write_due(final=True)
     cpu += time.thread_time() - began
     if packer:
         packer.close()
@@ -71,9 +71,9 @@
     times = []
     for _ in range(READS):
         began = time.perf_counter()
-        with Trace(path) as trace:
+        with TraceReader(path) as trace:
             found = sum(1 for _ in trace.records(at, at + 60.0))
-            size = trace.read_bytes
+            size = trace.bytes_read
         times.append(time.perf_counter() - began)
     return statistics.median(times), found, size
 
--- a/oatcart/trace/__main__.py
+++ b/oatcart/trace/__main__.py
@@ -10,11 +10,11 @@
 
 from oatcart.trace import file_format
 from oatcart.trace.merge import merge
-from oatcart.trace.plan import BLOCK_RECORDS
-from oatcart.trace.reader import Trace
+from oatcart.trace.reader import TraceReader
 from oatcart.trace.records import FIELDS, FIELDS_MERGED, START, Record
 from oatcart.trace.tap import again
 from oatcart.trace.tools import Strip, cut, may_repeat, story, summary
+from oatcart.trace.write_policy import BLOCK_RECORDS
 
 BAD = 2  # exit code where a file or an argument cannot be used
 PROGRESS_AFTER = 1.0  # s
@@ -27,14 +27,14 @@
     """All records of some files of one instance, in order; what is missing; the first file's facts."""
     records, missing, facts = [], [], None
     for path in paths:
-        with Trace(path) as trace:
+        with TraceReader(path) as trace:
             records += trace.records(first, last, Progress(path, sys.stderr.isatty()))
             missing += [f"{path}: {what}" for what in trace.missing]
             missing += [
                 f"{path}: {count} records of kind {kind}, unknown here"
                 for kind, count in trace.skipped.items()
             ]
-            facts = facts or trace.facts
+            facts = facts or trace.metadata
     return records, missing, facts or {}
 
 
@@ -165,8 +165,8 @@
 def do_merge(args: argparse.Namespace) -> int:
     by_instance: dict[str, list[str]] = {}
     for path in args.files:
-        with Trace(path) as trace:
-            by_instance.setdefault(trace.facts["instance"], []).append(path)
+        with TraceReader(path) as trace:
+            by_instance.setdefault(trace.metadata["instance"], []).append(path)
     traces, missing = {}, []
     for name, paths in by_instance.items():
         traces[name], lost, _ = read(sorted(paths))
--- a/oatcart/trace/configuration.py
+++ b/oatcart/trace/configuration.py
@@ -5,10 +5,10 @@
 
 from oatcart.yaml_files import Wrong, load, name, size, span, table, whole
 
-__all__ = ["Tracing", "Wrong", "read"]
+__all__ = ["TraceSettings", "Wrong", "read"]
 
 
-class Tracing(NamedTuple):
+class TraceSettings(NamedTuple):
     """Bytes, seconds, records; `folder` is made where it is missing."""
 
     folder: str
@@ -27,17 +27,17 @@
 }
 
 
-def read(path: str | Path) -> Tracing:
+def read(path: str | Path) -> TraceSettings:
     """The file's settings; raises Wrong with all that is wrong in it."""
     wrong: list[str] = []
     told, where = load(path)
     found = table(told, FIELDS, "", where, wrong, 0)
     if not wrong and "folder" not in found:
         wrong.append(f"{where(0)}: folder is missing")
-    usual = Tracing._field_defaults | found
+    usual = TraceSettings._field_defaults | found
     if not wrong and usual["budget"] < usual["file_size"]:
         line = told.lc.key("budget" if "budget" in found else "file_size")[0]
         wrong.append(f"{where(line)}: budget holds not even one file of file_size")
     if wrong:
         raise Wrong("\n".join(wrong))
-    return Tracing(**found)
+    return TraceSettings(**found)
--- a/oatcart/trace/hook.py
+++ b/oatcart/trace/hook.py
@@ -7,7 +7,7 @@
 
 from oatcart.handover import socket_records
 from oatcart.net.conductor import Rounds
-from oatcart.trace.configuration import Tracing
+from oatcart.trace.configuration import TraceSettings
 from oatcart.trace.tap import Tap, start_record
 from oatcart.trace.writer import Writer
 
@@ -15,7 +15,7 @@
 
 
 def traced(
-    make_rounds: Callable[..., Rounds], cfg: dict, tracing: Tracing, made: Callable[[Writer], None]
+    make_rounds: Callable[..., Rounds], cfg: dict, tracing: TraceSettings, made: Callable[[Writer], None]
 ) -> Callable:
     """A maker of rounds, for `net.start.assemble`, whose module's calls are all noted, the first one too.
     `made` gets the writer, which has to be started."""
@@ -37,7 +37,7 @@
         )
 
         def start(call: Callable, watcher: object, prober: object) -> None:
-            writer.starts = [
+            writer.start_records = [
                 start_record(
                     rounds.loop.now + rounds.offset,
                     instance,
--- a/oatcart/trace/reader.py
+++ b/oatcart/trace/reader.py
@@ -10,10 +10,12 @@
 from oatcart.trace import file_format
 from oatcart.trace.records import Record
 
-TAIL_FIRST = 64 * 1024  # bytes of the end that are read to find the footer; an hour's index is a tenth of it
+FOOTER_READ_BYTES = (
+    64 * 1024
+)  # bytes of the end that are read to find the footer; an hour's index is a tenth of it
 
 
-class Trace:
+class TraceReader:
     """An open trace. `index`: (offset, length, count, first, last) a block; `missing`: what was lost, in
     words; `skipped`: records of unknown kinds, by kind, among what was read."""
 
@@ -23,60 +25,60 @@
         fcntl.flock(self.file, fcntl.LOCK_SH)  # so that retention leaves it
         self.missing: list[str] = []
         self.skipped: Counter[str] = Counter()
-        self.read_bytes = 0
+        self.bytes_read = 0
         try:
             self.length = os.fstat(self.file.fileno()).st_size
-            self.facts, self.begin = file_format.decode_header(
-                self._at(
+            self.metadata, self.first_block_offset = file_format.decode_header(
+                self._read_at(
                     0,
                     min(self.length, file_format.FILE_HEADER.size + file_format.MAX_METADATA_BYTES + 8)
-                    if self.length < TAIL_FIRST
-                    else TAIL_FIRST,
+                    if self.length < FOOTER_READ_BYTES
+                    else FOOTER_READ_BYTES,
                 )
             )
-            self.index, self.footed = self._index()
+            self.index, self.has_footer = self._index()
         except BaseException:
             self.file.close()
             raise
 
-    def __enter__(self) -> "Trace":
+    def __enter__(self) -> "TraceReader":
         return self
 
     def __exit__(self, *_: object) -> None:
         self.file.close()
 
-    def _at(self, offset: int, size: int) -> bytes:
+    def _read_at(self, offset: int, size: int) -> bytes:
         data = os.pread(self.file.fileno(), size, offset)
-        self.read_bytes += len(data)
+        self.bytes_read += len(data)
         return data
 
     def _index(self) -> tuple[list[tuple], bool]:
-        size = min(self.length - self.begin, TAIL_FIRST)
+        size = min(self.length - self.first_block_offset, FOOTER_READ_BYTES)
         try:
             try:
-                return file_format.decode_footer(self._at(self.length - size, size))[0], True
+                return file_format.decode_footer(self._read_at(self.length - size, size))[0], True
             except file_format.FooterIncompleteError as short:
-                if short.size > self.length - self.begin:
+                if short.size > self.length - self.first_block_offset:
                     raise file_format.CorruptTraceError("the footer is spoilt") from None
-                return file_format.decode_footer(self._at(self.length - short.size, short.size))[0], True
+                return file_format.decode_footer(self._read_at(self.length - short.size, short.size))[0], True
         except file_format.CorruptTraceError as error:
             self.missing.append(f"{error}: the index was made anew from the blocks")
-            return self.scan(), False
+            return self.rebuild_index(), False
 
-    def scan(self) -> list[tuple]:
+    def rebuild_index(self) -> list[tuple]:
         """The index from the blocks themselves; what lies between whole ones is said to be missing."""
-        index, at, gap = [], self.begin, None
+        index, at, gap = [], self.first_block_offset, None
         while at < self.length:
             try:
-                data = self._at(at, file_format.BLOCK_HEADER.size)
+                data = self._read_at(at, file_format.BLOCK_HEADER.size)
                 head = file_format.decode_block_header(data)
                 size = file_format.BLOCK_HEADER.size + head.length
-                if not file_format.is_intact(self._at(at, size), 0, head):
+                if not file_format.is_intact(self._read_at(at, size), 0, head):
                     raise file_format.CorruptTraceError("spoilt or cut")
             except file_format.CorruptTraceError:
                 if gap is None:
                     gap = at
-                at = self._next(at + 1)
+                at = self._find_block(at + 1)
                 continue
             if gap is not None:
                 self.missing.append(f"bytes {gap} to {at} are no whole block")
@@ -87,11 +89,11 @@
             self.missing.append(f"bytes {gap} to {self.length} are no whole block")
         return index
 
-    def _next(self, at: int) -> int:
+    def _find_block(self, at: int) -> int:
         """Where the next block may begin."""
         step = 1 << 20
         while at < self.length:
-            data = self._at(at, step)
+            data = self._read_at(at, step)
             found = data.find(file_format.BLOCK_MAGIC)
             if found >= 0:
                 return at + found
@@ -111,7 +113,7 @@
             progress(at, len(self.index))
             if ends < first or begins >= last:
                 continue
-            data = self._at(offset, length)
+            data = self._read_at(offset, length)
             try:
                 head = file_format.decode_block_header(data)
                 if not file_format.is_intact(data, 0, head):
@@ -127,14 +129,14 @@
                 yield from (one for one in found if first <= one.fields["at"] < last)
 
 
-def repair(path: Path) -> str:
+def repair_footer(path: Path) -> str:
     """Give a file that ended without a footer its own, after its last whole block; says what was done, if
     anything. Whoever calls this knows that nobody writes the file."""
-    with Trace(path) as trace:
-        if trace.footed:
+    with TraceReader(path) as trace:
+        if trace.has_footer:
             return ""
         index = trace.index
-        end = max((offset + length for offset, length, *_ in index), default=trace.begin)
+        end = max((offset + length for offset, length, *_ in index), default=trace.first_block_offset)
     with open(path, "r+b") as file:
         file.truncate(end)
         file.seek(end)
--- a/oatcart/trace/records.py
+++ b/oatcart/trace/records.py
@@ -70,7 +70,7 @@
     ),
 }
 # What is kept when not all can be: the first is kept longest
-RANKS = {SHED: 0, START: 0, CLOCK: 0, NAME: 0, ROUND: 1, OUT: 2, IN: 2, TRY: 3, REQ: 4}
+PRIORITIES = {SHED: 0, START: 0, CLOCK: 0, NAME: 0, ROUND: 1, OUT: 2, IN: 2, TRY: 3, REQ: 4}
 # What a merge adds: who saw it, by how much its time may be off, whether its place after the one before is
 # certain
 MERGED = (("instance", "name"), ("bound", "us"), ("witnesses", "any"), ("certain", "int"))
--- a/oatcart/trace/plan.py
+++ b/oatcart/trace/write_policy.py
@@ -9,18 +9,18 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from oatcart.trace.records import RANKS, SHED, make
+from oatcart.trace.records import PRIORITIES, SHED, make
 
 # of a block: 8 s of 500 reqs a second; larger ones shrink by little and are slower to seek in
 BLOCK_RECORDS = 4096
-BLOCK_AGE = 5.0  # s; what a crash may lose
-SYNC_EVERY = 10.0  # s between syncs; each may take some tens of ms, of the writer's time alone
-DISK_FIRST, DISK_MOST, DISK_GROWTH = 1.0, 300.0, 2.0  # s, s, factor: waits after a failing disk
-LEAST_WANTED = max(RANKS.values())
+MAX_BLOCK_AGE = 5.0  # s; what a crash may lose
+SYNC_INTERVAL = 10.0  # s between syncs; each may take some tens of ms, of the writer's time alone
+FIRST_RETRY_AFTER, MAX_RETRY_AFTER, RETRY_GROWTH = 1.0, 300.0, 2.0  # s, s, factor: waits after a failing disk
+LOWEST_PRIORITY = max(PRIORITIES.values())
 
 
 @dataclass(slots=True)
-class Loss:
+class ShedRecords:
     """Records of a kind that were shed."""
 
     count: int
@@ -29,18 +29,18 @@
     why: str
 
 
-class Keeper:
+class RecordQueue:
     """Records that wait to be written, `most` of them at most."""
 
     def __init__(self, most: int) -> None:
         self.most, self.size = most, 0
-        self.waiting: dict[int, deque] = {rank: deque() for rank in range(LEAST_WANTED + 1)}
+        self.waiting: dict[int, deque] = {rank: deque() for rank in range(LOWEST_PRIORITY + 1)}
         self.count = 0  # of all taken in: their order
-        self.losses: dict[str, Loss] = {}
+        self.losses: dict[str, ShedRecords] = {}
 
     def put(self, record: tuple) -> None:
         """Take a record in, or shed one: of the least wanted that wait, the newest."""
-        rank = RANKS.get(record[0], LEAST_WANTED)
+        rank = PRIORITIES.get(record[0], LOWEST_PRIORITY)
         if self.size >= self.most:
             worst = max(at for at, queue in self.waiting.items() if queue)
             if worst <= rank:
@@ -54,7 +54,7 @@
     def _lose(self, record: tuple, why: str) -> None:
         loss = self.losses.get(record[0])
         if loss is None:
-            self.losses[record[0]] = Loss(1, record[1], record[1], why)
+            self.losses[record[0]] = ShedRecords(1, record[1], record[1], why)
         else:
             loss.count += 1
             loss.since, loss.until = min(loss.since, record[1]), max(loss.until, record[1])
@@ -77,7 +77,7 @@
         self.size -= len(found)
         return out + [record for _, record in sorted(found, key=lambda one: one[0])]
 
-    def give_up(self, records: Iterable[tuple], why: str) -> None:
+    def shed_unwritten(self, records: Iterable[tuple], why: str) -> None:
         """Records that were taken and could not be written."""
         for record in records:
             if record[0] != SHED:
@@ -86,43 +86,43 @@
                 loss = self.losses[record[2]]
                 loss.count, loss.since = loss.count + record[3], min(loss.since, record[4])
             else:
-                self.losses[record[2]] = Loss(*record[3:7])
+                self.losses[record[2]] = ShedRecords(*record[3:7])
 
 
-class Pace:
+class WriteSchedule:
     """When a block is due, a sync, another file."""
 
-    def __init__(self, file_bytes: int, file_for: float) -> None:
-        self.file_bytes, self.file_for = file_bytes, file_for
+    def __init__(self, max_file_bytes: int, max_file_age: float) -> None:
+        self.max_file_bytes, self.max_file_age = max_file_bytes, max_file_age
         self.block_at = self.synced_at = self.opened_at = 0.0
 
     def opened(self, now: float) -> None:
         self.opened_at = self.synced_at = self.block_at = now
 
     def block_due(self, now: float, waiting: int) -> bool:
-        return waiting >= BLOCK_RECORDS or waiting > 0 and now - self.block_at >= BLOCK_AGE
+        return waiting >= BLOCK_RECORDS or waiting > 0 and now - self.block_at >= MAX_BLOCK_AGE
 
     def sync_due(self, now: float) -> bool:
-        return now - self.synced_at >= SYNC_EVERY
+        return now - self.synced_at >= SYNC_INTERVAL
 
-    def turn_due(self, now: float, size: int) -> bool:
+    def rotation_due(self, now: float, size: int) -> bool:
         """Whether the file is to end and another to begin."""
-        return size >= self.file_bytes or now - self.opened_at >= self.file_for
+        return size >= self.max_file_bytes or now - self.opened_at >= self.max_file_age
 
 
-class Stored(NamedTuple):
-    """A file of the folder. `busy`: being written, read or cut."""
+class StoredFile(NamedTuple):
+    """A file of the folder. `in_use`: being written, read or cut."""
 
     name: str
     size: int
-    busy: bool
+    in_use: bool
 
 
-def over(files: Iterable[Stored], budget: int) -> list[str]:
-    """Whole files to delete, oldest first, so that the rest keeps to the budget; never a busy one. Names sort
-    by age.
+def files_to_delete(files: Iterable[StoredFile], budget: int) -> list[str]:
+    """Whole files to delete, oldest first, so that the rest keeps to the budget; never one in use.
+    Names sort by age.
 
-    >>> over([Stored("a", 4, False), Stored("b", 4, True), Stored("c", 4, False), Stored("d", 4, False)], 9)
+    >>> files_to_delete([StoredFile(name, 4, name == "b") for name in "abcd"], 9)
     ['a', 'c']
     """
     files, out = sorted(files), []
@@ -130,24 +130,24 @@
     for one in files:
         if total <= budget:
             break
-        if not one.busy:
+        if not one.in_use:
             out.append(one.name)
             total -= one.size
     return out
 
 
-class Disk:
+class DiskBackoff:
     """Whether a disk that failed is tried again."""
 
     def __init__(self) -> None:
-        self.off_until, self.wait, self.off = 0.0, DISK_FIRST, False
+        self.off_until, self.wait, self.off = 0.0, FIRST_RETRY_AFTER, False
 
-    def may(self, now: float) -> bool:
+    def may_try(self, now: float) -> bool:
         return now >= self.off_until
 
     def failed(self, now: float, why: str) -> str | None:
         """The line for the log, the first time."""
-        self.off_until, self.wait = now + self.wait, min(DISK_MOST, self.wait * DISK_GROWTH)
+        self.off_until, self.wait = now + self.wait, min(MAX_RETRY_AFTER, self.wait * RETRY_GROWTH)
         first, self.off = not self.off, True
         return (
             f"tracing is off: {why}; tried again in {self.off_until - now:g} s, then less often"
@@ -155,7 +155,7 @@
             else None
         )
 
-    def worked(self) -> str | None:
+    def succeeded(self) -> str | None:
         """The line for the log, where it had failed."""
-        was, self.off, self.wait = self.off, False, DISK_FIRST
+        was, self.off, self.wait = self.off, False, FIRST_RETRY_AFTER
         return "tracing is on again" if was else None
--- a/oatcart/trace/writer.py
+++ b/oatcart/trace/writer.py
@@ -10,14 +10,21 @@
 from pathlib import Path
 
 from oatcart.trace import file_format
-from oatcart.trace.plan import BLOCK_RECORDS, Disk, Keeper, Pace, Stored, over
-from oatcart.trace.reader import repair
+from oatcart.trace.reader import repair_footer
+from oatcart.trace.write_policy import (
+    BLOCK_RECORDS,
+    DiskBackoff,
+    RecordQueue,
+    StoredFile,
+    WriteSchedule,
+    files_to_delete,
+)
 
 SUFFIX = ".oatrace"
-WAIT = 0.2  # s between looks of the thread
+POLL_INTERVAL = 0.2  # s between looks of the thread
 
 
-class Store:
+class FileStore:
     """What a writer asks of a disk; tests hand in one that fails."""
 
     def open(self, path: Path) -> int:
@@ -37,7 +44,7 @@
         os.close(fd)
 
 
-def busy(path: Path) -> bool:
+def in_use(path: Path) -> bool:
     """Whether somebody has the file open to write or read it."""
     try:
         fd = os.open(path, os.O_RDONLY)
@@ -53,7 +60,7 @@
 
 
 class Writer:
-    """`facts` go into each file's header; `clock` is the instance's. `room`: records that may wait."""
+    """`facts` go into each file's header; `clock` is the instance's. `max_queued`: records that may wait."""
 
     def __init__(
         self,
@@ -62,14 +69,14 @@
         facts: dict,
         clock: Callable[[], float],
         say: Callable[[str, str], None],
-        file_bytes: int = 64 << 20,
-        file_for: float = 3600.0,
+        max_file_bytes: int = 64 << 20,
+        max_file_age: float = 3600.0,
         budget: int = 1 << 30,
-        room: int = 20 * BLOCK_RECORDS,
-        store: Store | None = None,
+        max_queued: int = 20 * BLOCK_RECORDS,
+        store: FileStore | None = None,
         unix: Callable[[], float] = time.time,
     ) -> None:
-        self.folder, self.instance, self.facts, self.clock, self.say = (
+        self.folder, self.instance, self.metadata, self.clock, self.say = (
             Path(folder),
             instance,
             facts,
@@ -77,19 +84,23 @@
             say,
         )
         self.unix = unix
-        self.budget, self.store = budget, store or Store()
-        self.keeper, self.pace, self.disk = Keeper(room), Pace(file_bytes, file_for), Disk()
+        self.budget, self.store = budget, store or FileStore()
+        self.queue, self.schedule, self.backoff = (
+            RecordQueue(max_queued),
+            WriteSchedule(max_file_bytes, max_file_age),
+            DiskBackoff(),
+        )
         self.lock, self.stopping = threading.RLock(), threading.Event()
         self.fd: int | None = None
         self.index: list[tuple] = []
         self.size = self.number = self.files = 0
-        self.starts: list[tuple] = []  # records that begin every file, so that each can be read alone
+        self.start_records: list[tuple] = []  # records that begin every file, so that each can be read alone
         self.thread: threading.Thread | None = None
 
     def put(self, record: tuple) -> None:
         """Take a record; never waits for the disk."""
         with self.lock:
-            self.keeper.put(record)
+            self.queue.put(record)
 
     def start(self) -> None:
         self._repair_old()
@@ -103,43 +114,43 @@
             self.thread.join(within)
             if self.thread.is_alive():
                 return
-        self.work(last=True)
+        self.write_due(final=True)
 
     def _run(self) -> None:
-        while not self.stopping.wait(WAIT):
-            self.work()
+        while not self.stopping.wait(POLL_INTERVAL):
+            self.write_due()
 
     def _repair_old(self) -> None:
         """Files of a life that ended without a footer get theirs."""
         for path in sorted(self.folder.glob(f"{self.instance}-*{SUFFIX}")):
             try:
-                if not busy(path) and (what := repair(path)):
+                if not in_use(path) and (what := repair_footer(path)):
                     self.say("trace", f"{path.name}: {what}")
             except (OSError, file_format.CorruptTraceError) as error:
                 self.say("trace", f"{path.name} is left as it is: {error}")
 
-    def work(self, last: bool = False) -> None:
+    def write_due(self, final: bool = False) -> None:
         """Write what is due."""
         now = self.clock()
-        if not self.disk.may(now) and not last:
+        if not self.backoff.may_try(now) and not final:
             return
         while True:
             with self.lock:
                 due = (
-                    self.pace.block_due(now, self.keeper.size)
-                    or last
-                    and (self.keeper.size or self.keeper.losses)
+                    self.schedule.block_due(now, self.queue.size)
+                    or final
+                    and (self.queue.size or self.queue.losses)
                 )
-                records = self.keeper.take(now, BLOCK_RECORDS) if due else []
+                records = self.queue.take(now, BLOCK_RECORDS) if due else []
             if not records:
                 break
             if not self._write(now, records):
                 return
-        if self.fd is not None and (last or self.pace.turn_due(now, self.size)):
+        if self.fd is not None and (final or self.schedule.rotation_due(now, self.size)):
             self._end()
-        elif self.fd is not None and self.pace.sync_due(now):
+        elif self.fd is not None and self.schedule.sync_due(now):
             self._try(now, lambda: self.store.sync(self.fd))
-            self.pace.synced_at = now
+            self.schedule.synced_at = now
 
     def _write(self, now: float, records: list[tuple]) -> bool:
         def block() -> None:
@@ -153,10 +164,10 @@
 
         if not self._try(now, block):
             with self.lock:
-                self.keeper.give_up(records, "disk")
+                self.queue.shed_unwritten(records, "disk")
             return False
-        self.pace.block_at = now
-        if line := self.disk.worked():
+        self.schedule.block_at = now
+        if line := self.backoff.succeeded():
             self.say("trace", line)
         return True
 
@@ -166,7 +177,7 @@
             do()
             return True
         except OSError as error:
-            if line := self.disk.failed(now, error.strerror or type(error).__name__):
+            if line := self.backoff.failed(now, error.strerror or type(error).__name__):
                 self.say("trace", line)
             self._close()
             return False
@@ -177,26 +188,26 @@
         self.files += 1
         path = self.folder / f"{self.instance}-{int(now * 1000):016}-{self.files:06}{SUFFIX}"
         self.fd, self.index, self.size, self.number = self.store.open(path), [], 0, 0
-        self.pace.opened(now)
+        self.schedule.opened(now)
         data = file_format.encode_header(
-            self.facts | {"instance": self.instance, "opened": now, "unix": self.unix()}
+            self.metadata | {"instance": self.instance, "opened": now, "unix": self.unix()}
         )
         self.store.write(self.fd, data)
         self.size = len(data)
-        if self.starts:
-            data = file_format.encode_block(0, self.starts)
+        if self.start_records:
+            data = file_format.encode_block(0, self.start_records)
             self.store.write(self.fd, data)
             self.index.append(
-                (self.size, len(data), len(self.starts), *file_format.decode_block_header(data)[2:4])
+                (self.size, len(data), len(self.start_records), *file_format.decode_block_header(data)[2:4])
             )
             self.size, self.number = self.size + len(data), 1
 
     def _retain(self) -> None:
         files = [
-            Stored(path.name, path.stat().st_size, busy(path))
+            StoredFile(path.name, path.stat().st_size, in_use(path))
             for path in self.folder.glob(f"{self.instance}-*{SUFFIX}")
         ]
-        for name in over(files, self.budget):
+        for name in files_to_delete(files, self.budget):
             (self.folder / name).unlink(missing_ok=True)
 
     def _end(self) -> None:
--- a/tests/trace/stored_traces.py
+++ b/tests/trace/stored_traces.py
@@ -289,18 +289,26 @@
     ]
 
 
-def write(name: str, instance: str, records: list[tuple], starts: list[tuple], room: int = 100_000) -> None:
+def write(
+    name: str, instance: str, records: list[tuple], starts: list[tuple], max_queued: int = 100_000
+) -> None:
     """One file by the package's writer, whose clock is that of the records."""
     folder, clock = Path(tempfile.mkdtemp()), [records[0][1]]
     writer = Writer(
-        folder, instance, {"format": "oatcart"}, lambda: clock[0], print, room=room, unix=lambda: 1.7e9
+        folder,
+        instance,
+        {"format": "oatcart"},
+        lambda: clock[0],
+        print,
+        max_queued=max_queued,
+        unix=lambda: 1.7e9,
     )
-    writer.starts = starts
+    writer.start_records = starts
     for record in records:
         clock[0] = max(clock[0], record[1])
-        writer.work()
+        writer.write_due()
         writer.put(record)
-    writer.work(last=True)
+    writer.write_due(final=True)
     (path,) = folder.iterdir()
     shutil.copyfile(path, DATA / name)
     shutil.rmtree(folder)
@@ -313,7 +321,7 @@
     write(ONE, "n0", [one for one in rest if one[1] < TURN_AT], [start])
     write(TWO, "n0", [one for one in rest if one[1] >= TURN_AT], [start])
     proxy = proxy_records([one for one in rest if one[0] == ROUND])
-    write(PROXY, "proxy-a", proxy, [], room=32)
+    write(PROXY, "proxy-a", proxy, [], max_queued=32)
     write(ALL, "n1", every_name(), [start[:2] + ("n1",) + start[3:]])
 
 
--- a/tests/trace/test_tools.py
+++ b/tests/trace/test_tools.py
@@ -12,11 +12,11 @@
 
 from oatcart.trace import __main__ as command
 from oatcart.trace import generate
-from oatcart.trace.configuration import Tracing, Wrong
+from oatcart.trace.configuration import TraceSettings, Wrong
 from oatcart.trace.configuration import read as read_tracing
 from oatcart.trace.hook import traced
 from oatcart.trace.merge import before, clocks, links, merge
-from oatcart.trace.reader import Trace
+from oatcart.trace.reader import TraceReader
 from oatcart.trace.records import CLOCK, FIELDS, IN, OUT, REQ, ROUND, TRY, Record, make
 from oatcart.trace.reqs import Reqs
 from oatcart.trace.tap import Tap, again, start_record, started
@@ -195,7 +195,7 @@
 
 
 def read(path):
-    with Trace(path) as trace:
+    with TraceReader(path) as trace:
         return list(trace.records())
 
 
@@ -206,8 +206,8 @@
     from oatcart.trace import file_format
 
     data = path.read_bytes()
-    with Trace(path) as trace:
-        parts = [data[: trace.begin]]
+    with TraceReader(path) as trace:
+        parts = [data[: trace.first_block_offset]]
         for offset, length, *_ in trace.index:
             parts.append(
                 zstandard.ZstdDecompressor().decompress(
@@ -306,8 +306,8 @@
     assert command.main(["merge", *paths, "--out", out, "--json"]) == 0
     found = json.loads(capsys.readouterr().out)
     assert found["clocks"]["b"]["offset_s"] == pytest.approx(-3.1, abs=0.05) and found["uncertain"] > 0
-    with Trace(out) as trace:
-        assert trace.facts["merged"] == ["a", "b"]
+    with TraceReader(out) as trace:
+        assert trace.metadata["merged"] == ["a", "b"]
         assert len(list(trace.records())) == sum(map(len, traces.values()))
     assert command.main(["merge", *paths, "--out", out + "2", "--reference", "z"]) == 2
 
@@ -320,7 +320,7 @@
     make_one = xds_table.Conductor
 
     def conductor(cfg, xds, woken):
-        tracing = Tracing(str(tmp_path / "traces"))
+        tracing = TraceSettings(str(tmp_path / "traces"))
         return make_one(cfg, xds, woken, lambda make: traced(make, cfg, tracing, writers.append))
 
     monkeypatch.setattr(xds_table, "Conductor", conductor)
@@ -395,7 +395,7 @@
 def test_the_file_of_settings(tmp_path):
     path = tmp_path / "t.yaml"
     path.write_text("folder: x\nfile_size: 1MiB\nbudget: 2MiB\nfile_for: 5m\n")
-    assert read_tracing(path) == Tracing("x", 1 << 20, 300.0, 2 << 20)
+    assert read_tracing(path) == TraceSettings("x", 1 << 20, 300.0, 2 << 20)
     for text, said in (
         ("file_size: 64\n", "t.yaml:1: file_size: 64 has no unit"),
         ("room: 1000\n", "folder is missing"),
--- a/tests/trace/test_trace.py
+++ b/tests/trace/test_trace.py
@@ -7,10 +7,10 @@
 from hypothesis import strategies as st
 
 from oatcart.trace import file_format, generate
-from oatcart.trace.plan import Disk, Keeper, Stored, over
-from oatcart.trace.reader import Trace, repair
+from oatcart.trace.reader import TraceReader, repair_footer
 from oatcart.trace.records import CLOCK, FIELDS, NAME, REQ, ROUND, SHED, START, TRY, make
-from oatcart.trace.writer import Store, Writer
+from oatcart.trace.write_policy import DiskBackoff, RecordQueue, StoredFile, files_to_delete
+from oatcart.trace.writer import FileStore, Writer
 
 FLOAT = st.floats(allow_nan=False)
 MICROS = st.integers(-(10**14), 10**14).map(lambda one: one / 1e6)
@@ -66,63 +66,63 @@
         clock.now = 100.0 + 10 * at
         one.put(req(clock.now, at, node=f"n{at}"))
         one.put(make(CLOCK, clock.now, clock.now + 1e9, 0.0))
-        one.work()
+        one.write_due()
         clock.now += 6
-        one.work()
+        one.write_due()
     if end:
-        one.work(last=True)
+        one.write_due(final=True)
     else:
         one._close()
     return next(folder.iterdir())
 
 
 def times(path):
-    with Trace(path) as trace:
+    with TraceReader(path) as trace:
         return [one.fields["at"] for one in trace.records()], trace.missing
 
 
 def test_a_string_table_grows_in_mid_file_and_a_minute_is_found(tmp_path):
     path = small(tmp_path)
-    with Trace(path) as trace:
+    with TraceReader(path) as trace:
         assert [one.fields["node"] for one in trace.records() if one.kind == REQ] == ["n0", "n1", "n2", "n3"]
-        before = trace.read_bytes
+        before = trace.bytes_read
         assert [one.fields["at"] for one in trace.records(110.0, 120.0)] == [110.0, 110.0]
-        assert trace.read_bytes - before == trace.index[1][1]  # that block alone
-        assert not trace.missing and trace.footed and trace.facts["instance"] == "n0"
+        assert trace.bytes_read - before == trace.index[1][1]  # that block alone
+        assert not trace.missing and trace.has_footer and trace.metadata["instance"] == "n0"
 
 
 def test_a_file_cut_at_any_byte_gives_every_whole_block(tmp_path):
     path = small(tmp_path / "whole")
     data = path.read_bytes()
-    with Trace(path) as trace:
-        index, begin = trace.index, trace.begin
+    with TraceReader(path) as trace:
+        index, begin = trace.index, trace.first_block_offset
     cut = tmp_path / "cut"
     for size in range(len(data)):
         cut.write_bytes(data[:size])
         if size < begin:
             with pytest.raises(file_format.CorruptTraceError):
-                Trace(cut)
+                TraceReader(cut)
             continue
         found, missing = times(cut)
         whole = [entry for entry in index if entry[0] + entry[1] <= size]
         assert found == [at for entry in whole for at in [entry[3]] * 2], size
         assert missing  # it says that something is
         if size % 7 == 0:
-            repair(cut)
+            repair_footer(cut)
             assert times(cut) == (found, [])
 
 
 def test_a_flipped_bit_costs_its_block_alone(tmp_path):
     path = small(tmp_path / "whole")
     data = path.read_bytes()
-    with Trace(path) as trace:
-        index, begin = trace.index, trace.begin
+    with TraceReader(path) as trace:
+        index, begin = trace.index, trace.first_block_offset
     spoilt = tmp_path / "spoilt"
     for at in range(len(data)):
         spoilt.write_bytes(data[:at] + bytes([data[at] ^ 1 << at % 8]) + data[at + 1 :])
         if at < begin:
             with pytest.raises(file_format.CorruptTraceError):
-                Trace(spoilt)
+                TraceReader(spoilt)
             continue
         found, missing = times(spoilt)
         hit = [entry for entry in index if entry[0] <= at < entry[0] + entry[1]]
@@ -142,7 +142,7 @@
     assert times(old) == ([100.0, 100.0, 110.0, 110.0, 120.0, 120.0], [])
 
 
-class Failing(Store):
+class Failing(FileStore):
     """A disk whose n-th use fails, or writes in part first."""
 
     def __init__(self, at, part=False, forever=False):
@@ -180,13 +180,13 @@
         clock.now = 100.0 + 6 * turn
         one.put(req(clock.now, turn))
         put.append(clock.now)
-        one.work()
-    one.work(last=True)
-    one.work(last=True)
+        one.write_due()
+    one.write_due(final=True)
+    one.write_due(final=True)
     found, shed = [], 0
     for path in sorted(tmp_path.iterdir()):
         try:
-            with Trace(path) as trace:
+            with TraceReader(path) as trace:
                 for record in trace.records():
                     if record.kind == SHED:
                         shed += record.fields["count"]
@@ -206,29 +206,29 @@
     for turn in range(2000):
         clock.now += 1.0
         one.put(req(clock.now, turn))
-        one.work()
+        one.write_due()
     assert len(one.said) == 1 and -store.left < 20
     store.forever = False
     clock.now += 1000
     one.put(req(clock.now))
-    one.work()
-    one.work(last=True)
+    one.write_due()
+    one.write_due(final=True)
     assert one.said[-1] == "tracing is on again"
-    found = [one for path in tmp_path.iterdir() for one in Trace(path).records()]
+    found = [one for path in tmp_path.iterdir() for one in TraceReader(path).records()]
     assert found[0].kind == SHED and found[0].fields["count"] + sum(one.kind == REQ for one in found) == 2001
 
 
 def test_a_flood_sheds_samples_before_decisions_and_says_what(tmp_path):
     clock = Clock()
-    one = writer(tmp_path, clock, room=1000)
+    one = writer(tmp_path, clock, max_queued=1000)
     for at in range(10_000):
         clock.now += 0.001
         one.put(req(clock.now, at))
         if at % 20 == 0:
             one.put(make(ROUND, clock.now, at // 20 + 1, [], []))
-        assert one.keeper.size <= 1000
-    one.work(last=True)
-    with Trace(next(tmp_path.iterdir())) as trace:
+        assert one.queue.size <= 1000
+    one.write_due(final=True)
+    with TraceReader(next(tmp_path.iterdir())) as trace:
         records = list(trace.records())
     kinds = [one.kind for one in records]
     assert kinds.count(ROUND) == 500 and kinds.count(REQ) == 500
@@ -238,7 +238,7 @@
 
 
 def test_what_is_shed_is_never_what_is_wanted_more():
-    one = Keeper(3)
+    one = RecordQueue(3)
     for at, kind in enumerate([REQ, TRY, ROUND, START, ROUND, ROUND, REQ]):
         one.put((kind, float(at)))
     assert [record[0] for record in one.take(9.0, 10)] == [SHED, SHED, SHED, ROUND, START, ROUND]
@@ -246,23 +246,23 @@
 
 def test_files_end_by_size_and_time_and_the_oldest_go(tmp_path):
     clock = Clock()
-    one = writer(tmp_path, clock, file_bytes=2000, file_for=100.0, budget=6000)
-    one.starts = [make(START, 100.0, "n0", 1, {}, "t", {})]
+    one = writer(tmp_path, clock, max_file_bytes=2000, max_file_age=100.0, budget=6000)
+    one.start_records = [make(START, 100.0, "n0", 1, {}, "t", {})]
     held = None
     for turn in range(60):
         clock.now += 6
         for at in range(40):
             one.put(req(clock.now, at, key=struct.pack("<Qd", at * 7919**3, clock.now)))
-        one.work()
+        one.write_due()
         if turn == 5:
-            held = Trace(sorted(tmp_path.iterdir())[0])
-    one.work(last=True)
+            held = TraceReader(sorted(tmp_path.iterdir())[0])
+    one.write_due(final=True)
     names = sorted(path.name for path in tmp_path.iterdir())
     assert held.path.name in names  # it is being read
     assert 3 <= len(names) < 30
     assert sum(path.stat().st_size for path in tmp_path.iterdir()) <= 6000 + 2 * 4000
     for name in names:
-        with Trace(tmp_path / name) as trace:
+        with TraceReader(tmp_path / name) as trace:
             assert next(trace.records()).kind == START
     held.file.close()
 
@@ -273,11 +273,11 @@
     for at in (100.0, 106.0, 90.0, 96.0, 112.0):
         clock.now = at
         one.put(req(at))
-        one.work()
-    one.work(last=True)
+        one.write_due()
+    one.write_due(final=True)
     path = next(tmp_path.iterdir())
     assert times(path) == ([100.0, 106.0, 90.0, 96.0, 112.0], [])
-    with Trace(path) as trace:
+    with TraceReader(path) as trace:
         assert [one.fields["at"] for one in trace.records(95.0, 107.0)] == [100.0, 106.0, 96.0]
 
 
@@ -319,7 +319,7 @@
 
 
 def test_nothing_busy_is_deleted_and_waits_grow():
-    assert over([Stored("a", 5, True), Stored("b", 5, False)], 4) == ["b"]
-    disk = Disk()
+    assert files_to_delete([StoredFile("a", 5, True), StoredFile("b", 5, False)], 4) == ["b"]
+    disk = DiskBackoff()
     assert "tried again in 1 s" in disk.failed(10.0, "full") and disk.failed(11.0, "full") is None
-    assert not disk.may(12.9) and disk.may(13.0) and disk.worked() and disk.worked() is None
+    assert not disk.may_try(12.9) and disk.may_try(13.0) and disk.succeeded() and disk.succeeded() is None
