--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -21,8 +21,9 @@
 
 from oatcart.trace import generate
 from oatcart.trace.reader import TraceReader
-from oatcart.trace.records import FIELDS, ROUND, START
+from oatcart.trace.records import FIELDS, RecordKind
 from oatcart.trace.tap import Said, Tap, started
+from oatcart.trace.write_policy import Limits
 from oatcart.trace.writer import Writer
 
 SEED, BEGIN = 11, 1000.0
@@ -40,8 +41,7 @@
         {},
         lambda: clock[0],
         lambda kind, text: print(text, file=sys.stderr),
-        max_file_bytes=1 << 40,
-        max_file_age=1e9,
+        Limits(max_file_bytes=1 << 40, max_file_age=1e9),
     )
     titles = {kind: [name for name, _ in fields] for kind, fields in FIELDS.items()}
     packer = zstandard.ZstdCompressor(level=6).stream_writer(open(baseline, "wb")) if baseline else None  # noqa: SIM115
@@ -97,7 +97,7 @@
     with open(path, "rb") as file:
         for line in io.TextIOWrapper(zstandard.ZstdDecompressor().stream_reader(file), encoding="utf-8"):
             row = json.loads(line)
-            if row["kind_of"] == START:
+            if row["kind_of"] == RecordKind.START:
                 continue
             if row["at"] >= at + 60.0:
                 break
@@ -112,9 +112,9 @@
     rounds, start = [], None
     for kind, *values in generate.records(SEED, TAP_ROUNDS / 4, a_second):
         told = dict(zip((name for name, _ in FIELDS[kind]), values, strict=True))
-        if kind == START:
+        if kind == RecordKind.START:
             start = told
-        elif kind == ROUND:
+        elif kind == RecordKind.ROUND:
             rounds.append((told["at"], told["arrivals"]))
 
     class Plain(Said):
--- a/examples/disputed_fee.py
+++ b/examples/disputed_fee.py
@@ -10,7 +10,9 @@
 
 from oatcart.trace.__main__ import write
 from oatcart.trace.merge import applied_link, mark_link
-from oatcart.trace.records import DONE, ERRORED, FIELDS, IN, OUT, REQ, Record
+from oatcart.trace.records import FIELDS, Record
+from oatcart.trace.records import RecordKind as Kind
+from oatcart.trace.records import RequestOutcome as Outcome
 
 KEY = bytes.fromhex("5fee0001")
 OFFSETS = {"n0": 0.0, "proxy-a": 3.2, "proxy-b": -1.7}  # s by which each clock is ahead of the conductor's
@@ -30,18 +32,56 @@
     events = []
     for mark in range(300):  # the conductor's marks and their acknowledgements, one a second
         at = 1000.0 + mark
-        events.append((at, "n0", OUT, mark_link("n0", mark), "proxies"))
+        events.append((at, "n0", Kind.MESSAGE_SENT, mark_link("n0", mark), "proxies"))
         for number, name in enumerate(("proxy-a", "proxy-b")):
             there, back = (0.002 + rng.expovariate(500) for _ in range(2))
             if rng.random() < 0.9:
-                events.append((at + there, name, IN, mark_link("n0", mark), "n0"))
-                events.append((at + there, name, OUT, applied_link("n0", mark, number), "n0"))
-                events.append((at + there + back, "n0", IN, applied_link("n0", mark, number), name))
+                events.append((at + there, name, Kind.MESSAGE_RECEIVED, mark_link("n0", mark), "n0"))
+                events.append((at + there, name, Kind.MESSAGE_SENT, applied_link("n0", mark, number), "n0"))
+                events.append(
+                    (
+                        at + there + back,
+                        "n0",
+                        Kind.MESSAGE_RECEIVED,
+                        applied_link("n0", mark, number),
+                        name,
+                    )
+                )
     fee = "fee-charge"
     events.append(
-        (1100.430, "proxy-a", REQ, 41, KEY, "proxy-a", fee, "east", "east-02", ERRORED, 0.180, 1, 3.0)
+        (
+            1100.430,
+            "proxy-a",
+            Kind.REQUEST,
+            41,
+            KEY,
+            "proxy-a",
+            fee,
+            "east",
+            "east-02",
+            Outcome.FAILED,
+            0.180,
+            1,
+            3.0,
+        )
+    )
+    events.append(
+        (
+            1101.100,
+            "proxy-b",
+            Kind.REQUEST,
+            77,
+            KEY,
+            "proxy-b",
+            fee,
+            "east",
+            "east-05",
+            Outcome.SUCCEEDED,
+            0.061,
+            1,
+            3.0,
+        )
     )
-    events.append((1101.100, "proxy-b", REQ, 77, KEY, "proxy-b", fee, "east", "east-05", DONE, 0.061, 1, 3.0))
     for at, name, *rest in sorted(events, key=lambda one: one[0]):
         note(name, at, *rest)
     folder.mkdir(parents=True, exist_ok=True)
--- a/oatcart/trace/__main__.py
+++ b/oatcart/trace/__main__.py
@@ -11,7 +11,7 @@
 from oatcart.trace import file_format
 from oatcart.trace.merge import merge
 from oatcart.trace.reader import TraceReader
-from oatcart.trace.records import FIELDS, FIELDS_MERGED, START, Record
+from oatcart.trace.records import FIELDS, FIELDS_MERGED, Record, RecordKind
 from oatcart.trace.tap import again
 from oatcart.trace.tools import Strip, cut, may_repeat, story, summary
 from oatcart.trace.write_policy import BLOCK_RECORDS
@@ -122,7 +122,7 @@
 
 def do_summary(args: argparse.Namespace) -> int:
     records, missing, _ = read(args.files, args.first, args.last)
-    start = next((one.fields for one in records if one.kind == START), None)
+    start = next((one.fields for one in records if one.kind == RecordKind.START), None)
     found = summary(records, may_repeat(start) if start else None)
     lines = [
         f"{found['first']:.3f} to {found['last']:.3f}; "
--- a/oatcart/trace/configuration.py
+++ b/oatcart/trace/configuration.py
@@ -1,43 +1,49 @@
-"""`deploy/trace.yaml`: where traces go and what they may take, checked."""
+"""Reads and checks `deploy/trace.yaml`: where traces go and what they may take."""
 
 from pathlib import Path
 from typing import NamedTuple
 
+from oatcart.trace.write_policy import Limits
 from oatcart.yaml_files import Wrong, load, name, size, span, table, whole
 
 __all__ = ["TraceSettings", "Wrong", "read"]
 
 
 class TraceSettings(NamedTuple):
-    """Bytes, seconds, records; `folder` is made where it is missing."""
+    """Where trace files go; the folder is made where it is missing."""
 
     folder: str
-    file_size: int = 64 << 20
-    file_for: float = 3600.0
-    budget: int = 1 << 30
-    room: int = 81_920
+    limits: Limits = Limits()
 
 
-FIELDS = {
+# The file's keys and the checks of their values
+KEYS = {
     "folder": name,
     "file_size": size,
     "file_for": span,
     "budget": size,
     "room": whole(1000, 10_000_000),
 }
+# The limit that each key sets
+LIMITS = {
+    "file_size": "max_file_bytes",
+    "file_for": "max_file_age",
+    "budget": "max_total_bytes",
+    "room": "max_queued_records",
+}
 
 
 def read(path: str | Path) -> TraceSettings:
-    """The file's settings; raises Wrong with all that is wrong in it."""
-    wrong: list[str] = []
-    told, where = load(path)
-    found = table(told, FIELDS, "", where, wrong, 0)
-    if not wrong and "folder" not in found:
-        wrong.append(f"{where(0)}: folder is missing")
-    usual = TraceSettings._field_defaults | found
-    if not wrong and usual["budget"] < usual["file_size"]:
-        line = told.lc.key("budget" if "budget" in found else "file_size")[0]
-        wrong.append(f"{where(line)}: budget holds not even one file of file_size")
-    if wrong:
-        raise Wrong("\n".join(wrong))
-    return TraceSettings(**found)
+    """Read the settings file; raises Wrong with a line for each fault, naming file, line and key."""
+    faults: list[str] = []
+    document, where = load(path)
+    values = table(document, KEYS, "", where, faults, 0)
+    if not faults and "folder" not in values:
+        faults.append(f"{where(0)}: folder is missing")
+    limits = Limits(**{LIMITS[key]: value for key, value in values.items() if key in LIMITS})
+    if not faults and limits.max_total_bytes < limits.max_file_bytes:
+        line = document.lc.key("budget" if "budget" in values else "file_size")[0]
+        faults.append(f"{where(line)}: budget holds not even one file of file_size")
+    if faults:
+        raise Wrong("\n".join(faults))
+    return TraceSettings(values["folder"], limits)
--- a/oatcart/trace/generate.py
+++ b/oatcart/trace/generate.py
@@ -6,7 +6,7 @@
 
 from oatcart import interface as our
 from oatcart.policy import Conductor
-from oatcart.trace.records import DENIED, DONE, ERRORED, REQ, TRY, make
+from oatcart.trace.records import RecordKind, RequestOutcome
 from oatcart.trace.tap import Tap, start_record
 
 KINDS = [
@@ -108,7 +108,20 @@
     open_to = [node for node, weight in host.weights.items() if weight > 0 and node not in host.out]
     who = f"proxy-{proxy:03}"
     if not open_to:
-        yield make(REQ, now, ids[proxy], key, who, kind, ZONES[proxy % 2], "", DENIED, 0.0, 0, req.value)
+        yield (
+            RecordKind.REQUEST,
+            now,
+            ids[proxy],
+            key,
+            who,
+            kind,
+            ZONES[proxy % 2],
+            "",
+            RequestOutcome.REJECTED,
+            0.0,
+            0,
+            req.value,
+        )
         return
     tries = 0
     while True:
@@ -119,10 +132,10 @@
         row[1 if fails else 0] += 1
         row[2] += 0.0 if fails else took
         if fails and tries == 1 and req.repeat == our.REPLAYABLE:
-            yield make(TRY, now, ids[proxy], key, who, kind, tries, names[node], "RESET", took)
+            yield (RecordKind.ATTEMPT, now, ids[proxy], key, who, kind, tries, names[node], "RESET", took)
             continue
-        yield make(
-            REQ,
+        yield (
+            RecordKind.REQUEST,
             now,
             ids[proxy],
             key,
@@ -130,7 +143,7 @@
             kind,
             ZONES[proxy % 2],
             names[node],
-            ERRORED if fails else DONE,
+            RequestOutcome.FAILED if fails else RequestOutcome.SUCCEEDED,
             took,
             tries,
             req.value,
--- a/oatcart/trace/hook.py
+++ b/oatcart/trace/hook.py
@@ -30,10 +30,7 @@
             {"format": "oatcart"},
             lambda: rounds.loop.clock() + rounds.offset,
             rounds.log.say,
-            tracing.file_size,
-            tracing.file_for,
-            tracing.budget,
-            tracing.room,
+            tracing.limits,
         )
 
         def start(call: Callable, watcher: object, prober: object) -> None:
--- a/oatcart/trace/merge.py
+++ b/oatcart/trace/merge.py
@@ -15,11 +15,14 @@
 import numpy as np
 from scipy.optimize import linprog
 
-from oatcart.trace.records import IN, OUT, REQ, ROUND, TRY, Record
+from oatcart.trace.records import Record, RecordKind
 
 DRIFT_MOST = 1e-3  # s a second; no clock that runs is off by more
 LINKS_MOST = 4000  # of a pair of instances that go into the program: those that bind most, evenly over time
-SAME = {REQ: ("proxy", "id"), TRY: ("proxy", "id", "number")}  # by which records tell of one event
+SAME = {
+    RecordKind.REQUEST: ("proxy", "id"),
+    RecordKind.ATTEMPT: ("proxy", "id", "number"),
+}  # by which records tell of one event
 
 
 class Link(NamedTuple):
@@ -70,18 +73,18 @@
 
 
 def ends(instance: str, record: Record) -> Iterator[tuple[str, bytes]]:
-    """The ends of messages that a record tells of, (OUT or IN, name): a round's marks and acknowledgements
-    too.
+    """The ends of messages that a record tells of, (kind of record, name): a round's marks and
+    acknowledgements too.
     """
-    if record.kind in (OUT, IN):
+    if record.kind in (RecordKind.MESSAGE_SENT, RecordKind.MESSAGE_RECEIVED):
         yield record.kind, record.fields["link"]
-    elif record.kind == ROUND:
+    elif record.kind == RecordKind.ROUND:
         for arrival in record.fields["arrivals"]:
             if arrival[0] == "applied":
-                yield IN, applied_link(instance, arrival[2], arrival[1])
+                yield RecordKind.MESSAGE_RECEIVED, applied_link(instance, arrival[2], arrival[1])
         for order in record.fields["orders"]:
             if order[0] == "ask_ack":
-                yield OUT, mark_link(instance, order[1])
+                yield RecordKind.MESSAGE_SENT, mark_link(instance, order[1])
 
 
 def links(traces: dict[str, Sequence[Record]]) -> list[Link]:
@@ -90,12 +93,12 @@
     for instance, records in traces.items():
         for record in records:
             for end, link in ends(instance, record):
-                if end == OUT:
+                if end == RecordKind.MESSAGE_SENT:
                     sent[link] = (instance, record.fields["at"]) if link not in sent else None
     for instance, records in traces.items():
         for record in records:
             for end, link in ends(instance, record):
-                if end == IN and (told := sent.get(link)) and told[0] != instance:
+                if end == RecordKind.MESSAGE_RECEIVED and (told := sent.get(link)) and told[0] != instance:
                     out.append(Link(told[0], instance, told[1], record.fields["at"]))
     return out
 
@@ -247,8 +250,8 @@
                     name,
                     record,
                     clock.bound(record.fields["at"]),
-                    [link for end, link in mine if end == OUT],
-                    [link for end, link in mine if end == IN],
+                    [link for end, link in mine if end == RecordKind.MESSAGE_SENT],
+                    [link for end, link in mine if end == RecordKind.MESSAGE_RECEIVED],
                 ]
             )
     _causes_first(rows)
--- a/oatcart/trace/reader.py
+++ b/oatcart/trace/reader.py
@@ -1,4 +1,4 @@
-"""Reading a trace, whole, cut or spoilt: every whole block is had, and what is missing is said."""
+"""Reads trace files, truncated and damaged ones too: every intact block, and what is missing in words."""
 
 import fcntl
 import os
@@ -8,35 +8,40 @@
 from pathlib import Path
 
 from oatcart.trace import file_format
+from oatcart.trace.file_format import BlockHeader, CorruptTraceError, FooterIncompleteError, IndexEntry
 from oatcart.trace.records import Record
 
-FOOTER_READ_BYTES = (
-    64 * 1024
-)  # bytes of the end that are read to find the footer; an hour's index is a tenth of it
+HEADER_READ_BYTES = 64 * 1024
+FOOTER_READ_BYTES = 64 * 1024  # the footer of an hour has a tenth of it
+SEARCH_BYTES = 1 << 20  # read at a time in search of the next block
+
+
+def _no_progress(done: int, total: int) -> None:
+    """Report nothing."""
 
 
 class TraceReader:
-    """An open trace. `index`: (offset, length, count, first, last) a block; `missing`: what was lost, in
-    words; `skipped`: records of unknown kinds, by kind, among what was read."""
+    """An open trace file, and a context manager that closes it.
+
+    `index` has an entry a block, `has_footer` says whether it was found in the file or rebuilt. `missing`
+    grows by a line for each part that could not be read, `skipped` counts the records of unknown kinds,
+    `bytes_read` all that was read from the file.
+    """
 
     def __init__(self, path: Path | str) -> None:
+        """Open a file, read its header and index. Raises OSError, and CorruptTraceError for a bad header."""
         self.path = Path(path)
         self.file = open(self.path, "rb")  # noqa: SIM115 - it lives as long as this does
-        fcntl.flock(self.file, fcntl.LOCK_SH)  # so that retention leaves it
+        fcntl.flock(self.file, fcntl.LOCK_SH)  # so that the writer does not delete it meanwhile
         self.missing: list[str] = []
         self.skipped: Counter[str] = Counter()
         self.bytes_read = 0
         try:
             self.length = os.fstat(self.file.fileno()).st_size
-            self.metadata, self.first_block_offset = file_format.decode_header(
-                self._read_at(
-                    0,
-                    min(self.length, file_format.FILE_HEADER.size + file_format.MAX_METADATA_BYTES + 8)
-                    if self.length < FOOTER_READ_BYTES
-                    else FOOTER_READ_BYTES,
-                )
-            )
-            self.index, self.has_footer = self._index()
+            header = self._read_at(0, HEADER_READ_BYTES)
+            self.metadata, self.first_block_offset = file_format.decode_header(header)
+            self.has_footer = True
+            self.index = self._read_index()
         except BaseException:
             self.file.close()
             raise
@@ -52,95 +57,121 @@
         self.bytes_read += len(data)
         return data
 
-    def _index(self) -> tuple[list[tuple], bool]:
-        size = min(self.length - self.first_block_offset, FOOTER_READ_BYTES)
+    def _read_index(self) -> list[IndexEntry]:
+        """The index from the footer; where there is none, from the blocks."""
+        try:
+            return self._read_footer()
+        except CorruptTraceError as error:
+            self.has_footer = False
+            self.missing.append(f"{error}: the index was rebuilt from the blocks")
+            return self.rebuild_index()
+
+    def _read_footer(self) -> list[IndexEntry]:
+        room = self.length - self.first_block_offset
+        size = min(room, FOOTER_READ_BYTES)
         try:
-            try:
-                return file_format.decode_footer(self._read_at(self.length - size, size))[0], True
-            except file_format.FooterIncompleteError as short:
-                if short.size > self.length - self.first_block_offset:
-                    raise file_format.CorruptTraceError("the footer is spoilt") from None
-                return file_format.decode_footer(self._read_at(self.length - short.size, short.size))[0], True
-        except file_format.CorruptTraceError as error:
-            self.missing.append(f"{error}: the index was made anew from the blocks")
-            return self.rebuild_index(), False
-
-    def rebuild_index(self) -> list[tuple]:
-        """The index from the blocks themselves; what lies between whole ones is said to be missing."""
-        index, at, gap = [], self.first_block_offset, None
-        while at < self.length:
-            try:
-                data = self._read_at(at, file_format.BLOCK_HEADER.size)
-                head = file_format.decode_block_header(data)
-                size = file_format.BLOCK_HEADER.size + head.length
-                if not file_format.is_intact(self._read_at(at, size), 0, head):
-                    raise file_format.CorruptTraceError("spoilt or cut")
-            except file_format.CorruptTraceError:
-                if gap is None:
-                    gap = at
-                at = self._find_block(at + 1)
+            index, _ = file_format.decode_footer(self._read_at(self.length - size, size))
+        except FooterIncompleteError as error:
+            if error.size > room:
+                raise CorruptTraceError("the footer's length is wrong") from None
+            index, _ = file_format.decode_footer(self._read_at(self.length - error.size, error.size))
+        return index
+
+    def rebuild_index(self) -> list[IndexEntry]:
+        """The index from the intact blocks themselves; what lies between them is added to `missing`."""
+        index, offset, gap_start = [], self.first_block_offset, None
+        while offset < self.length:
+            header = self._intact_block_at(offset)
+            if header is None:
+                if gap_start is None:
+                    gap_start = offset
+                offset = self._find_block(offset + 1)
                 continue
-            if gap is not None:
-                self.missing.append(f"bytes {gap} to {at} are no whole block")
-                gap = None
-            index.append((at, size, head.count, head.first, head.last))
-            at += size
-        if gap is not None:
-            self.missing.append(f"bytes {gap} to {self.length} are no whole block")
+            self._note_gap(gap_start, offset)
+            gap_start = None
+            length = file_format.BLOCK_HEADER.size + header.length
+            index.append(IndexEntry(offset, length, header.count, header.first, header.last))
+            offset += length
+        self._note_gap(gap_start, self.length)
         return index
 
-    def _find_block(self, at: int) -> int:
-        """Where the next block may begin."""
-        step = 1 << 20
-        while at < self.length:
-            data = self._read_at(at, step)
+    def _intact_block_at(self, offset: int) -> BlockHeader | None:
+        """The header of the block at an offset; None where no intact block is there."""
+        try:
+            header = file_format.decode_block_header(self._read_at(offset, file_format.BLOCK_HEADER.size))
+        except CorruptTraceError:
+            return None
+        block = self._read_at(offset, file_format.BLOCK_HEADER.size + header.length)
+        return header if file_format.is_intact(block, 0, header) else None
+
+    def _note_gap(self, start: int | None, end: int) -> None:
+        if start is not None:
+            self.missing.append(f"bytes {start} to {end} hold no intact block")
+
+    def _find_block(self, offset: int) -> int:
+        """The next offset at which a block may begin; the file's length if none does."""
+        while offset < self.length:
+            data = self._read_at(offset, SEARCH_BYTES)
             found = data.find(file_format.BLOCK_MAGIC)
             if found >= 0:
-                return at + found
-            at += max(1, len(data) - len(file_format.BLOCK_MAGIC) + 1)
+                return offset + found
+            # the magic may lie across two reads
+            offset += max(1, len(data) - len(file_format.BLOCK_MAGIC) + 1)
         return self.length
 
     def records(
         self,
         first: float = -inf,
         last: float = inf,
-        progress: Callable[[int, int], None] = lambda done, of: None,
+        progress: Callable[[int, int], None] = _no_progress,
     ) -> Iterator[Record]:
-        """The records from `first` up to but not at `last`, by the instance's clock, in the order of the
-        file. Only blocks that may hold some are read; a spoilt one is said to be missing. `progress`: blocks
-        gone through, of all."""
-        for at, (offset, length, count, begins, ends) in enumerate(self.index):
-            progress(at, len(self.index))
-            if ends < first or begins >= last:
-                continue
-            data = self._read_at(offset, length)
-            try:
-                head = file_format.decode_block_header(data)
-                if not file_format.is_intact(data, 0, head):
-                    raise file_format.CorruptTraceError("it is spoilt")
-                found, skipped = file_format.decode_block(data[file_format.BLOCK_HEADER.size :])
-            except file_format.CorruptTraceError as error:
-                self.missing.append(f"a block of {count} records from {begins:.3f} to {ends:.3f}: {error}")
+        """The records from `first` up to but not at `last`, in the order of the file.
+
+        Both are seconds of the instance's clock. Only the blocks that may hold such records are read; those
+        that are damaged are added to `missing`. `progress` is called with the number of blocks gone through
+        and of all blocks.
+        """
+        for done, entry in enumerate(self.index):
+            progress(done, len(self.index))
+            if entry.last < first or entry.first >= last:
                 continue
-            self.skipped.update(skipped)
-            if first <= begins and ends < last:
+            found = self._read_block(entry)
+            if first <= entry.first and entry.last < last:
                 yield from found
             else:
-                yield from (one for one in found if first <= one.fields["at"] < last)
+                yield from (record for record in found if first <= record.fields["at"] < last)
+
+    def _read_block(self, entry: IndexEntry) -> list[Record]:
+        """The records of a block; none where it is damaged."""
+        data = self._read_at(entry.offset, entry.length)
+        try:
+            header = file_format.decode_block_header(data)
+            if not file_format.is_intact(data, 0, header):
+                raise CorruptTraceError("it fails its checksum")
+            records, skipped = file_format.decode_block(data[file_format.BLOCK_HEADER.size :])
+        except CorruptTraceError as error:
+            span = f"from {entry.first:.3f} to {entry.last:.3f}"
+            self.missing.append(f"a block of {entry.count} records {span}: {error}")
+            return []
+        self.skipped.update(skipped)
+        return records
 
 
 def repair_footer(path: Path) -> str:
-    """Give a file that ended without a footer its own, after its last whole block; says what was done, if
-    anything. Whoever calls this knows that nobody writes the file."""
+    """Give a file that ended without a footer its own, behind its last intact block.
+
+    Returns what was done in words, or "" where nothing was needed. The caller knows that nobody writes the
+    file. Raises OSError, and CorruptTraceError where it has no header.
+    """
     with TraceReader(path) as trace:
         if trace.has_footer:
             return ""
         index = trace.index
-        end = max((offset + length for offset, length, *_ in index), default=trace.first_block_offset)
+        end = max((entry.offset + entry.length for entry in index), default=trace.first_block_offset)
     with open(path, "r+b") as file:
         file.truncate(end)
         file.seek(end)
         file.write(file_format.encode_footer(index))
         file.flush()
         os.fsync(file.fileno())
-    return f"its index was repaired, {len(index)} blocks are whole"
+    return f"its footer was rebuilt, {len(index)} blocks are intact"
--- /dev/null
+++ b/oatcart/trace/record_queue.py
@@ -0,0 +1,117 @@
+"""Which records wait to be written, and which are shed where too many do. Does no I/O and reads no clock.
+
+Tracing must not delay serving, so the queue is bounded; what is shed is counted, and the counts are written
+as records themselves.
+"""
+
+from collections import deque
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
+
+from oatcart.trace.records import RecordKind, make_record
+
+# Where the queue is full the highest number is shed first: a replay needs every round, and what each record
+# means depends on starts, clocks and names, while requests are samples
+SHED_ORDER: Mapping[str, int] = {
+    RecordKind.SHED: 0,
+    RecordKind.START: 0,
+    RecordKind.CLOCK: 0,
+    RecordKind.ENDPOINT_NAME: 0,
+    RecordKind.ROUND: 1,
+    RecordKind.MESSAGE_SENT: 2,
+    RecordKind.MESSAGE_RECEIVED: 2,
+    RecordKind.ATTEMPT: 3,
+    RecordKind.REQUEST: 4,
+}
+SHED_FIRST = max(SHED_ORDER.values())
+# Why records were shed, as it is stored
+QUEUE_FULL = "no room"
+DISK_FAILED = "disk"
+
+
+@dataclass(slots=True)
+class ShedRecords:
+    """Records of one kind that were shed: how many, their least and greatest time in seconds, and why."""
+
+    count: int
+    since: float
+    until: float
+    reason: str
+
+
+class RecordQueue:
+    """Records that wait to be written, and counts of those shed since the last `take`."""
+
+    def __init__(self, max_records: int) -> None:
+        """Hold `max_records` at most."""
+        self.max_records = max_records
+        self.size = 0
+        self.shed: dict[str, ShedRecords] = {}  # by record kind
+        self._waiting: dict[int, deque] = {rank: deque() for rank in range(SHED_FIRST + 1)}
+        self._accepted = 0  # of all time; gives each record its place in their order
+
+    def put(self, record: tuple) -> None:
+        """Queue a record. A full queue sheds one: of the rank to be shed first, the newest."""
+        rank = SHED_ORDER.get(record[0], SHED_FIRST)
+        if self.size >= self.max_records:
+            first_to_go = max(rank for rank, queue in self._waiting.items() if queue)
+            if first_to_go <= rank:
+                self._count_shed(record, QUEUE_FULL)
+                return
+            _, victim = self._waiting[first_to_go].pop()
+            self._count_shed(victim, QUEUE_FULL)
+            self.size -= 1
+        self._accepted += 1
+        self._waiting[rank].append((self._accepted, record))
+        self.size += 1
+
+    def _count_shed(self, record: tuple, reason: str) -> None:
+        kind, at = record[0], record[1]
+        shed = self.shed.get(kind)
+        if shed is None:
+            self.shed[kind] = ShedRecords(1, at, at, reason)
+        else:
+            shed.count += 1
+            shed.since = min(shed.since, at)
+            shed.until = max(shed.until, at)
+
+    def take(self, now: float, limit: int) -> list[tuple]:
+        """Remove and return up to `limit` records in the order in which they were put.
+
+        Records of what was shed since the last call, at the time `now` in seconds, come first and beside the
+        limit.
+        """
+        shed = [
+            make_record(
+                RecordKind.SHED,
+                at=now,
+                kind=kind,
+                count=shed.count,
+                since=shed.since,
+                until=shed.until,
+                why=shed.reason,
+            )
+            for kind, shed in self.shed.items()
+        ]
+        self.shed = {}
+        taken: list[tuple[int, tuple]] = []
+        for queue in self._waiting.values():
+            while queue and len(taken) < limit:
+                taken.append(queue.popleft())
+        self.size -= len(taken)
+        taken.sort(key=lambda entry: entry[0])
+        return shed + [record for _, record in taken]
+
+    def shed_unwritten(self, records: Iterable[tuple]) -> None:
+        """Count records that were taken and could not be written; counts among them are counted again."""
+        for record in records:
+            if record[0] != RecordKind.SHED:
+                self._count_shed(record, DISK_FAILED)
+                continue
+            _, _, kind, count, since, until, reason = record
+            if kind in self.shed:
+                shed = self.shed[kind]
+                shed.count += count
+                shed.since = min(shed.since, since)
+            else:
+                self.shed[kind] = ShedRecords(count, since, until, reason)
--- a/oatcart/trace/records.py
+++ b/oatcart/trace/records.py
@@ -1,31 +1,49 @@
-"""The kinds of records and their fields. A file tells its own; these are what this version writes. Free of
-I/O.
+"""The kinds of records in a trace and their fields. Does no I/O.
 
-A field's type says how it is stored: `us` a time or span in whole microseconds, `int`, `float` (all bits),
-`name` (in the block's string table), `bytes`, `any` (msgpack: numbers, strings, lists, nothing). Times are
-seconds of the instance's own clock, by which blocks are found; a reader turns `us` back into seconds.
+A file describes its own records; these are what this version writes. Kinds and fields keep their stored names
+for ever, as files of older versions hold them: `req` is a request, `try` an attempt, `node` an endpoint,
+`kind` a request class, `took` a duration, `tries` the number of attempts, `value` a priority weight, and the
+`orders` of a round are the commands of the decisions.
+
+A field's type says how it is stored: `us` a time or duration in whole microseconds (seconds in the code),
+`int`, `float` (all 64 bits), `name` (a string in the block's string table), `bytes`, `any` (msgpack: numbers,
+strings, sequences, None). Times are seconds of the instance's own clock, by which blocks are found.
 """
 
 from collections.abc import Mapping
+from enum import StrEnum
 from typing import NamedTuple
 
-ROUND, REQ, TRY, START, CLOCK, NAME, OUT, IN, SHED = (
-    "round",
-    "req",
-    "try",
-    "start",
-    "clock",
-    "name",
-    "out",
-    "in",
-    "shed",
-)
 
-# `at` comes first everywhere: when it was, as the instance saw it
-FIELDS: Mapping[str, tuple[tuple[str, str], ...]] = {
-    ROUND: (("at", "float"), ("number", "int"), ("arrivals", "any"), ("orders", "any")),
-    REQ: (
-        ("at", "us"),
+class RecordKind(StrEnum):
+    """The stored name of each kind of record."""
+
+    ROUND = "round"  # one call of the decisions: its events and its commands
+    REQUEST = "req"  # a request that has ended
+    ATTEMPT = "try"  # an attempt that another one followed
+    START = "start"  # what the instance was started with
+    CLOCK = "clock"  # the instance's clock beside Unix time
+    ENDPOINT_NAME = "name"  # the id that a number stands for from now on
+    MESSAGE_SENT = "out"
+    MESSAGE_RECEIVED = "in"
+    SHED = "shed"  # records that were not written
+
+
+class RequestOutcome(StrEnum):
+    """The stored name of a request's outcome."""
+
+    SUCCEEDED = "done"
+    REJECTED = "denied"
+    FAILED = "errored"
+
+
+FieldTypes = tuple[tuple[str, str], ...]  # the name and type of each field, in order
+
+# `at` comes first everywhere: when it happened, by the instance's clock
+FIELDS: Mapping[str, FieldTypes] = {
+    RecordKind.ROUND: (("at", "float"), ("number", "int"), ("arrivals", "any"), ("orders", "any")),
+    RecordKind.REQUEST: (
+        ("at", "us"),  # of the last attempt's start, or of the rejection
         ("id", "int"),
         ("key", "bytes"),
         ("proxy", "name"),
@@ -33,11 +51,11 @@
         ("zone", "name"),
         ("node", "name"),
         ("outcome", "name"),
-        ("took", "us"),
+        ("took", "us"),  # the last attempt's duration
         ("tries", "int"),
         ("value", "float"),
     ),
-    TRY: (
+    RecordKind.ATTEMPT: (
         ("at", "us"),
         ("id", "int"),
         ("key", "bytes"),
@@ -48,19 +66,19 @@
         ("ending", "name"),
         ("took", "us"),
     ),
-    START: (
+    RecordKind.START: (
         ("at", "float"),
         ("instance", "name"),
         ("seed", "any"),
         ("records", "any"),
-        ("text", "name"),
+        ("text", "name"),  # digest of the decisions' source
         ("names", "any"),
     ),
-    NAME: (("at", "float"), ("what", "name"), ("number", "int"), ("name", "name")),
-    CLOCK: (("at", "float"), ("unix", "float"), ("stepped", "float")),
-    OUT: (("at", "us"), ("link", "bytes"), ("to", "name")),
-    IN: (("at", "us"), ("link", "bytes"), ("of", "name")),
-    SHED: (
+    RecordKind.ENDPOINT_NAME: (("at", "float"), ("what", "name"), ("number", "int"), ("name", "name")),
+    RecordKind.CLOCK: (("at", "float"), ("unix", "float"), ("stepped", "float")),
+    RecordKind.MESSAGE_SENT: (("at", "us"), ("link", "bytes"), ("to", "name")),
+    RecordKind.MESSAGE_RECEIVED: (("at", "us"), ("link", "bytes"), ("of", "name")),
+    RecordKind.SHED: (
         ("at", "float"),
         ("kind", "name"),
         ("count", "int"),
@@ -69,28 +87,33 @@
         ("why", "name"),
     ),
 }
-# What is kept when not all can be: the first is kept longest
-PRIORITIES = {SHED: 0, START: 0, CLOCK: 0, NAME: 0, ROUND: 1, OUT: 2, IN: 2, TRY: 3, REQ: 4}
-# What a merge adds: who saw it, by how much its time may be off, whether its place after the one before is
-# certain
-MERGED = (("instance", "name"), ("bound", "us"), ("witnesses", "any"), ("certain", "int"))
-FIELDS_MERGED = {
-    kind: (*fields, *MERGED) if kind != START else (*fields, *MERGED[1:]) for kind, fields in FIELDS.items()
+# Fields that a merge adds: who noted it, by how much its time may be off, all who noted it, and whether its
+# place after the record before it is certain
+MERGED_FIELDS: FieldTypes = (
+    ("instance", "name"),
+    ("bound", "us"),
+    ("witnesses", "any"),
+    ("certain", "int"),
+)
+FIELDS_MERGED: Mapping[str, FieldTypes] = {
+    kind: (*fields, *(added for added in MERGED_FIELDS if added not in fields))
+    for kind, fields in FIELDS.items()
 }
-DONE, DENIED, ERRORED = "done", "denied", "errored"  # outcomes of a req
 
 
 class Record(NamedTuple):
-    """One record: its kind, and its fields by name."""
+    """A record as a reader returns it: its kind, and its fields by stored name."""
 
     kind: str
     fields: dict
 
 
-def make(kind: str, *values: object) -> tuple:
-    """A record as the writer takes it: its kind, then the values of its fields in their order.
+def make_record(kind: str, /, **fields: object) -> tuple:
+    """A record as a writer takes it: its kind, then the values of its fields in their order.
+
+    Raises KeyError where a field is missing.
 
-    >>> make(CLOCK, 1.0, 2.0, 0.0)
-    ('clock', 1.0, 2.0, 0.0)
+    >>> make_record(RecordKind.CLOCK, unix=2.0, at=1.0, stepped=0.0)
+    (<RecordKind.CLOCK: 'clock'>, 1.0, 2.0, 0.0)
     """
-    return (kind, *values)
+    return (kind, *(fields[name] for name, _ in FIELDS[kind]))
--- a/oatcart/trace/reqs.py
+++ b/oatcart/trace/reqs.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from oatcart.trace.records import REQ, TRY, make
+from oatcart.trace.records import RecordKind
 
 
 class Reqs:
@@ -31,14 +31,14 @@
     def failed(self, number: int, ending: str, at: float) -> None:
         """A try has ended without an answer, and another will be made; the last one ends with `ended`."""
         kind, key, _, tries, node, since = self.open[number]
-        self.put(make(TRY, since, number, key, self.proxy, kind, tries, node, ending, at - since))
+        self.put((RecordKind.ATTEMPT, since, number, key, self.proxy, kind, tries, node, ending, at - since))
 
     def ended(self, number: int, outcome: str, at: float) -> None:
         """It is done, denied or errored; without a try it was answered here."""
         kind, key, value, tries, node, since = self.open.pop(number)
         self.put(
-            make(
-                REQ,
+            (
+                RecordKind.REQUEST,
                 since if tries else at,
                 number,
                 key,
--- a/oatcart/trace/tap.py
+++ b/oatcart/trace/tap.py
@@ -8,7 +8,7 @@
 
 from oatcart import interface as our
 from oatcart import policy
-from oatcart.trace.records import CLOCK, NAME, ROUND, START, make
+from oatcart.trace.records import RecordKind
 
 CLOCK_EVERY = 60.0  # s between records of the clock's facts
 STEP_SHOWN = 0.05  # s by which Unix time may drift from the instance's clock until it is said to have stepped
@@ -81,7 +81,7 @@
             raise
         finally:
             self.number += 1
-            self.put((ROUND, now, self.number, taken, noting.said))
+            self.put((RecordKind.ROUND, now, self.number, taken, noting.said))
             if self.clock_at is None or now - self.clock_at >= CLOCK_EVERY:
                 self._clock(now)
 
@@ -89,19 +89,19 @@
         """A node's number is told of, or is another's by now."""
         if self.names.get(number) != name:
             self.names[number] = name
-            self.put(make(NAME, now, "node", number, name))
+            self.put((RecordKind.ENDPOINT_NAME, now, "node", number, name))
 
     def _clock(self, now: float) -> None:
         unix = self.unix()
         old, self.clock_at, self.offset = self.offset, now, unix - now
         stepped = self.offset - old if old is not None and abs(self.offset - old) > STEP_SHOWN else 0.0
-        self.put(make(CLOCK, now, unix, stepped))
+        self.put((RecordKind.CLOCK, now, unix, stepped))
 
 
 def start_record(now: float, instance: str, seed: int, records: dict, names: dict) -> tuple:
     """What a conductor was started with, so that a fresh one can be; `names`: of kinds and zones."""
-    return make(
-        START,
+    return (
+        RecordKind.START,
         now,
         instance,
         seed,
@@ -146,10 +146,10 @@
     words."""
     module, rounds, orders, last, began = None, 0, 0, None, None
     for kind, fields in records:
-        if kind == START:
+        if kind == RecordKind.START:
             if (fields["at"], fields["instance"]) != began:  # each file of one life begins with the same one
                 module, last, began = started(fields), None, (fields["at"], fields["instance"])
-        elif kind == ROUND:
+        elif kind == RecordKind.ROUND:
             if module is None:
                 return rounds, orders, "the start record is missing"
             if fields["number"] != (last or 0) + 1:
--- a/oatcart/trace/tools.py
+++ b/oatcart/trace/tools.py
@@ -9,7 +9,7 @@
 from hdrh.histogram import HdrHistogram
 
 from oatcart import interface as our
-from oatcart.trace.records import CLOCK, DONE, NAME, REQ, ROUND, SHED, START, TRY, Record
+from oatcart.trace.records import Record, RecordKind, RequestOutcome
 
 TOOK_MOST = 3_600_000_000  # us; an hour
 PSEUDONYM = 12  # letters; enough that a million names do not meet
@@ -27,9 +27,9 @@
     round could not be played again."""
     for record in records:
         told = record.fields
-        if not first <= told["at"] < last and record.kind not in (START, NAME):
+        if not first <= told["at"] < last and record.kind not in (RecordKind.START, RecordKind.ENDPOINT_NAME):
             continue
-        if record.kind in (REQ, TRY) and (
+        if record.kind in (RecordKind.REQUEST, RecordKind.ATTEMPT) and (
             nodes
             and told["node"] not in nodes
             or proxies
@@ -73,14 +73,14 @@
         for field in "key", "link":
             if told.get(field):
                 told[field] = self._word(field, told[field]).encode()
-        if record.kind == NAME:
+        if record.kind == RecordKind.ENDPOINT_NAME:
             told["name"] = self._word(told["what"], told["name"])
-        elif record.kind == START:
+        elif record.kind == RecordKind.START:
             told["names"] = {
                 "kinds": told["names"].get("kinds", ()),
                 "zones": [self._word("zone", one) for one in told["names"].get("zones", ())],
             }
-        elif record.kind == ROUND:
+        elif record.kind == RecordKind.ROUND:
             kept = [order for order in told["orders"] if order[0] != "note"]  # free text
             self.dropped["note"] += len(told["orders"]) - len(kept)
             told["orders"] = kept
@@ -124,10 +124,10 @@
     for record in records:
         told = record.fields
         kinds[record.kind] += 1
-        if record.kind in (REQ, TRY, ROUND):
+        if record.kind in (RecordKind.REQUEST, RecordKind.ATTEMPT, RecordKind.ROUND):
             first, last = min(first, told["at"]), max(last, told["at"])
         if (
-            record.kind in (REQ, TRY)
+            record.kind in (RecordKind.REQUEST, RecordKind.ATTEMPT)
             and told["key"]
             and told["node"]
             and not (repeats or {}).get(told["kind"], False)
@@ -135,20 +135,22 @@
             ran[told["kind"], told["key"]].append(
                 f"{told['proxy']}:{told['id']} at {told['node']} {told.get('ending') or told.get('outcome')}"
             )
-        if record.kind == REQ:
+        if record.kind == RecordKind.REQUEST:
             for name, counts in by.items():
                 counts[told[name]][told["outcome"]] += 1
-                counts[told[name]]["value"] += told["value"] if told["outcome"] == DONE else 0.0
-                if told["outcome"] == DONE:
+                counts[told[name]]["value"] += (
+                    told["value"] if told["outcome"] == RequestOutcome.SUCCEEDED else 0.0
+                )
+                if told["outcome"] == RequestOutcome.SUCCEEDED:
                     took[name][told[name]].record_value(max(1, min(TOOK_MOST, round(told["took"] * 1e6))))
             unrepeatable = told["key"] and not (repeats or {}).get(told["kind"], False)
-            if unrepeatable and told["outcome"] == DONE:
+            if unrepeatable and told["outcome"] == RequestOutcome.SUCCEEDED:
                 done[told["kind"], told["key"]].append(told)
-        elif record.kind == ROUND:
+        elif record.kind == RecordKind.ROUND:
             decisions.update(reasons(record, states))
-        elif record.kind == SHED:
+        elif record.kind == RecordKind.SHED:
             shed[told["kind"]] += told["count"]
-        elif record.kind == CLOCK and told["stepped"]:
+        elif record.kind == RecordKind.CLOCK and told["stepped"]:
             clock.append({"at": told["at"], "stepped": told["stepped"]})
     for (kind, key), found in done.items():
         if len({(one["proxy"], one["id"]) for one in found}) > 1:
@@ -198,9 +200,9 @@
         told = record.fields
         seen = f" seen by {', '.join(told['witnesses'])}" if told.get("witnesses") else ""
         at = f"{told['at']:.6f}" + (f" ±{told['bound']:.6f}" if "bound" in told else "")
-        if record.kind == NAME and told["what"] == "node":
+        if record.kind == RecordKind.ENDPOINT_NAME and told["what"] == "node":
             numbers[told["number"]] = told["name"]
-        elif record.kind in (REQ, TRY):
+        elif record.kind in (RecordKind.REQUEST, RecordKind.ATTEMPT):
             mine = (
                 key
                 and told["key"] == key
@@ -209,7 +211,7 @@
                 or node
                 and told["node"] == node
             )
-            if mine and record.kind == TRY:
+            if mine and record.kind == RecordKind.ATTEMPT:
                 out.append(
                     f"{at} {told['proxy']}:{told['id']} {told['kind']} try {told['number']} "
                     f"at {told['node']} ended "
@@ -220,7 +222,7 @@
                     f"{at} {told['proxy']}:{told['id']} {told['kind']} {told['outcome']} by "
                     f"{told['node'] or 'no node'}, {told['tries']} tries, {told['took'] * 1000:.3f} ms{seen}"
                 )
-        elif record.kind == ROUND and node:
+        elif record.kind == RecordKind.ROUND and node:
             why = list(reasons(record, states))
             for order, (_, reason) in zip(record.fields["orders"], why, strict=True):
                 if (
--- a/oatcart/trace/writer.py
+++ b/oatcart/trace/writer.py
@@ -1,229 +1,258 @@
-"""Writing a trace: records are put from where they arise, and written elsewhere; nothing here raises into
-serving.
+"""Writes trace files in a thread of its own, so that whoever puts a record never waits for a disk.
+
+No failure of a disk is raised: tracing stops, says so in the log, and is tried again.
 """
 
 import fcntl
 import os
 import threading
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from pathlib import Path
 
 from oatcart.trace import file_format
 from oatcart.trace.reader import repair_footer
+from oatcart.trace.record_queue import RecordQueue
 from oatcart.trace.write_policy import (
     BLOCK_RECORDS,
     DiskBackoff,
-    RecordQueue,
+    Limits,
     StoredFile,
     WriteSchedule,
     files_to_delete,
 )
 
 SUFFIX = ".oatrace"
-POLL_INTERVAL = 0.2  # s between looks of the thread
+POLL_INTERVAL = 0.2  # s between two looks of the thread at what is due
+LOG_TOPIC = "trace"
 
 
 class FileStore:
-    """What a writer asks of a disk; tests hand in one that fails."""
+    """The disk operations of a writer; all raise OSError. Tests replace it by one that fails."""
 
     def open(self, path: Path) -> int:
-        fd = os.open(path, os.O_CREAT | os.O_EXCL | os.O_WRONLY, 0o600)
-        fcntl.flock(fd, fcntl.LOCK_SH)  # whoever deletes asks for it alone
-        return fd
+        """Create a file that only its owner may read; returns its descriptor, with a shared lock."""
+        descriptor = os.open(path, os.O_CREAT | os.O_EXCL | os.O_WRONLY, 0o600)
+        fcntl.flock(descriptor, fcntl.LOCK_SH)  # a writer that deletes old files needs an exclusive one
+        return descriptor
 
-    def write(self, fd: int, data: bytes) -> None:
-        view = memoryview(data)
-        while view:
-            view = view[os.write(fd, view) :]
+    def write(self, descriptor: int, data: bytes) -> None:
+        """Write all of the data."""
+        rest = memoryview(data)
+        while rest:
+            rest = rest[os.write(descriptor, rest) :]
 
-    def sync(self, fd: int) -> None:
-        os.fdatasync(fd)
+    def sync(self, descriptor: int) -> None:
+        """Wait until the disk keeps what was written."""
+        os.fdatasync(descriptor)
 
-    def close(self, fd: int) -> None:
-        os.close(fd)
+    def close(self, descriptor: int) -> None:
+        """Close a file."""
+        os.close(descriptor)
 
 
 def in_use(path: Path) -> bool:
-    """Whether somebody has the file open to write or read it."""
+    """Whether somebody writes or reads the file; True as well where it cannot be opened."""
     try:
-        fd = os.open(path, os.O_RDONLY)
+        descriptor = os.open(path, os.O_RDONLY)
     except OSError:
         return True
     try:
-        fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         return False
     except OSError:
         return True
     finally:
-        os.close(fd)
+        os.close(descriptor)
+
+
+class _OpenFile:
+    """The file being written, and the index of its blocks; all methods raise OSError."""
+
+    def __init__(self, store: FileStore, path: Path) -> None:
+        self._store = store
+        self._descriptor = store.open(path)
+        self._index: list[file_format.IndexEntry] = []
+        self.size = 0  # bytes
+
+    def _append(self, data: bytes) -> None:
+        self._store.write(self._descriptor, data)
+        self.size += len(data)
+
+    def append_header(self, metadata: dict) -> None:
+        self._append(file_format.encode_header(metadata))
+
+    def append_block(self, records: Sequence[tuple]) -> None:
+        block = file_format.encode_block(len(self._index), records)
+        entry = file_format.index_entry(self.size, block)
+        self._append(block)
+        self._index.append(entry)
+
+    def sync(self) -> None:
+        self._store.sync(self._descriptor)
+
+    def append_footer(self) -> None:
+        self._append(file_format.encode_footer(self._index))
+        self.sync()
+
+    def close(self) -> None:
+        self._store.close(self._descriptor)
 
 
 class Writer:
-    """`facts` go into each file's header; `clock` is the instance's. `max_queued`: records that may wait."""
+    """Writes the records of one instance.
+
+    Folder and limits are those of the settings. `metadata` goes into each file's header; `clock` is the
+    instance's, `unix_clock` Unix time, both in seconds; `log` takes a topic and a line. `start_records` are
+    put first into every file, so that each can be read alone.
+    """
 
     def __init__(
         self,
-        folder: Path,
+        folder: Path | str,
         instance: str,
-        facts: dict,
+        metadata: dict,
         clock: Callable[[], float],
-        say: Callable[[str, str], None],
-        max_file_bytes: int = 64 << 20,
-        max_file_age: float = 3600.0,
-        budget: int = 1 << 30,
-        max_queued: int = 20 * BLOCK_RECORDS,
+        log: Callable[[str, str], None],
+        limits: Limits = Limits(),  # noqa: B008 - immutable
         store: FileStore | None = None,
-        unix: Callable[[], float] = time.time,
+        unix_clock: Callable[[], float] = time.time,
     ) -> None:
-        self.folder, self.instance, self.metadata, self.clock, self.say = (
-            Path(folder),
-            instance,
-            facts,
-            clock,
-            say,
-        )
-        self.unix = unix
-        self.budget, self.store = budget, store or FileStore()
-        self.queue, self.schedule, self.backoff = (
-            RecordQueue(max_queued),
-            WriteSchedule(max_file_bytes, max_file_age),
-            DiskBackoff(),
-        )
-        self.lock, self.stopping = threading.RLock(), threading.Event()
-        self.fd: int | None = None
-        self.index: list[tuple] = []
-        self.size = self.number = self.files = 0
-        self.start_records: list[tuple] = []  # records that begin every file, so that each can be read alone
-        self.thread: threading.Thread | None = None
+        self.folder = Path(folder)
+        self.instance = instance
+        self.metadata = metadata
+        self.clock = clock
+        self.unix_clock = unix_clock
+        self.log = log
+        self.limits = limits
+        self.store = store or FileStore()
+        self.queue = RecordQueue(limits.max_queued_records)
+        self.schedule = WriteSchedule(limits)
+        self.backoff = DiskBackoff()
+        self.start_records: list[tuple] = []
+        self._lock = threading.RLock()  # re-entrant, as a signal handler may call `stop` during `put`
+        self._stopping = threading.Event()
+        self._thread: threading.Thread | None = None
+        self._file: _OpenFile | None = None
+        self._files_opened = 0
 
     def put(self, record: tuple) -> None:
-        """Take a record; never waits for the disk."""
-        with self.lock:
+        """Queue a record; never waits for the disk."""
+        with self._lock:
             self.queue.put(record)
 
     def start(self) -> None:
-        self._repair_old()
-        self.thread = threading.Thread(target=self._run, name="trace", daemon=True)
-        self.thread.start()
-
-    def stop(self, within: float | None = None) -> None:
-        """Write what waits and end the file; where the thread does not end in time, recovery does it."""
-        self.stopping.set()
-        if self.thread is not None:
-            self.thread.join(within)
-            if self.thread.is_alive():
+        """Repair files that an earlier incarnation did not end, and start the thread."""
+        self._repair_old_files()
+        self._thread = threading.Thread(target=self._run, name="trace", daemon=True)
+        self._thread.start()
+
+    def stop(self, timeout: float | None = None) -> None:
+        """Write what is queued and end the file.
+
+        Where the thread does not end within `timeout` seconds, the file is left to the next start's repair.
+        """
+        self._stopping.set()
+        if self._thread is not None:
+            self._thread.join(timeout)
+            if self._thread.is_alive():
                 return
         self.write_due(final=True)
 
     def _run(self) -> None:
-        while not self.stopping.wait(POLL_INTERVAL):
+        while not self._stopping.wait(POLL_INTERVAL):
             self.write_due()
 
-    def _repair_old(self) -> None:
-        """Files of a life that ended without a footer get theirs."""
-        for path in sorted(self.folder.glob(f"{self.instance}-*{SUFFIX}")):
+    def _files(self) -> list[Path]:
+        return sorted(self.folder.glob(f"{self.instance}-*{SUFFIX}"))
+
+    def _repair_old_files(self) -> None:
+        for path in self._files():
             try:
-                if not in_use(path) and (what := repair_footer(path)):
-                    self.say("trace", f"{path.name}: {what}")
+                if not in_use(path) and (result := repair_footer(path)):
+                    self.log(LOG_TOPIC, f"{path.name}: {result}")
             except (OSError, file_format.CorruptTraceError) as error:
-                self.say("trace", f"{path.name} is left as it is: {error}")
+                self.log(LOG_TOPIC, f"{path.name} is left as it is: {error}")
 
     def write_due(self, final: bool = False) -> None:
-        """Write what is due."""
+        """Write, sync and rotate as far as it is due; `final`: write all that is queued and end the file."""
         now = self.clock()
         if not self.backoff.may_try(now) and not final:
             return
-        while True:
-            with self.lock:
-                due = (
-                    self.schedule.block_due(now, self.queue.size)
-                    or final
-                    and (self.queue.size or self.queue.losses)
-                )
-                records = self.queue.take(now, BLOCK_RECORDS) if due else []
-            if not records:
-                break
-            if not self._write(now, records):
+        while records := self._take_due(now, final):
+            if not self._write_block(now, records):
                 return
-        if self.fd is not None and (final or self.schedule.rotation_due(now, self.size)):
-            self._end()
-        elif self.fd is not None and self.schedule.sync_due(now):
-            self._try(now, lambda: self.store.sync(self.fd))
-            self.schedule.synced_at = now
-
-    def _write(self, now: float, records: list[tuple]) -> bool:
-        def block() -> None:
-            if self.fd is None:
-                self._begin(now)
-            data = file_format.encode_block(self.number, records)
-            self.store.write(self.fd, data)
-            head = file_format.decode_block_header(data)
-            self.index.append((self.size, len(data), head.count, head.first, head.last))
-            self.size, self.number = self.size + len(data), self.number + 1
-
-        if not self._try(now, block):
-            with self.lock:
-                self.queue.shed_unwritten(records, "disk")
+        if self._file is None:
+            return
+        if final or self.schedule.rotation_due(now, self._file.size):
+            self._end_file()
+        elif self.schedule.sync_due(now):
+            self._try_disk(now, self._file.sync)
+            self.schedule.last_sync_at = now
+
+    def _take_due(self, now: float, final: bool) -> list[tuple]:
+        """The records of the next block, if one is due."""
+        with self._lock:
+            due = self.schedule.block_due(now, self.queue.size)
+            if due or final and (self.queue.size or self.queue.shed):
+                return self.queue.take(now, BLOCK_RECORDS)
+            return []
+
+    def _write_block(self, now: float, records: list[tuple]) -> bool:
+        """Write a block; records that cannot be written are counted as shed. Returns whether it worked."""
+
+        def append() -> None:
+            if self._file is None:
+                self._open_file(now)
+            self._file.append_block(records)
+
+        if not self._try_disk(now, append):
+            with self._lock:
+                self.queue.shed_unwritten(records)
             return False
-        self.schedule.block_at = now
+        self.schedule.last_block_at = now
         if line := self.backoff.succeeded():
-            self.say("trace", line)
+            self.log(LOG_TOPIC, line)
         return True
 
-    def _try(self, now: float, do: Callable[[], None]) -> bool:
-        """A disk that fails costs the file at hand, which is read as a cut one."""
+    def _try_disk(self, now: float, operation: Callable[[], None]) -> bool:
+        """Whether a disk operation worked. A failure closes the file, which is read as a truncated one."""
         try:
-            do()
+            operation()
             return True
         except OSError as error:
             if line := self.backoff.failed(now, error.strerror or type(error).__name__):
-                self.say("trace", line)
-            self._close()
+                self.log(LOG_TOPIC, line)
+            self._close_file()
             return False
 
-    def _begin(self, now: float) -> None:
+    def _open_file(self, now: float) -> None:
         self.folder.mkdir(parents=True, exist_ok=True)
-        self._retain()
-        self.files += 1
-        path = self.folder / f"{self.instance}-{int(now * 1000):016}-{self.files:06}{SUFFIX}"
-        self.fd, self.index, self.size, self.number = self.store.open(path), [], 0, 0
-        self.schedule.opened(now)
-        data = file_format.encode_header(
-            self.metadata | {"instance": self.instance, "opened": now, "unix": self.unix()}
-        )
-        self.store.write(self.fd, data)
-        self.size = len(data)
+        self._delete_old_files()
+        self._files_opened += 1
+        milliseconds = int(now * 1000)
+        name = f"{self.instance}-{milliseconds:016}-{self._files_opened:06}{SUFFIX}"
+        self._file = _OpenFile(self.store, self.folder / name)
+        self.schedule.file_opened(now)
+        opened = {"instance": self.instance, "opened": now, "unix": self.unix_clock()}
+        self._file.append_header(self.metadata | opened)
         if self.start_records:
-            data = file_format.encode_block(0, self.start_records)
-            self.store.write(self.fd, data)
-            self.index.append(
-                (self.size, len(data), len(self.start_records), *file_format.decode_block_header(data)[2:4])
-            )
-            self.size, self.number = self.size + len(data), 1
-
-    def _retain(self) -> None:
-        files = [
-            StoredFile(path.name, path.stat().st_size, in_use(path))
-            for path in self.folder.glob(f"{self.instance}-*{SUFFIX}")
-        ]
-        for name in files_to_delete(files, self.budget):
+            self._file.append_block(self.start_records)
+
+    def _delete_old_files(self) -> None:
+        files = [StoredFile(path.name, path.stat().st_size, in_use(path)) for path in self._files()]
+        for name in files_to_delete(files, self.limits.max_total_bytes):
             (self.folder / name).unlink(missing_ok=True)
 
-    def _end(self) -> None:
-        self._try(
-            self.clock(),
-            lambda: (
-                self.store.write(self.fd, file_format.encode_footer(self.index)),
-                self.store.sync(self.fd),
-            ),
-        )
-        self._close()
-
-    def _close(self) -> None:
-        fd, self.fd = self.fd, None
-        if fd is not None:
-            try:
-                self.store.close(fd)
-            except OSError as error:
-                self.say("trace", f"a file cannot be closed: {error.strerror}")
+    def _end_file(self) -> None:
+        self._try_disk(self.clock(), self._file.append_footer)
+        self._close_file()
+
+    def _close_file(self) -> None:
+        file, self._file = self._file, None
+        if file is None:
+            return
+        try:
+            file.close()
+        except OSError as error:
+            self.log(LOG_TOPIC, f"a trace file cannot be closed: {error.strerror}")
--- a/tests/trace/stored_traces.py
+++ b/tests/trace/stored_traces.py
@@ -21,8 +21,10 @@
 
 from oatcart import interface as our
 from oatcart.trace.__main__ import main
-from oatcart.trace.records import FIELDS, IN, OUT, REQ, ROUND, SHED, TRY, make
+from oatcart.trace.records import FIELDS
+from oatcart.trace.records import RecordKind as Kind
 from oatcart.trace.tap import Tap, start_record, started
+from oatcart.trace.write_policy import Limits
 from oatcart.trace.writer import Writer
 
 DATA = Path(__file__).parent / "data"
@@ -203,7 +205,22 @@
             tap.round(now, iter(arrivals), host)
         now += ROUND_EVERY
     # n0 has seen a request of proxy-a too
-    out.append(make(REQ, BEGIN + 40, 21, b"", "proxy-a", "lookup", "east", "east-00", "done", 0.05, 1, 1.0))
+    out.append(
+        (
+            Kind.REQUEST,
+            BEGIN + 40,
+            21,
+            b"",
+            "proxy-a",
+            "lookup",
+            "east",
+            "east-00",
+            "done",
+            0.05,
+            1,
+            1.0,
+        )
+    )
     return sorted(out, key=lambda one: one[1])
 
 
@@ -217,30 +234,52 @@
     for _, at, _, arrivals, orders in rounds:
         for order in orders:
             if order[0] == "ask_ack":
-                out.append(make(IN, own(at + rng.uniform(0.001, 0.01)), b"n0:mark:%d" % order[1], "n0"))
+                out.append(
+                    (
+                        Kind.MESSAGE_RECEIVED,
+                        own(at + rng.uniform(0.001, 0.01)),
+                        b"n0:mark:%d" % order[1],
+                        "n0",
+                    )
+                )
         for arrival in arrivals:
             if arrival[0] == "applied" and arrival[1] == 0:
                 link = b"n0:applied:%d:0" % arrival[2]
-                out.append(make(OUT, own(at - rng.uniform(0.001, 0.01)), link, "n0"))
+                out.append((Kind.MESSAGE_SENT, own(at - rng.uniform(0.001, 0.01)), link, "n0"))
     classes = ("lookup", "slot-update", "fee-charge")
     for number in range(1, 241):
         at, kind = own(BEGIN + number / 4), classes[number % 3]
         key = b"" if kind == "lookup" else b"\x5f\xee" + number.to_bytes(2, "big")
         node, tries = NAMES[rng.randrange(ENDPOINTS)], 1
         if number % 20 == 7:
-            out.append(make(TRY, at, number, key, "proxy-a", kind, 1, node, "RESET", 0.015625))
+            out.append((Kind.ATTEMPT, at, number, key, "proxy-a", kind, 1, node, "RESET", 0.015625))
             node, tries = NAMES[(number + 1) % ENDPOINTS], 2
         outcome = "errored" if number % 11 == 0 else "denied" if number % 13 == 0 else "done"
         node, tries = ("", 0) if outcome == "denied" else (node, tries)
         took = rng.randrange(20, 400) / 1000 if tries else 0.0
         value = float(1 + number % 3)
-        out.append(make(REQ, at, number, key, "proxy-a", kind, "east", node, outcome, took, tries, value))
-    seen = make(REQ, own(BEGIN + 40), 21, b"", "proxy-a", "lookup", "east", "east-00", "done", 0.05, 1, 1.0)
-    out = [one for one in out if one[0] != REQ or one[2] != 21] + [seen]
+        out.append(
+            (Kind.REQUEST, at, number, key, "proxy-a", kind, "east", node, outcome, took, tries, value)
+        )
+    seen = (
+        Kind.REQUEST,
+        own(BEGIN + 40),
+        21,
+        b"",
+        "proxy-a",
+        "lookup",
+        "east",
+        "east-00",
+        "done",
+        0.05,
+        1,
+        1.0,
+    )
+    out = [one for one in out if one[0] != Kind.REQUEST or one[2] != 21] + [seen]
     for number, at in ((301, 60.5), (302, 61.5)):  # one key, done twice
         fee = ("fee-charge", "east", "east-02", "done", 0.061, 1, 3.0)
-        out.append(make(REQ, own(BEGIN + at), number, b"\x5f\xee\x10\x01", "proxy-a", *fee))
-    out += [make("clock", own(BEGIN), 1.7e9, 0.0), make("clock", own(BEGIN + 60), 1.7e9 + 61, 1.0)]
+        out.append((Kind.REQUEST, own(BEGIN + at), number, b"\x5f\xee\x10\x01", "proxy-a", *fee))
+    out += [("clock", own(BEGIN), 1.7e9, 0.0), ("clock", own(BEGIN + 60), 1.7e9 + 61, 1.0)]
     return sorted(out, key=lambda one: one[1])
 
 
@@ -277,15 +316,28 @@
         ("note", "free text"),
     ]
     return [
-        make("name", 999.0, "node", 2, "east-02"),
-        (ROUND, 1000.0, 1, arrivals, orders),
-        (ROUND, 1000.25, 2, [], []),
-        make(TRY, 1000.5, 1, b"\x01", "proxy-a", "fee-charge", 1, "east-02", "REFUSED", 0.001),
-        make(REQ, 1000.5, 1, b"\x01", "proxy-a", "fee-charge", "east", "west-01", "done", 0.25, 2, 3.0),
-        make(OUT, 1000.75, b"n1:mark:1", "proxy-a"),
-        make(IN, 1001.0, b"n1:applied:1:0", "proxy-a"),
-        make("clock", 1001.0, 1.7e9, -0.125),
-        make(SHED, 1001.5, REQ, 12, 1000.0, 1001.0, "no room"),
+        ("name", 999.0, "node", 2, "east-02"),
+        (Kind.ROUND, 1000.0, 1, arrivals, orders),
+        (Kind.ROUND, 1000.25, 2, [], []),
+        (Kind.ATTEMPT, 1000.5, 1, b"\x01", "proxy-a", "fee-charge", 1, "east-02", "REFUSED", 0.001),
+        (
+            Kind.REQUEST,
+            1000.5,
+            1,
+            b"\x01",
+            "proxy-a",
+            "fee-charge",
+            "east",
+            "west-01",
+            "done",
+            0.25,
+            2,
+            3.0,
+        ),
+        (Kind.MESSAGE_SENT, 1000.75, b"n1:mark:1", "proxy-a"),
+        (Kind.MESSAGE_RECEIVED, 1001.0, b"n1:applied:1:0", "proxy-a"),
+        ("clock", 1001.0, 1.7e9, -0.125),
+        (Kind.SHED, 1001.5, Kind.REQUEST, 12, 1000.0, 1001.0, "no room"),
     ]
 
 
@@ -300,8 +352,8 @@
         {"format": "oatcart"},
         lambda: clock[0],
         print,
-        max_queued=max_queued,
-        unix=lambda: 1.7e9,
+        Limits(max_queued_records=max_queued),
+        unix_clock=lambda: 1.7e9,
     )
     writer.start_records = starts
     for record in records:
@@ -320,7 +372,7 @@
     start, rest = controller[0], controller[1:]
     write(ONE, "n0", [one for one in rest if one[1] < TURN_AT], [start])
     write(TWO, "n0", [one for one in rest if one[1] >= TURN_AT], [start])
-    proxy = proxy_records([one for one in rest if one[0] == ROUND])
+    proxy = proxy_records([one for one in rest if one[0] == Kind.ROUND])
     write(PROXY, "proxy-a", proxy, [], max_queued=32)
     write(ALL, "n1", every_name(), [start[:2] + ("n1",) + start[3:]])
 
--- a/tests/trace/test_tools.py
+++ b/tests/trace/test_tools.py
@@ -17,10 +17,12 @@
 from oatcart.trace.hook import traced
 from oatcart.trace.merge import before, clocks, links, merge
 from oatcart.trace.reader import TraceReader
-from oatcart.trace.records import CLOCK, FIELDS, IN, OUT, REQ, ROUND, TRY, Record, make
+from oatcart.trace.records import FIELDS, Record
+from oatcart.trace.records import RecordKind as Kind
 from oatcart.trace.reqs import Reqs
 from oatcart.trace.tap import Tap, again, start_record, started
 from oatcart.trace.tools import Strip, names_in, story, summary
+from oatcart.trace.write_policy import Limits
 
 
 def rec(*values):
@@ -41,9 +43,9 @@
     for number in range(count):
         at, took = rng.uniform(0, 1000), 0.001 + rng.expovariate(200)
         link, forth = b"m%d" % number, rng.random() < 0.5
-        events.append((at, 0 if forth else 1, OUT, link))
+        events.append((at, 0 if forth else 1, Kind.MESSAGE_SENT, link))
         if rng.random() > lost:
-            events.append((at + took, 1 if forth else 0, IN, link))
+            events.append((at + took, 1 if forth else 0, Kind.MESSAGE_RECEIVED, link))
     for at, who, kind, link in sorted(events):
         true[who, kind, link] = at
         (two if who else one).append(rec(kind, clock(at) if who else at, link, "x"))
@@ -66,7 +68,11 @@
 
 
 def places(merged):
-    return {(one.kind, one.fields["link"]): at for at, one in enumerate(merged) if one.kind in (IN, OUT)}
+    return {
+        (one.kind, one.fields["link"]): at
+        for at, one in enumerate(merged)
+        if one.kind in (Kind.MESSAGE_RECEIVED, Kind.MESSAGE_SENT)
+    }
 
 
 @given(
@@ -83,8 +89,8 @@
     merged, known = merge(traces, "a")
     at = places(merged)
     for kind, link in at:
-        if kind == IN:
-            assert at[OUT, link] < at[IN, link]
+        if kind == Kind.MESSAGE_RECEIVED:
+            assert at[Kind.MESSAGE_SENT, link] < at[Kind.MESSAGE_RECEIVED, link]
     for name, records in traces.items():  # an instance's own order stays
         assert [one.fields["link"] for one in merged if one.fields["instance"] == name] == [
             one.fields["link"] for one in records
@@ -101,19 +107,22 @@
 
 
 def test_where_nothing_ties_two_instances_no_order_is_claimed():
-    traces = {"a": [rec(CLOCK, 1.0, 2.0, 0.0)], "b": [rec(CLOCK, 9.0, 2.0, 0.0)]}
+    traces = {"a": [rec(Kind.CLOCK, 1.0, 2.0, 0.0)], "b": [rec(Kind.CLOCK, 9.0, 2.0, 0.0)]}
     merged, known = merge(traces, "a")
     assert before(*merged) is None and known.by["b"].ends == (float("inf"), float("inf"))
-    one_way = {"a": [rec(OUT, 1.0, b"x", "b")], "b": [rec(IN, 9.0, b"x", "a")]}
+    one_way = {
+        "a": [rec(Kind.MESSAGE_SENT, 1.0, b"x", "b")],
+        "b": [rec(Kind.MESSAGE_RECEIVED, 9.0, b"x", "a")],
+    }
     assert clocks({"a": (1.0, 1.0), "b": (9.0, 9.0)}, links(one_way), "a").by["b"].ends[0] == float("inf")
 
 
 def req(at, id, key=b"", proxy="p1", node="n1", kind="fee-charge", outcome="done", tries=1, took=0.05):
-    return rec(REQ, at, id, key, proxy, kind, "east", node, outcome, took, tries, 3.0)
+    return rec(Kind.REQUEST, at, id, key, proxy, kind, "east", node, outcome, took, tries, 3.0)
 
 
 def attempt(at, id, number, key=b"", node="n1", ending="RESET"):
-    return rec(TRY, at, id, key, "p1", "fee-charge", number, node, ending, 0.02)
+    return rec(Kind.ATTEMPT, at, id, key, "p1", "fee-charge", number, node, ending, 0.02)
 
 
 def test_one_event_met_by_two_becomes_one_with_both_and_a_disagreement_stays():
@@ -167,10 +176,10 @@
     assert (
         out
         == [
-            make(TRY, 1.0, 1, b"", "p1", "lookup", 1, "n1", "RESET", 0.25),
-            make(REQ, 1.75, 3, b"", "p1", "lookup", "east", "", "denied", 0.0, 0, 1.0),
-            make(REQ, 1.5, 2, b"k", "p1", "fee-charge", "east", "n2", "errored", 0.5, 1, 3.0),
-            make(REQ, 1.25, 1, b"", "p1", "lookup", "east", "n3", "done", 1.0, 2, 1.0),
+            (Kind.ATTEMPT, 1.0, 1, b"", "p1", "lookup", 1, "n1", "RESET", 0.25),
+            (Kind.REQUEST, 1.75, 3, b"", "p1", "lookup", "east", "", "denied", 0.0, 0, 1.0),
+            (Kind.REQUEST, 1.5, 2, b"k", "p1", "fee-charge", "east", "n2", "errored", 0.5, 1, 3.0),
+            (Kind.REQUEST, 1.25, 1, b"", "p1", "lookup", "east", "n3", "done", 1.0, 2, 1.0),
         ]
         and not one.open
     )
@@ -230,14 +239,17 @@
     assert [name for name in names if name in found and len(name) > 2] == []
     old, one, two = read(minute), read(outs[0]), read(outs[1])
     assert len(old) == len(one) == len(two)
-    words = [{record.fields["proxy"] for record in records if record.kind == REQ} for records in (one, two)]
-    assert len(words[0]) == len({record.fields["proxy"] for record in old if record.kind == REQ})
+    words = [
+        {record.fields["proxy"] for record in records if record.kind == Kind.REQUEST}
+        for records in (one, two)
+    ]
+    assert len(words[0]) == len({record.fields["proxy"] for record in old if record.kind == Kind.REQUEST})
     assert not words[0] & words[1]
     stays = [
         [
             (record.fields["kind"], record.fields["outcome"], record.fields["took"])
             for record in records
-            if record.kind == REQ
+            if record.kind == Kind.REQUEST
         ]
         for records in (old, one)
     ]
@@ -246,7 +258,7 @@
 
 def test_strip_drops_free_text():
     strip = Strip(b"s")
-    one = strip.record(rec(ROUND, 1.0, 1, (), (("note", "a litigant's name"), ("wake", 0.25))))
+    one = strip.record(rec(Kind.ROUND, 1.0, 1, (), (("note", "a litigant's name"), ("wake", 0.25))))
     assert one.fields["orders"] == [("wake", 0.25)] and strip.dropped["note"] == 1
 
 
@@ -260,7 +272,7 @@
     found = json.loads(capsys.readouterr().out)
     records = read(minute)
     assert sum(one.get("done", 0) for one in found["reqs"]["kind"].values()) == sum(
-        record.kind == REQ and record.fields["outcome"] == "done" for record in records
+        record.kind == Kind.REQUEST and record.fields["outcome"] == "done" for record in records
     )
     assert {"decision": "line", "reason": "weight"}.items() <= next(
         one for one in found["decisions"] if one["decision"] == "line"
@@ -272,14 +284,14 @@
         )
         == 0
     )
-    kept = [one for one in read(out) if one.kind == REQ]
+    kept = [one for one in read(out) if one.kind == Kind.REQUEST]
     assert kept == [
         one
         for one in records
-        if one.kind == REQ and 1005 <= one.fields["at"] < 1006 and one.fields["kind"] == "fee-charge"
+        if one.kind == Kind.REQUEST and 1005 <= one.fields["at"] < 1006 and one.fields["kind"] == "fee-charge"
     ]
     assert command.main(["cut", str(minute), "--out", str(out)]) == 2  # it is there already
-    node = next(one.fields["node"] for one in records if one.kind == REQ)
+    node = next(one.fields["node"] for one in records if one.kind == Kind.REQUEST)
     capsys.readouterr()
     assert command.main(["show", str(minute), "--node", node, "--to", "1002"]) == 0
     assert "round 1: " + node in capsys.readouterr().out
@@ -347,19 +359,19 @@
     path = next((tmp_path / "traces").iterdir())
     records = read(path)
     rounds, orders, differs = again(iter(records))
-    assert (differs, rounds) == ("", sum(one.kind == ROUND for one in records)) and orders > 15
+    assert (differs, rounds) == ("", sum(one.kind == Kind.ROUND for one in records)) and orders > 15
     decided = {(one["decision"], one["reason"]) for one in summary(records)["decisions"]}
     assert {("withdraw", "evidence"), ("withdraw", "drain")} <= decided
     other = [
         one
-        if one.kind != ROUND or one.fields["number"] != 5
+        if one.kind != Kind.ROUND or one.fields["number"] != 5
         else one._replace(fields=one.fields | {"orders": (*one.fields["orders"], ("wake", 9.0))})
         for one in records
     ]
     assert "round 5 differs" in again(iter(other))[2]
     assert (
         "rounds are missing before number 4"
-        in again(one for one in records if one.kind != ROUND or one.fields["number"] != 3)[2]
+        in again(one for one in records if one.kind != Kind.ROUND or one.fields["number"] != 3)[2]
     )
     assert again(one for one in records if one.kind != "start")[2] == "the start record is missing"
 
@@ -389,13 +401,13 @@
     for now, unix in ((0.0, 1000.0), (60.0, 1060.0), (120.0, 1090.0)):
         wall[0] = unix
         tap.round(now, iter(()), generate._Host())
-    assert [record[3] for record in out if record[0] == CLOCK] == [0.0, 0.0, -30.0]
+    assert [record[3] for record in out if record[0] == Kind.CLOCK] == [0.0, 0.0, -30.0]
 
 
 def test_the_file_of_settings(tmp_path):
     path = tmp_path / "t.yaml"
     path.write_text("folder: x\nfile_size: 1MiB\nbudget: 2MiB\nfile_for: 5m\n")
-    assert read_tracing(path) == TraceSettings("x", 1 << 20, 300.0, 2 << 20)
+    assert read_tracing(path) == TraceSettings("x", Limits(1 << 20, 300.0, 2 << 20))
     for text, said in (
         ("file_size: 64\n", "t.yaml:1: file_size: 64 has no unit"),
         ("room: 1000\n", "folder is missing"),
--- a/tests/trace/test_trace.py
+++ b/tests/trace/test_trace.py
@@ -8,8 +8,10 @@
 
 from oatcart.trace import file_format, generate
 from oatcart.trace.reader import TraceReader, repair_footer
-from oatcart.trace.records import CLOCK, FIELDS, NAME, REQ, ROUND, SHED, START, TRY, make
-from oatcart.trace.write_policy import DiskBackoff, RecordQueue, StoredFile, files_to_delete
+from oatcart.trace.record_queue import RecordQueue
+from oatcart.trace.records import FIELDS
+from oatcart.trace.records import RecordKind as Kind
+from oatcart.trace.write_policy import DiskBackoff, Limits, StoredFile, files_to_delete
 from oatcart.trace.writer import FileStore, Writer
 
 FLOAT = st.floats(allow_nan=False)
@@ -40,7 +42,7 @@
 
 
 def req(at, id=1, key=b"", kind="lookup", node="n1", outcome="done", proxy="p1", tries=1):
-    return make(REQ, at, id, key, proxy, kind, "east", node, outcome, 0.05, tries, 1.0)
+    return (Kind.REQUEST, at, id, key, proxy, kind, "east", node, outcome, 0.05, tries, 1.0)
 
 
 class Clock:
@@ -51,9 +53,11 @@
         return self.now
 
 
-def writer(folder, clock, **more):
+def writer(folder, clock, store=None, **limits):
     said = []
-    one = Writer(folder, "n0", {"site": "x"}, clock, lambda kind, text: said.append(text), **more)
+    one = Writer(
+        folder, "n0", {"site": "x"}, clock, lambda kind, text: said.append(text), Limits(**limits), store
+    )
     one.said = said
     return one
 
@@ -65,14 +69,14 @@
     for at in range(blocks):
         clock.now = 100.0 + 10 * at
         one.put(req(clock.now, at, node=f"n{at}"))
-        one.put(make(CLOCK, clock.now, clock.now + 1e9, 0.0))
+        one.put((Kind.CLOCK, clock.now, clock.now + 1e9, 0.0))
         one.write_due()
         clock.now += 6
         one.write_due()
     if end:
         one.write_due(final=True)
     else:
-        one._close()
+        one._close_file()
     return next(folder.iterdir())
 
 
@@ -84,7 +88,12 @@
 def test_a_string_table_grows_in_mid_file_and_a_minute_is_found(tmp_path):
     path = small(tmp_path)
     with TraceReader(path) as trace:
-        assert [one.fields["node"] for one in trace.records() if one.kind == REQ] == ["n0", "n1", "n2", "n3"]
+        assert [one.fields["node"] for one in trace.records() if one.kind == Kind.REQUEST] == [
+            "n0",
+            "n1",
+            "n2",
+            "n3",
+        ]
         before = trace.bytes_read
         assert [one.fields["at"] for one in trace.records(110.0, 120.0)] == [110.0, 110.0]
         assert trace.bytes_read - before == trace.index[1][1]  # that block alone
@@ -137,7 +146,7 @@
     one.start()
     one.put(req(500.0))
     one.stop()
-    assert any("repaired, 3 blocks" in line for line in one.said)
+    assert any("rebuilt, 3 blocks are intact" in line for line in one.said)
     assert len(list(tmp_path.iterdir())) == 2
     assert times(old) == ([100.0, 100.0, 110.0, 110.0, 120.0, 120.0], [])
 
@@ -188,7 +197,7 @@
         try:
             with TraceReader(path) as trace:
                 for record in trace.records():
-                    if record.kind == SHED:
+                    if record.kind == Kind.SHED:
                         shed += record.fields["count"]
                         assert record.fields["why"] == "disk"
                     else:
@@ -215,39 +224,59 @@
     one.write_due(final=True)
     assert one.said[-1] == "tracing is on again"
     found = [one for path in tmp_path.iterdir() for one in TraceReader(path).records()]
-    assert found[0].kind == SHED and found[0].fields["count"] + sum(one.kind == REQ for one in found) == 2001
+    assert (
+        found[0].kind == Kind.SHED
+        and found[0].fields["count"] + sum(one.kind == Kind.REQUEST for one in found) == 2001
+    )
 
 
 def test_a_flood_sheds_samples_before_decisions_and_says_what(tmp_path):
     clock = Clock()
-    one = writer(tmp_path, clock, max_queued=1000)
+    one = writer(tmp_path, clock, max_queued_records=1000)
     for at in range(10_000):
         clock.now += 0.001
         one.put(req(clock.now, at))
         if at % 20 == 0:
-            one.put(make(ROUND, clock.now, at // 20 + 1, [], []))
+            one.put((Kind.ROUND, clock.now, at // 20 + 1, [], []))
         assert one.queue.size <= 1000
     one.write_due(final=True)
     with TraceReader(next(tmp_path.iterdir())) as trace:
         records = list(trace.records())
     kinds = [one.kind for one in records]
-    assert kinds.count(ROUND) == 500 and kinds.count(REQ) == 500
-    shed = [one.fields for one in records if one.kind == SHED]
-    assert [(one["kind"], one["count"]) for one in shed] == [(REQ, 9500)]
+    assert kinds.count(Kind.ROUND) == 500 and kinds.count(Kind.REQUEST) == 500
+    shed = [one.fields for one in records if one.kind == Kind.SHED]
+    assert [(one["kind"], one["count"]) for one in shed] == [(Kind.REQUEST, 9500)]
     assert shed[0]["since"] < shed[0]["until"] <= clock.now
 
 
 def test_what_is_shed_is_never_what_is_wanted_more():
     one = RecordQueue(3)
-    for at, kind in enumerate([REQ, TRY, ROUND, START, ROUND, ROUND, REQ]):
+    for at, kind in enumerate(
+        [
+            Kind.REQUEST,
+            Kind.ATTEMPT,
+            Kind.ROUND,
+            Kind.START,
+            Kind.ROUND,
+            Kind.ROUND,
+            Kind.REQUEST,
+        ]
+    ):
         one.put((kind, float(at)))
-    assert [record[0] for record in one.take(9.0, 10)] == [SHED, SHED, SHED, ROUND, START, ROUND]
+    assert [record[0] for record in one.take(9.0, 10)] == [
+        Kind.SHED,
+        Kind.SHED,
+        Kind.SHED,
+        Kind.ROUND,
+        Kind.START,
+        Kind.ROUND,
+    ]
 
 
 def test_files_end_by_size_and_time_and_the_oldest_go(tmp_path):
     clock = Clock()
-    one = writer(tmp_path, clock, max_file_bytes=2000, max_file_age=100.0, budget=6000)
-    one.start_records = [make(START, 100.0, "n0", 1, {}, "t", {})]
+    one = writer(tmp_path, clock, max_file_bytes=2000, max_file_age=100.0, max_total_bytes=6000)
+    one.start_records = [(Kind.START, 100.0, "n0", 1, {}, "t", {})]
     held = None
     for turn in range(60):
         clock.now += 6
@@ -263,7 +292,7 @@
     assert sum(path.stat().st_size for path in tmp_path.iterdir()) <= 6000 + 2 * 4000
     for name in names:
         with TraceReader(tmp_path / name) as trace:
-            assert next(trace.records()).kind == START
+            assert next(trace.records()).kind == Kind.START
     held.file.close()
 
 
@@ -282,21 +311,25 @@
 
 
 def test_a_reader_behind_and_a_reader_ahead():
-    newer = {**FIELDS, REQ: (*FIELDS[REQ], ("colour", "name")), "ghost": (("at", "us"), ("what", "any"))}
+    newer = {
+        **FIELDS,
+        Kind.REQUEST: (*FIELDS[Kind.REQUEST], ("colour", "name")),
+        "ghost": (("at", "us"), ("what", "any")),
+    }
     data = file_format.encode_block(
-        0, [(*req(1.0), "red"), ("ghost", 2.0, [1]), make(CLOCK, 3.0, 4.0, 0.0)], newer
+        0, [(*req(1.0), "red"), ("ghost", 2.0, [1]), (Kind.CLOCK, 3.0, 4.0, 0.0)], newer
     )
     found, skipped = file_format.decode_block(data[file_format.BLOCK_HEADER.size :])
     assert (
-        [one.kind for one in found] == [REQ, CLOCK]
+        [one.kind for one in found] == [Kind.REQUEST, Kind.CLOCK]
         and skipped == {"ghost": 1}
         and "colour" not in found[0].fields
     )
-    older = {REQ: FIELDS[REQ][:-2]}
+    older = {Kind.REQUEST: FIELDS[Kind.REQUEST][:-2]}
     data = file_format.encode_block(0, [req(1.0)[:-2]], older)
     assert (
         file_format.decode_block(data[file_format.BLOCK_HEADER.size :])[0][0].fields.keys()
-        == dict(FIELDS[REQ][:-2]).keys()
+        == dict(FIELDS[Kind.REQUEST][:-2]).keys()
     )
     head = file_format.encode_header({"a": 1})
     assert file_format.decode_header(head) == ({"a": 1}, len(head))
@@ -309,12 +342,17 @@
 
 def test_what_does_not_fit_its_kind_is_an_error_here_and_now():
     with pytest.raises(file_format.CorruptTraceError, match="req has 2 fields"):
-        file_format.encode_block(0, [(REQ, 1.0, 2)])
+        file_format.encode_block(0, [(Kind.REQUEST, 1.0, 2)])
 
 
 def test_the_generated_hour_is_the_same_for_the_same_seed():
     one, two = list(generate.records(3, 5.0, 100.0)), list(generate.records(3, 5.0, 100.0))
-    assert one == two and {record[0] for record in one} >= {START, NAME, ROUND, REQ}
+    assert one == two and {record[0] for record in one} >= {
+        Kind.START,
+        Kind.ENDPOINT_NAME,
+        Kind.ROUND,
+        Kind.REQUEST,
+    }
     assert one != list(generate.records(4, 5.0, 100.0))
 
 
