--- a/oatcart/trace/merge.py
+++ b/oatcart/trace/merge.py
@@ -196,26 +196,25 @@
     return None if abs(apart) <= one.fields["bound"] + other.fields["bound"] else apart > 0
 
 
-def _causes_first(rows: list[list]) -> None:
+def _causes_first(rows: list[list], count: int) -> None:
     """Where no straight clocks fit, an effect is still not put before its cause: it is moved up to it, and
     whatever its instance noted after it as well. `rows`: [common time, rank, place, ...record at 4], an
-    instance's in order; a cause has the lower rank at the same moment."""
-    ranks = {rank: 0 for _, rank, *_ in rows}
-    for _ in range(len(ranks) + 2):
+    instance's in order; `count`: of instances; a cause has the lower rank at the same moment."""
+    for _ in range(count + 2):
         floors: dict[bytes, list] = {}
         for row in rows:
             for link in row[6]:
                 floors[link] = row if link not in floors else None
-        last, moved = dict.fromkeys(ranks, (-inf, 0)), False
+        last, moved = dict.fromkeys(range(count), (-inf, 0)), False
         for row in rows:
-            own = row[1] % len(ranks)
+            own = row[1] % count
             least = last[own]
             for link in row[7]:
                 cause = floors.get(link)
                 if cause is not None and cause is not row:
-                    least = max(least, (cause[0], cause[1] + len(ranks)))
+                    least = max(least, (cause[0], cause[1] + count))
             if (row[0], row[1]) < least:
-                row[0], row[1] = least[0], own + len(ranks) * -(-(least[1] - own) // len(ranks))
+                row[0], row[1] = least[0], own + count * -(-(least[1] - own) // count)
                 moved = True
             last[own] = row[0], row[1]
         if not moved:
@@ -254,7 +253,7 @@
                     [link for end, link in mine if end == RecordKind.MESSAGE_RECEIVED],
                 ]
             )
-    _causes_first(rows)
+    _causes_first(rows, len(traces))
     for common, _, _, name, record, bound, _, _ in sorted(rows, key=lambda row: row[:3]):
         keys = SAME.get(record.kind)
         told = {field: value for field, value in record.fields.items() if field not in ("at", "instance")}
--- a/tests/trace/test_tools.py
+++ b/tests/trace/test_tools.py
@@ -117,6 +117,15 @@
     assert clocks({"a": (1.0, 1.0), "b": (9.0, 9.0)}, links(one_way), "a").by["b"].ends[0] == float("inf")
 
 
+@pytest.mark.parametrize("empty", ["a", "b", "c"])
+def test_an_instance_without_records_is_merged_too(empty):
+    records = [rec(Kind.CLOCK, 1.0, 2.0, 0.0), rec(Kind.CLOCK, 2.0, 3.0, 0.0)]
+    traces = {name: [] if name == empty else records for name in "abc"}
+    merged, known = merge(traces, "a")
+    assert len(merged) == 4 and known.by.keys() == traces.keys()
+    assert [one.fields["at"] for one in merged] == [1.0, 1.0, 2.0, 2.0]
+
+
 def req(at, id, key=b"", proxy="p1", node="n1", kind="fee-charge", outcome="done", tries=1, took=0.05):
     return rec(Kind.REQUEST, at, id, key, proxy, kind, "east", node, outcome, took, tries, 3.0)
 
