--- a/examples/disputed_fee.py
+++ b/examples/disputed_fee.py
@@ -9,7 +9,7 @@
 from random import Random
 
 from oatcart.trace.__main__ import write
-from oatcart.trace.merge import applied_link, mark_link
+from oatcart.trace.merge import acknowledgement_link, update_link
 from oatcart.trace.records import FIELDS, Record
 from oatcart.trace.records import RecordKind as Kind
 from oatcart.trace.records import RequestOutcome as Outcome
@@ -32,18 +32,20 @@
     events = []
     for mark in range(300):  # the conductor's marks and their acknowledgements, one a second
         at = 1000.0 + mark
-        events.append((at, "n0", Kind.MESSAGE_SENT, mark_link("n0", mark), "proxies"))
+        events.append((at, "n0", Kind.MESSAGE_SENT, update_link("n0", mark), "proxies"))
         for number, name in enumerate(("proxy-a", "proxy-b")):
             there, back = (0.002 + rng.expovariate(500) for _ in range(2))
             if rng.random() < 0.9:
-                events.append((at + there, name, Kind.MESSAGE_RECEIVED, mark_link("n0", mark), "n0"))
-                events.append((at + there, name, Kind.MESSAGE_SENT, applied_link("n0", mark, number), "n0"))
+                events.append((at + there, name, Kind.MESSAGE_RECEIVED, update_link("n0", mark), "n0"))
+                events.append(
+                    (at + there, name, Kind.MESSAGE_SENT, acknowledgement_link("n0", mark, number), "n0")
+                )
                 events.append(
                     (
                         at + there + back,
                         "n0",
                         Kind.MESSAGE_RECEIVED,
-                        applied_link("n0", mark, number),
+                        acknowledgement_link("n0", mark, number),
                         name,
                     )
                 )
--- a/oatcart/trace/__main__.py
+++ b/oatcart/trace/__main__.py
@@ -183,8 +183,8 @@
         FIELDS_MERGED,
     )
     known = {
-        name: {"offset_s": one.offset, "drift_ppm": one.drift * 1e6, "bound_s": max(one.ends)}
-        for name, one in clocks.by.items()
+        name: {"offset_s": one.offset, "drift_ppm": one.drift * 1e6, "bound_s": max(one.end_bounds)}
+        for name, one in clocks.by_instance.items()
     }
     lines = [
         f"{name}: offset {one['offset_s']:+.6f} s, drift {one['drift_ppm']:+.1f} ppm, "
--- /dev/null
+++ b/oatcart/trace/clock_alignment.py
@@ -0,0 +1,195 @@
+"""Estimates how the clocks of several instances relate, from the messages between them. Does no I/O.
+
+Each instance's clock is taken to differ from the reference's by an offset and a constant drift. A message
+that one instance sent and another received was sent before it was received; together these constraints are
+linear. A linear program finds the offsets and drifts that leave every message the most slack, and further
+ones find how far the time of an instance could be off while all constraints hold.
+"""
+
+from collections.abc import Iterable, Mapping, Sequence
+from dataclasses import dataclass, field
+from math import inf
+from typing import NamedTuple
+
+import numpy as np
+from scipy.optimize import linprog
+
+MAX_DRIFT = 1e-3  # s a second; no working clock drifts faster
+MAX_MESSAGES = 4000  # of one direction between two instances that become constraints
+
+
+class Message(NamedTuple):
+    """A message between two instances; each time is by the clock of its own instance, in seconds."""
+
+    sender: str
+    receiver: str
+    sent: float
+    received: float
+
+    @property
+    def delay(self) -> float:
+        """The received less the sent time, in seconds: the delay, and what one clock is ahead."""
+        return self.received - self.sent
+
+
+Directions = Mapping[tuple[str, str], Sequence[Message]]  # by sender and receiver
+
+
+@dataclass(slots=True)
+class ClockEstimate:
+    """How an instance's clock relates to the reference's, with its records from `first` to `last` seconds.
+
+    The reference's time is `time + offset + drift * (time - middle)`. `end_bounds`: by how many seconds it
+    may be off at `first` and at `last`; inf where no messages connect the instance to the reference.
+    """
+
+    offset: float = 0.0
+    drift: float = 0.0
+    middle: float = 0.0
+    first: float = 0.0
+    last: float = 0.0
+    end_bounds: tuple[float, float] = (0.0, 0.0)
+
+    def to_reference(self, at: float) -> float:
+        """The reference's time at a time of this clock, both in seconds."""
+        return at + self.offset + self.drift * (at - self.middle)
+
+    def error_bound(self, at: float) -> float:
+        """By how many seconds `to_reference` may be off.
+
+        The true bound is convex between the ends, so that a straight line over it is safe; beyond the ends
+        it grows with the drift that the constraints leave open.
+        """
+        if self.last <= self.first:
+            return max(self.end_bounds)
+        at_first, at_last = self.end_bounds
+        span = self.last - self.first
+        part = (at - self.first) / span
+        if 0.0 <= part <= 1.0:
+            return at_first + part * (at_last - at_first)
+        outside = self.first - at if part < 0 else at - self.last
+        return max(self.end_bounds) + outside * (sum(self.end_bounds) / span)
+
+
+@dataclass(slots=True)
+class AlignedClocks:
+    """The estimate for each instance.
+
+    `contradictions` says in words where no offsets and drifts fit all messages, as where a clock was stepped.
+    """
+
+    by_instance: dict[str, ClockEstimate] = field(default_factory=dict)
+    contradictions: list[str] = field(default_factory=list)
+
+
+class _Program(NamedTuple):
+    """The constraints `matrix @ x <= limits`.
+
+    `x` holds offset and drift of each instance, from the instance's column on, and last the slack that is
+    left to every message. `ranges` are those of x but for the slack.
+    """
+
+    columns: dict[str, int]
+    matrix: np.ndarray
+    limits: np.ndarray
+    ranges: list[tuple]
+
+
+def align_clocks(
+    spans: Mapping[str, tuple[float, float]], messages: Iterable[Message], reference: str
+) -> AlignedClocks:
+    """Estimate the clocks of some instances; `spans`: the least and greatest time of each, in seconds."""
+    clocks = {
+        name: ClockEstimate(middle=(first + last) / 2, first=first, last=last, end_bounds=(inf, inf))
+        for name, (first, last) in spans.items()
+    }
+    clocks[reference].end_bounds = (0.0, 0.0)
+    aligned = AlignedClocks(clocks)
+    directions: dict[tuple[str, str], list[Message]] = {}
+    for message in messages:
+        directions.setdefault((message.sender, message.receiver), []).append(message)
+    connected = _connected(reference, directions)
+    estimated = [name for name in spans if name != reference and name in connected]
+    if not estimated:
+        return aligned
+    columns = {name: 2 * place for place, name in enumerate(estimated)}
+    between = {pair: found for pair, found in directions.items() if connected.issuperset(pair)}
+    program = _constraints(columns, between, clocks)
+    solution = _most_slack(program)
+    if solution is None:
+        aligned.contradictions.append(
+            "no straight clocks fit all messages: one was stepped; no order is claimed"
+        )
+        return aligned
+    for name, column in columns.items():
+        clock = clocks[name]
+        clock.offset, clock.drift = solution[column], solution[column + 1]
+        clock.end_bounds = tuple(
+            _greatest_error(program, solution, column, at - clock.middle) for at in (clock.first, clock.last)
+        )
+    return aligned
+
+
+def _connected(reference: str, directions: Directions) -> set[str]:
+    """The instances that messages in both directions connect to the reference, directly or by others."""
+    neighbours: dict[str, list[str]] = {}
+    for sender, receiver in directions:
+        if (receiver, sender) in directions:
+            neighbours.setdefault(sender, []).append(receiver)
+    connected, pending = {reference}, [reference]
+    while pending:
+        for neighbour in neighbours.get(pending.pop(), ()):
+            if neighbour not in connected:
+                connected.add(neighbour)
+                pending.append(neighbour)
+    return connected
+
+
+def _constraints(
+    columns: dict[str, int], directions: Directions, clocks: Mapping[str, ClockEstimate]
+) -> _Program:
+    """A row a message: its sending, in the reference's time, was not after its receipt."""
+    rows, limits = [], []
+    for (sender, receiver), messages in directions.items():
+        for message in _tightest(messages):
+            row = np.zeros(2 * len(columns) + 1)
+            for name, at, sign in ((sender, message.sent, 1.0), (receiver, message.received, -1.0)):
+                if name in columns:
+                    row[columns[name]] += sign
+                    row[columns[name] + 1] += sign * (at - clocks[name].middle)
+            row[-1] = 1.0
+            rows.append(row)
+            limits.append(message.delay)
+    ranges = [(None, None), (-MAX_DRIFT, MAX_DRIFT)] * len(columns)
+    return _Program(columns, np.array(rows), np.array(limits), ranges)
+
+
+def _tightest(messages: Sequence[Message]) -> Sequence[Message]:
+    """Of many messages the one with the least delay in each of MAX_MESSAGES parts; the others add little."""
+    if len(messages) <= MAX_MESSAGES:
+        return messages
+    ordered = sorted(messages, key=lambda message: message.sent)
+    edges = np.linspace(0, len(ordered), MAX_MESSAGES + 1).astype(int)
+    parts = (ordered[start:end] for start, end in zip(edges, edges[1:], strict=False) if end > start)
+    return [min(part, key=lambda message: message.delay) for part in parts]
+
+
+def _most_slack(program: _Program) -> np.ndarray | None:
+    """The offsets and drifts that leave every message the most slack; None where none fit all messages."""
+    objective = np.array([0.0] * len(program.ranges) + [-1.0])
+    ranges = [*program.ranges, (0.0, None)]
+    best = linprog(objective, program.matrix, program.limits, bounds=ranges)
+    return best.x if best.success else None
+
+
+def _greatest_error(program: _Program, solution: np.ndarray, column: int, elapsed: float) -> float:
+    """By how many seconds a clock may be off, `elapsed` seconds from its middle, within the constraints."""
+    shift = np.zeros(len(program.ranges) + 1)
+    shift[column], shift[column + 1] = 1.0, elapsed
+    estimate = solution @ shift
+    ranges = [*program.ranges, (0.0, 0.0)]
+    errors = []
+    for sign in (1.0, -1.0):
+        extreme = linprog(sign * shift, program.matrix, program.limits, bounds=ranges)
+        errors.append(abs(extreme.x @ shift - estimate) if extreme.success else inf)
+    return max(errors)
--- a/oatcart/trace/merge.py
+++ b/oatcart/trace/merge.py
@@ -1,282 +1,193 @@
-"""Traces of several instances as one: whose clock is off by what, what came before what, what cannot be said.
-No I/O.
+"""Merges the traces of several instances into one, in the clock of one of them. Does no I/O.
 
-Each instance's clock is taken to be a straight line of the reference's: offset and drift. A message that was
-sent by one and met by another says that the sending was not after the meeting; all of these together are
-linear, and a linear program finds the lines that leave every one of them the most room, and how far each
-could lie off (the bound). An order is claimed only where the bounds support it.
+An order between records of two instances is claimed only where the error bounds of their clocks support it.
 """
 
-from collections.abc import Iterable, Iterator, Sequence
-from dataclasses import dataclass, field
+from collections.abc import Iterator, Mapping, Sequence
+from dataclasses import dataclass
 from math import inf
-from typing import NamedTuple
-
-import numpy as np
-from scipy.optimize import linprog
 
+from oatcart.trace.clock_alignment import AlignedClocks, Message, align_clocks
 from oatcart.trace.records import Record, RecordKind
+from oatcart.trace.stored_rounds import CommandName, EventName
 
-DRIFT_MOST = 1e-3  # s a second; no clock that runs is off by more
-LINKS_MOST = 4000  # of a pair of instances that go into the program: those that bind most, evenly over time
-SAME = {
-    RecordKind.REQUEST: ("proxy", "id"),
-    RecordKind.ATTEMPT: ("proxy", "id", "number"),
-}  # by which records tell of one event
-
-
-class Link(NamedTuple):
-    """A message: who sent it and who met it, each by its own clock, in seconds."""
-
-    sender: str
-    receiver: str
-    sent: float
-    met: float
-
-
-@dataclass(slots=True)
-class Clock:
-    """An instance's clock as the reference's: `time + offset + drift * (time - middle)`. `lows` and `highs`:
-    how far the time at `first` and `last` may lie off; inf where nothing ties the instance to the reference.
-    """
-
-    offset: float = 0.0
-    drift: float = 0.0
-    middle: float = 0.0
-    first: float = 0.0
-    last: float = 0.0
-    ends: tuple[float, float] = (0.0, 0.0)
-
-    def common(self, at: float) -> float:
-        return at + self.offset + self.drift * (at - self.middle)
+Traces = Mapping[str, Sequence[Record]]  # by instance
+# The fields that identify the event of a record, which several instances may have recorded
+IDENTITY = {RecordKind.REQUEST: ("proxy", "id"), RecordKind.ATTEMPT: ("proxy", "id", "number")}
 
-    def bound(self, at: float) -> float:
-        """By how much the common time may be off: the width between two ends is convex, so a line over it is
-        safe; beyond the ends it grows with the drift that is left."""
-        if self.last <= self.first:
-            return max(self.ends)
-        part = (at - self.first) / (self.last - self.first)
-        if 0.0 <= part <= 1.0:
-            return self.ends[0] + part * (self.ends[1] - self.ends[0])
-        outside = self.first - at if part < 0 else at - self.last
-        return max(self.ends) + outside * (sum(self.ends) / (self.last - self.first))
 
+def update_link(controller: str, nonce: int) -> bytes:
+    """The stored name of the message that asks for the acknowledgement of a nonce."""
+    return f"{controller}:mark:{nonce}".encode()
 
-def mark_link(conductor: str, mark: int) -> bytes:
-    """The name of the message that asks for a mark; who meets it notes it by this name."""
-    return f"{conductor}:mark:{mark}".encode()
 
+def acknowledgement_link(controller: str, nonce: int, proxy: int) -> bytes:
+    """The stored name of a proxy's acknowledgement of a nonce."""
+    return f"{controller}:applied:{nonce}:{proxy}".encode()
 
-def applied_link(conductor: str, mark: int, proxy: int) -> bytes:
-    """The name of its acknowledgement."""
-    return f"{conductor}:applied:{mark}:{proxy}".encode()
 
+def message_ends(instance: str, record: Record) -> Iterator[tuple[RecordKind, bytes]]:
+    """The message ends that a record tells of: MESSAGE_SENT or MESSAGE_RECEIVED, and the message's name.
 
-def ends(instance: str, record: Record) -> Iterator[tuple[str, bytes]]:
-    """The ends of messages that a record tells of, (kind of record, name): a round's marks and
-    acknowledgements too.
+    A round tells of the acknowledgements that it asks for and of those that came.
     """
     if record.kind in (RecordKind.MESSAGE_SENT, RecordKind.MESSAGE_RECEIVED):
-        yield record.kind, record.fields["link"]
+        yield RecordKind(record.kind), record.fields["link"]
     elif record.kind == RecordKind.ROUND:
-        for arrival in record.fields["arrivals"]:
-            if arrival[0] == "applied":
-                yield RecordKind.MESSAGE_RECEIVED, applied_link(instance, arrival[2], arrival[1])
-        for order in record.fields["orders"]:
-            if order[0] == "ask_ack":
-                yield RecordKind.MESSAGE_SENT, mark_link(instance, order[1])
+        for name, *fields in record.fields["arrivals"]:
+            if name == EventName.UPDATE_ACKNOWLEDGED:
+                proxy, nonce, _ = fields
+                yield RecordKind.MESSAGE_RECEIVED, acknowledgement_link(instance, nonce, proxy)
+        for name, *fields in record.fields["orders"]:
+            if name == CommandName.REQUEST_ACKNOWLEDGEMENT:
+                nonce, _ = fields
+                yield RecordKind.MESSAGE_SENT, update_link(instance, nonce)
 
 
-def links(traces: dict[str, Sequence[Record]]) -> list[Link]:
-    """The messages that both ends noted. A name that was sent twice, as marks run round, says nothing."""
-    sent, out = {}, []
+def messages_between(traces: Traces) -> list[Message]:
+    """The messages that both ends recorded.
+
+    A name that was sent twice is left out, as nonces run round and the receipts cannot be told apart.
+    """
+    sent: dict[bytes, tuple[str, float] | None] = {}
     for instance, records in traces.items():
         for record in records:
-            for end, link in ends(instance, record):
+            for end, link in message_ends(instance, record):
                 if end == RecordKind.MESSAGE_SENT:
                     sent[link] = (instance, record.fields["at"]) if link not in sent else None
+    messages = []
     for instance, records in traces.items():
         for record in records:
-            for end, link in ends(instance, record):
-                if end == RecordKind.MESSAGE_RECEIVED and (told := sent.get(link)) and told[0] != instance:
-                    out.append(Link(told[0], instance, told[1], record.fields["at"]))
-    return out
-
-
-def _tightest(found: list[Link]) -> list[Link]:
-    """Of many messages one way the quickest of each stretch of time; the others say less."""
-    if len(found) <= LINKS_MOST:
-        return found
-    found = sorted(found, key=lambda one: one.sent)
-    edges = np.linspace(0, len(found), LINKS_MOST + 1).astype(int)
-    return [
-        min(found[a:b], key=lambda one: one.met - one.sent)
-        for a, b in zip(edges, edges[1:], strict=False)
-        if b > a
-    ]
-
-
-@dataclass(slots=True)
-class Clocks:
-    """All instances' clocks; `contradictions`: in words, where no straight lines fit all messages, as where a
-    clock was stepped: there no order between instances is claimed."""
-
-    by: dict[str, Clock] = field(default_factory=dict)
-    contradictions: list[str] = field(default_factory=list)
-
-
-def clocks(spans: dict[str, tuple[float, float]], found: Iterable[Link], reference: str) -> Clocks:
-    """`spans`: each instance's first and last time."""
-    others = [name for name in spans if name != reference]
-    out = Clocks(
-        {
-            name: Clock(middle=(first + last) / 2, first=first, last=last, ends=(inf, inf))
-            for name, (first, last) in spans.items()
-        }
-    )
-    out.by[reference].ends = (0.0, 0.0)
-    by_way: dict[tuple, list[Link]] = {}
-    for one in found:
-        by_way.setdefault((one.sender, one.receiver), []).append(one)
-    tied = _tied(reference, by_way)
-    places = {name: 2 * at for at, name in enumerate(name for name in others if name in tied)}
-    if not places:
-        return out
-    rows, limits = [], []
-    for (sender, receiver), ways in by_way.items():
-        if {sender, receiver} - tied:
-            continue
-        for one in _tightest(ways):  # common(sent) - common(met) <= 0
-            row = np.zeros(2 * len(places) + 1)
-            for name, at, sign in ((sender, one.sent, 1.0), (receiver, one.met, -1.0)):
-                if name in places:
-                    row[places[name]] += sign
-                    row[places[name] + 1] += sign * (at - out.by[name].middle)
-            row[-1] = 1.0  # the room that is left to every message
-            rows.append(row)
-            limits.append(one.met - one.sent)
-    matrix, most = np.array(rows), np.array(limits)
-    ranges = [(None, None), (-DRIFT_MOST, DRIFT_MOST)] * len(places)
-    best = linprog(np.array([0.0] * (2 * len(places)) + [-1.0]), matrix, most, bounds=[*ranges, (0.0, None)])
-    if not best.success:
-        out.contradictions.append("no straight clocks fit all messages: one was stepped; no order is claimed")
-        return out
-    for name, place in places.items():
-        clock = out.by[name]
-        clock.offset, clock.drift = best.x[place], best.x[place + 1]
-        widths = []
-        for at in (clock.first, clock.last):
-            aim = np.zeros(2 * len(places) + 1)
-            aim[place], aim[place + 1] = 1.0, at - clock.middle
-            lie = best.x @ aim
-            reach = [linprog(sign * aim, matrix, most, bounds=[*ranges, (0.0, 0.0)]) for sign in (1.0, -1.0)]
-            widths.append(max((abs(one.x @ aim - lie) if one.success else inf) for one in reach))
-        clock.ends = (widths[0], widths[1])
-    return out
-
-
-def _tied(reference: str, by_way: dict[tuple, list]) -> set[str]:
-    """The instances that messages both ways connect to the reference, directly or not."""
-    tied, grew = {reference}, True
-    while grew:
-        grew = False
-        for sender, receiver in by_way:
-            for here, there in ((sender, receiver), (receiver, sender)):
-                if here in tied and there not in tied and (there, here) in by_way and (here, there) in by_way:
-                    tied.add(there)
-                    grew = True
-    return tied
-
-
-def before(one: Record, other: Record) -> bool | None:
-    """Whether one merged record was before the other; None where their bounds do not tell."""
+            for end, link in message_ends(instance, record):
+                source = sent.get(link) if end == RecordKind.MESSAGE_RECEIVED else None
+                if source is not None and source[0] != instance:
+                    sender, sent_at = source
+                    messages.append(Message(sender, instance, sent_at, record.fields["at"]))
+    return messages
+
+
+def happened_before(one: Record, other: Record) -> bool | None:
+    """Whether one merged record was before another; None where their error bounds leave it open."""
     apart = other.fields["at"] - one.fields["at"]
     if one.fields["instance"] == other.fields["instance"]:
         return apart >= 0
     return None if abs(apart) <= one.fields["bound"] + other.fields["bound"] else apart > 0
 
 
-def _causes_first(rows: list[list], count: int) -> None:
-    """Where no straight clocks fit, an effect is still not put before its cause: it is moved up to it, and
-    whatever its instance noted after it as well. `rows`: [common time, rank, place, ...record at 4], an
-    instance's in order; `count`: of instances; a cause has the lower rank at the same moment."""
-    for _ in range(count + 2):
-        floors: dict[bytes, list] = {}
-        for row in rows:
-            for link in row[6]:
-                floors[link] = row if link not in floors else None
-        last, moved = dict.fromkeys(range(count), (-inf, 0)), False
+@dataclass(slots=True, eq=False)
+class _Row:
+    """A record on its way into the merged order, which is by `time`, `tie`, `place`."""
+
+    time: float  # s of the reference's clock
+    tie: int  # the instance's place, plus a multiple of the number of instances
+    place: int  # within the instance
+    instance: int
+    name: str
+    record: Record
+    bound: float  # s
+    sent: list[bytes]
+    received: list[bytes]
+
+
+def merge(traces: Traces, reference: str) -> tuple[list[Record], AlignedClocks]:
+    """Merge traces into the clock of the instance `reference`.
+
+    The merged records have the fields MERGED_FIELDS. What several instances recorded in the same words,
+    apart from the time, becomes one record with all of them as witnesses; otherwise all records stay. The
+    records of an instance stay in their order, whatever its clock did, and no receipt is before its sending.
+    """
+    clocks = align_clocks(_spans(traces), messages_between(traces), reference)
+    rows = _rows(traces, clocks)
+    _put_causes_first(rows, len(traces))
+    rows.sort(key=lambda row: (row.time, row.tie, row.place))
+    return _join_witnesses(rows), clocks
+
+
+def _spans(traces: Traces) -> dict[str, tuple[float, float]]:
+    """The least and greatest time of each instance's records, in seconds."""
+    spans = {}
+    for name, records in traces.items():
+        times = [record.fields["at"] for record in records]
+        spans[name] = min(times, default=0.0), max(times, default=0.0)
+    return spans
+
+
+def _rows(traces: Traces, clocks: AlignedClocks) -> list[_Row]:
+    rows = []
+    for instance, (name, records) in enumerate(traces.items()):
+        clock, time = clocks.by_instance[name], -inf
+        for place, record in enumerate(records):
+            at = record.fields["at"]
+            time = max(time, clock.to_reference(at))  # a clock that was stepped back reorders nothing
+            ends = list(message_ends(name, record))
+            sent = [link for end, link in ends if end == RecordKind.MESSAGE_SENT]
+            received = [link for end, link in ends if end == RecordKind.MESSAGE_RECEIVED]
+            bound = clock.error_bound(at)
+            rows.append(_Row(time, instance, place, instance, name, record, bound, sent, received))
+    return rows
+
+
+def _put_causes_first(rows: list[_Row], instances: int) -> None:
+    """Move each receipt that lies before its sending up to it, and what its instance recorded after it.
+
+    Needed where the estimated clocks do not fit all messages. The rows of an instance are in their order.
+    """
+    causes: dict[bytes, _Row | None] = {}
+    for row in rows:
+        for link in row.sent:
+            causes[link] = row if link not in causes else None
+    for _ in range(instances + 2):  # a move may make others necessary, from instance to instance
+        previous = [(-inf, 0)] * instances
+        moved = False
         for row in rows:
-            own = row[1] % count
-            least = last[own]
-            for link in row[7]:
-                cause = floors.get(link)
+            least = previous[row.instance]
+            for link in row.received:
+                cause = causes.get(link)
                 if cause is not None and cause is not row:
-                    least = max(least, (cause[0], cause[1] + count))
-            if (row[0], row[1]) < least:
-                row[0], row[1] = least[0], own + count * -(-(least[1] - own) // count)
+                    least = max(least, (cause.time, cause.tie + instances))
+            if (row.time, row.tie) < least:
+                row.time, least_tie = least
+                rounds_up = -(-(least_tie - row.instance) // instances)
+                row.tie = row.instance + instances * rounds_up
                 moved = True
-            last[own] = row[0], row[1]
+            previous[row.instance] = row.time, row.tie
         if not moved:
             return
 
 
-def merge(traces: dict[str, Sequence[Record]], reference: str) -> tuple[list[Record], Clocks]:
-    """One list in common time; fields `instance`, `bound`, `witnesses`, and `certain`: whether its place
-    after the record before it is known. Records of one event become one with all its witnesses if they tell
-    the same, apart from when; otherwise both stay. Within an instance the order stays as it was written,
-    whatever its clock did."""
-    spans = {
-        name: (
-            min((one.fields["at"] for one in records), default=0.0),
-            max((one.fields["at"] for one in records), default=0.0),
-        )
-        for name, records in traces.items()
-    }
-    known = clocks(spans, links(traces), reference)
-    out, events = [], {}
-    rows = []
-    for rank, (name, records) in enumerate(traces.items()):
-        clock, last = known.by[name], -inf
-        for at, record in enumerate(records):
-            last = max(last, clock.common(record.fields["at"]))  # a clock that stepped back does not reorder
-            mine = list(ends(name, record))
-            rows.append(
-                [
-                    last,
-                    rank,
-                    at,
-                    name,
-                    record,
-                    clock.bound(record.fields["at"]),
-                    [link for end, link in mine if end == RecordKind.MESSAGE_SENT],
-                    [link for end, link in mine if end == RecordKind.MESSAGE_RECEIVED],
-                ]
-            )
-    _causes_first(rows, len(traces))
-    for common, _, _, name, record, bound, _, _ in sorted(rows, key=lambda row: row[:3]):
-        keys = SAME.get(record.kind)
-        told = {field: value for field, value in record.fields.items() if field not in ("at", "instance")}
-        event = (record.kind, *(record.fields.get(field) for field in keys)) if keys else None
-        if event is not None:
-            same = next((one for one in events.get(event, ()) if one[1] == told), None)
-            if same is not None:
-                same[0].fields["witnesses"].append(name)
+def _join_witnesses(rows: list[_Row]) -> list[Record]:
+    """The merged records of the rows, one for all that tell the same."""
+    merged: list[Record] = []
+    known: dict[tuple, list[tuple[Record, dict]]] = {}  # by identity, with the fields that have to agree
+    for row in rows:
+        fields = row.record.fields
+        identity = _identity(row.record)
+        told = {name: value for name, value in fields.items() if name not in ("at", "instance")}
+        if identity is not None:
+            twin = next((other for other, theirs in known.get(identity, ()) if theirs == told), None)
+            if twin is not None:
+                twin.fields["witnesses"].append(row.name)
                 continue
-        new = Record(
-            record.kind,
-            {
-                **record.fields,
-                "at": common,
-                "bound": bound,
-                "witnesses": [name],
-                "certain": 1,
-                "instance": record.fields.get("instance", name),
-            },
-        )
-        if out and before(out[-1], new) is None:
-            new.fields["certain"] = 0
-        if event is not None:
-            events.setdefault(event, []).append((new, told))
-        out.append(new)
-    return out, known
+        record = Record(row.record.kind, fields | _merged_fields(row))
+        if merged and happened_before(merged[-1], record) is None:
+            record.fields["certain"] = 0
+        if identity is not None:
+            known.setdefault(identity, []).append((record, told))
+        merged.append(record)
+    return merged
+
+
+def _identity(record: Record) -> tuple | None:
+    """What identifies the event of a record; None where no other instance records the same."""
+    names = IDENTITY.get(record.kind)
+    return names and (record.kind, *(record.fields.get(name) for name in names))
+
+
+def _merged_fields(row: _Row) -> dict:
+    return {
+        "at": row.time,
+        "bound": row.bound,
+        "witnesses": [row.name],
+        "certain": 1,
+        "instance": row.record.fields.get("instance", row.name),
+    }
--- a/tests/trace/test_tools.py
+++ b/tests/trace/test_tools.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import json
+from math import inf
 from random import Random
 
 import pytest
@@ -12,10 +13,11 @@
 
 from oatcart.trace import __main__ as command
 from oatcart.trace import generate
+from oatcart.trace.clock_alignment import align_clocks
 from oatcart.trace.configuration import TraceSettings, Wrong
 from oatcart.trace.configuration import read as read_tracing
 from oatcart.trace.hook import traced
-from oatcart.trace.merge import before, clocks, links, merge
+from oatcart.trace.merge import happened_before, merge, messages_between
 from oatcart.trace.reader import TraceReader
 from oatcart.trace.records import FIELDS, Record
 from oatcart.trace.records import RecordKind as Kind
@@ -56,7 +58,7 @@
     traces, true = told(1)
     merged, known = merge(traces, "a")
     assert not known.contradictions
-    assert known.by["b"].drift == pytest.approx(-200e-6, abs=20e-6)
+    assert known.by_instance["b"].drift == pytest.approx(-200e-6, abs=20e-6)
     worst = 0.0
     for record in merged:
         who = "ab".index(record.fields["instance"])
@@ -98,7 +100,7 @@
     if step == 0.0:
         assert not known.contradictions
         for one, other in zip(merged, merged[1:], strict=False):
-            if before(one, other):
+            if happened_before(one, other):
                 times = [
                     true["ab".index(each.fields["instance"]), each.kind, each.fields["link"]]
                     for each in (one, other)
@@ -109,12 +111,13 @@
 def test_where_nothing_ties_two_instances_no_order_is_claimed():
     traces = {"a": [rec(Kind.CLOCK, 1.0, 2.0, 0.0)], "b": [rec(Kind.CLOCK, 9.0, 2.0, 0.0)]}
     merged, known = merge(traces, "a")
-    assert before(*merged) is None and known.by["b"].ends == (float("inf"), float("inf"))
+    assert happened_before(*merged) is None and known.by_instance["b"].end_bounds == (inf, inf)
     one_way = {
         "a": [rec(Kind.MESSAGE_SENT, 1.0, b"x", "b")],
         "b": [rec(Kind.MESSAGE_RECEIVED, 9.0, b"x", "a")],
     }
-    assert clocks({"a": (1.0, 1.0), "b": (9.0, 9.0)}, links(one_way), "a").by["b"].ends[0] == float("inf")
+    known = align_clocks({"a": (1.0, 1.0), "b": (9.0, 9.0)}, messages_between(one_way), "a")
+    assert known.by_instance["b"].end_bounds[0] == inf
 
 
 @pytest.mark.parametrize("empty", ["a", "b", "c"])
@@ -122,7 +125,7 @@
     records = [rec(Kind.CLOCK, 1.0, 2.0, 0.0), rec(Kind.CLOCK, 2.0, 3.0, 0.0)]
     traces = {name: [] if name == empty else records for name in "abc"}
     merged, known = merge(traces, "a")
-    assert len(merged) == 4 and known.by.keys() == traces.keys()
+    assert len(merged) == 4 and known.by_instance.keys() == traces.keys()
     assert [one.fields["at"] for one in merged] == [1.0, 1.0, 2.0, 2.0]
 
 
