--- a/tests/trace/test_tools.py
+++ b/tests/trace/test_tools.py
@@ -22,7 +22,7 @@
 from oatcart.trace.reader import TraceReader
 from oatcart.trace.records import FIELDS, Record
 from oatcart.trace.records import RecordKind as Kind
-from oatcart.trace.reqs import Reqs
+from oatcart.trace.requests import RequestRecorder
 from oatcart.trace.tap import Tap, again, start_record, started
 from oatcart.trace.tools import story, summary
 from oatcart.trace.trace_files import write_trace
@@ -178,15 +178,19 @@
 
 def test_a_proxy_notes_its_reqs():
     out = []
-    one = Reqs("p1", "east", out.append)
-    first, fee, turned = one.begun("lookup"), one.begun("fee-charge", b"k", 3.0), one.begun("lookup")
-    one.tried(first, "n1", 1.0)
-    one.tried(fee, "n2", 1.5)
-    one.failed(first, "RESET", 1.25)
-    one.tried(first, "n3", 1.25)
-    one.ended(turned, "denied", 1.75)
-    one.ended(fee, "errored", 2.0)
-    one.ended(first, "done", 2.25)
+    one = RequestRecorder("p1", "east", out.append)
+    first, fee, turned = (
+        one.request_received("lookup"),
+        one.request_received("fee-charge", b"k", 3.0),
+        one.request_received("lookup"),
+    )
+    one.attempt_started(first, "n1", 1.0)
+    one.attempt_started(fee, "n2", 1.5)
+    one.attempt_failed(first, "RESET", 1.25)
+    one.attempt_started(first, "n3", 1.25)
+    one.request_ended(turned, "denied", 1.75)
+    one.request_ended(fee, "errored", 2.0)
+    one.request_ended(first, "done", 2.25)
     assert (
         out
         == [
