--- a/oatcart/trace/requests.py
+++ b/oatcart/trace/requests.py
@@ -1,54 +1,84 @@
-"""Noting reqs, for whoever sees them: a proxy, or a stand-in of one. Free of I/O; the records go to a
-writer's `put`.
-"""
+"""Records the requests of a proxy, for a proxy or what stands in for one. Does no I/O."""
 
 from collections.abc import Callable
+from dataclasses import dataclass
 
-from oatcart.trace.records import RecordKind
+from oatcart.trace.records import RecordKind, RequestOutcome, make_record
+
+
+@dataclass(slots=True)
+class _OpenRequest:
+    """A request that has not ended, and its latest attempt."""
+
+    request_class: str
+    key: bytes
+    priority_weight: float
+    attempts: int = 0
+    endpoint: str = ""
+    attempt_started_at: float = 0.0  # s
 
 
 class RequestRecorder:
-    """The reqs of one proxy, by their numbers, from `begun` to `ended`; all times are the proxy's own, in
-    seconds.
+    """Records the requests of one proxy, by numbers that it gives them; all times are the proxy's, in s.
+
+    `put` takes records as a `Writer` does.
     """
 
     def __init__(self, proxy: str, zone: str, put: Callable[[tuple], None]) -> None:
-        self.proxy, self.zone, self.put = proxy, zone, put
-        self.count = 0
-        self.open: dict[int, list] = {}  # kind, key, value, tries, node and start of the try under way
-
-    def request_received(self, kind: str, key: bytes = b"", value: float = 1.0) -> int:
-        """A req has come; hands back its number."""
-        self.count += 1
-        self.open[self.count] = [kind, key, value, 0, "", 0.0]
-        return self.count
-
-    def attempt_started(self, number: int, node: str, at: float) -> None:
-        """It is handed to a node, for the first time or, after `failed`, again."""
-        one = self.open[number]
-        one[3:] = one[3] + 1, node, at
-
-    def attempt_failed(self, number: int, ending: str, at: float) -> None:
-        """A try has ended without an answer, and another will be made; the last one ends with `ended`."""
-        kind, key, _, tries, node, since = self.open[number]
-        self.put((RecordKind.ATTEMPT, since, number, key, self.proxy, kind, tries, node, ending, at - since))
-
-    def request_ended(self, number: int, outcome: str, at: float) -> None:
-        """It is done, denied or errored; without a try it was answered here."""
-        kind, key, value, tries, node, since = self.open.pop(number)
-        self.put(
-            (
+        self.proxy = proxy
+        self.zone = zone
+        self.open: dict[int, _OpenRequest] = {}
+        self._put = put
+        self._count = 0
+
+    def request_received(self, request_class: str, key: bytes = b"", priority_weight: float = 1.0) -> int:
+        """Note a request; returns its number. `key`: its idempotency key, if it has one."""
+        self._count += 1
+        self.open[self._count] = _OpenRequest(request_class, key, priority_weight)
+        return self._count
+
+    def attempt_started(self, number: int, endpoint: str, at: float) -> None:
+        """Note that a request is forwarded to an endpoint, the first time or after `attempt_failed`."""
+        request = self.open[number]
+        request.attempts += 1
+        request.endpoint = endpoint
+        request.attempt_started_at = at
+
+    def attempt_failed(self, number: int, error: str, at: float) -> None:
+        """Record an attempt that another one will follow; the last one ends with `request_ended`."""
+        request = self.open[number]
+        self._put(
+            make_record(
+                RecordKind.ATTEMPT,
+                at=request.attempt_started_at,
+                id=number,
+                key=request.key,
+                proxy=self.proxy,
+                kind=request.request_class,
+                number=request.attempts,
+                node=request.endpoint,
+                ending=error,
+                took=at - request.attempt_started_at,
+            )
+        )
+
+    def request_ended(self, number: int, outcome: RequestOutcome, at: float) -> None:
+        """Record a request that has ended; without an attempt it was answered by the proxy itself."""
+        request = self.open.pop(number)
+        started_at = request.attempt_started_at if request.attempts else at
+        self._put(
+            make_record(
                 RecordKind.REQUEST,
-                since if tries else at,
-                number,
-                key,
-                self.proxy,
-                kind,
-                self.zone,
-                node,
-                outcome,
-                at - since if tries else 0.0,
-                tries,
-                value,
+                at=started_at,
+                id=number,
+                key=request.key,
+                proxy=self.proxy,
+                kind=request.request_class,
+                zone=self.zone,
+                node=request.endpoint,
+                outcome=outcome,
+                took=at - started_at,
+                tries=request.attempts,
+                value=request.priority_weight,
             )
         )
