--- a/oatcart/trace/hook.py
+++ b/oatcart/trace/controller_tracing.py
@@ -11,10 +11,10 @@
 from oatcart.trace.tap import Tap, start_record
 from oatcart.trace.writer import Writer
 
-END_WITHIN = 1.0  # s for the last records to be written when the process is told to end
+FLUSH_TIMEOUT = 1.0  # s for the last records to be written when the process is told to end
 
 
-def traced(
+def trace_controller(
     make_rounds: Callable[..., Rounds], cfg: dict, tracing: TraceSettings, made: Callable[[Writer], None]
 ) -> Callable:
     """A maker of rounds, for `net.start.assemble`, whose module's calls are all noted, the first one too.
@@ -61,11 +61,11 @@
     return make
 
 
-def end_with(writer: Writer) -> None:
+def flush_on_termination(writer: Writer) -> None:
     """From now on a signal to end has the last records written first, for a second at most."""
 
     def end(*_: object) -> None:
-        writer.stop(END_WITHIN)
+        writer.stop(FLUSH_TIMEOUT)
         os._exit(0)
 
     for sign in signal.SIGTERM, signal.SIGINT:
--- a/oatcart/trace/run.py
+++ b/oatcart/trace/run.py
@@ -11,7 +11,7 @@
 from oatcart.net.start import assemble, configuration, read
 from oatcart.trace.configuration import Wrong
 from oatcart.trace.configuration import read as read_tracing
-from oatcart.trace.hook import end_with, traced
+from oatcart.trace.controller_tracing import flush_on_termination, trace_controller
 
 UNUSABLE = 2  # exit code where a configuration cannot be used
 
@@ -23,12 +23,12 @@
     writers = []
     try:
         tracing, cfg = read_tracing(told.file), read(os.environ, "EDGE_CONFIG", configuration)
-        loop, rounds, _ = assemble(cfg, wake_pair(), traced(Rounds, cfg, tracing, writers.append))
+        loop, rounds, _ = assemble(cfg, wake_pair(), trace_controller(Rounds, cfg, tracing, writers.append))
     except (Wrong, Unusable) as error:
         print(error, file=sys.stderr)
         return UNUSABLE
     writers[0].start()
-    end_with(writers[0])
+    flush_on_termination(writers[0])
     while True:
         loop.turn()
         rounds.turn()
--- a/oatcart/xds/__main__.py
+++ b/oatcart/xds/__main__.py
@@ -31,7 +31,7 @@
         cfg = read(os.environ, "EDGE_CONFIG", configuration)
         if told.trace:
             from oatcart.trace import configuration as tracing
-            from oatcart.trace import hook
+            from oatcart.trace import controller_tracing
 
             where = tracing.read(told.trace)
     except (Wrong, Unusable) as error:
@@ -43,11 +43,13 @@
     if not told.trace:
         return asyncio.run(run(cfg, xds))
 
-    def made(writer: hook.Writer) -> None:
+    def made(writer: controller_tracing.Writer) -> None:
         writer.start()
-        hook.end_with(writer)
+        controller_tracing.flush_on_termination(writer)
 
-    return asyncio.run(run(cfg, xds, lambda make: hook.traced(make, cfg, where, made)))
+    return asyncio.run(
+        run(cfg, xds, lambda make: controller_tracing.trace_controller(make, cfg, where, made))
+    )
 
 
 if __name__ == "__main__":
--- a/tests/trace/test_tools.py
+++ b/tests/trace/test_tools.py
@@ -16,7 +16,7 @@
 from oatcart.trace.clock_alignment import align_clocks
 from oatcart.trace.configuration import TraceSettings, Wrong
 from oatcart.trace.configuration import read as read_tracing
-from oatcart.trace.hook import traced
+from oatcart.trace.controller_tracing import trace_controller
 from oatcart.trace.merge import happened_before, merge, messages_between
 from oatcart.trace.pseudonyms import Pseudonymizer
 from oatcart.trace.reader import TraceReader
@@ -362,7 +362,7 @@
 
     def conductor(cfg, xds, woken):
         tracing = TraceSettings(str(tmp_path / "traces"))
-        return make_one(cfg, xds, woken, lambda make: traced(make, cfg, tracing, writers.append))
+        return make_one(cfg, xds, woken, lambda make: trace_controller(make, cfg, tracing, writers.append))
 
     monkeypatch.setattr(xds_table, "Conductor", conductor)
 
