--- a/examples/disputed_fee.py
+++ b/examples/disputed_fee.py
@@ -1,94 +1,84 @@
 """Writes three traces of one disputed fee into a folder: `python examples/disputed_fee.py FOLDER`.
 
-A conductor and two proxies whose clocks are some seconds apart. A litigant's app sent one fee twice, through
-both proxies; the first saw its connection reset after it had sent the req.
+A controller and two proxies whose clocks are some seconds apart. A litigant's app sent one fee twice, through
+both proxies; the first saw its connection reset after it had forwarded the request.
 """
 
 import sys
+from collections.abc import Iterator
 from pathlib import Path
 from random import Random
+from typing import NamedTuple
 
 from oatcart.trace.merge import acknowledgement_link, update_link
-from oatcart.trace.records import FIELDS, Record
-from oatcart.trace.records import RecordKind as Kind
-from oatcart.trace.records import RequestOutcome as Outcome
+from oatcart.trace.records import FIELDS, Record, RecordKind, RequestOutcome
 from oatcart.trace.trace_files import write_trace
 
 KEY = bytes.fromhex("5fee0001")
-OFFSETS = {"n0": 0.0, "proxy-a": 3.2, "proxy-b": -1.7}  # s by which each clock is ahead of the conductor's
-DRIFTS = {"n0": 0.0, "proxy-a": 60e-6, "proxy-b": -40e-6}
+CONTROLLER = "n0"
+PROXIES = ("proxy-a", "proxy-b")
+OFFSETS = {"n0": 0.0, "proxy-a": 3.2, "proxy-b": -1.7}  # s by which each clock is ahead of the controller's
+DRIFTS = {"n0": 0.0, "proxy-a": 60e-6, "proxy-b": -40e-6}  # s a second
+BEGIN = 1000.0  # s
+UPDATES = 300  # one a second
+LEAST_DELAY = 0.002  # s
+RECEIVED_SHARE = 0.9
 
 
-def record(kind: str, *values: object) -> Record:
-    return Record(kind, dict(zip((name for name, _ in FIELDS[kind]), values, strict=True)))
+class Happening(NamedTuple):
+    """What an instance records: when by the controller's clock, and the fields behind the time."""
+
+    at: float
+    instance: str
+    kind: RecordKind
+    fields: tuple
+
+
+def updates(rng: Random) -> Iterator[Happening]:
+    """The controller's updates and their acknowledgements."""
+    for nonce in range(UPDATES):
+        at = BEGIN + nonce
+        update = update_link(CONTROLLER, nonce)
+        yield Happening(at, CONTROLLER, RecordKind.MESSAGE_SENT, (update, "proxies"))
+        for number, proxy in enumerate(PROXIES):
+            received_at = at + LEAST_DELAY + rng.expovariate(500)
+            acknowledged_at = received_at + LEAST_DELAY + rng.expovariate(500)
+            if rng.random() >= RECEIVED_SHARE:
+                continue
+            acknowledgement = acknowledgement_link(CONTROLLER, nonce, number)
+            yield Happening(received_at, proxy, RecordKind.MESSAGE_RECEIVED, (update, CONTROLLER))
+            yield Happening(received_at, proxy, RecordKind.MESSAGE_SENT, (acknowledgement, CONTROLLER))
+            yield Happening(
+                acknowledged_at, CONTROLLER, RecordKind.MESSAGE_RECEIVED, (acknowledgement, proxy)
+            )
+
+
+def fees() -> Iterator[Happening]:
+    """The two requests of one key."""
+    for at, proxy, number, endpoint, outcome, duration in (
+        (1100.430, "proxy-a", 41, "east-02", RequestOutcome.FAILED, 0.180),
+        (1101.100, "proxy-b", 77, "east-05", RequestOutcome.SUCCEEDED, 0.061),
+    ):
+        fields = (number, KEY, proxy, "fee-charge", "east", endpoint, outcome, duration, 1, 3.0)
+        yield Happening(at, proxy, RecordKind.REQUEST, fields)
+
+
+def recorded(happening: Happening) -> Record:
+    """The record that the instance makes of it, by its own clock."""
+    at, instance, kind, fields = happening
+    own_time = at + OFFSETS[instance] + DRIFTS[instance] * at
+    names = (name for name, _ in FIELDS[kind])
+    return Record(kind, dict(zip(names, (own_time, *fields), strict=True)))
 
 
 def main(folder: Path) -> None:
-    rng, traces = Random(4), {name: [] for name in OFFSETS}
-
-    def note(name: str, at: float, kind: str, *values: object) -> None:
-        traces[name].append(record(kind, at + OFFSETS[name] + DRIFTS[name] * at, *values))
-
-    events = []
-    for mark in range(300):  # the conductor's marks and their acknowledgements, one a second
-        at = 1000.0 + mark
-        events.append((at, "n0", Kind.MESSAGE_SENT, update_link("n0", mark), "proxies"))
-        for number, name in enumerate(("proxy-a", "proxy-b")):
-            there, back = (0.002 + rng.expovariate(500) for _ in range(2))
-            if rng.random() < 0.9:
-                events.append((at + there, name, Kind.MESSAGE_RECEIVED, update_link("n0", mark), "n0"))
-                events.append(
-                    (at + there, name, Kind.MESSAGE_SENT, acknowledgement_link("n0", mark, number), "n0")
-                )
-                events.append(
-                    (
-                        at + there + back,
-                        "n0",
-                        Kind.MESSAGE_RECEIVED,
-                        acknowledgement_link("n0", mark, number),
-                        name,
-                    )
-                )
-    fee = "fee-charge"
-    events.append(
-        (
-            1100.430,
-            "proxy-a",
-            Kind.REQUEST,
-            41,
-            KEY,
-            "proxy-a",
-            fee,
-            "east",
-            "east-02",
-            Outcome.FAILED,
-            0.180,
-            1,
-            3.0,
-        )
-    )
-    events.append(
-        (
-            1101.100,
-            "proxy-b",
-            Kind.REQUEST,
-            77,
-            KEY,
-            "proxy-b",
-            fee,
-            "east",
-            "east-05",
-            Outcome.SUCCEEDED,
-            0.061,
-            1,
-            3.0,
-        )
-    )
-    for at, name, *rest in sorted(events, key=lambda one: one[0]):
-        note(name, at, *rest)
+    """Write a trace of each instance."""
+    happenings = [*updates(Random(4)), *fees()]
     folder.mkdir(parents=True, exist_ok=True)
-    for name, records in traces.items():
-        write_trace(str(folder / f"{name}.oatrace"), {"instance": name}, records, FIELDS)
+    for instance in OFFSETS:
+        own = (happening for happening in happenings if happening.instance == instance)
+        records = map(recorded, sorted(own, key=lambda happening: happening.at))
+        write_trace(str(folder / f"{instance}.oatrace"), {"instance": instance}, records, FIELDS)
 
 
 if __name__ == "__main__":
