--- a/oatcart/trace/commands.py
+++ b/oatcart/trace/commands.py
@@ -15,9 +15,11 @@
 from oatcart.trace.pseudonyms import Pseudonymizer
 from oatcart.trace.reader import TraceReader
 from oatcart.trace.records import FIELDS, FIELDS_MERGED, Record, RecordKind
+from oatcart.trace.replay import replay
 from oatcart.trace.selection import Selection, select
-from oatcart.trace.tap import again
-from oatcart.trace.tools import may_repeat, story, summary
+from oatcart.trace.story import Subject, tell
+from oatcart.trace.summary import repeatable_classes
+from oatcart.trace.summary import summarize as summarize_records
 from oatcart.trace.trace_files import read_traces, write_trace
 
 
@@ -60,7 +62,7 @@
     code = ExitCode.OK
     for path in args.files:
         records, missing, metadata = read_traces([path])
-        replayed = again(iter(records)) if args.again else None
+        replayed = replay(records) if args.again else None
         result = {
             "file": path,
             "facts": metadata,
@@ -73,10 +75,10 @@
             *missing,
         ]
         if replayed:
-            rounds, commands, difference = replayed
-            lines.append(f"{rounds} rounds played again, {commands} orders: {difference or 'identical'}")
+            counts = f"{replayed.rounds} rounds played again, {replayed.commands} orders"
+            lines.append(f"{counts}: {replayed.difference or 'identical'}")
         print_result(result, lines, args.json)
-        if missing or replayed and replayed[2]:
+        if missing or replayed and replayed.difference:
             code = ExitCode.INCOMPLETE
     return code
 
@@ -85,7 +87,7 @@
     """Requests by class, zone and endpoint; decisions by reason; rules that were seen broken."""
     records, missing, _ = read_traces(args.files, args.first, args.last)
     start = next((record.fields for record in records if record.kind == RecordKind.START), None)
-    found = summary(records, may_repeat(start) if start else None)
+    found = summarize_records(records, repeatable_classes(start) if start else None)
     print_result(found, _summary_lines(found), args.json)
     return report_missing(missing) or (ExitCode.INCOMPLETE if found["breaches"] else ExitCode.OK)
 
@@ -204,6 +206,6 @@
         key = bytes.fromhex(args.key)
     except ValueError:
         return reject_argument(f"--key: {args.key!r} is not in hex")
-    lines = story(records, key, request, args.node)
+    lines = tell(records, Subject(key, request, args.node))
     print_result({"events": lines}, lines or ["nothing was seen of it"], args.json)
     return report_missing(missing)
--- a/oatcart/trace/merge.py
+++ b/oatcart/trace/merge.py
@@ -9,7 +9,7 @@
 
 from oatcart.trace.clock_alignment import AlignedClocks, Message, align_clocks
 from oatcart.trace.records import Record, RecordKind
-from oatcart.trace.stored_rounds import CommandName, EventName
+from oatcart.trace.round_codec import CommandName, EventName
 
 Traces = Mapping[str, Sequence[Record]]  # by instance
 # The fields that identify the event of a record, which several instances may have recorded
@@ -34,14 +34,14 @@
     if record.kind in (RecordKind.MESSAGE_SENT, RecordKind.MESSAGE_RECEIVED):
         yield RecordKind(record.kind), record.fields["link"]
     elif record.kind == RecordKind.ROUND:
-        for name, *fields in record.fields["arrivals"]:
-            if name == EventName.UPDATE_ACKNOWLEDGED:
-                proxy, nonce, _ = fields
-                yield RecordKind.MESSAGE_RECEIVED, acknowledgement_link(instance, nonce, proxy)
-        for name, *fields in record.fields["orders"]:
-            if name == CommandName.REQUEST_ACK:
-                nonce, _ = fields
-                yield RecordKind.MESSAGE_SENT, update_link(instance, nonce)
+        for event in record.fields["arrivals"]:
+            match event:
+                case (EventName.UPDATE_ACKNOWLEDGED, proxy, nonce, _):
+                    yield RecordKind.MESSAGE_RECEIVED, acknowledgement_link(instance, nonce, proxy)
+        for command in record.fields["orders"]:
+            match command:
+                case (CommandName.REQUEST_ACK, nonce, _):
+                    yield RecordKind.MESSAGE_SENT, update_link(instance, nonce)
 
 
 def messages_between(traces: Traces) -> list[Message]:
--- a/oatcart/trace/pseudonyms.py
+++ b/oatcart/trace/pseudonyms.py
@@ -4,7 +4,7 @@
 from hashlib import blake2b
 
 from oatcart.trace.records import Record, RecordKind
-from oatcart.trace.stored_rounds import CommandName
+from oatcart.trace.round_codec import CommandName
 
 PSEUDONYM_LENGTH = 12  # hex digits; enough that a million names do not collide
 # By field, what it names; equal names of one sort get equal pseudonyms
--- a/tests/trace/stored_traces.py
+++ b/tests/trace/stored_traces.py
@@ -19,11 +19,22 @@
 from random import Random
 from unittest import mock
 
-from oatcart import interface as our
+from oatcart.commands import CommandWriter
+from oatcart.model import (
+    AdmissionMode,
+    ChannelLimits,
+    ControllerSettings,
+    DiscoverySettings,
+    Idempotency,
+    RequestClass,
+    WarmUpLimits,
+)
 from oatcart.trace.__main__ import main
+from oatcart.trace.recorder import RoundRecorder, start_record
 from oatcart.trace.records import FIELDS
 from oatcart.trace.records import RecordKind as Kind
-from oatcart.trace.tap import Tap, start_record, started
+from oatcart.trace.replay import new_controller
+from oatcart.trace.round_codec import decode_event
 from oatcart.trace.write_policy import Limits
 from oatcart.trace.writer import Writer
 
@@ -97,20 +108,29 @@
     return told
 
 
-class Host:
-    """An order writer that keeps what has to be answered."""
+class Host(CommandWriter):
+    """A command writer that keeps what has to be answered."""
 
     def __init__(self) -> None:
-        self.marks, self.probes = [], []
+        self.nonces: list[int] = []
+        self.health_checks: list[int] = []
 
-    def ask_ack(self, mark: int, everyone: bool) -> None:
-        self.marks.append(mark)
+    def request_ack(self, nonce: int, all_proxies: bool) -> None:
+        """See `CommandWriter`."""
+        self.nonces.append(nonce)
 
-    def probe(self, node: int) -> None:
-        self.probes.append(node)
+    def check_health(self, endpoint: int) -> None:
+        """See `CommandWriter`."""
+        self.health_checks.append(endpoint)
 
-    def __getattr__(self, name: str):
-        return lambda *args: None
+    def answers(self, now: float) -> list[tuple]:
+        """The stored events that answer all commands since the last call."""
+        events = [("applied", proxy, nonce, 0.0625) for nonce in self.nonces for proxy in range(PROXIES)]
+        outcome = 0 if now > BEGIN + 8 else 4
+        events += [("probed", one, outcome, 0.03125, (None, None, None)) for one in self.health_checks]
+        self.nonces.clear()
+        self.health_checks.clear()
+        return events
 
 
 def within(now: float, first: float, last: float) -> bool:
@@ -156,72 +176,64 @@
     return at.get(now - BEGIN, [])
 
 
+SETTINGS = ControllerSettings(
+    request_classes=(
+        RequestClass(1.0, 0.5, Idempotency.IDEMPOTENT),
+        RequestClass(2.0, 1.0, Idempotency.KEYED, own_zone_only=True),
+        RequestClass(3.0, 1.0, Idempotency.NOT_IDEMPOTENT, zones=(0, 1)),
+    ),
+    discovery=DiscoverySettings(must_watch=True, lists_weights=True),
+    channel=ChannelLimits(400.0, 4.0, 2000.0, 60, 10.0),
+    warm_up=WarmUpLimits(8.0, 0.2, 4.0),
+    report_period=REPORT_EVERY,
+    admission_mode=AdmissionMode.SHARE,
+    cross_zone_price=0.1,
+    health_checks_allowed=True,
+    drain_deadline=4.0,
+    expected_proxies=6.0,
+)
+
+
+def reports(rng: Random, now: float) -> list[tuple]:
+    """The stored events of the load reports at a time."""
+    if (now - BEGIN) % REPORT_EVERY:
+        return []
+    events = [one for place in NAMES if (one := report(rng, now, place))]
+    events += [
+        ("came", proxy, kind, rng.randrange(4, 40), 0, REPORT_EVERY)
+        for proxy in range(PROXIES)
+        for kind in range(CLASSES)
+    ]
+    return events
+
+
 def controller_records() -> list[tuple]:
-    """The records of a decision module that lives through every kind of event."""
-    out, rng, host, wall = [], Random(7), Host(), [1.7e9]
-    settings = dict(
-        kinds=[
-            our.ReqKind(1.0, 0.5, 0),
-            our.ReqKind(2.0, 1.0, 1, home_zone=True),
-            our.ReqKind(3.0, 1.0, 2, zones=(0, 1)),
-        ],
-        roll=our.RollManners(True, True),
-        channel=our.ChannelLimits(400.0, 4.0, 2000.0, 60, 10.0),
-        cold=our.ColdLimits(8.0, 0.2, 4.0),
-        report_period=REPORT_EVERY,
-        admitting="share",
-        crossing_price=0.1,
-        may_probe=True,
-        grace=4.0,
-        usual_proxies=6.0,
-    )
-    names = {"kinds": ["lookup", "slot-update", "fee-charge"], "zones": ["east", "west"]}
-    out.append(start_record(BEGIN, "n0", 0x5EED, settings, names))
-    fields = dict(zip((name for name, _ in FIELDS["start"]), out[0][1:], strict=True))
-    rest: list[tuple] = []
-    tap = Tap(started(fields).round, out.append, lambda: wall[0], rest.extend)
+    """The records of a controller that lives through every kind of event."""
+    records, rng, host = [], Random(7), Host()
+    classes = ["lookup", "slot-update", "fee-charge"]
+    records.append(start_record(BEGIN, "n0", 0x5EED, SETTINGS, classes, ["east", "west"]))
+    start = dict(zip((name for name, _ in FIELDS["start"]), records[0][1:], strict=True))
+    unix = 1.7e9
+    rest: list = []
+    controller = new_controller(start)
+    recorder = RoundRecorder(controller.round, records.append, lambda: unix, rest.extend)
     now = BEGIN
     while now < END:
         if now in (BEGIN, BEGIN + 25):
             for place, name in NAMES.items():
                 if place < ENDPOINTS or now > BEGIN:
-                    tap.name(now, place, name)
-        arrivals = [*rest, *changes(now)]
+                    recorder.name_endpoint(now, place, name)
+        stored = [*changes(now), *reports(rng, now), *host.answers(now)]
+        events = [*rest, *map(decode_event, stored)]
         rest.clear()
-        if (now - BEGIN) % REPORT_EVERY == 0:
-            arrivals += [one for place in NAMES if (one := report(rng, now, place))]
-            arrivals += [
-                ("came", proxy, kind, rng.randrange(4, 40), 0, REPORT_EVERY)
-                for proxy in range(PROXIES)
-                for kind in range(CLASSES)
-            ]
-        arrivals += [("applied", proxy, mark, 0.0625) for mark in host.marks for proxy in range(PROXIES)]
-        arrivals += [
-            ("probed", node, 0 if now > BEGIN + 8 else 4, 0.03125, (None, None, None)) for node in host.probes
-        ]
-        host.marks, host.probes = [], []
-        wall[0] = 1.7e9 + now - BEGIN + (0.5 if now > BEGIN + 30 else 0.0)
+        unix = 1.7e9 + now - BEGIN + (0.5 if now > BEGIN + 30 else 0.0)
         with contextlib.suppress(TypeError):  # of the event that cannot be used
-            tap.round(now, iter(arrivals), host)
+            recorder.round(now, iter(events), host)
         now += ROUND_EVERY
     # n0 has seen a request of proxy-a too
-    out.append(
-        (
-            Kind.REQUEST,
-            BEGIN + 40,
-            21,
-            b"",
-            "proxy-a",
-            "lookup",
-            "east",
-            "east-00",
-            "done",
-            0.05,
-            1,
-            1.0,
-        )
-    )
-    return sorted(out, key=lambda one: one[1])
+    seen = ("proxy-a", "lookup", "east", "east-00", "done", 0.05, 1, 1.0)
+    records.append((Kind.REQUEST, BEGIN + 40, 21, b"", *seen))
+    return sorted(records, key=lambda record: record[1])
 
 
 def proxy_records(rounds: list[tuple]) -> list[tuple]:
