--- a/oatcart/trace/__init__.py
+++ b/oatcart/trace/__init__.py
@@ -1,1 +1,1 @@
-"""Traces: what came, what was decided, and why, on disk; docs/trace.md has the file's grammar."""
+"""Trace files: the events, decisions and requests of an instance on disk; docs/trace.md has the format."""
--- a/oatcart/trace/merge.py
+++ b/oatcart/trace/merge.py
@@ -27,9 +27,9 @@
 
 
 def message_ends(instance: str, record: Record) -> Iterator[tuple[RecordKind, bytes]]:
-    """The message ends that a record tells of: MESSAGE_SENT or MESSAGE_RECEIVED, and the message's name.
+    """The message ends that a record shows: MESSAGE_SENT or MESSAGE_RECEIVED, and the message's name.
 
-    A round tells of the acknowledgements that it asks for and of those that came.
+    A round shows the acknowledgements that it asks for and those that it received.
     """
     if record.kind in (RecordKind.MESSAGE_SENT, RecordKind.MESSAGE_RECEIVED):
         yield RecordKind(record.kind), record.fields["link"]
@@ -92,9 +92,9 @@
 def merge(traces: Traces, reference: str) -> tuple[list[Record], AlignedClocks]:
     """Merge traces into the clock of the instance `reference`.
 
-    The merged records have the fields MERGED_FIELDS. What several instances recorded in the same words,
-    apart from the time, becomes one record with all of them as witnesses; otherwise all records stay. The
-    records of an instance stay in their order, whatever its clock did, and no receipt is before its sending.
+    The merged records have the fields MERGED_FIELDS. What several instances recorded alike, apart from the
+    time, becomes one record with all of them as witnesses; otherwise all records stay. The records of an
+    instance stay in their order, whatever its clock did, and no receipt is before its sending.
     """
     clocks = align_clocks(_spans(traces), messages_between(traces), reference)
     rows = _rows(traces, clocks)
@@ -156,15 +156,15 @@
 
 
 def _join_witnesses(rows: list[_Row]) -> list[Record]:
-    """The merged records of the rows, one for all that tell the same."""
+    """The merged records of the rows, one for all that agree."""
     merged: list[Record] = []
     known: dict[tuple, list[tuple[Record, dict]]] = {}  # by identity, with the fields that have to agree
     for row in rows:
         fields = row.record.fields
         identity = _identity(row.record)
-        told = {name: value for name, value in fields.items() if name not in ("at", "instance")}
+        content = {name: value for name, value in fields.items() if name not in ("at", "instance")}
         if identity is not None:
-            twin = next((other for other, theirs in known.get(identity, ()) if theirs == told), None)
+            twin = next((other for other, theirs in known.get(identity, ()) if theirs == content), None)
             if twin is not None:
                 twin.fields["witnesses"].append(row.name)
                 continue
@@ -172,7 +172,7 @@
         if merged and happened_before(merged[-1], record) is None:
             record.fields["certain"] = 0
         if identity is not None:
-            known.setdefault(identity, []).append((record, told))
+            known.setdefault(identity, []).append((record, content))
         merged.append(record)
     return merged
 
--- a/oatcart/trace/recorder.py
+++ b/oatcart/trace/recorder.py
@@ -10,7 +10,7 @@
 from oatcart.model import ControllerSettings
 from oatcart.trace.command_log import CommandLog
 from oatcart.trace.records import RecordKind, make_record
-from oatcart.trace.round_codec import encode_event, encode_settings
+from oatcart.trace.round_codec import encode_events, encode_settings
 
 CLOCK_INTERVAL = 60.0  # s between two clock records
 MIN_CLOCK_STEP = 0.05  # s of change between Unix time and the instance's clock; less is its drift
@@ -60,8 +60,7 @@
             raise
         finally:
             self._rounds += 1
-            stored_events = [encode_event(event) for event in taken]
-            self._put((RecordKind.ROUND, now, self._rounds, stored_events, log.stored))
+            self._put((RecordKind.ROUND, now, self._rounds, encode_events(taken), log.stored))
             if self._clock_recorded_at is None or now - self._clock_recorded_at >= CLOCK_INTERVAL:
                 self._record_clock(now)
 
--- a/oatcart/trace/records.py
+++ b/oatcart/trace/records.py
@@ -87,7 +87,7 @@
         ("why", "name"),
     ),
 }
-# Fields that a merge adds: who noted it, by how much its time may be off, all who noted it, and whether its
+# Fields that a merge adds: who recorded it, by how much its time may be off, all who did, and whether its
 # place after the record before it is certain
 MERGED_FIELDS: FieldTypes = (
     ("instance", "name"),
--- a/oatcart/trace/round_codec.py
+++ b/oatcart/trace/round_codec.py
@@ -4,7 +4,7 @@
 fields stay as they are for ever, as trace files of older versions hold them.
 """
 
-from collections.abc import Sequence
+from collections.abc import Iterable, Sequence
 from enum import StrEnum
 from math import inf
 
@@ -77,9 +77,10 @@
 TYPES_BY_NAME: dict[str, type] = {name: event_type for event_type, name in NAMES_BY_TYPE.items()}
 
 
-def encode_event(event: Event) -> tuple:
-    """The stored form of an event; the fields of each type are in their stored order."""
-    return (NAMES_BY_TYPE[type(event)], *event)
+def encode_events(events: Iterable[Event]) -> list[tuple]:
+    """The stored form of some events; the fields of each type are in their stored order."""
+    names = NAMES_BY_TYPE
+    return [(names[type(event)],) + event for event in events]  # concatenation is the fastest form
 
 
 def decode_event(stored: Sequence) -> Event:
--- a/oatcart/trace/selection.py
+++ b/oatcart/trace/selection.py
@@ -20,7 +20,7 @@
 def select(records: Iterable[Record], selection: Selection) -> Iterator[Record]:
     """The records of a selection.
 
-    Rounds are kept whole, as half a round cannot be replayed; starts and names are kept whenever they were.
+    Rounds are kept complete, as half of one cannot be replayed; starts and names are kept of any time.
     """
     for record in records:
         if record.kind in (RecordKind.START, RecordKind.ENDPOINT_NAME) or _is_selected(record, selection):
--- a/oatcart/trace/story.py
+++ b/oatcart/trace/story.py
@@ -1,4 +1,4 @@
-"""Tells the events of one request, idempotency key or endpoint, a line each."""
+"""Lists the events of one request, idempotency key or endpoint, a line each."""
 
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
@@ -11,7 +11,7 @@
 
 
 class Subject(NamedTuple):
-    """Whose events are told; empty fields name nobody."""
+    """Whose events are listed; empty fields name nobody."""
 
     key: bytes = b""  # an idempotency key
     request: tuple[str, int] | None = None  # proxy and number
@@ -29,7 +29,7 @@
         )
 
 
-def tell(records: Iterable[Record], subject: Subject) -> list[str]:
+def list_events(records: Iterable[Record], subject: Subject) -> list[str]:
     """The lines of a subject. Two attempts are two lines, and two requests with one key are two requests."""
     lines: list[str] = []
     names: dict[int, str] = {}  # by endpoint
--- a/tests/trace/test_round_codec.py
+++ b/tests/trace/test_round_codec.py
@@ -23,7 +23,7 @@
     EventName,
     decode_event,
     decode_settings,
-    encode_event,
+    encode_events,
     encode_settings,
 )
 
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize(("event", "stored"), EVENTS, ids=lambda value: type(value).__name__)
 def test_an_event_is_stored_under_its_old_name_and_read_back(event, stored):
-    assert through_file(encode_event(event)) == stored
+    assert through_file(encode_events([event])) == (stored,)
     found = decode_event(stored)
     assert found == event and type(found) is type(event)
 
