--- a/oatcart/trace/columns.py
+++ b/oatcart/trace/columns.py
@@ -13,6 +13,7 @@
 
 MICROSECONDS = 1e6  # in a second
 MAX_WIDTH = 8  # bytes of a number
+INFINITE = np.iinfo("<i8").max  # in a column of microseconds
 
 
 class ColumnCoding(IntEnum):
@@ -67,7 +68,7 @@
     place; strings that it lacks are added to it.
     """
     if field_type == "us":
-        return encode_integers(np.rint(np.asarray(values, "<f8") * MICROSECONDS).astype("<i8"))
+        return encode_integers(_to_microseconds(np.asarray(values, "<f8")))
     if field_type == "int":
         return encode_integers(np.asarray(values, "<i8"))
     if field_type == "float":
@@ -83,7 +84,7 @@
 def decode_column(field_type: str, column: list, count: int, names: list[str]) -> list:
     """Decode the `count` values of one field; `names` is the block's string table. Times are in seconds."""
     if field_type == "us":
-        return (decode_integers(column, count) / MICROSECONDS).tolist()
+        return _to_seconds(decode_integers(column, count)).tolist()
     if field_type == "int":
         return decode_integers(column, count).tolist()
     if field_type == "float":
@@ -94,6 +95,19 @@
     return _decode_parts(field_type, column, count)
 
 
+def _to_microseconds(seconds: np.ndarray) -> np.ndarray:
+    """Whole microseconds of durations in seconds; INFINITE for an infinite one."""
+    infinite = np.isposinf(seconds)
+    microseconds = np.rint(np.where(infinite, 0.0, seconds) * MICROSECONDS).astype("<i8")
+    microseconds[infinite] = INFINITE
+    return microseconds
+
+
+def _to_seconds(microseconds: np.ndarray) -> np.ndarray:
+    """The reverse of `_to_microseconds`."""
+    return np.where(microseconds == INFINITE, np.inf, microseconds / MICROSECONDS)
+
+
 def _decode_parts(field_type: str, column: list, count: int) -> list:
     """Decode a column of byte strings or of msgpack values, whose lengths come first."""
     *lengths, data = column
--- a/tests/trace/test_trace_merge.py
+++ b/tests/trace/test_trace_merge.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from trace_helpers import record, request
+from trace_helpers import read, record, request
 
 from oatcart.trace import __main__ as command
 from oatcart.trace.clock_alignment import align_clocks
@@ -104,6 +104,18 @@
     assert clocks.by_instance["b"].end_bounds[0] == inf
 
 
+def test_the_bound_of_an_unconnected_instance_stays_unbounded_in_a_file(tmp_path, capsys):
+    paths = [str(tmp_path / name) for name in "ab"]
+    for path, name in zip(paths, "ab", strict=True):
+        write_trace(path, {"instance": name}, [record(*request(1.0, 1, proxy=name))], FIELDS)
+    out = str(tmp_path / "both")
+    assert command.main(["merge", *paths, "--out", out]) == 0
+    assert [one.fields["bound"] for one in read(out)] == [0.0, inf]
+    capsys.readouterr()
+    assert command.main(["show", "--req", "b:1", out]) == 0
+    assert capsys.readouterr().out.startswith("1.000000 ±inf b:1 ")
+
+
 @pytest.mark.parametrize("empty", ["a", "b", "c"])
 def test_an_instance_without_records_is_merged_too(empty):
     records = [record(Kind.CLOCK, 1.0, 2.0, 0.0), record(Kind.CLOCK, 2.0, 3.0, 0.0)]
