--- a/oatcart/trace/generate.py
+++ b/oatcart/trace/generate.py
@@ -1,13 +1,18 @@
-"""A seeded hour of reqs and rounds, as a fleet would leave it; for tests and the benchmark. Small, and no
-model of load: the rounds are a real conductor's, the reqs are drawn by its tables' weights."""
+"""Generates the trace of a small fleet from a seed, for tests and benchmarks.
+
+No model of load: the rounds are those of a real controller, the requests are drawn by its tables' weights.
+"""
 
 from collections.abc import Iterator
 from random import Random
+from typing import NamedTuple
 
+from oatcart.commands import CommandWriter
 from oatcart.events import (
     EndpointEntry,
     EndpointListReceived,
     EndpointLoadReported,
+    Event,
     ProxyJoined,
     ProxyLoadReported,
     UpdateAcknowledged,
@@ -24,136 +29,206 @@
     WarmUpLimits,
 )
 from oatcart.policy import Controller
-from oatcart.trace.records import DENIED, DONE, ERRORED, REQ, TRY, make
-from oatcart.trace.tap import Tap, start_record
-
-KINDS = [
-    ("lookup", RequestClass(1.0, 0.5, Idempotency.IDEMPOTENT), 0.8),
-    ("slot-update", RequestClass(2.0, 1.0, Idempotency.KEYED), 0.15),
-    ("fee-charge", RequestClass(3.0, 1.0, Idempotency.NOT_IDEMPOTENT), 0.05),
-]
+from oatcart.trace.recorder import RoundRecorder, start_record
+from oatcart.trace.records import RecordKind, RequestOutcome, make_record
+
+
+class GeneratedClass(NamedTuple):
+    """A request class: its name, its share of the requests, what the controller knows of it."""
+
+    name: str
+    share: float
+    request_class: RequestClass
+
+
+CLASSES = (
+    GeneratedClass("lookup", 0.8, RequestClass(1.0, 0.5, Idempotency.IDEMPOTENT)),
+    GeneratedClass("slot-update", 0.15, RequestClass(2.0, 1.0, Idempotency.KEYED)),
+    GeneratedClass("fee-charge", 0.05, RequestClass(3.0, 1.0, Idempotency.NOT_IDEMPOTENT)),
+)
 ZONES = ["east", "west"]
-NODES, PROXIES, PERIOD = 12, 150, 1.0  # nodes, proxies, s between reports
+ENDPOINTS = 12
+PROXIES = 150
+REPORT_PERIOD = 1.0  # s
+ROUND_INTERVAL = 0.25  # s
+UNIX_OFFSET = 1.7e9  # s from the instance's clock to Unix time
+ACKNOWLEDGED_AFTER = 0.05  # s
+FAILING_SHARE = 0.01  # of attempts
+KEY_BYTES = 8
+SETTINGS = ControllerSettings(
+    request_classes=tuple(generated.request_class for generated in CLASSES),
+    discovery=DiscoverySettings(),
+    channel=ChannelLimits(1e5, 4, 1e5, 40, 10.0),
+    warm_up=WarmUpLimits(16.0, 0.2, 4.0),
+    report_period=REPORT_PERIOD,
+    admission_mode=AdmissionMode.SHARE,
+    cross_zone_price=0.1,
+    health_checks_allowed=True,
+)
 
 
-class _Host:
-    """An order writer that keeps weights and acknowledges marks."""
+class TableKeeper(CommandWriter):
+    """A command writer that keeps the latest weight of each endpoint, ejections, and nonces asked for."""
 
     def __init__(self) -> None:
-        self.weights, self.marks, self.out = {}, [], set()
+        self.weights: dict[int, float] = {}
+        self.ejected: set[int] = set()
+        self.nonces: list[int] = []
 
-    def set_weight(self, table: int, node: int, weight: float) -> None:
-        self.weights[node] = weight
+    def set_weight(self, table: int, endpoint: int, weight: float) -> None:
+        """See `CommandWriter`."""
+        self.weights[endpoint] = weight
 
-    def set_ejected(self, node: int, out: bool) -> None:
-        (self.out.add if out else self.out.discard)(node)
+    def set_ejected(self, endpoint: int, ejected: bool) -> None:
+        """See `CommandWriter`."""
+        if ejected:
+            self.ejected.add(endpoint)
+        else:
+            self.ejected.discard(endpoint)
 
-    def request_ack(self, mark: int, everyone: bool) -> None:
-        self.marks.append(mark)
+    def request_ack(self, nonce: int, all_proxies: bool) -> None:
+        """See `CommandWriter`."""
+        self.nonces.append(nonce)
 
-    def __getattr__(self, name: str):
-        return lambda *args: None
+    def usable(self) -> list[int]:
+        """The endpoints that requests may go to."""
+        return [
+            endpoint
+            for endpoint, weight in self.weights.items()
+            if weight > 0 and endpoint not in self.ejected
+        ]
 
 
-def records(
-    seed: int, seconds: float, a_second: float, instance: str = "n0", begin: float = 1000.0
-) -> Iterator[tuple]:
-    """Records as a writer takes them, in order of time: a conductor's rounds, and reqs of its proxies."""
-    rng, out = Random(seed), []
-    told = ControllerSettings(
-        request_classes=tuple(kind for _, kind, _ in KINDS),
-        discovery=DiscoverySettings(),
-        channel=ChannelLimits(1e5, 4, 1e5, 40, 10.0),
-        warm_up=WarmUpLimits(16.0, 0.2, 4.0),
-        report_period=PERIOD,
-        admission_mode=AdmissionMode.SHARE,
-        cross_zone_price=0.1,
-        health_checks_allowed=True,
-    )
-    names = {place: f"{ZONES[place % 2]}-{place:02}" for place in range(NODES)}
-    host, now, wall = _Host(), begin, 1.7e9
-    tap = Tap(Controller(told, seed).round, out.append, lambda: now + wall)
-    yield start_record(now, instance, seed, told, {"kinds": [name for name, *_ in KINDS], "zones": ZONES})
-    for place, name in names.items():
-        tap.name(now, place, name)
-    came = [
-        EndpointListReceived(
-            True, [EndpointEntry(place, place % 2, 0.0, EndpointState.READY, 1.0) for place in range(NODES)]
-        ),
-        *(ProxyJoined(proxy, proxy % 2, a_second / PROXIES, True) for proxy in range(PROXIES)),
-    ]
-    ids, look, due, next_req = [0] * PROXIES, begin, begin, begin
-    met: dict[tuple, list] = {}
-    shares = [share for *_, share in KINDS]
-    while now < begin + seconds:
-        if next_req < look:
-            now = next_req
-            next_req += rng.expovariate(a_second)
-            yield from _req(rng, now, ids, names, host, met, shares)
-            continue
-        now = look
-        look += 0.25
-        if now >= due:
-            due += PERIOD
-            came += [
-                EndpointLoadReported(
-                    node,
-                    zone,
-                    PERIOD,
-                    took / max(1, good),
-                    errored,
-                    good + errored,
-                    LoadReport(None, rng.uniform(0.2, 0.7), None),
-                )
-                for (node, zone), (good, errored, took) in sorted(met.items())
-            ]
-            came += [ProxyLoadReported(proxy, 0, rng.randrange(1, 8), 0, PERIOD) for proxy in range(PROXIES)]
-            met.clear()
-        came += [UpdateAcknowledged(proxy, mark, 0.05) for mark in host.marks for proxy in range(PROXIES)]
-        host.marks = []
-        tap.round(now, iter(came), host)
-        came = []
-        yield from out
-        out.clear()
-
-
-def _req(
-    rng: Random, now: float, ids: list[int], names: dict, host: _Host, met: dict, shares: list
-) -> Iterator[tuple]:
-    proxy, at = rng.randrange(PROXIES), rng.choices(range(len(KINDS)), shares)[0]
-    kind, req, _ = KINDS[at]
-    ids[proxy] += 1
-    key = b"" if req.idempotency == Idempotency.IDEMPOTENT else rng.randbytes(8)
-    open_to = [node for node, weight in host.weights.items() if weight > 0 and node not in host.out]
-    who = f"proxy-{proxy:03}"
-    if not open_to:
-        yield make(
-            REQ, now, ids[proxy], key, who, kind, ZONES[proxy % 2], "", DENIED, 0.0, 0, req.priority_weight
+class _Seen:
+    """What the proxies of a zone saw of an endpoint since the last report."""
+
+    def __init__(self) -> None:
+        self.succeeded = 0
+        self.failed = 0
+        self.duration = 0.0  # s, of the attempts that did not fail
+
+
+class _Fleet:
+    """Proxies that forward requests by the controller's tables and report what they see."""
+
+    def __init__(self, seed: int, request_rate: float) -> None:
+        self.random = Random(seed)
+        self.request_rate = request_rate  # requests/s of all proxies
+        self.tables = TableKeeper()
+        self.names = {place: f"{ZONES[place % 2]}-{place:02}" for place in range(ENDPOINTS)}
+        self.request_counts = [0] * PROXIES
+        self.seen: dict[tuple[int, int], _Seen] = {}  # by endpoint and zone
+
+    def first_events(self) -> list[Event]:
+        entries = [
+            EndpointEntry(place, place % 2, 0.0, EndpointState.READY, 1.0) for place in range(ENDPOINTS)
+        ]
+        rate = self.request_rate / PROXIES
+        joined = [ProxyJoined(proxy, proxy % 2, rate, True) for proxy in range(PROXIES)]
+        return [EndpointListReceived(True, entries), *joined]
+
+    def load_reports(self) -> list[Event]:
+        events: list[Event] = []
+        for (endpoint, zone), seen in sorted(self.seen.items()):
+            load = LoadReport(None, self.random.uniform(0.2, 0.7), None)
+            mean = seen.duration / max(1, seen.succeeded)
+            attempts = seen.succeeded + seen.failed
+            events.append(
+                EndpointLoadReported(endpoint, zone, REPORT_PERIOD, mean, seen.failed, attempts, load)
+            )
+        events += [
+            ProxyLoadReported(proxy, 0, self.random.randrange(1, 8), 0, REPORT_PERIOD)
+            for proxy in range(PROXIES)
+        ]
+        self.seen.clear()
+        return events
+
+    def acknowledgements(self) -> list[Event]:
+        nonces, self.tables.nonces = self.tables.nonces, []
+        return [
+            UpdateAcknowledged(proxy, nonce, ACKNOWLEDGED_AFTER)
+            for nonce in nonces
+            for proxy in range(PROXIES)
+        ]
+
+    def request(self, now: float) -> Iterator[tuple]:
+        """The records of a request that comes now."""
+        proxy = self.random.randrange(PROXIES)
+        name, _, request_class = self.random.choices(CLASSES, [one.share for one in CLASSES])[0]
+        idempotent = request_class.idempotency == Idempotency.IDEMPOTENT
+        self.request_counts[proxy] += 1
+        common = {
+            "at": now,
+            "id": self.request_counts[proxy],
+            "key": b"" if idempotent else self.random.randbytes(KEY_BYTES),
+            "proxy": f"proxy-{proxy:03}",
+            "kind": name,
+        }
+        attempts, endpoint, outcome, duration = 0, "", RequestOutcome.REJECTED, 0.0
+        usable = self.tables.usable()
+        while usable:
+            attempts += 1
+            endpoint, duration, failed = self._attempt(usable, proxy % 2)
+            outcome = RequestOutcome.FAILED if failed else RequestOutcome.SUCCEEDED
+            if not (failed and attempts == 1 and idempotent):
+                break
+            attempt = {"number": attempts, "node": endpoint, "ending": "RESET", "took": duration}
+            yield make_record(RecordKind.ATTEMPT, **common, **attempt)
+        yield make_record(
+            RecordKind.REQUEST,
+            **common,
+            zone=ZONES[proxy % 2],
+            node=endpoint,
+            outcome=outcome,
+            took=duration,
+            tries=attempts,
+            value=request_class.priority_weight,
         )
-        return
-    tries = 0
-    while True:
-        tries += 1
-        node = rng.choices(open_to, [host.weights[one] for one in open_to])[0]
-        took, fails = rng.lognormvariate(-3.2, 0.5), rng.random() < 0.01
-        row = met.setdefault((node, proxy % 2), [0, 0, 0.0])
-        row[1 if fails else 0] += 1
-        row[2] += 0.0 if fails else took
-        if fails and tries == 1 and req.idempotency == Idempotency.IDEMPOTENT:
-            yield make(TRY, now, ids[proxy], key, who, kind, tries, names[node], "RESET", took)
+
+    def _attempt(self, usable: list[int], zone: int) -> tuple[str, float, bool]:
+        """Forward a request: the endpoint's name, the duration in seconds, whether it failed."""
+        weights = [self.tables.weights[endpoint] for endpoint in usable]
+        endpoint = self.random.choices(usable, weights)[0]
+        duration = self.random.lognormvariate(-3.2, 0.5)
+        failed = self.random.random() < FAILING_SHARE
+        seen = self.seen.setdefault((endpoint, zone), _Seen())
+        if failed:
+            seen.failed += 1
+        else:
+            seen.succeeded += 1
+            seen.duration += duration
+        return self.names[endpoint], duration, failed
+
+
+def generate_records(
+    seed: int, duration: float, request_rate: float, instance: str = "n0", begin: float = 1000.0
+) -> Iterator[tuple]:
+    """The records of `duration` seconds, in order of time, as a `Writer` takes them.
+
+    `request_rate` is in requests/s of all proxies, `begin` the first time in seconds.
+    """
+    fleet = _Fleet(seed, request_rate)
+    pending: list[tuple] = []
+    now = begin
+    recorder = RoundRecorder(Controller(SETTINGS, seed).round, pending.append, lambda: now + UNIX_OFFSET)
+    yield start_record(now, instance, seed, SETTINGS, [one.name for one in CLASSES], ZONES)
+    for endpoint, name in fleet.names.items():
+        recorder.name_endpoint(now, endpoint, name)
+    events = fleet.first_events()
+    next_round = next_report = next_request = begin
+    while now < begin + duration:
+        if next_request < next_round:
+            now = next_request
+            next_request += fleet.random.expovariate(request_rate)
+            yield from fleet.request(now)
             continue
-        yield make(
-            REQ,
-            now,
-            ids[proxy],
-            key,
-            who,
-            kind,
-            ZONES[proxy % 2],
-            names[node],
-            ERRORED if fails else DONE,
-            took,
-            tries,
-            req.priority_weight,
-        )
-        return
+        now = next_round
+        next_round += ROUND_INTERVAL
+        if now >= next_report:
+            next_report += REPORT_PERIOD
+            events += fleet.load_reports()
+        events += fleet.acknowledgements()
+        recorder.round(now, iter(events), fleet.tables)
+        events = []
+        yield from pending
+        pending.clear()
