--- a/oatcart/proxy/__init__.py
+++ b/oatcart/proxy/__init__.py
@@ -1,1 +1,6 @@
-"""A data-plane proxy's decisions: which node, what is let in, whether to try again. Free of I/O and clock."""
+"""Decisions of a data-plane proxy.
+
+Which endpoint gets a request, whether it is admitted, over which connection it goes, whether it is retried,
+and what the proxy does without a controller. None of the modules does I/O or reads a clock: the caller passes
+the time.
+"""
--- a/oatcart/proxy/admission.py
+++ b/oatcart/proxy/admission.py
@@ -1,55 +1,77 @@
-"""What is let in: a share or a rate by request kind; who is turned away hears so at once. Free of I/O and
-clock.
+"""Admission control of a proxy: quotas as a share of requests or as a rate.
+
+A rejected request is answered at once, with a Retry-After that grows as less is admitted and that is spread
+at random, so that rejected clients do not return together.
 """
 
 from collections.abc import Callable
+from dataclasses import dataclass
+from http import HTTPStatus
 from typing import NamedTuple
 
-STATUS_OVERLOADED, STATUS_RATE_LIMITED = 503, 429  # statuses: a share is a sign of load, a rate is a limit
-RETRY_AFTER_MIN_SECONDS, RETRY_AFTER_MAX_SECONDS = 1, 30  # s, whole ones as the header has them
-BURST_SECONDS = 1.0  # s of a rate that may come at once
+RETRY_AFTER_MIN_SECONDS = 1
+RETRY_AFTER_MAX_SECONDS = 30
+RETRY_AFTER_SPREAD = 1.5  # the longest Retry-After as a multiple of the shortest
+BURST_SECONDS = 1.0  # a token bucket holds what its rate admits in this time
 
 
 class Rejection(NamedTuple):
-    """Turned away: the status and the seconds after which to come back."""
+    """Answer to a request that is not admitted."""
+
+    status: (
+        HTTPStatus  # 503 where a share is admitted, as that is a sign of load; 429 where a rate is exceeded
+    )
+    retry_after: int  # whole seconds, as the header has them
+
+
+@dataclass(slots=True)
+class TokenBucket:
+    """Requests of one class that may be admitted at once."""
+
+    tokens: float  # requests
+    refilled_at: float  # s of the caller's clock
 
-    status: int
-    retry_after: int
+    def refill(self, now: float, rate: float) -> None:
+        """Add what `rate` (requests/s) admits in the time since the last refill, up to the bucket's size."""
+        refilled = self.tokens + max(0.0, now - self.refilled_at) * rate
+        self.tokens = min(bucket_size(rate), refilled)
+        self.refilled_at = now
+
+
+def bucket_size(rate: float) -> float:
+    """Requests that a rate (requests/s) admits at once: at least one."""
+    return max(1.0, rate * BURST_SECONDS)
 
 
 class AdmissionControl:
-    """`uniform(a, b)` is the seeded chance, for shares and for spreading returns."""
+    """Admits or rejects requests by the quota of their class.
+
+    `uniform(a, b)` is the random source, for shares and for the spread of Retry-After.
+    """
 
     def __init__(self, uniform: Callable[[float, float], float]) -> None:
-        self.uniform = uniform
-        # by kind: reqs that may come now, and when that was
-        self.buckets: dict[str, tuple[float, float]] = {}
+        self._uniform = uniform
+        self._buckets: dict[str, TokenBucket] = {}  # by request class
 
     def check_share(self, admitted_share: float) -> Rejection | None:
-        if admitted_share >= 1.0 or self.uniform(0.0, 1.0) < admitted_share:
+        """Admit a request with the probability `admitted_share` (0 to 1); None where it is admitted."""
+        if admitted_share >= 1.0 or self._uniform(0.0, 1.0) < admitted_share:
             return None
-        # the less is let in, the longer the way back, and not all at once
-        return Rejection(
-            STATUS_OVERLOADED,
-            self._spread_retry_after(
-                RETRY_AFTER_MIN_SECONDS
-                / max(admitted_share, RETRY_AFTER_MIN_SECONDS / RETRY_AFTER_MAX_SECONDS)
-            ),
-        )
+        smallest_share = RETRY_AFTER_MIN_SECONDS / RETRY_AFTER_MAX_SECONDS
+        shortest_wait = RETRY_AFTER_MIN_SECONDS / max(admitted_share, smallest_share)
+        return Rejection(HTTPStatus.SERVICE_UNAVAILABLE, self._retry_after(shortest_wait))
 
     def check_rate(self, now: float, request_class: str, rate: float) -> Rejection | None:
-        tokens, refilled_at = self.buckets.get(request_class, (max(1.0, rate * BURST_SECONDS), now))
-        tokens = min(max(1.0, rate * BURST_SECONDS), tokens + max(0.0, now - refilled_at) * rate)
-        if tokens < 1.0:
-            self.buckets[request_class] = tokens, now
-            return Rejection(
-                STATUS_RATE_LIMITED,
-                self._spread_retry_after((1.0 - tokens) / rate if rate > 0 else RETRY_AFTER_MAX_SECONDS),
-            )
-        self.buckets[request_class] = tokens - 1.0, now
-        return None
-
-    def _spread_retry_after(self, seconds: float) -> int:
-        return round(
-            min(RETRY_AFTER_MAX_SECONDS, max(RETRY_AFTER_MIN_SECONDS, seconds * self.uniform(1.0, 1.5)))
-        )
+        """Admit a request of a class up to `rate` (requests/s); None where it is admitted."""
+        bucket = self._buckets.setdefault(request_class, TokenBucket(bucket_size(rate), now))
+        bucket.refill(now, rate)
+        if bucket.tokens >= 1.0:
+            bucket.tokens -= 1.0
+            return None
+        until_next_token = (1.0 - bucket.tokens) / rate if rate > 0 else RETRY_AFTER_MAX_SECONDS
+        return Rejection(HTTPStatus.TOO_MANY_REQUESTS, self._retry_after(until_next_token))
+
+    def _retry_after(self, shortest_wait: float) -> int:
+        """Retry-After in whole seconds, between a wait (s) and that wait times the spread, within bounds."""
+        wait = shortest_wait * self._uniform(1.0, RETRY_AFTER_SPREAD)
+        return round(min(RETRY_AFTER_MAX_SECONDS, max(RETRY_AFTER_MIN_SECONDS, wait)))
--- a/oatcart/proxy/disconnected.py
+++ b/oatcart/proxy/disconnected.py
@@ -1,82 +1,90 @@
-"""What a proxy without a conductor may still do on the table it has. Free of I/O and clock.
+"""Operation of a proxy that no controller serves.
 
-Lines stay good for long, as nodes change seldom; what the table says of load does not. So it goes on serving,
-lets nobody back in whom it was told to shut out, opens its level to what it knows of itself, and takes its
-own evidence for a node that refuses. What ends it is the grace: past it, a node that refuses is left out
-until it answers a probe of its own.
+The endpoints of a routing table stay valid for long; what it says of load does not. The proxy keeps serving
+by the table it has and restores no ejected endpoint. Its quota opens with time to what the proxy itself can
+judge, and endpoints that refuse connections are excluded for some seconds, with backoff.
 """
 
 from dataclasses import dataclass, field
 
-REFUSALS_TO_EXCLUDE = 3  # in a row, of connections: a node that is gone refuses all of them
-EXCLUSION_MIN_SECONDS, EXCLUSION_MAX_SECONDS = (
-    2.0,
-    30.0,
-)  # s; waits until such a node is tried again, doubled each time
+REFUSALS_TO_EXCLUDE = 3  # connections refused in a row; an endpoint that is gone refuses all
+EXCLUSION_MIN_SECONDS = 2.0  # the first exclusion of an endpoint; each further one is twice as long
+EXCLUSION_MAX_SECONDS = 30.0
 
 
 @dataclass(slots=True)
 class SuspectEndpoint:
-    connection_refused: int = 0
-    excluded_until: float = 0.0
-    backoff: float = EXCLUSION_MIN_SECONDS
+    """An endpoint that has refused connections since it last answered."""
+
+    refusals: int = 0
+    excluded_until: float = 0.0  # s of the caller's clock
+    next_exclusion: float = EXCLUSION_MIN_SECONDS  # s
+
+    def exclude(self, now: float) -> None:
+        """Exclude the endpoint from `now` (s) on, and double the next exclusion up to its bound."""
+        self.excluded_until = now + self.next_exclusion
+        self.next_exclusion = min(EXCLUSION_MAX_SECONDS, self.next_exclusion * 2)
 
 
 @dataclass(slots=True)
 class DisconnectedOperation:
-    """`level_good_for`: s after which a level below 1 is no longer believed, as nobody would lift it."""
+    """What one proxy may use while it has no controller; times are s of the caller's clock.
+
+    `quota_valid_for` (s): how long a reduced quota holds after the controller was lost, as nobody lifts it.
+    """
 
     quota_valid_for: float
-    disconnected_at: float | None = None  # when the last stream was lost; None: a conductor is there
+    disconnected_at: float | None = None  # None while a controller serves the proxy
     suspects: dict[str, SuspectEndpoint] = field(default_factory=dict)
 
     def controller_lost(self, now: float) -> None:
+        """The last stream has ended."""
         if self.disconnected_at is None:
             self.disconnected_at = now
 
     def controller_restored(self) -> None:
-        """A conductor has told of its table: its word replaces our doubts."""
+        """A controller has sent its routing table, which replaces the proxy's own evidence."""
         self.disconnected_at = None
         self.suspects.clear()
 
     def connection_refused(self, now: float, endpoint: str) -> None:
+        """An endpoint has refused a connection; without a controller, enough of them in a row exclude it."""
         suspect = self.suspects.setdefault(endpoint, SuspectEndpoint())
-        suspect.connection_refused += 1
-        if (
-            self.disconnected_at is not None
-            and suspect.connection_refused >= REFUSALS_TO_EXCLUDE
-            and now >= suspect.excluded_until
-        ):
-            suspect.excluded_until, suspect.backoff = (
-                now + suspect.backoff,
-                min(EXCLUSION_MAX_SECONDS, suspect.backoff * 2),
-            )
+        suspect.refusals += 1
+        if self.disconnected_at is None or suspect.refusals < REFUSALS_TO_EXCLUDE:
+            return
+        if now >= suspect.excluded_until:
+            suspect.exclude(now)
 
     def endpoint_answered(self, endpoint: str) -> None:
+        """An endpoint has answered, so it is no longer suspect."""
         self.suspects.pop(endpoint, None)
 
-    def usable_weights(self, now: float, usable_weights: dict[str, float]) -> dict[str, float]:
-        """The lines that may be used now; where all are in doubt, all of them: some may be back, and none is
-        better.
+    def usable_weights(self, now: float, weights: dict[str, float]) -> dict[str, float]:
+        """Return the weights of the endpoints that are not excluded now.
+
+        Where all are excluded, all are returned: some may be back, and no endpoint at all serves nobody.
         """
         if self.disconnected_at is None:
-            return usable_weights
-        kept = {
-            endpoint: weight
-            for endpoint, weight in usable_weights.items()
-            if endpoint not in self.suspects or now >= self.suspects[endpoint].excluded_until
+            return weights
+        usable = {
+            endpoint: weight for endpoint, weight in weights.items() if not self._is_excluded(now, endpoint)
         }
-        return kept or usable_weights
+        return usable or weights
 
-    def quota(self, now: float, quota: float, fallback_quota: float) -> float:
-        """The level in force: as told while a conductor is there and for a while after, then slowly open to
-        `usual`.
+    def _is_excluded(self, now: float, endpoint: str) -> bool:
+        return endpoint in self.suspects and now < self.suspects[endpoint].excluded_until
+
+    def quota_in_force(self, now: float, quota: float, fallback_quota: float) -> float:
+        """Return the quota to admit by, in the unit of `quota` (a share, or requests/s).
+
+        `quota` is the controller's last; it holds while a controller serves and `quota_valid_for` after. Then
+        it rises in as much time again to `fallback_quota`, the proxy's own. A quota above that stays.
         """
-        if self.disconnected_at is None or now - self.disconnected_at <= self.quota_valid_for:
+        if self.disconnected_at is None or quota >= fallback_quota:
+            return quota
+        expired_for = now - self.disconnected_at - self.quota_valid_for
+        if expired_for <= 0.0:
             return quota
-        over = (now - self.disconnected_at - self.quota_valid_for) / self.quota_valid_for
-        return (
-            min(fallback_quota, quota + (fallback_quota - quota) * min(1.0, over))
-            if quota < fallback_quota
-            else quota
-        )
+        opened = min(1.0, expired_for / self.quota_valid_for)
+        return min(fallback_quota, quota + (fallback_quota - quota) * opened)
--- a/oatcart/proxy/endpoint_selection.py
+++ b/oatcart/proxy/endpoint_selection.py
@@ -1,4 +1,8 @@
-"""Which node gets a req: of two drawn by weight, the one with less of this proxy's own work out. No I/O."""
+"""Selection of the endpoint of a request: power of two choices.
+
+Two endpoints are drawn by weight; the one with fewer requests of this proxy in flight gets the request.
+Weights are those of a routing table, in points.
+"""
 
 from bisect import bisect
 from collections.abc import Callable, Collection, Mapping
@@ -6,47 +10,55 @@
 
 
 class EndpointSelector:
-    """`uniform()` is the seeded chance, from 0 up to 1. `busy`: reqs of this proxy at each node."""
+    """Selects endpoints and counts the requests that this proxy has in flight at each.
+
+    `random()` is the random source, uniform from 0 up to 1.
+    """
 
     def __init__(self, random: Callable[[], float]) -> None:
-        self.random = random
-        self.in_flight: dict[str, int] = {}
+        self._random = random
+        self.in_flight: dict[str, int] = {}  # requests by endpoint; endpoints without any are left out
 
     def select(self, weights: Mapping[str, float], attempted: Collection[str] = ()) -> str | None:
-        """A node of these lines; None where there is none. Nodes already tried are left out while there are
-        others: a second try at the node that just failed is worth least, and better than none where the
-        caller asks for it."""
-        not_attempted = {
-            endpoint: weight for endpoint, weight in weights.items() if endpoint not in attempted
-        }
-        weights = not_attempted or weights
-        if not weights:
+        """Return the endpoint of an attempt; None where the table has none.
+
+        Endpoints already attempted are avoided while there are others, as a retry at the endpoint that just
+        failed is the least likely to succeed.
+        """
+        candidates = {name: weight for name, weight in weights.items() if name not in attempted} or weights
+        if not candidates:
             return None
-        first = self._draw(weights)
-        second = (
-            self._draw({endpoint: weight for endpoint, weight in weights.items() if endpoint != first})
-            if len(weights) > 1
-            else first
-        )
+        first = self._draw(candidates)
+        others = {name: weight for name, weight in candidates.items() if name != first}
+        if not others:
+            return first
+        second = self._draw(others)
         return second if self.in_flight.get(second, 0) < self.in_flight.get(first, 0) else first
 
     def _draw(self, weights: Mapping[str, float]) -> str:
-        endpoints, cumulative = list(weights), list(accumulate(weights.values()))
-        return endpoints[min(bisect(cumulative, self.random() * cumulative[-1]), len(endpoints) - 1)]
+        """Return one endpoint, with a probability in proportion to its weight."""
+        endpoints = list(weights)
+        cumulative = list(accumulate(weights.values()))
+        place = bisect(cumulative, self._random() * cumulative[-1])
+        return endpoints[min(place, len(endpoints) - 1)]
 
-    def request_started(self, endpoint: str) -> None:
+    def attempt_started(self, endpoint: str) -> None:
+        """Count one more request in flight at an endpoint."""
         self.in_flight[endpoint] = self.in_flight.get(endpoint, 0) + 1
 
-    def request_ended(self, endpoint: str) -> None:
-        left = self.in_flight.get(endpoint, 0) - 1
-        if left > 0:
-            self.in_flight[endpoint] = left
+    def attempt_ended(self, endpoint: str) -> None:
+        """Count one request less in flight at an endpoint; no effect where none is counted."""
+        remaining = self.in_flight.get(endpoint, 0) - 1
+        if remaining > 0:
+            self.in_flight[endpoint] = remaining
         else:
             self.in_flight.pop(endpoint, None)
 
 
 def selection_probabilities(weights: Mapping[str, float]) -> dict[str, float]:
-    """How often each node is picked where all are equally busy: it is the first of the two drawn.
+    """Return how often each endpoint is selected where all have equally many requests in flight.
+
+    The first of the two drawn is selected then.
 
     >>> selection_probabilities({"a": 1.0, "b": 3.0})
     {'a': 0.25, 'b': 0.75}
@@ -56,15 +68,16 @@
 
 
 def idle_selection_probability(weights: Mapping[str, float], idle: str) -> float:
-    """How often one idle node is picked where all others are busy: it is drawn first, or second after
-    another.
+    """Return how often the only idle endpoint is selected: it is drawn first, or second after another.
 
     >>> round(idle_selection_probability({"a": 1.0, "b": 1.0, "c": 2.0}, "a"), 4)
     0.5833
     """
-    total, idle_weight = sum(weights.values()), weights[idle]
-    return idle_weight / total + sum(
+    total = sum(weights.values())
+    idle_weight = weights[idle]
+    drawn_second = (
         weight / total * idle_weight / (total - weight)
         for endpoint, weight in weights.items()
         if endpoint != idle
     )
+    return idle_weight / total + sum(drawn_second)
--- a/tests/proxy/test_proxy_admission.py
+++ b/tests/proxy/test_proxy_admission.py
@@ -1,20 +1,22 @@
 """Admission: quotas by share and by rate, and when a rejected client may return."""
 
+from http import HTTPStatus
 from random import Random
 
-from oatcart.proxy.admission import STATUS_OVERLOADED, STATUS_RATE_LIMITED, AdmissionControl
+from oatcart.proxy.admission import RETRY_AFTER_MAX_SECONDS, AdmissionControl
 
 
-def test_levels_by_share_and_by_rate_say_when_to_come_back():
-    one = AdmissionControl(Random(2).uniform)
-    denied = [found for _ in range(10_000) if (found := one.check_share(0.3))]
-    assert abs(len(denied) - 7000) < 250 and {found.status for found in denied} == {STATUS_OVERLOADED}
-    assert (
-        min(found.retry_after for found in denied) >= 1 and len({found.retry_after for found in denied}) > 1
-    )
-    assert one.check_share(1.0) is None and one.check_share(0.0).retry_after == 30
-    came = [one.check_rate(at / 100, "lookup", 20.0) for at in range(1000)]  # ten seconds of 100 a second
-    assert 200 <= came.count(None) <= 221 and {found.status for found in came if found} == {
-        STATUS_RATE_LIMITED
-    }
-    assert one.check_rate(10.0, "fee", 0.0) is None and one.check_rate(10.0, "fee", 0.0).retry_after == 30
+def test_quotas_by_share_and_by_rate_tell_when_to_return():
+    admission = AdmissionControl(Random(2).uniform)
+    rejections = [found for _ in range(10_000) if (found := admission.check_share(0.3))]
+    assert abs(len(rejections) - 7000) < 250
+    assert {found.status for found in rejections} == {HTTPStatus.SERVICE_UNAVAILABLE} == {503}
+    assert min(found.retry_after for found in rejections) >= 1
+    assert len({found.retry_after for found in rejections}) > 1
+    assert admission.check_share(1.0) is None
+    assert admission.check_share(0.0).retry_after == RETRY_AFTER_MAX_SECONDS == 30
+    answers = [admission.check_rate(at / 100, "lookup", 20.0) for at in range(1000)]  # 10 s of 100 requests/s
+    assert 200 <= answers.count(None) <= 221
+    assert {found.status for found in answers if found} == {HTTPStatus.TOO_MANY_REQUESTS} == {429}
+    assert admission.check_rate(10.0, "fee", 0.0) is None
+    assert admission.check_rate(10.0, "fee", 0.0).retry_after == 30
--- a/tests/proxy/test_proxy_endpoint_selection.py
+++ b/tests/proxy/test_proxy_endpoint_selection.py
@@ -9,34 +9,35 @@
     selection_probabilities,
 )
 
+CHI_SQUARE_3_DEGREES = 16.3  # exceeded once in a thousand
+CHI_SQUARE_1_DEGREE = 10.8
 
-def chi_square(found, wanted, count):
-    return sum((found[endpoint] - share * count) ** 2 / (share * count) for endpoint, share in wanted.items())
+
+def chi_square(observed, probabilities, count):
+    return sum(
+        (observed[name] - share * count) ** 2 / (share * count) for name, share in probabilities.items()
+    )
 
 
-def test_draws_are_the_exact_two_draw_odds():
-    """Chi-square at three degrees of freedom; 16.3 is passed once in a thousand. The seed is fixed."""
+def test_draws_have_the_exact_probabilities_of_two_choices():
     weights, count = {"a": 1.0, "b": 2.0, "c": 5.0, "d": 12.0}, 40_000
-    one = EndpointSelector(Random(5).random)
-    assert (
-        chi_square(
-            Counter(one.select(weights) for _ in range(count)), selection_probabilities(weights), count
-        )
-        < 16.3
-    )
-    one.in_flight = {"b": 1, "c": 1, "d": 1}
+    selector = EndpointSelector(Random(5).random)
+    observed = Counter(selector.select(weights) for _ in range(count))
+    assert chi_square(observed, selection_probabilities(weights), count) < CHI_SQUARE_3_DEGREES
+    selector.in_flight = {"b": 1, "c": 1, "d": 1}
     share = idle_selection_probability(weights, "a")
-    found = Counter(one.select(weights) == "a" for _ in range(count))
-    assert chi_square(found, {True: share, False: 1 - share}, count) < 10.8
-
-
-def test_less_of_its_own_work_one_line_left_and_who_was_tried():
-    one = EndpointSelector(Random(1).random)
-    one.request_started("a")
-    assert {one.select({"a": 9.0, "b": 1.0}) for _ in range(50)} == {"b"}  # both are drawn, b is idle
-    assert one.select({"a": 1.0}) == "a" and one.select({}) is None
-    assert {one.select({"a": 1.0, "b": 1.0, "c": 1.0}, {"b", "c"}) for _ in range(20)} == {"a"}
-    assert one.select({"a": 1.0}, {"a"}) == "a"
-    one.request_ended("a")
-    one.request_ended("a")
-    assert one.in_flight == {}
+    observed = Counter(selector.select(weights) == "a" for _ in range(count))
+    assert chi_square(observed, {True: share, False: 1 - share}, count) < CHI_SQUARE_1_DEGREE
+
+
+def test_fewer_in_flight_is_preferred_and_attempted_endpoints_are_avoided():
+    selector = EndpointSelector(Random(1).random)
+    selector.attempt_started("a")
+    # both are drawn, b has nothing in flight
+    assert {selector.select({"a": 9.0, "b": 1.0}) for _ in range(50)} == {"b"}
+    assert selector.select({"a": 1.0}) == "a" and selector.select({}) is None
+    assert {selector.select({"a": 1.0, "b": 1.0, "c": 1.0}, {"b", "c"}) for _ in range(20)} == {"a"}
+    assert selector.select({"a": 1.0}, {"a"}) == "a"
+    selector.attempt_ended("a")
+    selector.attempt_ended("a")
+    assert selector.in_flight == {}
