--- a/oatcart/proxy/connection_pool.py
+++ b/oatcart/proxy/connection_pool.py
@@ -1,185 +1,224 @@
-"""Connections to nodes: which is used again, when one is dialled, who waits and for how long. Free of I/O and
-clock.
+"""Pool of a proxy's connections to one endpoint.
 
-A connection that a node closes while a req is on its way costs a try, so those that were idle for long, were
-used often, or have a twin that just broke are not used again. Waiting is bounded by what is left of the req's
-own time.
+An endpoint that closes a connection while a request is on its way costs an attempt. So a connection is not
+used again after a long idle time, after many requests, or when it was idle while another one to the same
+endpoint failed. A request waits for a connection only for a part of the time that it has left.
+
+Requests and connections are small integers; the caller numbers the requests, the pool the connections. Times
+are seconds of the caller's clock.
 """
 
 from collections import deque
 from dataclasses import dataclass, field
+from enum import Enum
 from typing import NamedTuple
 
-# s; nodes close idle connections after some tens, and the loser of that race pays with a try
-MAX_IDLE_SECONDS = 10.0
-MAX_REQUESTS_PER_CONNECTION = 1000  # reqs on one connection, so that load moves to where new ones go
-MAX_CONCURRENT_DIALS = 4  # to one node at a time: a node that comes up is not met by a storm of handshakes
-DIAL_AHEAD_PAUSE_SECONDS = 1.0  # s after one connection broke in which none is dialled ahead of need
-MAX_WAIT_RATIO = 0.5  # of a req's remaining time that it may wait for a connection; the rest is for its work
-REUSE, DIAL, WAIT, REFUSE = "reuse", "dial", "wait", "refuse"
+MAX_IDLE_SECONDS = 10.0  # below the idle timeout of endpoints, which is some tens of seconds
+MAX_REQUESTS_PER_CONNECTION = 1000  # so that load moves to where new connections go
+MAX_CONCURRENT_DIALS = 4  # so that an endpoint that starts is not met by a storm of handshakes
+DIAL_AHEAD_PAUSE_SECONDS = 1.0  # after a connection failed
+MAX_WAIT_SHARE = 0.5  # of a request's remaining time; the rest is left for the request itself
+
+
+class PoolAction(Enum):
+    """What the caller does for a request that needs a connection."""
+
+    REUSE = "reuse"  # send it on the given connection
+    DIAL = "dial"  # dial a connection; the request is queued meanwhile
+    WAIT = "wait"  # the request is queued
+    REJECT = "reject"  # choose another endpoint, or answer the request at once
 
 
 class PoolDecision(NamedTuple):
-    """What to do for a req: with which connection, or until when it may wait."""
+    """Answer to a request for a connection."""
+
+    action: PoolAction
+    connection_id: int | None = None  # with REUSE
+    wait_until: float | None = None  # s; with DIAL and WAIT
+
 
-    action: str
-    connection: int = 0
-    wait_until: float = 0.0
+class Assignment(NamedTuple):
+    """What became of a connection: assigned to a queued request, idle (no request), or closed (neither)."""
+
+    request_id: int | None = None
+    connection_id: int | None = None
+
+
+class QueuedRequest(NamedTuple):
+    """A request that waits for a connection."""
+
+    request_id: int
+    wait_until: float  # s
 
 
 @dataclass(slots=True)
 class PooledConnection:
+    """An open connection."""
+
     requests_served: int = 0
-    idle_since: float | None = None  # None: a req is on it
+    idle_since: float | None = None  # s; None while a request is on it
+
+    @property
+    def idle(self) -> bool:
+        """Whether no request is on it."""
+        return self.idle_since is not None
 
 
 @dataclass(slots=True)
 class ConnectionPool:
-    """The connections to one node. `most`: at a time; `queue_most`: reqs that wait. Connections are small
-    numbers.
+    """Open, dialed and awaited connections to one endpoint.
+
+    `max_connections` bounds open and dialed ones together, `max_queued` the requests that wait.
     """
 
     max_connections: int
     max_queued: int
     connections: dict[int, PooledConnection] = field(default_factory=dict)
     dialing: int = 0
-    queued: deque = field(default_factory=deque)  # (req, until), oldest first
-    # reqs that waited as long as they may and were not handed back yet
-    timed_out: list = field(default_factory=list)
-    failed_at: float = -DIAL_AHEAD_PAUSE_SECONDS
+    queued: deque[QueuedRequest] = field(default_factory=deque)  # oldest first
+    timed_out: list[int] = field(default_factory=list)  # requests whose wait is over, not yet taken
+    failed_at: float = -DIAL_AHEAD_PAUSE_SECONDS  # s; when a connection or a dial last failed
     last_connection_id: int = 0
     draining: bool = False
 
-    def acquire(self, now: float, request: int, deadline: float) -> PoolDecision:
-        """A req wants a connection."""
+    def acquire(self, now: float, request_id: int, deadline: float) -> PoolDecision:
+        """Find a connection for a request that has to be answered by `deadline` (s)."""
         if self.draining:
-            return PoolDecision(REFUSE)
-        connection_id = self._idle(now)
+            return PoolDecision(PoolAction.REJECT)
+        connection_id = self._most_recently_used(now)
         if connection_id is not None:
-            self._assign(connection_id)
-            return PoolDecision(REUSE, connection_id)
-        wait_until = now + MAX_WAIT_RATIO * (deadline - now)
-        self._expire(now)
+            self._occupy(connection_id)
+            return PoolDecision(PoolAction.REUSE, connection_id)
+        wait_until = now + MAX_WAIT_SHARE * (deadline - now)
+        self._expire_waits(now)
         if wait_until <= now or len(self.queued) >= self.max_queued:
-            return PoolDecision(REFUSE)
-        self.queued.append((request, wait_until))
-        if self._may_dial() and len(self.queued) > self.dialing:
+            return PoolDecision(PoolAction.REJECT)
+        self.queued.append(QueuedRequest(request_id, wait_until))
+        if self._dial_is_needed():
             self.dialing += 1
-            return PoolDecision(DIAL, wait_until=wait_until)
-        return PoolDecision(WAIT, wait_until=wait_until)
+            return PoolDecision(PoolAction.DIAL, wait_until=wait_until)
+        return PoolDecision(PoolAction.WAIT, wait_until=wait_until)
 
-    def dial_completed(self, now: float, up: bool) -> tuple[int, int] | list[int]:
-        """A dial has ended: the req that gets the connection and the connection, an idle one's as req 0;
-        where it failed, the reqs that are refused as nothing else is on its way to them."""
+    def dial_succeeded(self, now: float) -> Assignment:
+        """Add the dialed connection and assign it to the first queued request, if there is one."""
         self.dialing -= 1
-        if not up:
-            self.failed_at = now
-            if self.dialing or self.connections:
-                return []
-            refused = [request for request, _ in self.queued]
-            self.queued.clear()
-            return refused
         self.last_connection_id += 1
         self.connections[self.last_connection_id] = PooledConnection(idle_since=now)
-        return self._assign_next(now, self.last_connection_id)
-
-    def release(self, now: float, connection_id: int, usable: bool) -> tuple[int, int]:
-        """A req's answer is whole, or its connection is not `usable` any more: (req, connection) of who is
-        next, zeros where nobody is, connection 0 where it was closed."""
-        one = self.connections.get(connection_id)
-        if one is None:
-            return 0, 0
-        if not usable or one.requests_served >= MAX_REQUESTS_PER_CONNECTION or self.draining:
+        return self._assign_to_queued(now, self.last_connection_id)
+
+    def dial_failed(self, now: float) -> list[int]:
+        """Return the queued requests that are rejected: all, where no connection is open or dialed."""
+        self.dialing -= 1
+        self.failed_at = now
+        if self.dialing or self.connections:
+            return []
+        return self._clear_queue()
+
+    def release(self, now: float, connection_id: int, usable: bool) -> Assignment:
+        """Take back the connection of a request that has ended, and assign it to the next one.
+
+        It is closed instead where it is not `usable`, has served enough requests, or the endpoint is
+        draining.
+        """
+        connection = self.connections.get(connection_id)
+        if connection is None:
+            return Assignment()
+        if not usable or connection.requests_served >= MAX_REQUESTS_PER_CONNECTION or self.draining:
             del self.connections[connection_id]
-            return 0, 0
-        one.idle_since = now
-        return self._assign_next(now, connection_id)
+            return Assignment()
+        connection.idle_since = now
+        return self._assign_to_queued(now, connection_id)
 
     def connection_failed(self, now: float, connection_id: int) -> None:
-        """A connection ended otherwise than by our will: its idle twins are suspect."""
+        """Forget a connection that the endpoint or the network ended; those idle now are not used again."""
         self.connections.pop(connection_id, None)
         self.failed_at = now
 
     def evict_idle(self, now: float) -> list[int]:
-        """Idle connections to close now: too old, older than a break, or of a node that drains."""
+        """Remove and return the idle connections to close: not reusable, or of a draining endpoint."""
         evicted = sorted(
             connection_id
-            for connection_id, one in self.connections.items()
-            if one.idle_since is not None
-            and (
-                self.draining or now - one.idle_since >= MAX_IDLE_SECONDS or one.idle_since <= self.failed_at
-            )
+            for connection_id, connection in self.connections.items()
+            if connection.idle and (self.draining or not self._is_reusable(now, connection))
         )
         for connection_id in evicted:
             del self.connections[connection_id]
         return evicted
 
     def dial_for_queued(self, now: float) -> bool:
-        """Whether to dial for those who wait, which counts as a dial: asked after a connection has gone,
-        since who waits for it would wait in vain."""
-        self._expire(now)
-        if self.draining or len(self.queued) <= self.dialing or not self._may_dial():
+        """Whether to dial for queued requests; True counts as a dial.
+
+        Asked after a connection is gone, as a request that waits for it would wait in vain.
+        """
+        self._expire_waits(now)
+        if self.draining or not self._dial_is_needed():
             return False
         self.dialing += 1
         return True
 
     def dial_ahead(self, now: float) -> bool:
-        """Whether to dial ahead of need, which counts as a dial: the node is in use, nothing is idle, and it
-        has not just broken a connection."""
-        used = any(one.idle_since is None for one in self.connections.values())
-        if (
-            self.draining
-            or not used
-            or self.dialing
-            or self._idle(now) is not None
-            or not self._may_dial()
-            or now - self.failed_at < DIAL_AHEAD_PAUSE_SECONDS
-        ):
+        """Whether to dial ahead of need; True counts as a dial.
+
+        Only where the endpoint is in use, no connection is idle, and none failed in the last moments.
+        """
+        in_use = any(not connection.idle for connection in self.connections.values())
+        if self.draining or not in_use or self.dialing or not self._may_dial():
+            return False
+        if self._most_recently_used(now) is not None or now - self.failed_at < DIAL_AHEAD_PAUSE_SECONDS:
             return False
         self.dialing += 1
         return True
 
     def drain(self) -> list[int]:
-        """The node is to get nothing new: who waits for it is handed back, to be chosen another."""
-        self.draining, returned = True, [request for request, _ in self.queued]
-        self.queued.clear()
-        return returned
+        """Take no further requests; return the queued ones, which need another endpoint."""
+        self.draining = True
+        return self._clear_queue()
 
     def take_timed_out(self, now: float) -> list[int]:
-        """Reqs that waited as long as they may; each is to be answered at once."""
-        self._expire(now)
+        """Return the requests that waited as long as they may, each once; they are to be answered."""
+        self._expire_waits(now)
         timed_out, self.timed_out = self.timed_out, []
         return timed_out
 
-    def _expire(self, now: float) -> None:
-        self.timed_out += [request for request, wait_until in self.queued if wait_until <= now]
-        self.queued = deque((request, wait_until) for request, wait_until in self.queued if wait_until > now)
-
-    def _idle(self, now: float) -> int | None:
-        """The idle connection used last, if one is to be believed."""
-        found = [
-            (one.idle_since, connection_id)
-            for connection_id, one in self.connections.items()
-            if one.idle_since is not None
-            and now - one.idle_since < MAX_IDLE_SECONDS
-            and one.idle_since > self.failed_at
+    def _clear_queue(self) -> list[int]:
+        requests = [queued.request_id for queued in self.queued]
+        self.queued.clear()
+        return requests
+
+    def _expire_waits(self, now: float) -> None:
+        self.timed_out += [queued.request_id for queued in self.queued if queued.wait_until <= now]
+        self.queued = deque(queued for queued in self.queued if queued.wait_until > now)
+
+    def _is_reusable(self, now: float, idle: PooledConnection) -> bool:
+        """Whether an idle connection is neither old nor was idle when another one failed."""
+        return now - idle.idle_since < MAX_IDLE_SECONDS and idle.idle_since > self.failed_at
+
+    def _most_recently_used(self, now: float) -> int | None:
+        """The reusable idle connection that was used last; of equals the newest."""
+        candidates = [
+            (connection.idle_since, connection_id)
+            for connection_id, connection in self.connections.items()
+            if connection.idle and self._is_reusable(now, connection)
         ]
-        return max(found)[1] if found else None
+        return max(candidates)[1] if candidates else None
 
-    def _assign(self, connection_id: int) -> None:
-        self.connections[connection_id].requests_served += 1
-        self.connections[connection_id].idle_since = None
+    def _occupy(self, connection_id: int) -> None:
+        connection = self.connections[connection_id]
+        connection.requests_served += 1
+        connection.idle_since = None
 
     def _may_dial(self) -> bool:
-        return (
-            self.dialing < MAX_CONCURRENT_DIALS
-            and len(self.connections) + self.dialing < self.max_connections
-        )
+        pool_size = len(self.connections) + self.dialing
+        return self.dialing < MAX_CONCURRENT_DIALS and pool_size < self.max_connections
+
+    def _dial_is_needed(self) -> bool:
+        """Whether a queued request has no dial of its own yet, and one is permitted."""
+        return len(self.queued) > self.dialing and self._may_dial()
 
-    def _assign_next(self, now: float, connection_id: int) -> tuple[int, int]:
-        self._expire(now)
+    def _assign_to_queued(self, now: float, connection_id: int) -> Assignment:
+        self._expire_waits(now)
         if not self.queued:
-            return 0, connection_id
-        request, _ = self.queued.popleft()
-        self._assign(connection_id)
-        return request, connection_id
+            return Assignment(connection_id=connection_id)
+        request_id = self.queued.popleft().request_id
+        self._occupy(connection_id)
+        return Assignment(request_id, connection_id)
