--- a/tests/proxy/test_proxy_routing_state.py
+++ b/tests/proxy/test_proxy_routing_state.py
@@ -2,28 +2,30 @@
 
 import pytest
 
-from oatcart.proxy.routing_state import MAX_PARTS_PER_UPDATE, InvalidUpdate, RoutingState
-
-LISTED = {"a", "b", "c"}
-
-
-def test_an_update_in_parts_takes_effect_as_a_whole():
-    one = RoutingState(["lookup", "fee"])
-    assert (
-        one.receive_part({"full": True, "endpoints": [["a", 2], ["b", 1]], "continued": True}, LISTED) == []
-    )
-    assert one.usable_weights("lookup") == {}
-    assert one.receive_part({"routes": ["fee"], "admit": 0.5, "policy": 0, "nonce_out": 7}, LISTED) == [7]
-    assert one.usable_weights("lookup") == {"a": 2.0, "b": 1.0} and one.tables["fee"].quota == 0.5
-    one.receive_part({"routes": ["lookup"], "endpoints": [["a", 0], ["c", 3]], "continued": True}, LISTED)
-    one.stream_closed()  # its last part never came
-    one.receive_part({"eject": ["b"]}, LISTED)
-    assert one.usable_weights("lookup") == {"a": 2.0}
-    one.receive_part({"full": True, "routes": ["fee"], "endpoints": [["b", 1]]}, LISTED)
-    # a whole table forgets levels, not who is out
-    assert one.usable_weights("fee") == {} and one.tables["fee"].quota == 1.0
-    one.receive_part({"restore": ["b"]}, LISTED)
-    assert one.usable_weights("fee") == {"b": 1.0}
+from oatcart.proxy.routing_state import MAX_PARTS_PER_UPDATE, RoutingState
+from oatcart.proxy.update_decoding import InvalidUpdateError
+
+KNOWN = {"a", "b", "c"}
+
+
+def test_an_update_in_parts_takes_effect_once_complete():
+    state = RoutingState(["lookup", "fee"])
+    first_part = {"full": True, "endpoints": [["a", 2], ["b", 1]], "continued": True}
+    assert state.receive_part(first_part, KNOWN) == []
+    assert state.usable_weights("lookup") == {}
+    assert state.receive_part({"routes": ["fee"], "admit": 0.5, "policy": 0, "nonce_out": 7}, KNOWN) == [7]
+    assert state.usable_weights("lookup") == {"a": 2.0, "b": 1.0}
+    assert state.tables["fee"].quota == 0.5
+    state.receive_part({"routes": ["lookup"], "endpoints": [["a", 0], ["c", 3]], "continued": True}, KNOWN)
+    state.stream_closed()  # the last part never came
+    state.receive_part({"eject": ["b"]}, KNOWN)
+    assert state.usable_weights("lookup") == {"a": 2.0}
+    state.receive_part({"full": True, "routes": ["fee"], "endpoints": [["b", 1]]}, KNOWN)
+    # a complete table resets the quota, not the ejections
+    assert state.usable_weights("fee") == {}
+    assert state.tables["fee"].quota == 1.0
+    state.receive_part({"restore": ["b"]}, KNOWN)
+    assert state.usable_weights("fee") == {"b": 1.0}
 
 
 @pytest.mark.parametrize(
@@ -45,19 +47,19 @@
         {"nonce_out": "x"},
     ],
 )
-def test_what_cannot_be_used_takes_no_effect_with_all_its_parts(part):
-    one = RoutingState(["lookup"])
-    one.receive_part({"full": True, "endpoints": [["a", 1]]}, LISTED)
-    one.receive_part({"endpoints": [["b", 5]], "continued": True}, LISTED)
-    with pytest.raises(InvalidUpdate):
-        one.receive_part(part, LISTED)
-    one.receive_part({}, LISTED)
-    assert one.usable_weights("lookup") == {"a": 1.0}
+def test_an_invalid_part_makes_the_whole_update_ineffective(part):
+    state = RoutingState(["lookup"])
+    state.receive_part({"full": True, "endpoints": [["a", 1]]}, KNOWN)
+    state.receive_part({"endpoints": [["b", 5]], "continued": True}, KNOWN)
+    with pytest.raises(InvalidUpdateError):
+        state.receive_part(part, KNOWN)
+    state.receive_part({}, KNOWN)
+    assert state.usable_weights("lookup") == {"a": 1.0}
 
 
 def test_parts_are_bounded():
-    one = RoutingState(["lookup"])
-    with pytest.raises(InvalidUpdate, match="parts"):
+    state = RoutingState(["lookup"])
+    with pytest.raises(InvalidUpdateError, match="parts"):
         for _ in range(MAX_PARTS_PER_UPDATE + 1):
-            one.receive_part({"continued": True}, LISTED)
-    assert not one.pending_parts
+            state.receive_part({"continued": True}, KNOWN)
+    assert not state.pending_parts
