--- a/oatcart/proxy/retries.py
+++ b/oatcart/proxy/retries.py
@@ -1,8 +1,10 @@
-"""Whether a req that failed is tried again. Free of I/O and clock.
+"""Whether a proxy retries a failed request.
 
-A req whose effect may have taken place runs again only where that does no harm. Proof that the first try
-never ran is decided from how its connection ended and what had been sent on it: nothing of the req left this
-process, or the node said in so many words that it did not begin. A reset after the first byte proves nothing.
+A request that may have taken effect is retried only where that does no harm. That an attempt was not
+processed is proved by how its connection ended and by what had been sent on it: nothing of the request left
+this process, or the endpoint answered that it did not start. A reset after the first byte proves nothing.
+
+Times are seconds of the caller's clock.
 """
 
 from dataclasses import dataclass
@@ -11,91 +13,101 @@
 from oatcart import interface as our
 from oatcart.net.ending import Ending
 
-ENDINGS_WITHOUT_CONNECTION = (
-    Ending.REFUSED,
-    Ending.UNREACHED,
-    Ending.CROWDED,
-)  # no connection, so no byte was ever read
-RETRY_BUDGET_RATIO, RETRY_BUDGET_MIN = (
-    0.2,
-    3.0,
-)  # of first tries that may be tried again; a second, where there are few
-RETRY_BUDGET_WINDOW_SECONDS = 10.0  # s over which both are counted
-MIN_ATTEMPTS_LEFT = 1.5  # times a usual try that must be left of a req's time, else another is waste
+ENDINGS_WITHOUT_CONNECTION = frozenset({Ending.REFUSED, Ending.UNREACHED, Ending.CROWDED})
+RETRY_BUDGET_RATIO = 0.2  # retries for each first attempt
+RETRY_BUDGET_MIN = 3.0  # retries within the window that are permitted however few first attempts there are
+RETRY_BUDGET_WINDOW_SECONDS = 10.0  # both are counted over so long
+MIN_TIME_LEFT = 1.5  # usual durations of an attempt that must be left until the deadline
+MAX_RETRIES = {our.NO_TRY: 0, our.AFTER_PROOF: 1, our.AFTER_ANY: 1, our.TWO_AFTER_ANY: 2}
 
 
 class FailedAttempt(NamedTuple):
-    """A try that failed. `sent`: bytes of the req that were handed to the connection; `unbegun`: the node
-    answered that it did not begin (503 with the header that says so); `answered`: bytes of an answer had
-    come; `site`: where it ran."""
+    """An attempt that failed, and what is known of it."""
 
-    ending: Ending
-    bytes_sent: int
-    not_started: bool = False
-    response_bytes: int = 0
-    group: str = ""
+    ending: Ending  # of its connection
+    bytes_sent: int  # of the request, handed to the connection
+    not_started: bool = False  # the endpoint answered so: 503 with the header that says it
+    response_bytes: int = 0  # that came before it failed
+    deduplication_group: str = ""  # of its endpoint; "" where that is in none
 
 
 @dataclass(slots=True)
 class Request:
-    """What is known of a req: its repeat rule, its site-bound key's window, when it began and must have
-    ended.
-    """
+    """A request with what bounds its retries."""
 
     idempotency: int
     started_at: float
     deadline: float
-    key_lifetime: float = 0.0  # s from its first try within which a node knows its key again; 0: no key
+    key_lifetime: float = 0.0  # s from its first attempt that endpoints keep its idempotency key; 0: no key
     attempts: int = 0
 
 
+class RetryDecision(NamedTuple):
+    """Whether to retry; `deduplication_group`: where the retry has to stay, "" where it may go anywhere."""
+
+    retry: bool
+    deduplication_group: str = ""
+
+
+NO_RETRY = RetryDecision(False)
+
+
 def never_processed(failed: FailedAttempt) -> bool:
-    """
+    """Whether it is proved that the endpoint processed nothing of an attempt.
+
     >>> never_processed(FailedAttempt(Ending.REFUSED, 0)), never_processed(FailedAttempt(Ending.RESET, 0))
     (True, True)
     >>> never_processed(FailedAttempt(Ending.RESET, 1))
     False
     """
-    return (
-        failed.not_started
-        or not failed.response_bytes
-        and (failed.ending in ENDINGS_WITHOUT_CONNECTION or failed.bytes_sent == 0)
-    )
+    if failed.not_started:
+        return True
+    if failed.response_bytes:
+        return False
+    return failed.ending in ENDINGS_WITHOUT_CONNECTION or failed.bytes_sent == 0
 
 
 class RetryBudget:
-    """Tries beyond the first never exceed a part of first tries, counted over some seconds: a storm feeds
-    itself else.
+    """Bounds retries to a ratio of first attempts, so that retries do not add to the overload they come from.
+
+    `ratio`: retries for each first attempt; `minimum`: retries permitted however few those are. Both counts
+    decay over RETRY_BUDGET_WINDOW_SECONDS.
     """
 
     def __init__(self, ratio: float = RETRY_BUDGET_RATIO, minimum: float = RETRY_BUDGET_MIN) -> None:
-        self.ratio, self.minimum = ratio, minimum
-        self.first_attempts = self.retries = self.decayed_at = 0.0
-
-    def _decay(self, now: float) -> None:
-        keep = max(0.0, 1.0 - max(0.0, now - self.decayed_at) / RETRY_BUDGET_WINDOW_SECONDS)
-        self.first_attempts, self.retries, self.decayed_at = (
-            self.first_attempts * keep,
-            self.retries * keep,
-            now,
-        )
+        self._ratio = ratio
+        self._minimum = minimum
+        self._first_attempts = 0.0
+        self._retries = 0.0
+        self._decayed_at = 0.0  # s
 
     def record_first_attempt(self, now: float) -> None:
+        """Count the first attempt of a request."""
         self._decay(now)
-        self.first_attempts += 1.0
+        self._first_attempts += 1.0
 
     def try_spend(self, now: float) -> bool:
+        """Count a retry and return True, or return False where the budget is spent."""
         self._decay(now)
-        if self.retries + 1.0 > max(self.minimum, self.ratio * self.first_attempts):
+        if self._retries + 1.0 > max(self._minimum, self._ratio * self._first_attempts):
             return False
-        self.retries += 1.0
+        self._retries += 1.0
         return True
 
+    def _decay(self, now: float) -> None:
+        elapsed = max(0.0, now - self._decayed_at)
+        kept = max(0.0, 1.0 - elapsed / RETRY_BUDGET_WINDOW_SECONDS)
+        self._first_attempts *= kept
+        self._retries *= kept
+        self._decayed_at = now
+
+
+def retry_permitted(request: Request, failed: FailedAttempt, policy: int) -> bool:
+    """Whether the retry policy of its table and the request's idempotency permit a retry.
 
-def retry_allowed(request: Request, failed: FailedAttempt, policy: int) -> bool:
-    """Whether the way of trying again and the req's own rule let it run once more; time and budget aside."""
-    max_retries = {our.NO_TRY: 0, our.TWO_AFTER_ANY: 2}.get(policy, 1)
-    if request.attempts > max_retries or failed.response_bytes:
+    Time left and budget aside. None is permitted once bytes of a response were passed on.
+    """
+    if request.attempts > MAX_RETRIES[policy] or failed.response_bytes:
         return False
     if never_processed(failed):
         return policy != our.NO_TRY
@@ -109,21 +121,24 @@
     policy: int,
     usual_duration: float,
     budget: RetryBudget,
-) -> tuple[bool, str]:
-    """Whether to try again, and the site it has to stay at, if any. `usual`: s that a try takes."""
-    if (
-        not retry_allowed(request, failed, policy)
-        or request.deadline - now < MIN_ATTEMPTS_LEFT * usual_duration
-    ):
-        return False, ""
+) -> RetryDecision:
+    """Decide whether to retry after `failed`, the last attempt; a retry is taken from the budget.
+
+    `usual_duration`: s that an attempt takes. Where a keyed request may have been processed, its retry stays
+    among the endpoints that know its key, and must reach them while they do.
+    """
+    if not retry_permitted(request, failed, policy):
+        return NO_RETRY
+    if request.deadline - now < MIN_TIME_LEFT * usual_duration:
+        return NO_RETRY
     group = ""
     if request.idempotency == our.UNIQUED and not never_processed(failed):
-        if (
-            now - request.started_at >= request.key_lifetime
-            or now + usual_duration - request.started_at >= request.key_lifetime
-        ):
-            return False, ""  # the key may be forgotten by the time it gets there
-        group = failed.group
-        if not group:
-            return False, ""
-    return budget.try_spend(now), group
+        group = failed.deduplication_group
+        if not group or not _key_outlasts(request, now, usual_duration):
+            return NO_RETRY
+    return RetryDecision(budget.try_spend(now), group)
+
+
+def _key_outlasts(request: Request, now: float, duration: float) -> bool:
+    """Whether endpoints still know the request's key after an attempt of `duration` (s)."""
+    return now + duration - request.started_at < request.key_lifetime
