--- a/oatcart/proxy/retries.py
+++ b/oatcart/proxy/retries.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from oatcart import interface as our
+from oatcart.model import Idempotency, RetryPolicy
 from oatcart.net.ending import Ending
 
 ENDINGS_WITHOUT_CONNECTION = frozenset({Ending.REFUSED, Ending.UNREACHED, Ending.CROWDED})
@@ -18,7 +18,12 @@
 RETRY_BUDGET_MIN = 3.0  # retries within the window that are permitted however few first attempts there are
 RETRY_BUDGET_WINDOW_SECONDS = 10.0  # both are counted over so long
 MIN_TIME_LEFT = 1.5  # usual durations of an attempt that must be left until the deadline
-MAX_RETRIES = {our.NO_TRY: 0, our.AFTER_PROOF: 1, our.AFTER_ANY: 1, our.TWO_AFTER_ANY: 2}
+MAX_RETRIES = {
+    RetryPolicy.NEVER: 0,
+    RetryPolicy.IF_NOT_PROCESSED: 1,
+    RetryPolicy.ON_FAILURE: 1,
+    RetryPolicy.TWICE_ON_FAILURE: 2,
+}
 
 
 class FailedAttempt(NamedTuple):
@@ -35,7 +40,7 @@
 class Request:
     """A request with what bounds its retries."""
 
-    idempotency: int
+    idempotency: Idempotency
     started_at: float
     deadline: float
     key_lifetime: float = 0.0  # s from its first attempt that endpoints keep its idempotency key; 0: no key
@@ -102,7 +107,7 @@
         self._decayed_at = now
 
 
-def retry_permitted(request: Request, failed: FailedAttempt, policy: int) -> bool:
+def retry_permitted(request: Request, failed: FailedAttempt, policy: RetryPolicy) -> bool:
     """Whether the retry policy of its table and the request's idempotency permit a retry.
 
     Time left and budget aside. None is permitted once bytes of a response were passed on.
@@ -110,15 +115,17 @@
     if request.attempts > MAX_RETRIES[policy] or failed.response_bytes:
         return False
     if never_processed(failed):
-        return policy != our.NO_TRY
-    return policy in (our.AFTER_ANY, our.TWO_AFTER_ANY) and request.idempotency != our.NON_REPLAYABLE
+        return policy != RetryPolicy.NEVER
+    if request.idempotency == Idempotency.NOT_IDEMPOTENT:
+        return False
+    return policy in (RetryPolicy.ON_FAILURE, RetryPolicy.TWICE_ON_FAILURE)
 
 
 def decide_retry(
     now: float,
     request: Request,
     failed: FailedAttempt,
-    policy: int,
+    policy: RetryPolicy,
     usual_duration: float,
     budget: RetryBudget,
 ) -> RetryDecision:
@@ -132,7 +139,7 @@
     if request.deadline - now < MIN_TIME_LEFT * usual_duration:
         return NO_RETRY
     group = ""
-    if request.idempotency == our.UNIQUED and not never_processed(failed):
+    if request.idempotency == Idempotency.KEYED and not never_processed(failed):
         group = failed.deduplication_group
         if not group or not _key_outlasts(request, now, usual_duration):
             return NO_RETRY
--- a/oatcart/proxy/routing_state.py
+++ b/oatcart/proxy/routing_state.py
@@ -7,11 +7,12 @@
 from collections.abc import Collection
 from dataclasses import dataclass, field
 
+from oatcart.model import RetryPolicy
 from oatcart.proxy.update_decoding import InvalidUpdateError, UpdatePart, decode_update_part
 
 MAX_PARTS_PER_UPDATE = 64  # the protocol's limit
 ADMIT_ALL = 1.0  # the quota, as a share, of a table that none was sent for
-DEFAULT_RETRY_POLICY = 1  # retry if the first attempt was not processed
+DEFAULT_RETRY_POLICY = RetryPolicy.IF_NOT_PROCESSED
 
 
 @dataclass(slots=True)
@@ -20,7 +21,7 @@
 
     weights: dict[str, float] = field(default_factory=dict)  # points by endpoint, all above 0
     quota: float = ADMIT_ALL  # share, or requests/s
-    retry_policy: int = DEFAULT_RETRY_POLICY
+    retry_policy: RetryPolicy = DEFAULT_RETRY_POLICY
 
 
 class RoutingState:
--- a/oatcart/proxy/update_decoding.py
+++ b/oatcart/proxy/update_decoding.py
@@ -7,7 +7,9 @@
 from math import isfinite
 from typing import NamedTuple
 
-RETRY_POLICIES = range(4)
+from oatcart.model import RetryPolicy
+
+RETRY_POLICIES = tuple(policy.value for policy in RetryPolicy)
 MAX_SHOWN_CHARACTERS = 80  # of a received name, in an error
 
 
@@ -22,7 +24,7 @@
     complete: bool = False  # replaces the tables of these classes
     weights: tuple[tuple[str, float], ...] = ()  # by endpoint, points; 0 removes it
     quota: float | None = None  # share, or requests/s; None: stays
-    retry_policy: int | None = None  # comes with the quota
+    retry_policy: RetryPolicy | None = None  # comes with the quota
     ejected: tuple[str, ...] = ()
     restored: tuple[str, ...] = ()
     nonce: int | None = None  # to be acknowledged once the update is in force
@@ -73,7 +75,7 @@
     return tuple(weights)
 
 
-def _decode_quota(message: dict) -> tuple[float | None, int | None]:
+def _decode_quota(message: dict) -> tuple[float | None, RetryPolicy | None]:
     """The quota and the retry policy; both or neither are there."""
     if ("admit" in message) != ("policy" in message):
         raise InvalidUpdateError("admit and policy come together")
@@ -84,7 +86,7 @@
         raise InvalidUpdateError(f"admit: {quota!r}")
     if isinstance(retry_policy, bool) or retry_policy not in RETRY_POLICIES:
         raise InvalidUpdateError(f"policy: {retry_policy!r} is no retry policy")
-    return float(quota), retry_policy
+    return float(quota), RetryPolicy(retry_policy)
 
 
 def _decode_nonce(message: dict) -> int | None:
--- a/tests/proxy/test_proxy_retries.py
+++ b/tests/proxy/test_proxy_retries.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oatcart import interface as our
+from oatcart.model import Idempotency, RetryPolicy
 from oatcart.net.ending import Ending
 from oatcart.proxy.retries import (
     RETRY_BUDGET_WINDOW_SECONDS,
@@ -31,8 +31,8 @@
 
 
 @given(
-    st.sampled_from([our.REPLAYABLE, our.UNIQUED, our.NON_REPLAYABLE]),
-    st.sampled_from(range(4)),
+    st.sampled_from(Idempotency),
+    st.sampled_from(RetryPolicy),
     st.lists(st.tuples(FAILED_ATTEMPTS, st.booleans(), st.floats(0.0, 0.5)), min_size=1, max_size=8),
 )
 @settings(max_examples=600, deadline=None, derandomize=True)
@@ -53,9 +53,9 @@
             break
         assert not failed.response_bytes  # a response that has begun is never begun again
     assert request.attempts <= {0: 1, 1: 2, 2: 2, 3: 3}[policy]
-    if idempotency == our.NON_REPLAYABLE:
+    if idempotency == Idempotency.NOT_IDEMPOTENT:
         assert len(effects) <= 1
-    if idempotency == our.UNIQUED and len(effects) > 1:
+    if idempotency == Idempotency.KEYED and len(effects) > 1:
         assert len({group for group, _ in effects}) == 1
         assert effects[-1][1] - effects[0][1] < request.key_lifetime
 
@@ -65,22 +65,22 @@
     assert never_processed(FailedAttempt(Ending.DONE, 500, not_started=True))
     assert not never_processed(FailedAttempt(Ending.CLOSED, 1))
     assert not never_processed(FailedAttempt(Ending.RESET, 0, response_bytes=1))
-    request = Request(our.NON_REPLAYABLE, started_at=0.0, deadline=9.0, attempts=1)
-    assert retry_permitted(request, FailedAttempt(Ending.REFUSED, 0), our.AFTER_PROOF)
-    assert not retry_permitted(request, FailedAttempt(Ending.REFUSED, 0), our.NO_TRY)
-    assert not retry_permitted(request, FailedAttempt(Ending.RESET, 9), our.TWO_AFTER_ANY)
+    request = Request(Idempotency.NOT_IDEMPOTENT, started_at=0.0, deadline=9.0, attempts=1)
+    assert retry_permitted(request, FailedAttempt(Ending.REFUSED, 0), RetryPolicy.IF_NOT_PROCESSED)
+    assert not retry_permitted(request, FailedAttempt(Ending.REFUSED, 0), RetryPolicy.NEVER)
+    assert not retry_permitted(request, FailedAttempt(Ending.RESET, 9), RetryPolicy.TWICE_ON_FAILURE)
 
 
 def test_a_retry_without_time_for_it_is_not_made():
     budget = RetryBudget(ratio=1.0, minimum=9.0)
     reset = FailedAttempt(Ending.RESET, 9, deduplication_group="east")
-    request = Request(our.REPLAYABLE, started_at=0.0, deadline=1.0, attempts=1)
-    assert decide_retry(0.8, request, reset, our.AFTER_ANY, 0.1, budget) == (True, "")
-    assert decide_retry(0.9, request, reset, our.AFTER_ANY, 0.1, budget) == (False, "")
-    keyed = Request(our.UNIQUED, started_at=0.0, deadline=9.0, key_lifetime=1.0, attempts=1)
-    assert decide_retry(0.5, keyed, reset, our.AFTER_ANY, 0.1, budget) == (True, "east")
+    request = Request(Idempotency.IDEMPOTENT, started_at=0.0, deadline=1.0, attempts=1)
+    assert decide_retry(0.8, request, reset, RetryPolicy.ON_FAILURE, 0.1, budget) == (True, "")
+    assert decide_retry(0.9, request, reset, RetryPolicy.ON_FAILURE, 0.1, budget) == (False, "")
+    keyed = Request(Idempotency.KEYED, started_at=0.0, deadline=9.0, key_lifetime=1.0, attempts=1)
+    assert decide_retry(0.5, keyed, reset, RetryPolicy.ON_FAILURE, 0.1, budget) == (True, "east")
     # the retry would end after the key is forgotten
-    assert decide_retry(0.95, keyed, reset, our.AFTER_ANY, 0.1, budget) == (False, "")
+    assert decide_retry(0.95, keyed, reset, RetryPolicy.ON_FAILURE, 0.1, budget) == (False, "")
 
 
 def test_retries_never_exceed_their_ratio_in_a_storm():
