--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -36,7 +36,7 @@
 )
 from oatcart.net.codec import Codec
 from oatcart.policy import Controller
-from oatcart.tables import Tables
+from oatcart.routing_tables import RoutingTables
 
 PROXIES, NODES = (100, 400, 1600), (50, 200, 800)
 ZONES, KINDS = 4, 3
@@ -45,7 +45,7 @@
 HEARD = 120  # sums a second that a conductor is told
 
 
-class Writer(Tables):
+class Writer(RoutingTables):
     """The order writer of the benchmark: messages are encoded as on sockets, and acknowledged at once."""
 
     def __init__(self, codec: Codec) -> None:
@@ -54,12 +54,12 @@
 
     def tell(self) -> None:
         encoded: dict[tuple, bytes] = {}
-        for proxy, parts in self.messages():
+        for proxy, parts in self.updates():
             if parts not in encoded:
                 encoded[parts] = self.codec.message(parts)
             self.bytes += len(encoded[parts])
-            if parts[-1].mark is not None:
-                self.marks.append(UpdateAcknowledged(proxy, parts[-1].mark, 0.3))
+            if parts[-1].nonce is not None:
+                self.marks.append(UpdateAcknowledged(proxy, parts[-1].nonce, 0.3))
 
     def check_health(self, node: int) -> None: ...
 
@@ -129,7 +129,7 @@
         if phase == "join":
             arrivals.append(EndpointListReceived(True, entries))
             for proxy in range(proxies):
-                writer.joined(proxy, False)
+                writer.add_proxy(proxy, False)
                 arrivals.append(ProxyJoined(proxy, proxy % ZONES, 1.4, False))
         elif phase == "drain":
             arrivals.append(EndpointListReceived(False, leaving))
--- a/oatcart/net/codec.py
+++ b/oatcart/net/codec.py
@@ -17,7 +17,7 @@
 from oatcart.model import EndpointState
 from oatcart.net.ending import Ended, Ending
 from oatcart.net.stream import Address
-from oatcart.tables import Part
+from oatcart.routing_tables import UpdatePart
 
 _STATES = {"SERVING": EndpointState.READY, "DRAINING": EndpointState.DRAINING, "DELETED": EndpointState.GONE}
 _UNFIT = (KeyError, TypeError, ValueError, AttributeError, OverflowError)  # raised over what does not fit
@@ -179,27 +179,27 @@
                 roll.odd.append(f"{one}: {error!r}"[:ENTRY_SHOWN])
         return roll._replace(whole=roll.whole and not roll.odd)
 
-    def message(self, parts: tuple[Part, ...]) -> bytes:
+    def message(self, parts: tuple[UpdatePart, ...]) -> bytes:
         """One message to a proxy, a line a part."""
         last = len(parts) - 1
         return b"".join(orjson.dumps(self._update(part, at < last)) + b"\n" for at, part in enumerate(parts))
 
-    def _update(self, part: Part, continued: bool) -> dict:
+    def _update(self, part: UpdatePart, continued: bool) -> dict:
         table: dict = {"msg": "update"}
-        if part.kinds:
-            table["routes"] = [self.kind_names[kind] for kind in part.kinds]
-        if part.whole:
+        if part.classes:
+            table["routes"] = [self.kind_names[kind] for kind in part.classes]
+        if part.complete:
             table["full"] = True
-        if part.whole or part.lines:
-            table["endpoints"] = [[self.nodes[node], weight] for node, weight in part.lines]
-        if part.level is not None:
-            table |= {"admit": part.level, "policy": part.tries}
-        if part.out:
-            table["eject"] = self._ids(part.out)
-        if part.back:
-            table["restore"] = self._ids(part.back)
-        if part.mark is not None:
-            table["nonce_out"] = part.mark
+        if part.complete or part.weights:
+            table["endpoints"] = [[self.nodes[node], weight] for node, weight in part.weights]
+        if part.quota is not None:
+            table |= {"admit": part.quota, "policy": part.retry_policy}
+        if part.ejected:
+            table["eject"] = self._ids(part.ejected)
+        if part.restored:
+            table["restore"] = self._ids(part.restored)
+        if part.nonce is not None:
+            table["nonce_out"] = part.nonce
         if continued:
             table["continued"] = True
         return table
--- a/oatcart/net/conductor.py
+++ b/oatcart/net/conductor.py
@@ -13,13 +13,13 @@
 from oatcart.net.probe import Prober
 from oatcart.net.roll import Watcher
 from oatcart.net.stream import Stream
-from oatcart.tables import Part, Tables
+from oatcart.routing_tables import RoutingTables, UpdatePart
 
 FAILED_WAKE = 0.25  # s until the next round after one that failed and may not have asked for a wake
 TELL_EVERY = 30.0  # s between the log's lines on how this process keeps up
 
 
-class Rounds(Tables):
+class Rounds(RoutingTables):
     """The order writer on sockets."""
 
     def __init__(self, loop: Loop, log: Log, codec: Codec, least_gap: float, unix: float) -> None:
@@ -47,14 +47,14 @@
 
     def join(self, proxy: int, blank: bool, stream: Stream) -> None:
         self.streams[proxy] = stream
-        self.joined(proxy, blank)
+        self.add_proxy(proxy, blank)
 
     def leave(self, proxy: int, stream: Stream) -> bool:
         """Whether the proxy has left with this stream; an old one that ends late says nothing."""
         if self.streams.get(proxy) is not stream:
             return False
         del self.streams[proxy]
-        self.left(proxy)
+        self.remove_proxy(proxy)
         return True
 
     def check_health(self, node: int) -> None:
@@ -81,7 +81,7 @@
             self.due, self.last = False, self.loop.now
             self.rounds += 1
             self._round(self.loop.now + self.offset)
-            dropped = self.dropped
+            dropped = self.forgotten
             try:
                 self._tell()
             except Exception:
@@ -123,12 +123,12 @@
 
     def _tell(self) -> None:
         encoded: dict[tuple, bytes] = {}
-        for proxy, parts in self.messages():
+        for proxy, parts in self.updates():
             self._tell_one(proxy, parts, encoded)
         while self.lost:  # before another round, which would count its orders as told
             self.end(self.lost.pop())
 
-    def _tell_one(self, proxy: int, parts: tuple[Part, ...], encoded: dict[tuple, bytes]) -> None:
+    def _tell_one(self, proxy: int, parts: tuple[UpdatePart, ...], encoded: dict[tuple, bytes]) -> None:
         if parts not in encoded:
             encoded[parts] = self.codec.message(parts)
         try:
--- a/oatcart/net/sidecar.py
+++ b/oatcart/net/sidecar.py
@@ -35,7 +35,7 @@
             if not isinstance(told, SPEAKS) or told.proxy != proxy:
                 skipped(Odd(f"proxy {proxy} does not say {type(told).__name__}"))
             # it would pass for an acknowledgement
-            elif isinstance(told, UpdateAcknowledged) and not rounds.asked(proxy, told.nonce):
+            elif isinstance(told, UpdateAcknowledged) and not rounds.was_sent(proxy, told.nonce):
                 skipped(Odd(f"proxy {proxy} was not asked for mark {told.nonce}"))
             else:
                 rounds.arrive(told)
--- a/oatcart/scale/hollow.py
+++ b/oatcart/scale/hollow.py
@@ -209,7 +209,7 @@
                     self.rounds.join(
                         message.proxy, arrival.unconfigured, HollowStream(self.peers, message.proxy)
                     )
-                elif isinstance(arrival, UpdateAcknowledged) and not self.rounds.asked(
+                elif isinstance(arrival, UpdateAcknowledged) and not self.rounds.was_sent(
                     message.proxy, arrival.nonce
                 ):
                     continue
--- a/oatcart/scale/module_rounds.py
+++ b/oatcart/scale/module_rounds.py
@@ -19,15 +19,15 @@
 from oatcart.handover import socket_records
 from oatcart.net.codec import Codec, parsed
 from oatcart.policy import Controller
+from oatcart.routing_tables import RoutingTables
 from oatcart.scale.children import Child, CommandReader, ignore_interrupts, resident_megabytes
 from oatcart.scale.hollow import peer_settings
 from oatcart.scale.peers import TICK_S, ConductorPeers, PeerMessage, PeerSettings
-from oatcart.tables import Tables
 
 START_S = 100.0  # virtual time at the start
 
 
-class CountingOrders(Tables):
+class CountingOrders(RoutingTables):
     """An order writer that encodes every message and hands its bytes to the hollow proxies."""
 
     def __init__(self, codec: Codec, peers: ConductorPeers) -> None:
@@ -37,7 +37,7 @@
     def tell(self) -> None:
         """Tells the round's orders, each distinct message encoded once."""
         encoded: dict[tuple, bytes] = {}
-        for proxy, parts in self.messages():
+        for proxy, parts in self.updates():
             if parts not in encoded:
                 encoded[parts] = self.codec.message(parts)
             self.peers.take(proxy, encoded[parts])
@@ -79,7 +79,7 @@
         arrivals = [*first, *(codec.arrival(memoryview(message.line)) for message in messages)]
         for arrival in arrivals:
             if isinstance(arrival, ProxyJoined):
-                orders.joined(arrival.proxy, arrival.unconfigured)
+                orders.add_proxy(arrival.proxy, arrival.unconfigured)
         module.round(now, arrivals, orders)
         orders.tell()
         return time.process_time() - began
--- a/oatcart/xds/front.py
+++ b/oatcart/xds/front.py
@@ -16,7 +16,7 @@
 from oatcart.commands import NONCE_COUNT
 from oatcart.events import ProxyJoined, ProxyLeft, ProxyLoadReported, UpdateAcknowledged
 from oatcart.model import RequestClass, RetryPolicy
-from oatcart.tables import Part, Tables
+from oatcart.routing_tables import RoutingTables, UpdatePart
 from oatcart.xds import view
 from oatcart.xds.limits import JOINED, Budget, Gate, Refused, check_names, rank
 from oatcart.xds.loads import Books, ClusterReport
@@ -36,9 +36,9 @@
 class Host(Protocol):
     """Where clients come and go as proxies, and what the module is told."""
 
-    def joined(self, proxy: int, blank: bool) -> None: ...
+    def add_proxy(self, proxy: int, unconfigured: bool) -> None: ...
 
-    def left(self, proxy: int) -> None: ...
+    def remove_proxy(self, proxy: int) -> None: ...
 
     def arrive(self, arrival: tuple) -> None: ...
 
@@ -226,7 +226,7 @@
     def _join(self, client: Client) -> None:
         if not client.joined:
             client.joined = True
-            self.host.joined(client.proxy, True)
+            self.host.add_proxy(client.proxy, True)
             self.host.arrive(ProxyJoined(client.proxy, client.zone, 0.0, True))
 
     def close(self, now: float, stream: Stream) -> None:
@@ -246,7 +246,7 @@
         while len(self.known) > self.gate.clients:
             self.known.popitem(last=False)
         if client.joined:
-            self.host.left(client.proxy)
+            self.host.remove_proxy(client.proxy)
             self.host.arrive(ProxyLeft(client.proxy))
 
     def written(self, stream: Stream) -> None:
@@ -284,16 +284,16 @@
 
     # -- what the module decided
 
-    def told(self, proxy: int, parts: tuple[Part, ...]) -> None:
+    def told(self, proxy: int, parts: tuple[UpdatePart, ...]) -> None:
         """A proxy of ours is concerned by this round's orders; what they are is read off the tables."""
         client = self.by_proxy.get(proxy)
-        if client is not None and parts and parts[-1].mark is not None:
-            client.told = parts[-1].mark
+        if client is not None and parts and parts[-1].nonce is not None:
+            client.told = parts[-1].nonce
 
     def publish(
         self,
         now: float,
-        tables: Tables,
+        tables: RoutingTables,
         roster: view.Roster,
         named: Callable[[int], tuple[str, str, int] | None],
     ) -> None:
@@ -302,7 +302,7 @@
         newly = []
         for client in self.clients.values():
             if client.joined and not client.bound and client.proxy in tables.proxies:
-                at = self._bound(tables.proxies[client.proxy].bound)
+                at = self._bound(tables.proxies[client.proxy].assignments)
                 if at is not None:
                     self.maps[client.zone], client.bound = at, True
                     newly.append(client)
@@ -331,21 +331,23 @@
         return tables if -1 not in tables else None
 
     def _endpoints(
-        self, at: int, tables: Tables, roster: view.Roster, named: Callable
+        self, at: int, tables: RoutingTables, roster: view.Roster, named: Callable
     ) -> tuple[view.Endpoint, ...]:
-        lines = tables.tables[at].lines
+        lines = tables.tables[at].weights
         leaving = view.leaving(self.lined.get(at, ()), lines, roster)
         self.lined[at] = leaving | lines.keys()
         found = []
-        for place, (weight, health) in view.seen(lines, leaving, tables.shut, roster).items():
+        for place, (weight, health) in view.seen(lines, leaving, tables.ejected, roster).items():
             if (known := named(place)) and place in roster.nodes:
                 found.append(view.Endpoint(*known, self.zone_names[roster.nodes[place].zone], weight, health))
         return view.distinct(found)
 
-    def _put_zone(self, now: float, zone: int, at: tuple[int, ...], tables: Tables, found: dict) -> bool:
+    def _put_zone(
+        self, now: float, zone: int, at: tuple[int, ...], tables: RoutingTables, found: dict
+    ) -> bool:
         news = False
         for kind, (name, req) in enumerate(self.kinds):
-            level, tries = tables.standing(at[kind], kind) or (
+            level, tries = tables.admission_of(at[kind], kind) or (
                 inf if self.by_rate else 1.0,
                 RetryPolicy.IF_NOT_PROCESSED,
             )
--- a/oatcart/xds/rounds.py
+++ b/oatcart/xds/rounds.py
@@ -4,7 +4,7 @@
 
 from oatcart.events import EndpointListReceived, Event
 from oatcart.net.conductor import Rounds
-from oatcart.tables import Part
+from oatcart.routing_tables import UpdatePart
 from oatcart.xds.front import Front
 from oatcart.xds.source import ROLL, XDS, Merge
 from oatcart.xds.view import Roster
@@ -77,7 +77,7 @@
         at = self.watcher.addresses.get(place)
         return (self.codec.nodes[place], *at) if at else None
 
-    def _tell_one(self, proxy: int, parts: tuple[Part, ...], encoded: dict[tuple, bytes]) -> None:
+    def _tell_one(self, proxy: int, parts: tuple[UpdatePart, ...], encoded: dict[tuple, bytes]) -> None:
         if self.front is not None and proxy in self.front.by_proxy:
             self.front.told(proxy, parts)
         else:
--- a/tests/net/test_wire_bytes.py
+++ b/tests/net/test_wire_bytes.py
@@ -6,7 +6,7 @@
 import stage as sockets
 
 from oatcart.net.codec import Codec
-from oatcart.tables import Part
+from oatcart.routing_tables import UpdatePart
 
 LIST = (
     'roll revision=41 complete=true members=[["s-1f","a","SERVING",0],["s-2e","a","SERVING",0],'
@@ -72,17 +72,17 @@
 def test_an_update_has_all_its_fields_in_this_order():
     codec = Codec(["lookup", "order"], ["a", "b"], 64)
     numbers = [codec.place(name) for name in ("s-1f", "s-2e", "s-3d")]
-    part = Part(
-        kinds=(0, 1),
-        whole=True,
-        lines=((numbers[0], 20.5), (numbers[1], 0)),
-        level=0.25,
-        tries=3,
-        out=(numbers[1],),
-        back=(numbers[2], numbers[0]),
-        mark=65535,
+    part = UpdatePart(
+        classes=(0, 1),
+        complete=True,
+        weights=((numbers[0], 20.5), (numbers[1], 0)),
+        quota=0.25,
+        retry_policy=3,
+        ejected=(numbers[1],),
+        restored=(numbers[2], numbers[0]),
+        nonce=65535,
     )
-    assert codec.message((part, part._replace(mark=None), Part())) == (
+    assert codec.message((part, part._replace(nonce=None), UpdatePart())) == (
         b'{"msg":"update","routes":["lookup","order"],"full":true,"endpoints":[["s-1f",20.5],["s-2e",0]],'
         b'"admit":0.25,"policy":3,"eject":["s-2e"],"restore":["s-3d","s-1f"],"nonce_out":65535,'
         b'"continued":true}\n'
--- a/tests/xds/sim.py
+++ b/tests/xds/sim.py
@@ -25,7 +25,7 @@
     WarmUpLimits,
 )
 from oatcart.policy import Controller
-from oatcart.tables import Tables
+from oatcart.routing_tables import RoutingTables
 from oatcart.xds import view
 from oatcart.xds.front import CLUSTER, ENDPOINTS, MEMBER, ROUTE, Ask, Front, Node, new_life
 from oatcart.xds.limits import Budget, Gate
@@ -42,7 +42,7 @@
 SIDECAR = 3  # the number of the one sidecar
 
 
-class Host(Tables):
+class Host(RoutingTables):
     """What the sockets' `Rounds` is, without sockets."""
 
     def __init__(self, stage):
@@ -231,7 +231,7 @@
         )
         self.roster, self.picks = view.Roster(), {}
         self.sidecar = {}
-        self.host.joined(SIDECAR, True)
+        self.host.add_proxy(SIDECAR, True)
         self.host.arrive(ProxyJoined(SIDECAR, 0, 10.0, True))
         if self.list:
             self.listed()
@@ -259,7 +259,7 @@
         self.now += STEP
         came, self.host.came = self.host.came, []
         self.module.round(self.now, came, self.host)
-        for proxy, parts in self.host.messages():
+        for proxy, parts in self.host.updates():
             if proxy == SIDECAR:
                 self.tell_sidecar(parts)
             else:
@@ -277,16 +277,16 @@
     def tell_sidecar(self, parts):
         """The sidecar's tables as its protocol has them, by kind; it acknowledges at once."""
         for part in parts:
-            for kind in part.kinds or range(len(KINDS)):
-                if part.whole:
+            for kind in part.classes or range(len(KINDS)):
+                if part.complete:
                     self.sidecar[kind] = {}
-                self.sidecar.setdefault(kind, {}).update(part.lines)
-            for node in part.out:
+                self.sidecar.setdefault(kind, {}).update(part.weights)
+            for node in part.ejected:
                 self.sidecar.setdefault("out", set()).add(node)
-            for node in part.back:
+            for node in part.restored:
                 self.sidecar.setdefault("out", set()).discard(node)
-            if part.mark is not None:
-                self.host.arrive(UpdateAcknowledged(SIDECAR, part.mark, 0.0))
+            if part.nonce is not None:
+                self.host.arrive(UpdateAcknowledged(SIDECAR, part.nonce, 0.0))
 
     def note_outs(self):
         """Each peer owes a look at whoever went out of a list that it was sent."""
@@ -342,10 +342,10 @@
     def tables_agree(self):
         """The sidecar's tables and the conductor's are one."""
         for kind in range(len(KINDS)):
-            at = next(at for at, kinds in self.host.proxies[SIDECAR].bound.items() if kinds >> kind & 1)
+            at = next(at for at, kinds in self.host.proxies[SIDECAR].assignments.items() if kinds >> kind & 1)
             assert {
                 node: weight for node, weight in self.sidecar[kind].items() if weight > 0
-            } == self.host.tables[at].lines
+            } == self.host.tables[at].weights
 
     def sidecar_view(self, kind):
         """The weights of the nodes that the sidecar may pick."""
