--- a/oatcart/net/conductor.py
+++ b/oatcart/net/conductor.py
@@ -81,7 +81,7 @@
             self.due, self.last = False, self.loop.now
             self.rounds += 1
             self._round(self.loop.now + self.offset)
-            dropped = self.forgotten
+            dropped = self.changes.forgotten
             try:
                 self._tell()
             except Exception:
--- a/oatcart/routing_tables.py
+++ b/oatcart/routing_tables.py
@@ -1,248 +1,341 @@
-"""What stands at the proxies: tables, bindings, levels, withdrawals.
+"""The routing tables of all proxies: weights, assignments, admission and ejections.
 
-A round's orders are noted here, then told as one message a proxy: a tuple of parts that differ only in what
-changed. Nothing is paced or chosen here; what a proxy was told on its stream is never told again.
+A round's commands are noted here, then sent as one update a proxy, whose parts hold only what changed.
+Nothing is paced or chosen here. What a proxy was sent on its stream is not sent again.
 """
 
-from collections.abc import Collection, Iterator
+from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
 from oatcart.commands import ALL_TABLES, NONCE_COUNT
+from oatcart.model import RetryPolicy
+
+
+class Admission(NamedTuple):
+    """What is admitted of a request class, and how its failed requests are retried."""
+
+    quota: float  # share, or requests/s a proxy
+    retry_policy: RetryPolicy
 
 
 class UpdatePart(NamedTuple):
-    """One part of a message; with 16 kinds at most there are under 33 of them. No kinds: all of them."""
+    """One part of an update; a proxy applies all parts of an update at once.
 
-    classes: tuple[int, ...] = ()
-    complete: bool = False
-    weights: tuple[tuple[int, float], ...] = ()
-    quota: float | None = None
-    retry_policy: int = 0
+    With the 16 request classes that the protocol allows there are at most 33 parts.
+    """
+
+    classes: tuple[int, ...] = ()  # empty: all
+    complete: bool = False  # replaces the tables of these classes, admission included
+    weights: tuple[tuple[int, float], ...] = ()  # by endpoint, points; 0 removes it
+    quota: float | None = None  # share, or requests/s; None: admission stays
+    retry_policy: int = 0  # comes with the quota
     ejected: tuple[int, ...] = ()
     restored: tuple[int, ...] = ()
-    nonce: int | None = None
+    nonce: int | None = None  # to be acknowledged
 
 
 @dataclass(slots=True)
 class RoutingTable:
-    weights: dict[int, float] = field(default_factory=dict)
-    admission: dict[int, tuple[float, int]] = field(
-        default_factory=dict
-    )  # by kind: level, way of trying again
-    changed_weights: dict[int, float] = field(default_factory=dict)  # this round
-    changed_admission: set[int] = field(default_factory=set)
+    """One routing table, and what the round's commands changed in it."""
+
+    weights: dict[int, float] = field(default_factory=dict)  # by endpoint, points, all above 0
+    admission: dict[int, Admission] = field(default_factory=dict)  # by request class
+    proxies: set[int] = field(default_factory=set)  # that are assigned to it
+    changed_weights: dict[int, float] = field(default_factory=dict)
+    changed_admission: set[int] = field(default_factory=set)  # request classes
     cleared: bool = False
-    proxies: set[int] = field(default_factory=set)  # that are bound to it
+
+    def changes_sent(self) -> None:
+        """Forget what the round changed."""
+        self.changed_weights = {}
+        self.changed_admission = set()
+        self.cleared = False
 
 
 @dataclass(slots=True)
 class ProxyState:
-    unconfigured: bool  # holds nothing that was ordered: what it was not told of is let in
-    assignments: dict[int, int] = field(default_factory=dict)  # kinds, as bits, by table
-    sent_ejections: dict[int, bool] = field(
-        default_factory=dict
-    )  # by node: what this stream told of withdrawals
-    last_nonce: int | None = None  # the last that this stream was asked for
+    """What one proxy was sent on its present stream."""
+
+    unconfigured: bool  # it holds no table of any controller, so it has no endpoint ejected
+    assignments: dict[int, int] = field(default_factory=dict)  # classes, as bits, by table
+    sent_ejections: dict[int, bool] = field(default_factory=dict)  # by endpoint: whether it is ejected
+    last_nonce: int | None = None
+
+
+@dataclass(slots=True)
+class RoundChanges:
+    """What a round's commands changed beside the contents of tables."""
+
+    tables: set[int] = field(default_factory=set)  # with a change in them
+    assignments: dict[int, set[int]] = field(default_factory=dict)  # newly assigned tables by proxy
+    shared_admission: set[int] = field(default_factory=set)  # request classes
+    ejections: list[int] = field(default_factory=list)  # endpoints that were ejected or restored
+    forgotten: list[int] = field(default_factory=list)  # endpoints
+    nonce: int | None = None
+    ack_from_all: bool = False
+
+
+class TableParts(NamedTuple):
+    """What proxies that share a table and its classes are sent of it."""
+
+    parts: list[UpdatePart]
+    endpoints: list[int]  # that may get requests by these parts
 
 
 class RoutingTables:
-    """An order writer for all that goes to proxies."""
+    """The part of a command writer that concerns proxies, and the updates that result.
 
-    def __init__(self, classes: int) -> None:
-        self.all_classes = (1 << classes) - 1
+    Request classes are bits of a mask, class 0 the lowest; `class_count`: how many there are. Proxies,
+    tables and endpoints are small integers.
+    """
+
+    def __init__(self, class_count: int) -> None:
+        self.all_classes = (1 << class_count) - 1
         self.tables: dict[int, RoutingTable] = {}
         self.proxies: dict[int, ProxyState] = {}
-        self.ejected: set[int] = set()
-        self.shared_admission: dict[int, tuple[float, int]] = {}  # levels of every table
-        self._forget_changes()
-
-    def _forget_changes(self) -> None:
-        self.ejections: list[int] = []
-        self.changed_tables: set[int] = set()  # tables that changed
-        self.new_assignments: dict[int, set[int]] = {}  # tables that proxies were bound to, by proxy
-        self.changed_shared_admission: set[int] = set()
-        self.nonce: int | None = None
-        self.ack_from_all = False
-        self.forgotten: list[int] = []
+        self.ejected: set[int] = set()  # endpoints
+        self.shared_admission: dict[int, Admission] = {}  # of all tables, by request class
+        self.changes = RoundChanges()
 
     def add_proxy(self, proxy: int, unconfigured: bool) -> None:
+        """A proxy has opened a stream; what was sent on an earlier one is forgotten.
+
+        `unconfigured`: it holds no table of any controller.
+        """
         self.remove_proxy(proxy)
         self.proxies[proxy] = ProxyState(unconfigured)
 
     def remove_proxy(self, proxy: int) -> None:
-        self.new_assignments.pop(proxy, None)
-        if one := self.proxies.pop(proxy, None):
-            for table in one.assignments:
-                self.tables[table].proxies.discard(proxy)
-
-    def _table(self, table: int) -> RoutingTable:
-        return self.tables.setdefault(table, RoutingTable())
+        """The stream of a proxy has ended; no effect where there is none."""
+        self.changes.assignments.pop(proxy, None)
+        state = self.proxies.pop(proxy, None)
+        if state is not None:
+            for number in state.assignments:
+                self.tables[number].proxies.discard(proxy)
 
     def set_weight(self, table: int, endpoint: int, weight: float) -> None:
-        one = self._table(table)
-        self.changed_tables.add(table)
-        one.changed_weights[endpoint] = weight
+        """Set the weight of an endpoint in a routing table, points; 0 removes it."""
+        changed = self._changed_table(table)
+        changed.changed_weights[endpoint] = weight
         if weight > 0:
-            one.weights[endpoint] = weight
+            changed.weights[endpoint] = weight
         else:
-            one.weights.pop(endpoint, None)
+            changed.weights.pop(endpoint, None)
 
     def clear_table(self, table: int) -> None:
-        self.tables[table] = RoutingTable(cleared=True, proxies=self._table(table).proxies)
-        self.changed_tables.add(table)
+        """Remove all weights and admission of a routing table."""
+        proxies = self._table(table).proxies
+        self.tables[table] = RoutingTable(cleared=True, proxies=proxies)
+        self.changes.tables.add(table)
 
     def assign_table(self, table: int, proxy: int, classes: int) -> None:
-        if proxy not in self.proxies:
+        """Let a proxy route classes (0: all) by a table, in place of the one that they had.
+
+        No effect where the proxy's stream has ended.
+        """
+        state = self.proxies.get(proxy)
+        if state is None:
             return
-        self._table(table)
-        one, classes = self.proxies[proxy], classes or self.all_classes
-        for at, old in [*one.assignments.items()]:
-            one.assignments[at] = old & ~classes
-            if not one.assignments[at] and at != table:
-                del one.assignments[at]
-                self.tables[at].proxies.discard(proxy)
-        one.assignments[table] = one.assignments.get(table, 0) | classes
-        self.tables[table].proxies.add(proxy)
-        self.new_assignments.setdefault(proxy, set()).add(table)
+        classes = classes or self.all_classes
+        assigned = self._table(table)
+        for number, held in list(state.assignments.items()):
+            state.assignments[number] = held & ~classes
+            if not state.assignments[number] and number != table:
+                del state.assignments[number]
+                self.tables[number].proxies.discard(proxy)
+        state.assignments[table] = state.assignments.get(table, 0) | classes
+        assigned.proxies.add(proxy)
+        self.changes.assignments.setdefault(proxy, set()).add(table)
 
     def set_ejected(self, endpoint: int, ejected: bool) -> None:
-        (self.ejected.add if ejected else self.ejected.discard)(endpoint)
-        self.ejections.append(endpoint)
+        """Eject an endpoint at all proxies, or restore it."""
+        if ejected:
+            self.ejected.add(endpoint)
+        else:
+            self.ejected.discard(endpoint)
+        self.changes.ejections.append(endpoint)
 
     def forget_endpoint(self, endpoint: int) -> None:
-        """Let back first; its number may be another's from the next round on."""
+        """Restore an endpoint; its number may be another's from the next round on."""
         self.set_ejected(endpoint, False)
-        self.forgotten.append(endpoint)
+        self.changes.forgotten.append(endpoint)
 
-    def set_admission(self, table: int, classes: int, quota: float, retry_policy: int) -> None:
-        every = table == ALL_TABLES
-        admission = self.shared_admission if every else self._table(table).admission
-        told = self.changed_shared_admission if every else self._table(table).changed_admission
+    def set_admission(self, table: int, classes: int, quota: float, retry_policy: RetryPolicy) -> None:
+        """Set what is admitted of classes (0: all) in a table, or in ALL_TABLES.
+
+        `quota` is a share, or requests/s a proxy.
+        """
+        if table == ALL_TABLES:
+            admission = self.shared_admission
+            changed = self.changes.shared_admission
+        else:
+            admission = self._table(table).admission
+            changed = self._changed_table(table).changed_admission
         for request_class in bits_of(classes or self.all_classes):
-            admission[request_class] = (quota, retry_policy)
-            told.add(request_class)
-        self.changed_tables.update([] if every else [table])
+            admission[request_class] = Admission(quota, retry_policy)
+            changed.add(request_class)
 
     def request_ack(self, nonce: int, all_proxies: bool) -> None:
-        self.nonce, self.ack_from_all = nonce, all_proxies
+        """Ask for acknowledgement of the round's updates.
+
+        `all_proxies`: also of those that are sent nothing else.
+        """
+        self.changes.nonce = nonce
+        self.changes.ack_from_all = all_proxies
 
     def was_sent(self, proxy: int, nonce: int) -> bool:
-        """Whether this mark, or a later one, was asked for on the proxy's stream."""
+        """Whether a nonce, or one up to half a turn later, was sent on the proxy's stream."""
         last = self.proxies[proxy].last_nonce
-        return last is not None and nonce < NONCE_COUNT and (last - nonce) % NONCE_COUNT < NONCE_COUNT // 2
+        if last is None or nonce >= NONCE_COUNT:
+            return False
+        return (last - nonce) % NONCE_COUNT < NONCE_COUNT // 2
+
+    def admission_of(self, table: int, request_class: int) -> Admission | None:
+        """What is admitted of a class in a table; None where it was never set."""
+        found = self._table(table)
+        if request_class not in found.admission and request_class not in self.shared_admission:
+            return None
+        return self._effective_admission(found, request_class)
 
     def updates(self) -> Iterator[tuple[int, tuple[UpdatePart, ...]]]:
-        """One message for each proxy concerned; afterwards the round's changes are told."""
-        made: dict[tuple, tuple[list[UpdatePart], list[int]]] = {}  # what proxies on the same table share
-        concerned = {*self.new_assignments}.union(
-            *(self.tables[table].proxies for table in self.changed_tables)
-        )
-        if self.ejections or self.changed_shared_admission or self.ack_from_all:
-            concerned = self.proxies.keys()
-        for proxy in sorted(concerned):
-            one = self.proxies[proxy]
-            parts = self._update_parts(one, self.new_assignments.get(proxy, ()), made)
-            if self.nonce is not None and (parts or self.ack_from_all):
-                parts = parts or [UpdatePart()]
-                parts[-1] = parts[-1]._replace(nonce=self.nonce)
-                one.last_nonce = self.nonce
+        """Yield the round's update for each proxy that it concerns, by ascending proxy number.
+
+        When all are taken, the round's changes count as sent.
+        """
+        shared: dict[tuple[int, int, bool], TableParts] = {}
+        for proxy in sorted(self._concerned_proxies()):
+            parts = self._update_parts(proxy, shared)
             if parts:
                 yield proxy, tuple(parts)
-        for one in self.proxies.values() if self.forgotten else ():
-            for endpoint in self.forgotten:
-                one.sent_ejections.pop(endpoint, None)
-        self.ejected.difference_update(self.forgotten)
-        for at in self.changed_tables:
-            table = self.tables[at]
-            table.changed_weights, table.changed_admission, table.cleared = {}, set(), False
-        self._forget_changes()
-
-    def _update_parts(self, proxy: ProxyState, fresh: Collection[int], made: dict) -> list[UpdatePart]:
-        parts, met, free = [], list(self.ejections), self.all_classes
-        for at, classes in proxy.assignments.items():
-            free &= ~classes
-            key = at, classes, at in fresh or self.tables[at].cleared
-            if key not in made:
-                made[key] = self._table_parts(*key)
-            parts += made[key][0]
-            met += made[key][1]
-        if self.changed_shared_admission:
-            parts += self._admission_parts(
-                RoutingTable(),
-                [
-                    request_class
-                    for request_class in bits_of(free)
-                    if request_class in self.changed_shared_admission
-                ],
-            )
-        return self._with_ejections(proxy, met, parts)
-
-    def _table_parts(self, at: int, classes: int, complete: bool) -> tuple[list[UpdatePart], list[int]]:
-        """A whole table or what changed in it, and the nodes that its lines bring."""
-        table = self.tables[at]
-        weights = table.weights if complete else table.changed_weights
-        admission = (
-            table.admission.keys() | self.shared_admission.keys()
-            if complete
-            else table.changed_admission | self.changed_shared_admission
-        )
-        parts = (
-            [UpdatePart(self._named_classes(classes), complete, tuple(weights.items()))]
-            if complete or weights
-            else []
-        )
-        parts += self._admission_parts(
-            table, [request_class for request_class in bits_of(classes) if request_class in admission]
-        )
-        return parts, [endpoint for endpoint, weight in weights.items() if weight > 0]
-
-    def _effective_admission(self, table: RoutingTable, request_class: int) -> tuple[float, int]:
-        quota, retry_policy = table.admission.get(request_class) or self.shared_admission[request_class]
-        return min(quota, self.shared_admission.get(request_class, (quota,))[0]), retry_policy
-
-    def admission_of(self, at: int, request_class: int) -> tuple[float, int] | None:
-        """The level and the way of trying again that hold for a kind in a table; None where not ordered."""
-        table = self._table(at)
-        return (
-            self._effective_admission(table, request_class)
-            if request_class in table.admission or request_class in self.shared_admission
-            else None
-        )
-
-    def _admission_parts(self, table: RoutingTable, classes: list[int]) -> list[UpdatePart]:
-        """Kinds of the same level share a part; of the table's and everybody's, the lower level holds."""
-        groups: dict[tuple[float, int], int] = {}
-        for request_class in classes:
-            at = self._effective_admission(table, request_class)
-            groups[at] = groups.get(at, 0) | 1 << request_class
+        self._changes_sent()
+
+    def _table(self, number: int) -> RoutingTable:
+        return self.tables.setdefault(number, RoutingTable())
+
+    def _changed_table(self, number: int) -> RoutingTable:
+        self.changes.tables.add(number)
+        return self._table(number)
+
+    def _concerned_proxies(self) -> Iterable[int]:
+        changes = self.changes
+        if changes.ejections or changes.shared_admission or changes.ack_from_all:
+            return self.proxies.keys()
+        changed_tables = (self.tables[number].proxies for number in changes.tables)
+        return set(changes.assignments).union(*changed_tables)
+
+    def _changes_sent(self) -> None:
+        for endpoint in self.changes.forgotten:
+            self.ejected.discard(endpoint)
+            for state in self.proxies.values():
+                state.sent_ejections.pop(endpoint, None)
+        for number in self.changes.tables:
+            self.tables[number].changes_sent()
+        self.changes = RoundChanges()
+
+    def _update_parts(self, proxy: int, shared: dict[tuple[int, int, bool], TableParts]) -> list[UpdatePart]:
+        """The parts of one proxy's update, none where it is sent nothing; notes what they tell it.
+
+        `shared` keeps the parts of tables, which are the same for all proxies that share them.
+        """
+        state = self.proxies[proxy]
+        newly_assigned = self.changes.assignments.get(proxy, ())
+        parts: list[UpdatePart] = []
+        endpoints = list(self.changes.ejections)
+        unassigned = self.all_classes
+        for number, classes in state.assignments.items():
+            unassigned &= ~classes
+            complete = number in newly_assigned or self.tables[number].cleared
+            key = number, classes, complete
+            if key not in shared:
+                shared[key] = self._table_parts(number, classes, complete)
+            parts += shared[key].parts
+            endpoints += shared[key].endpoints
+        if self.changes.shared_admission:
+            changed = [one for one in bits_of(unassigned) if one in self.changes.shared_admission]
+            parts += self._admission_parts(RoutingTable(), changed)
+        parts = self._with_ejections(state, endpoints, parts)
+        return self._with_nonce(state, parts)
+
+    def _table_parts(self, number: int, classes: int, complete: bool) -> TableParts:
+        """The parts of a complete table, or of what changed in it."""
+        table = self.tables[number]
+        if complete:
+            weights = table.weights
+            admission = table.admission.keys() | self.shared_admission.keys()
+        else:
+            weights = table.changed_weights
+            admission = table.changed_admission | self.changes.shared_admission
+        parts = []
+        if complete or weights:
+            parts.append(UpdatePart(self._named_classes(classes), complete, tuple(weights.items())))
+        parts += self._admission_parts(table, [one for one in bits_of(classes) if one in admission])
+        return TableParts(parts, [endpoint for endpoint, weight in weights.items() if weight > 0])
+
+    def _admission_parts(self, table: RoutingTable, request_classes: list[int]) -> list[UpdatePart]:
+        """A part for each different admission; classes with the same share one."""
+        classes_by_admission: dict[Admission, int] = {}
+        for request_class in request_classes:
+            admission = self._effective_admission(table, request_class)
+            classes_by_admission[admission] = classes_by_admission.get(admission, 0) | 1 << request_class
         return [
-            UpdatePart(self._named_classes(bits), quota=quota, retry_policy=retry_policy)
-            for (quota, retry_policy), bits in groups.items()
+            UpdatePart(
+                self._named_classes(classes), quota=admission.quota, retry_policy=admission.retry_policy
+            )
+            for admission, classes in classes_by_admission.items()
         ]
 
-    def _with_ejections(self, proxy: ProxyState, met: list[int], parts: list[UpdatePart]) -> list[UpdatePart]:
-        """A proxy keeps what any conductor withdrew, so each node that it meets is told as it stands now."""
-        ejections = {
-            endpoint: ejected
-            for endpoint in met
-            if proxy.sent_ejections.get(
-                endpoint, False if proxy.unconfigured or endpoint in self.forgotten else None
-            )
-            != (ejected := endpoint in self.ejected)
-        }
-        if ejections:
-            proxy.sent_ejections |= ejections
-            parts = parts or [UpdatePart()]
-            parts[0] = parts[0]._replace(
-                ejected=tuple(endpoint for endpoint, ejected in ejections.items() if ejected),
-                restored=tuple(endpoint for endpoint, ejected in ejections.items() if not ejected),
-            )
-        return parts
+    def _effective_admission(self, table: RoutingTable, request_class: int) -> Admission:
+        """The lower quota of the table's and the shared one, with the table's retry policy if it has one."""
+        own = table.admission.get(request_class)
+        shared = self.shared_admission.get(request_class)
+        if own is None or shared is None:
+            return own or shared
+        return Admission(min(own.quota, shared.quota), own.retry_policy)
+
+    def _with_ejections(
+        self, state: ProxyState, endpoints: list[int], parts: list[UpdatePart]
+    ) -> list[UpdatePart]:
+        """The parts, of which the first tells whether endpoints are ejected, where the proxy may not know.
+
+        `endpoints`: those whose ejection changed or that the parts bring. A proxy keeps what any controller
+        ejected, so each endpoint that it is brought is told as it is now.
+        """
+        forgotten = self.changes.forgotten
+        news = {}
+        for endpoint in endpoints:
+            ejected = endpoint in self.ejected
+            # another controller may have ejected what the proxy holds
+            unless_sent = False if state.unconfigured or endpoint in forgotten else None
+            if state.sent_ejections.get(endpoint, unless_sent) != ejected:
+                news[endpoint] = ejected
+        if not news:
+            return parts
+        state.sent_ejections |= news
+        first, *others = parts or [UpdatePart()]
+        first = first._replace(
+            ejected=tuple(endpoint for endpoint, ejected in news.items() if ejected),
+            restored=tuple(endpoint for endpoint, ejected in news.items() if not ejected),
+        )
+        return [first, *others]
+
+    def _with_nonce(self, state: ProxyState, parts: list[UpdatePart]) -> list[UpdatePart]:
+        """The parts, of which the last asks for acknowledgement, where the round does."""
+        nonce = self.changes.nonce
+        if nonce is None or not (parts or self.changes.ack_from_all):
+            return parts
+        state.last_nonce = nonce
+        *others, last = parts or [UpdatePart()]
+        return [*others, last._replace(nonce=nonce)]
 
     def _named_classes(self, classes: int) -> tuple[int, ...]:
         return () if classes == self.all_classes else tuple(bits_of(classes))
 
 
-def bits_of(bits: int) -> Iterator[int]:
-    return (place for place in range(bits.bit_length()) if bits >> place & 1)
+def bits_of(mask: int) -> Iterator[int]:
+    """The places of the bits that are set, lowest first.
+
+    >>> list(bits_of(0b1101))
+    [0, 2, 3]
+    """
+    return (place for place in range(mask.bit_length()) if mask >> place & 1)
