--- /dev/null
+++ b/tests/proxy/test_proxy_retries.py
@@ -0,0 +1,92 @@
+"""Retries: an effect ledger over random histories, proof that nothing ran, time left, the retry budget."""
+
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from oatcart.model import Idempotency, RetryPolicy
+from oatcart.net.ending import Ending
+from oatcart.proxy.retries import (
+    RETRY_BUDGET_WINDOW_SECONDS,
+    FailedAttempt,
+    Request,
+    RetryBudget,
+    decide_retry,
+    never_processed,
+    retry_permitted,
+)
+
+FAILED_ATTEMPTS = st.builds(
+    FailedAttempt,
+    st.sampled_from(list(Ending)),
+    st.sampled_from([0, 1, 500]),
+    st.booleans(),
+    st.sampled_from([0, 0, 9]),
+    st.sampled_from(["", "east", "west"]),
+)
+
+
+def takes_effect(failed, processed):
+    """Whether the endpoint took effect: never where that is disproved, else as chance has it."""
+    return processed and not never_processed(failed)
+
+
+@given(
+    st.sampled_from(Idempotency),
+    st.sampled_from(RetryPolicy),
+    st.lists(st.tuples(FAILED_ATTEMPTS, st.booleans(), st.floats(0.0, 0.5)), min_size=1, max_size=8),
+)
+@settings(max_examples=600, deadline=None, derandomize=True)
+def test_no_effect_twice_over_any_history(idempotency, policy, history):
+    """A non-idempotent request never takes effect twice, a keyed one only where its key is known."""
+    now = 0.0
+    request = Request(idempotency, started_at=0.0, deadline=3.0, key_lifetime=1.0)
+    budget = RetryBudget(ratio=1.0, minimum=100.0)
+    effects, group = [], ""  # (deduplication group, time)
+    for failed, processed, duration in history:
+        request.attempts += 1
+        failed = failed._replace(deduplication_group=group or failed.deduplication_group)
+        if takes_effect(failed, processed):
+            effects.append((failed.deduplication_group, now))
+        now += duration
+        retry, group = decide_retry(now, request, failed, policy, 0.1, budget)
+        if not retry:
+            break
+        assert not failed.response_bytes  # a response that has begun is never begun again
+    assert request.attempts <= {0: 1, 1: 2, 2: 2, 3: 3}[policy]
+    if idempotency == Idempotency.NOT_IDEMPOTENT:
+        assert len(effects) <= 1
+    if idempotency == Idempotency.KEYED and len(effects) > 1:
+        assert len({group for group, _ in effects}) == 1
+        assert effects[-1][1] - effects[0][1] < request.key_lifetime
+
+
+def test_what_was_never_sent_or_never_started_was_never_processed():
+    assert never_processed(FailedAttempt(Ending.SILENT, 0))
+    assert never_processed(FailedAttempt(Ending.DONE, 500, not_started=True))
+    assert not never_processed(FailedAttempt(Ending.CLOSED, 1))
+    assert not never_processed(FailedAttempt(Ending.RESET, 0, response_bytes=1))
+    request = Request(Idempotency.NOT_IDEMPOTENT, started_at=0.0, deadline=9.0, attempts=1)
+    assert retry_permitted(request, FailedAttempt(Ending.REFUSED, 0), RetryPolicy.IF_NOT_PROCESSED)
+    assert not retry_permitted(request, FailedAttempt(Ending.REFUSED, 0), RetryPolicy.NEVER)
+    assert not retry_permitted(request, FailedAttempt(Ending.RESET, 9), RetryPolicy.TWICE_ON_FAILURE)
+
+
+def test_a_retry_without_time_for_it_is_not_made():
+    budget = RetryBudget(ratio=1.0, minimum=9.0)
+    reset = FailedAttempt(Ending.RESET, 9, deduplication_group="east")
+    request = Request(Idempotency.IDEMPOTENT, started_at=0.0, deadline=1.0, attempts=1)
+    assert decide_retry(0.8, request, reset, RetryPolicy.ON_FAILURE, 0.1, budget) == (True, "")
+    assert decide_retry(0.9, request, reset, RetryPolicy.ON_FAILURE, 0.1, budget) == (False, "")
+    keyed = Request(Idempotency.KEYED, started_at=0.0, deadline=9.0, key_lifetime=1.0, attempts=1)
+    assert decide_retry(0.5, keyed, reset, RetryPolicy.ON_FAILURE, 0.1, budget) == (True, "east")
+    # the retry would end after the key is forgotten
+    assert decide_retry(0.95, keyed, reset, RetryPolicy.ON_FAILURE, 0.1, budget) == (False, "")
+
+
+def test_retries_never_exceed_their_ratio_in_a_storm():
+    budget, retries = RetryBudget(ratio=0.2, minimum=3.0), 0
+    for index in range(20_000):  # ten seconds, all requests fail
+        budget.record_first_attempt(index / 2000)
+        retries += budget.try_spend(index / 2000)
+    assert 0.1 * 20_000 < retries <= 0.21 * 20_000
+    assert budget.try_spend(10.0 + 2 * RETRY_BUDGET_WINDOW_SECONDS)  # calm again
