--- a/oatcart/events.py
+++ b/oatcart/events.py
@@ -1,7 +1,7 @@
 """Events that a round brings to the decisions, in the order of their coming.
 
 Hosts build them from their wire; the decisions match them by type. A round without events is the end of a
-wait asked for with `schedule_round`.
+wait requested with `schedule_round`.
 """
 
 from collections.abc import Iterable
--- a/oatcart/model.py
+++ b/oatcart/model.py
@@ -91,7 +91,7 @@
 
 
 class WarmUpLimits(NamedTuple):
-    """What an endpoint stands that has just started."""
+    """What load a freshly started endpoint sustains."""
 
     duration: float = 0.0  # s until it has its full capacity
     initial_fraction: float = 1.0  # of its capacity at the start
--- a/oatcart/policy/assignment.py
+++ b/oatcart/policy/assignment.py
@@ -1,4 +1,4 @@
-"""Assignment: proxies that join are given their routing tables, as the update channel has room."""
+"""Assignment: proxies that join are given their routing tables, as the update channel has capacity."""
 
 from collections.abc import Mapping
 
@@ -100,8 +100,8 @@
 
         A choice stands until the proxy has got a table of it, unless that has become too large to be sent.
         """
-        kinds = sorted({(proxy.zone, proxy.configured_before) for proxy in joining.values()})
-        choices = {kind: self._tables.choices(*kind, len(self._proxies)) for kind in kinds}
+        profiles = sorted({(proxy.zone, proxy.configured_before) for proxy in joining.values()})
+        choices = {profile: self._tables.choices(*profile, len(self._proxies)) for profile in profiles}
         for number, proxy in joining.items():
             fitting = choices[proxy.zone, proxy.configured_before]
             too_large = any(
@@ -119,9 +119,9 @@
         pairs: list[tuple[int, RoutingTable]],
         this_round: Round,
     ) -> None:
-        """Sends complete tables as there is room: to the busiest proxies first.
+        """Sends complete tables as far as the channel has capacity, to the busiest proxies first.
 
-        While endpoints are removed, the shortest tables go first: whoever has its tables is told of removals.
+        While endpoints are removed, the shortest tables go first: a proxy with tables is notified of removals.
         """
         removals = any(endpoint.removal_sent for endpoint in self._registry.endpoints.values())
         pairs.sort(key=lambda pair: (removals and len(pair[1].weights), -sum(joining[pair[0]].rates)))
--- a/oatcart/policy/draining.py
+++ b/oatcart/policy/draining.py
@@ -12,7 +12,7 @@
 from oatcart.policy.state import Endpoint, Proxy, Round, RoutingTable
 from oatcart.policy.subsetting import RoutingTables
 
-MIN_REMOVALS = 4  # lines that are worth a message, where not all fit
+MIN_REMOVALS = 4  # lines that justify a message, where not all fit
 OVERDUE_S = 1.0  # after which removals may use the last messages, which until then drains wait to share
 FORGET_AFTER_S = 30.0  # after an endpoint is gone; longer than any proxy takes to connect again
 
@@ -63,7 +63,7 @@
     def restore_available(self, this_round: Round) -> None:
         """Lets all proxies use endpoints again that are available, once no table has an old weight for them.
 
-        An entry of before the restart would give a cold endpoint the weight that it had when warm.
+        An entry of before a restart would give an endpoint that is warming up its former weight.
         """
         due = {
             number: endpoint
@@ -81,7 +81,7 @@
             this_round.commands.set_ejected(number, False)
 
     def forget_gone(self, this_round: Round, all_assigned: bool) -> None:
-        """Forgets endpoints that are long gone and stand in no table; together, as each costs a message.
+        """Forgets endpoints that are long gone and in no table; together, as each costs a message.
 
         `all_assigned`: all proxies have their tables from here; else tables of others may hold the endpoints.
         """
@@ -105,7 +105,7 @@
             self._registry.forget(number)
 
     def _reserve(self, due: dict[int, Endpoint], share: float, now: float) -> list[int]:
-        """Reserves room for a line for each due endpoint and returns those that fit, drains first."""
+        """Reserves a line for each due endpoint and returns those that fit, drains first."""
         if not due:
             return []
         share = self._share(due.values(), share, now)
--- a/oatcart/policy/flow_control.py
+++ b/oatcart/policy/flow_control.py
@@ -81,7 +81,7 @@
         self._now = now
 
     def _measure_rate(self, now: float, unacknowledged: float) -> None:
-        """Sets the acknowledged rate; a queue that was empty or left whole proves the full line rate."""
+        """Sets the acknowledged rate; a queue that was short or left completely proves the line rate."""
         rate = self.limits.line_rate
         left = self._acknowledged - self._acknowledged_then
         slow = left < self._unacknowledged_then > rate / MAX_SLOWDOWN * ACK_LATE_S
@@ -103,7 +103,7 @@
 
         `share`: the part of the caps that may be filled, one of the constants above. Where not all lines
         fit, as many are reserved as do, if these are at least `minimum` (0: all or none). `notices`: for
-        each line, how many proxies are told with it whether its endpoint may be used, one line each.
+        each line, how many proxies are notified with it whether its endpoint may be used, one line each.
         """
         first_messages = [one for one in proxies.values() if not one.sent_at or one.sent_at[-1] < self._now]
         if not self._messages_left(first_messages, share):
@@ -111,8 +111,8 @@
         overhead = len(first_messages) * (self.limits.message_overhead + 1)
         costs = list(accumulate(len(proxies) + notice for notice in notices or [0] * lines))
         if self.limits.max_queue and proxies:
-            room = self._queue_left(share) - overhead
-            fitting = sum(cost <= room for cost in costs)
+            available = self._queue_left(share) - overhead
+            fitting = sum(cost <= available for cost in costs)
             if fitting < (minimum or lines):
                 return 0
             lines = fitting
--- a/oatcart/policy/load_shedding.py
+++ b/oatcart/policy/load_shedding.py
@@ -1,7 +1,7 @@
 """Load shedding: the share of the offered work that a routing table admits, and its split by request class.
 
-A cut follows strain that full endpoints explain, and waits until reports show the one before. The classes
-worth least for their time are shed first.
+A cut follows strain that overloaded endpoints explain, and waits until reports show the one before. The
+classes with the least priority weight for their latency objective are shed first.
 """
 
 from collections.abc import Iterable
@@ -25,7 +25,7 @@
 RECOVERY_STEP = 0.04  # share that is admitted again in a second
 CALM_STRAIN = 0.8  # under which it is
 MIN_LEVEL = 0.02  # share of a class that is always admitted
-LEVEL_STEP = 0.04  # change of a level that is worth sending
+LEVEL_STEP = 0.04  # smallest change of a level that is sent
 UNLIMITED_RATE = 1e6  # requests/s
 
 
@@ -74,7 +74,7 @@
         return admissible_share(fractions, success_ratio(pool), filled, table.admitted_share)
 
     def send_admission(self, table: RoutingTable, this_round: Round) -> None:
-        """Sends the levels of the table's classes that have changed, as far as the channel has room."""
+        """Sends the levels of the table's classes that have changed, as far as the channel has capacity."""
         share = 1.0 if self._mode == AdmissionMode.NONE else self.admitted_share(table, this_round.now)
         work = self._workload.offered(table)
         left = share * sum(work.values())
@@ -95,7 +95,7 @@
         return [one for one in self._tables.endpoints(table).values() if not one.ejected]
 
     def _shed_order(self, number: int) -> float:
-        """Sorts the classes by worth for their time, the best first: the last ones are shed."""
+        """Sorts by priority weight for each second of latency objective; the last classes are shed."""
         request_class = self._request_classes[number]
         return -request_class.priority_weight / request_class.latency_objective
 
--- a/oatcart/policy/publication.py
+++ b/oatcart/policy/publication.py
@@ -71,7 +71,7 @@
     def publish(
         self, table: RoutingTable, this_round: Round, rescored: bool = False, unblocked: bool = True
     ) -> None:
-        """Sends what is due of a table's changes, as far as the channel has room, and keeps the rest.
+        """Sends what is due of a table's changes, as far as the channel has capacity; the rest waits.
 
         `rescored`: scores are new in this round; `unblocked`: nothing more important waits for the channel.
         """
@@ -138,7 +138,7 @@
     def _reserve(
         self, table: RoutingTable, changes: WeightChanges, due: list[int], share: float
     ) -> dict[int, int]:
-        """Reserves room for the due changes and returns those that fit, the most important first.
+        """Reserves the due changes and returns those that fit, the most important first.
 
         New entries come first and then the largest changes; endpoints that proxies may not use come last.
         """
--- a/oatcart/policy/registry.py
+++ b/oatcart/policy/registry.py
@@ -8,7 +8,7 @@
 
 
 class EndpointRegistry:
-    """Endpoints by number; a pool is built once and kept until the list changes."""
+    """Endpoints by number; pools are cached until the list changes."""
 
     def __init__(self) -> None:
         self.endpoints: dict[int, Endpoint] = {}
--- a/oatcart/policy/slow_start.py
+++ b/oatcart/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the ramp of an endpoint's weight, and how much an endpoint stands that is warming up.
+"""Slow start: the ramp of an endpoint's weight, and the load that a warming-up endpoint sustains.
 
 A fresh endpoint is idle and scores best, so without limits all proxies together would overload it.
 """
@@ -15,7 +15,7 @@
 RAMP_S = 5.0  # length of the ramp
 RAMP_WARM_UPS = 2.0  # warm-ups that the ramp after a start lasts at most
 SAFE_SHARE = 0.25  # of the load that overloads a warming endpoint: half for two draws, half for other proxies
-SAFE_DRAWS = 2.5  # times its present capacity that draws may meet a warming endpoint
+SAFE_DRAWS = 2.5  # times its present capacity that draws may send to a warming endpoint
 POOL_MARGIN = 1.2  # times the present capacity of a mostly warming pool that is admitted
 UNKNOWN_SUCCESS = 0.05  # success ratio that is assumed where nothing is reported, and the least
 
@@ -65,11 +65,11 @@
     limits: WarmUpLimits,
     now: float,
 ) -> None:
-    """Lowers in `weights` what endpoints get that are warming up, and removes those met too often.
+    """Lowers in `weights` what endpoints get that are warming up, and removes those drawn too often.
 
     `filled`: endpoints of the pool that the admitted work fills. Local and remote endpoints are compared
-    each with their like, as only proxies of their own zone meet local ones. A weight is limited to what its
-    endpoint stands beside the median warm one.
+    each with their like, as only proxies of their own zone draw local ones. A weight is limited to what its
+    endpoint sustains beside the median warm one.
     """
     safe = limits.overload_multiple * SAFE_SHARE * success_ratio(pool.values())
     most_draws: dict[int, float] = {}
@@ -85,19 +85,19 @@
         expected = filled * len(like) / len(pool) if local else filled
         load = max(1, len(warm), expected)
         for number, endpoint in like.items():
-            stands = safe * warm_fraction(endpoint, limits, now)
-            if stands < safe:
-                weights[number] = max(1, min(weights[number], round(stands * usual)))
-                most_draws[number] = (SAFE_DRAWS * stands + 2 / usual) / load
+            sustained = safe * warm_fraction(endpoint, limits, now)
+            if sustained < safe:
+                weights[number] = max(1, min(weights[number], round(sustained * usual)))
+                most_draws[number] = (SAFE_DRAWS * sustained + 2 / usual) / load
         warm_weights += warm
     if warm_weights:
-        _remove_met_too_often(pool, weights, most_draws)
+        _remove_drawn_too_often(pool, weights, most_draws)
 
 
-def _remove_met_too_often(
+def _remove_drawn_too_often(
     pool: dict[int, Endpoint], weights: dict[int, int], most_draws: dict[int, float]
 ) -> None:
-    """Removes warming endpoints that two draws by weight meet more often than they stand.
+    """Removes warming endpoints that two draws by weight pick more often than they sustain.
 
     The second draw is from what the first left; each endpoint that is removed makes the others' part larger,
     so this repeats until nothing has to go.
@@ -108,7 +108,7 @@
         total = sum(active.values())
         odds = {at: weight / max(1, total - weight) for at, weight in active.items()}
         draws = 1.0 + sum(odds.values())
-        met = {at: active[at] / total * (draws - odds[at]) for at in most_draws if at in active}
-        removed = [at for at, often in met.items() if often > most_draws[at]]
+        drawn = {at: active[at] / total * (draws - odds[at]) for at in most_draws if at in active}
+        removed = [at for at, share in drawn.items() if share > most_draws[at]]
         for number in removed:
             del weights[number]
--- a/oatcart/policy/state.py
+++ b/oatcart/policy/state.py
@@ -47,11 +47,11 @@
     ejected_at: float = LONG_AGO
     passed_checks: int = 0  # health checks passed in a row
     # draining
-    removal_sent_at: float = inf  # when proxies were told not to use it; inf: they may use it
+    removal_sent_at: float = inf  # when proxies were notified not to use it; inf: they may
 
     @property
     def removal_sent(self) -> bool:
-        """Whether the proxies were told not to use it, and not yet that they may again."""
+        """Whether the proxies were notified not to use it, and not yet that they may again."""
         return self.removal_sent_at < inf
 
     @property
@@ -89,7 +89,7 @@
     size: float = inf  # endpoints that it may have; inf: all; subsetting
     subset: set[int] = field(default_factory=set)  # its endpoints where the size is limited
     weights: dict[int, int] = field(default_factory=dict)  # by endpoint, as sent; publication
-    unsent: dict[int, int] = field(default_factory=dict)  # weights that wait for room in the channel
+    unsent: dict[int, int] = field(default_factory=dict)  # weights that wait for capacity of the channel
     proxies: dict[int, Proxy] = field(default_factory=dict)  # that route by it
     nonce: int = 0  # of its last update
     unacknowledged: set[int] = field(default_factory=set)  # proxies that have not applied that update
@@ -105,10 +105,11 @@
         return self.size == inf
 
     def unaware_proxies(self, removed_at: float) -> int:
-        """Counts the proxies that have to be told, with a new entry, whether its endpoint may be used.
+        """Counts the proxies to notify, with a new entry, whether its endpoint may be used.
 
-        `removed_at`: when proxies were told not to use the endpoint, inf if they may. Who joined before was
-        told then. Of an endpoint in use, only those are told that another controller may have configured.
+        `removed_at`: when proxies were notified not to use the endpoint, inf if they may. Those that had
+        joined by then know. Of an endpoint in use, only those are notified that another controller may have
+        configured.
         """
         return sum(proxy.configured_before or proxy.joined_at > removed_at for proxy in self.proxies.values())
 
--- a/oatcart/policy/subsetting.py
+++ b/oatcart/policy/subsetting.py
@@ -1,7 +1,7 @@
 """Subsetting: which routing tables there are, and which endpoints each has.
 
 A table has all endpoints of its zones while the update channel carries complete tables of all proxies well
-within the drain deadline. Else there are several tables of each kind, each with a subset of the endpoints,
+within the drain deadline. Else there are several tables for each key, each with a subset of the endpoints,
 and each endpoint is in two subsets, so that neighbouring subsets level their load.
 """
 
@@ -24,7 +24,7 @@
 
 
 class TableChoice(NamedTuple):
-    """Tables of one kind that a joining proxy may be given."""
+    """Tables of one key that a joining proxy may be given."""
 
     max_size: float  # endpoints; a proxy with a larger table gets another one
     tables: deque[RoutingTable]  # those with the fewest proxies first
@@ -63,7 +63,7 @@
     def endpoints(self, table: RoutingTable) -> dict[int, Endpoint]:
         """Returns the ready endpoints of a table, by number; with subsets, without the ejected ones.
 
-        Without subsets proxies are told of ejections, so that entries can stay.
+        Without subsets proxies are notified of ejections, so that entries can stay.
         """
         pool = self._registry.pool(table.zones)
         if not self.has_subsets:
@@ -74,7 +74,7 @@
     def choices(self, zone: int, configured_before: bool, joined_proxies: int) -> list[TableChoice]:
         """Returns, for each table that a joining proxy of a zone needs, the tables it may be given.
 
-        A proxy that was `configured_before` is told with each entry whether its endpoint may be used, which
+        A proxy that was `configured_before` is notified with each entry whether its endpoint may be used, which
         costs a line more. The size of a subset follows from the lines that the channel carries in time.
         """
         settings = self._settings
@@ -95,7 +95,7 @@
         return choices
 
     def _tables_up_to(self, key: TableKey, size: float, pool_size: int) -> list[RoutingTable]:
-        """Returns tables of a kind that are not too large, with new ones until every endpoint has room."""
+        """Returns tables of a key that are not too large, with new ones until all endpoints fit."""
         alike = self._by_key.setdefault(key, [])
         tables = [table for table in alike if table.size <= MAX_SIZE_FACTOR * size]
         wanted = max(1, ceil(SUBSETS_PER_ENDPOINT * pool_size / size))
--- a/oatcart/policy/telemetry.py
+++ b/oatcart/policy/telemetry.py
@@ -16,7 +16,7 @@
 MEMORY_S = 3.0  # time constant of the decaying sums
 MEMORY_INTERVALS = 1.5  # the same in report intervals; the longer of both counts
 INITIAL_CAPACITY = 8.0  # requests in flight, until an endpoint shows more
-CAPACITY_STEP_DOWN = 0.3  # part of the way towards what a late endpoint holds
+CAPACITY_STEP_DOWN = 0.3  # part of the way towards what a late endpoint has in flight
 ON_TIME_SHARE = 0.5  # of the latency objective; a mean duration over it is late
 FAILING_RATIO = 0.15  # of the attempts, at the median endpoint: full strain
 
@@ -83,7 +83,7 @@
             )
 
     def _learn_capacity(self, endpoint: Endpoint, in_flight: float) -> None:
-        """Raises the capacity to what is held on time, and lowers it while the endpoint is late."""
+        """Raises the capacity to what is in flight on time, and lowers it while the endpoint is late."""
         objective = ON_TIME_SHARE * self.latency_objective
         late = endpoint.answers and endpoint.answer_seconds / endpoint.answers > objective
         if late:
--- a/oatcart/policy/weighting.py
+++ b/oatcart/policy/weighting.py
@@ -28,7 +28,7 @@
         self._shedding = shedding
 
     def target_weights(self, table: RoutingTable, now: float) -> dict[int, int]:
-        """Returns the weights that a table should have: whole numbers of at least 1, by endpoint."""
+        """Returns the weights that a table should have: integers of at least 1, by endpoint."""
         pool = self._tables.endpoints(table)
         local_zones = self._local_zones(table, pool, now)
         weights = {
