--- a/oatcart/policy/assignment.py
+++ b/oatcart/policy/assignment.py
@@ -121,7 +121,7 @@
     ) -> None:
         """Sends complete tables as far as the channel has capacity, to the busiest proxies first.
 
-        While endpoints are removed, the shortest tables go first: a proxy with tables is notified of removals.
+        While endpoints are removed, short tables go first: a proxy with tables is notified of removals.
         """
         removals = any(endpoint.removal_sent for endpoint in self._registry.endpoints.values())
         pairs.sort(key=lambda pair: (removals and len(pair[1].weights), -sum(joining[pair[0]].rates)))
