--- a/oatcart/policy/subsetting.py
+++ b/oatcart/policy/subsetting.py
@@ -75,7 +75,8 @@
         """Returns, for each table that a joining proxy of a zone needs, the tables it may be given.
 
         A proxy that was `configured_before` is notified with each entry whether its endpoint may be
-        used, which costs a line more. The size of a subset follows from the lines that the channel carries in time.
+        used, which costs a line more. The size of a subset follows from the lines that the channel carries
+        in time.
         """
         settings = self._settings
         keys = table_keys(settings.request_classes, zone, settings.cross_zone_price)
