--- a/oatcart/trace/clock_alignment.py
+++ b/oatcart/trace/clock_alignment.py
@@ -60,7 +60,7 @@
         The true bound is convex between the ends, so that a straight line over it is safe; beyond the ends
         it grows with the drift that the constraints leave open.
         """
-        if self.last <= self.first:
+        if self.last <= self.first or inf in self.end_bounds:
             return max(self.end_bounds)
         at_first, at_last = self.end_bounds
         span = self.last - self.first
--- a/tests/trace/test_trace_merge.py
+++ b/tests/trace/test_trace_merge.py
@@ -104,6 +104,18 @@
     assert clocks.by_instance["b"].end_bounds[0] == inf
 
 
+def test_between_unconnected_instances_no_order_is_claimed_at_any_time_of_theirs():
+    traces = {
+        name: [record(Kind.CLOCK, float(at), 2.0, 0.0) for at in range(first, 40, 2)]
+        for first, name in enumerate("ab")
+    }
+    merged, clocks = merge(traces, "a")
+    assert {clocks.by_instance["b"].error_bound(at) for at in (-5.0, 1.0, 7.5, 39.0, 50.0)} == {inf}
+    assert [one.fields["instance"] for one in merged] == ["a", "b"] * 20
+    assert all(happened_before(one, other) is None for one, other in zip(merged, merged[1:], strict=False))
+    assert [one.fields["certain"] for one in merged] == [1] + [0] * 39
+
+
 def test_the_bound_of_an_unconnected_instance_stays_unbounded_in_a_file(tmp_path, capsys):
     paths = [str(tmp_path / name) for name in "ab"]
     for path, name in zip(paths, "ab", strict=True):
