--- a/oatcart/trace/configuration.py
+++ b/oatcart/trace/configuration.py
@@ -4,9 +4,9 @@
 from typing import NamedTuple
 
 from oatcart.trace.write_policy import Limits
-from oatcart.yaml_files import Wrong, load, name, size, span, table, whole
+from oatcart.yaml_files import InvalidConfigurationError, load, name, size, span, table, whole
 
-__all__ = ["TraceSettings", "Wrong", "read"]
+__all__ = ["TraceSettings", "InvalidConfigurationError", "read"]
 
 
 class TraceSettings(NamedTuple):
@@ -34,7 +34,10 @@
 
 
 def read(path: str | Path) -> TraceSettings:
-    """Read the settings file; raises Wrong with a line for each fault, naming file, line and key."""
+    """Read the settings file.
+
+    Raises InvalidConfigurationError with a line for each fault, which names file, line and key.
+    """
     faults: list[str] = []
     document, where = load(path)
     values = table(document, KEYS, "", where, faults, 0)
@@ -45,5 +48,5 @@
         line = document.lc.key("budget" if "budget" in values else "file_size")[0]
         faults.append(f"{where(line)}: budget holds not even one file of file_size")
     if faults:
-        raise Wrong("\n".join(faults))
+        raise InvalidConfigurationError("\n".join(faults))
     return TraceSettings(values["folder"], limits)
--- a/oatcart/trace/run.py
+++ b/oatcart/trace/run.py
@@ -10,7 +10,7 @@
 from oatcart.net.conductor import Rounds
 from oatcart.net.reload import Unusable, wake_pair
 from oatcart.net.start import assemble, configuration, read
-from oatcart.trace.configuration import Wrong
+from oatcart.trace.configuration import InvalidConfigurationError
 from oatcart.trace.configuration import read as read_settings
 from oatcart.trace.controller_tracing import flush_on_termination, trace_controller
 
@@ -28,7 +28,7 @@
         controller_configuration = read(os.environ, "EDGE_CONFIG", configuration)
         make_rounds = trace_controller(Rounds, controller_configuration, settings, writers.append)
         loop, rounds, _ = assemble(controller_configuration, wake_pair(), make_rounds)
-    except (Wrong, Unusable) as error:
+    except (InvalidConfigurationError, Unusable) as error:
         print(error, file=sys.stderr)
         return INVALID_CONFIGURATION
     (writer,) = writers
--- a/tests/trace/test_trace_configuration.py
+++ b/tests/trace/test_trace_configuration.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from oatcart.trace.configuration import TraceSettings, Wrong, read
+from oatcart.trace.configuration import InvalidConfigurationError, TraceSettings, read
 from oatcart.trace.write_policy import Limits
 
 
@@ -27,6 +27,6 @@
 def test_a_fault_in_the_file_is_named_with_its_line(tmp_path, text, fault):
     path = tmp_path / "t.yaml"
     path.write_text(text)
-    with pytest.raises(Wrong) as error:
+    with pytest.raises(InvalidConfigurationError) as error:
         read(path)
     assert fault in str(error.value)
