--- a/oatcart/trace/commands.py
+++ b/oatcart/trace/commands.py
@@ -17,9 +17,9 @@
 from oatcart.trace.records import FIELDS, FIELDS_MERGED, Record, RecordKind
 from oatcart.trace.replay import replay
 from oatcart.trace.selection import Selection, select
-from oatcart.trace.story import Subject, list_events
 from oatcart.trace.summary import repeatable_classes
 from oatcart.trace.summary import summarize as summarize_records
+from oatcart.trace.timeline import Subject, timeline
 from oatcart.trace.trace_files import read_traces, write_trace
 
 
@@ -206,6 +206,6 @@
         key = bytes.fromhex(args.key)
     except ValueError:
         return reject_argument(f"--key: {args.key!r} is not in hex")
-    lines = list_events(records, Subject(key, request, args.node))
+    lines = timeline(records, Subject(key, request, args.node))
     print_result({"events": lines}, lines or ["nothing was seen of it"], args.json)
     return report_missing(missing)
--- a/oatcart/trace/story.py
+++ b/oatcart/trace/timeline.py
@@ -29,7 +29,7 @@
         )
 
 
-def list_events(records: Iterable[Record], subject: Subject) -> list[str]:
+def timeline(records: Iterable[Record], subject: Subject) -> list[str]:
     """The lines of a subject. Two attempts are two lines, and two requests with one key are two requests."""
     lines: list[str] = []
     names: dict[int, str] = {}  # by endpoint
--- a/tests/trace/test_trace_commands.py
+++ b/tests/trace/test_trace_commands.py
@@ -108,7 +108,7 @@
     assert command.main(["cut", str(generated), "--out", str(out)]) == 2
 
 
-def test_the_story_of_an_endpoint_tells_its_weights(generated, capsys):
+def test_the_timeline_of_an_endpoint_shows_its_weights(generated, capsys):
     endpoint = requests(read(generated))[0]["node"]
     assert command.main(["show", str(generated), "--node", endpoint, "--to", "1002"]) == 0
     assert "round 1: " + endpoint in capsys.readouterr().out
--- a/tests/trace/test_trace_requests.py
+++ b/tests/trace/test_trace_requests.py
@@ -1,12 +1,12 @@
-"""Recording the requests of a proxy, and what summary and story say of their attempts."""
+"""Recording the requests of a proxy, and what summary and timeline say of their attempts."""
 
 from trace_helpers import record, request
 
 from oatcart.trace.merge import merge
 from oatcart.trace.records import RecordKind as Kind
 from oatcart.trace.requests import RequestRecorder
-from oatcart.trace.story import Subject, list_events
 from oatcart.trace.summary import summarize
+from oatcart.trace.timeline import Subject, timeline
 
 
 def fee(at, id, key=b"", endpoint="n1", attempts=1):
@@ -26,7 +26,7 @@
         fee(3.0, 9),
     ]
     for found in (records, merge({"a": records, "b": records[:1]}, "a")[0]):
-        lines = list_events(found, Subject(key=key))
+        lines = timeline(found, Subject(key=key))
         assert len(lines) == 3
         assert "try 1 at n1 ended RESET" in lines[0]
         assert "2 tries" in lines[1]
@@ -37,7 +37,7 @@
     assert len(found["doubts"][0]["ran"]) == 3
     found = summarize(records, {"fee-charge": True})
     assert found["breaches"] == found["doubts"] == []
-    (line, *_) = list_events(records, Subject(request=("p1", 8)))
+    (line, *_) = timeline(records, Subject(request=("p1", 8)))
     assert line.startswith("2.000000 p1:8 fee-charge done by n3")
 
 
