--- a/oatcart/trace/commands.py
+++ b/oatcart/trace/commands.py
@@ -41,6 +41,7 @@
 
 
 def _as_json(value: object) -> str:
+    """A value that JSON has no form for: bytes in hex, others as text."""
     return value.hex() if isinstance(value, bytes) else str(value)
 
 
@@ -93,6 +94,7 @@
 
 
 def _summary_lines(found: dict) -> list[str]:
+    """The lines that say a summary in words."""
     counts = ", ".join(f"{count} {kind}" for kind, count in found["records"].items())
     lines = [f"{found['first']:.3f} to {found['last']:.3f}; {counts}"]
     for field, rows in found["reqs"].items():
@@ -146,6 +148,7 @@
 
 
 def _print_merge(args: argparse.Namespace, records: list[Record], clocks: AlignedClocks) -> None:
+    """Print how the clocks relate, and how many places are uncertain."""
     known = {
         name: {
             "offset_s": clock.offset,
--- a/oatcart/trace/generate.py
+++ b/oatcart/trace/generate.py
@@ -120,6 +120,7 @@
         self.seen: dict[tuple[int, int], _Seen] = {}  # by endpoint and zone
 
     def first_events(self) -> list[Event]:
+        """The endpoint list, and the proxies that join."""
         entries = [
             EndpointEntry(place, place % 2, 0.0, EndpointState.READY, 1.0) for place in range(ENDPOINTS)
         ]
@@ -128,6 +129,7 @@
         return [EndpointListReceived(True, entries), *joined]
 
     def load_reports(self) -> list[Event]:
+        """What was seen since the last reports."""
         events: list[Event] = []
         for (endpoint, zone), seen in sorted(self.seen.items()):
             load = LoadReport(None, self.random.uniform(0.2, 0.7), None)
@@ -144,6 +146,7 @@
         return events
 
     def acknowledgements(self) -> list[Event]:
+        """The acknowledgements of all proxies that the controller asked for since the last call."""
         nonces, self.tables.nonces = self.tables.nonces, []
         return [
             UpdateAcknowledged(proxy, nonce, ACKNOWLEDGED_AFTER)
--- a/oatcart/trace/merge.py
+++ b/oatcart/trace/merge.py
@@ -113,6 +113,7 @@
 
 
 def _rows(traces: Traces, clocks: AlignedClocks) -> list[_Row]:
+    """A row a record, in the order of instances and, within one, of its records."""
     rows = []
     for instance, (name, records) in enumerate(traces.items()):
         clock, time = clocks.by_instance[name], -inf
@@ -184,6 +185,7 @@
 
 
 def _merged_fields(row: _Row) -> dict:
+    """The fields that a merge adds or replaces."""
     return {
         "at": row.time,
         "bound": row.bound,
--- a/oatcart/trace/pseudonyms.py
+++ b/oatcart/trace/pseudonyms.py
@@ -64,6 +64,7 @@
         return {"kinds": names.get("kinds", ()), "zones": zones}
 
     def _without_free_text(self, commands: list[tuple]) -> list[tuple]:
+        """The stored commands of a round but its log lines."""
         kept = [command for command in commands if command[0] != CommandName.LOG]
         self.dropped[CommandName.LOG] += len(commands) - len(kept)
         return kept
--- a/oatcart/trace/reader.py
+++ b/oatcart/trace/reader.py
@@ -53,6 +53,7 @@
         self.file.close()
 
     def _read_at(self, offset: int, size: int) -> bytes:
+        """Up to `size` bytes from an offset."""
         data = os.pread(self.file.fileno(), size, offset)
         self.bytes_read += len(data)
         return data
@@ -67,6 +68,7 @@
             return self.rebuild_index()
 
     def _read_footer(self) -> list[IndexEntry]:
+        """The index from the footer; raises CorruptTraceError where there is no intact one."""
         room = self.length - self.first_block_offset
         size = min(room, FOOTER_READ_BYTES)
         try:
@@ -105,6 +107,7 @@
         return header if file_format.is_intact(block, 0, header) else None
 
     def _note_gap(self, start: int | None, end: int) -> None:
+        """Add the bytes from `start` to `end` to what is missing; None: there are none."""
         if start is not None:
             self.missing.append(f"bytes {start} to {end} hold no intact block")
 
--- a/oatcart/trace/record_queue.py
+++ b/oatcart/trace/record_queue.py
@@ -66,6 +66,7 @@
         self.size += 1
 
     def _count_shed(self, record: tuple, reason: str) -> None:
+        """Count a record that will not be written."""
         kind, at = record[0], record[1]
         shed = self.shed.get(kind)
         if shed is None:
--- a/oatcart/trace/recorder.py
+++ b/oatcart/trace/recorder.py
@@ -71,6 +71,7 @@
             self._put(make_record(RecordKind.ENDPOINT_NAME, at=now, what="node", number=endpoint, name=name))
 
     def _record_clock(self, now: float) -> None:
+        """Record the instance's clock beside Unix time, and by how much one of them was stepped."""
         unix = self._unix_clock()
         change = unix - now - self._unix_offset
         stepped = 0.0
--- a/oatcart/trace/selection.py
+++ b/oatcart/trace/selection.py
@@ -28,6 +28,7 @@
 
 
 def _is_selected(record: Record, selection: Selection) -> bool:
+    """Whether a record is of the span and, if a request or attempt, of the names selected."""
     fields = record.fields
     if not selection.first <= fields["at"] < selection.last:
         return False
--- a/oatcart/trace/summary.py
+++ b/oatcart/trace/summary.py
@@ -50,6 +50,7 @@
         self.durations: HdrHistogram | None = None  # us
 
     def add(self, fields: dict) -> None:
+        """Count a request; durations of those that succeeded alone."""
         self.counts[fields["outcome"]] += 1
         if fields["outcome"] != RequestOutcome.SUCCEEDED:
             self.counts["value"] += 0.0
@@ -61,6 +62,7 @@
         self.durations.record_value(max(1, min(MAX_DURATION, duration)))
 
     def figures(self) -> dict:
+        """Counts by outcome, the priority weight earned, and percentiles of the duration in ms."""
         figures = dict(self.counts)
         if self.durations is not None:
             for percent in PERCENTILES:
@@ -85,6 +87,7 @@
         self.answered: dict[tuple, list[dict]] = defaultdict(list)  # by class and key
 
     def add(self, record: Record) -> None:
+        """Take a record into the sums of its kind."""
         kind, fields = record
         self.kinds[kind] += 1
         if kind in (RecordKind.REQUEST, RecordKind.ATTEMPT, RecordKind.ROUND):
@@ -102,9 +105,11 @@
             self.clock_steps.append({"at": fields["at"], "stepped": fields["stepped"]})
 
     def _runs_once(self, fields: dict) -> bool:
+        """Whether a request or attempt carries a key under which nothing may run twice."""
         return bool(fields["key"]) and not self.repeatable.get(fields["kind"], False)
 
     def _add_attempt(self, fields: dict) -> None:
+        """Note under its key that an endpoint was sent it; a request's record is its last attempt."""
         if not fields["node"] or not self._runs_once(fields):
             return
         ended = fields.get("ending") or fields.get("outcome")
@@ -112,12 +117,14 @@
         self.attempts[fields["kind"], fields["key"]].append(attempt)
 
     def _add_request(self, fields: dict) -> None:
+        """Count a request by class, zone and endpoint."""
         for field, groups in self.groups.items():
             groups[fields[field]].add(fields)
         if fields["outcome"] == RequestOutcome.SUCCEEDED and self._runs_once(fields):
             self.answered[fields["kind"], fields["key"]].append(fields)
 
     def _breaches(self) -> list[dict]:
+        """The keys for which more than one request was answered."""
         breaches = []
         for (request_class, key), requests in self.answered.items():
             if len({(request["proxy"], request["id"]) for request in requests}) > 1:
@@ -127,6 +134,7 @@
         return breaches
 
     def result(self) -> dict:
+        """The summary; its keys are those of the JSON output."""
         return {
             "first": self.first,
             "last": self.last,
--- a/oatcart/trace/writer.py
+++ b/oatcart/trace/writer.py
@@ -76,26 +76,32 @@
         self.size = 0  # bytes
 
     def _append(self, data: bytes) -> None:
+        """Write at the end."""
         self._store.write(self._descriptor, data)
         self.size += len(data)
 
     def append_header(self, metadata: dict) -> None:
+        """Begin the file."""
         self._append(file_format.encode_header(metadata))
 
     def append_block(self, records: Sequence[tuple]) -> None:
+        """Write records as one block and index it."""
         block = file_format.encode_block(len(self._index), records)
         entry = file_format.index_entry(self.size, block)
         self._append(block)
         self._index.append(entry)
 
     def sync(self) -> None:
+        """Wait until the disk keeps what was written."""
         self._store.sync(self._descriptor)
 
     def append_footer(self) -> None:
+        """End the file with its index."""
         self._append(file_format.encode_footer(self._index))
         self.sync()
 
     def close(self) -> None:
+        """Close the file."""
         self._store.close(self._descriptor)
 
 
@@ -160,13 +166,16 @@
         self.write_due(final=True)
 
     def _run(self) -> None:
+        """The thread's work until the writer is stopped."""
         while not self._stopping.wait(POLL_INTERVAL):
             self.write_due()
 
     def _files(self) -> list[Path]:
+        """The instance's trace files, the oldest first."""
         return sorted(self.folder.glob(f"{self.instance}-*{SUFFIX}"))
 
     def _repair_old_files(self) -> None:
+        """Give files that ended without a footer their own, but those that others write or read."""
         for path in self._files():
             try:
                 if not in_use(path) and (result := repair_footer(path)):
@@ -227,6 +236,7 @@
             return False
 
     def _open_file(self, now: float) -> None:
+        """Make room on the disk and begin a file; raises OSError."""
         self.folder.mkdir(parents=True, exist_ok=True)
         self._delete_old_files()
         self._files_opened += 1
@@ -240,15 +250,18 @@
             self._file.append_block(self.start_records)
 
     def _delete_old_files(self) -> None:
+        """Delete what exceeds the limits; raises OSError."""
         files = [StoredFile(path.name, path.stat().st_size, in_use(path)) for path in self._files()]
         for name in files_to_delete(files, self.limits.max_total_bytes):
             (self.folder / name).unlink(missing_ok=True)
 
     def _end_file(self) -> None:
+        """Write the footer and close the file."""
         self._try_disk(self.clock(), self._file.append_footer)
         self._close_file()
 
     def _close_file(self) -> None:
+        """Close the file, if one is open; a failure is logged."""
         file, self._file = self._file, None
         if file is None:
             return
