--- /dev/null
+++ b/oatcart/proxy/disconnected.py
@@ -0,0 +1,90 @@
+"""Operation of a proxy that no controller serves.
+
+The endpoints of a routing table stay valid for long; what it says of load does not. The proxy keeps serving
+by the table it has and restores no ejected endpoint. Its quota opens with time to what the proxy itself can
+judge, and endpoints that refuse connections are excluded for some seconds, with backoff.
+"""
+
+from dataclasses import dataclass, field
+
+REFUSALS_TO_EXCLUDE = 3  # connections refused in a row; an endpoint that is gone refuses all
+EXCLUSION_MIN_SECONDS = 2.0  # the first exclusion of an endpoint; each further one is twice as long
+EXCLUSION_MAX_SECONDS = 30.0
+
+
+@dataclass(slots=True)
+class SuspectEndpoint:
+    """An endpoint that has refused connections since it last answered."""
+
+    refusals: int = 0
+    excluded_until: float = 0.0  # s of the caller's clock
+    next_exclusion: float = EXCLUSION_MIN_SECONDS  # s
+
+    def exclude(self, now: float) -> None:
+        """Exclude the endpoint from `now` (s) on, and double the next exclusion up to its bound."""
+        self.excluded_until = now + self.next_exclusion
+        self.next_exclusion = min(EXCLUSION_MAX_SECONDS, self.next_exclusion * 2)
+
+
+@dataclass(slots=True)
+class DisconnectedOperation:
+    """What one proxy may use while it has no controller; times are s of the caller's clock.
+
+    `quota_valid_for` (s): how long a reduced quota holds after the controller was lost, as nobody lifts it.
+    """
+
+    quota_valid_for: float
+    disconnected_at: float | None = None  # None while a controller serves the proxy
+    suspects: dict[str, SuspectEndpoint] = field(default_factory=dict)
+
+    def controller_lost(self, now: float) -> None:
+        """The last stream has ended."""
+        if self.disconnected_at is None:
+            self.disconnected_at = now
+
+    def controller_restored(self) -> None:
+        """A controller has sent its routing table, which replaces the proxy's own evidence."""
+        self.disconnected_at = None
+        self.suspects.clear()
+
+    def connection_refused(self, now: float, endpoint: str) -> None:
+        """An endpoint has refused a connection; without a controller, enough of them in a row exclude it."""
+        suspect = self.suspects.setdefault(endpoint, SuspectEndpoint())
+        suspect.refusals += 1
+        if self.disconnected_at is None or suspect.refusals < REFUSALS_TO_EXCLUDE:
+            return
+        if now >= suspect.excluded_until:
+            suspect.exclude(now)
+
+    def endpoint_answered(self, endpoint: str) -> None:
+        """An endpoint has answered, so it is no longer suspect."""
+        self.suspects.pop(endpoint, None)
+
+    def usable_weights(self, now: float, weights: dict[str, float]) -> dict[str, float]:
+        """Return the weights of the endpoints that are not excluded now.
+
+        Where all are excluded, all are returned: some may be back, and no endpoint at all serves nobody.
+        """
+        if self.disconnected_at is None:
+            return weights
+        usable = {
+            endpoint: weight for endpoint, weight in weights.items() if not self._is_excluded(now, endpoint)
+        }
+        return usable or weights
+
+    def _is_excluded(self, now: float, endpoint: str) -> bool:
+        return endpoint in self.suspects and now < self.suspects[endpoint].excluded_until
+
+    def quota_in_force(self, now: float, quota: float, fallback_quota: float) -> float:
+        """Return the quota to admit by, in the unit of `quota` (a share, or requests/s).
+
+        `quota` is the controller's last; it holds while a controller serves and `quota_valid_for` after. Then
+        it rises in as much time again to `fallback_quota`, the proxy's own. A quota above that stays.
+        """
+        if self.disconnected_at is None or quota >= fallback_quota:
+            return quota
+        expired_for = now - self.disconnected_at - self.quota_valid_for
+        if expired_for <= 0.0:
+            return quota
+        opened = min(1.0, expired_for / self.quota_valid_for)
+        return min(fallback_quota, quota + (fallback_quota - quota) * opened)
--- a/oatcart/trace/recorder.py
+++ b/oatcart/trace/recorder.py
@@ -102,9 +102,7 @@
 
 def decisions_digest() -> str:
     """A digest of the decisions' source in hex, which says which version decided."""
-    source = Path(policy.__file__)
-    files = sorted(source.parent.glob("*.py")) if source.name == "__init__.py" else [source]
     digest = blake2b(digest_size=DIGEST_BYTES)
-    for file in files:
+    for file in sorted(Path(policy.__file__).parent.glob("*.py")):
         digest.update(file.read_bytes())
     return digest.hexdigest()
