--- a/tests/views/test_views_configuration.py
+++ b/tests/views/test_views_configuration.py
@@ -23,7 +23,7 @@
     return path
 
 
-def test_the_shipped_file_holds_the_defaults_and_two_conductors():
+def test_the_shipped_file_holds_the_defaults_and_two_controllers():
     found = read(SHIPPED)
     assert found._replace(controllers=()) == Configuration()
     assert [(one.record.name, one.address[1]) for one in found.controllers] == [
@@ -81,7 +81,7 @@
     ]
 
 
-def test_without_a_base_conductors_ask_by_name_alone(tmp_path):
+def test_without_a_base_controllers_ask_by_name_alone(tmp_path):
     found = read(written(tmp_path, "conductors: [{name: c, zone: a}]"))
     assert found.controllers[0].address is None
 
@@ -174,7 +174,7 @@
         assert f"views.yaml:{one}" in str(wrong.value), str(wrong.value)
 
 
-def test_more_descriptors_than_the_process_may_have_are_refused(monkeypatch):
+def test_more_descriptors_than_the_process_may_have_are_rejected(monkeypatch):
     configuration = read(SHIPPED)
     assert required_descriptors(configuration) == 2 + 4096 + 32
     monkeypatch.setattr("resource.getrlimit", lambda _: (4129, 4129))
@@ -199,7 +199,7 @@
     assert run(tmp_path / "none.yaml").returncode == 2
 
 
-def test_the_platforms_conductor_imports_none_of_it():
+def test_the_platforms_controller_imports_none_of_it():
     code = (
         "import sys, oatcart.__main__\n"
         "print([name for name in sys.modules if name.startswith('oatcart.views')])"
--- a/tests/views/test_views_controller.py
+++ b/tests/views/test_views_controller.py
@@ -1,4 +1,4 @@
-"""Real conductors, `python -m oatcart` as it stands, started with their view's address as discovery's."""
+"""Real controllers, `python -m oatcart` as it stands, started with their view's address as discovery's."""
 
 import json
 import os
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from views_stage import Stage, controller, node
+from views_stage import Stage, controller, endpoint_entry
 
 from oatcart.net.ending import Ended
 from oatcart.net.stream import dial
@@ -25,7 +25,7 @@
 
 
 class ControllerProcess:
-    """A conductor's process, and a proxy's stream to it that notes the table it is ordered."""
+    """A controller's process, and a proxy's stream to it that notes the table it is ordered."""
 
     def __init__(self, stage, folder, discovery):
         self.stage, self.table, self.folder = stage, {}, folder
@@ -69,7 +69,7 @@
                 del self.table[name]
 
     def holds(self, *names):
-        """Wait until the table has lines for just these nodes."""
+        """Wait until the table has lines for just these endpoints."""
         self.stage.until(lambda: set(self.table) == set(names), f"{names}; has {self.table}; {self.log()}")
 
     def end(self):
@@ -81,7 +81,9 @@
 @pytest.fixture
 def stage():
     one = Stage([controller("c0", ["x"]), controller("c1", ["y"])])
-    one.discovery.put(*(node(name, "ab"[number % 2], service=name[0]) for number, name in enumerate(FLEET)))
+    one.discovery.put(
+        *(endpoint_entry(name, "ab"[number % 2], service=name[0]) for number, name in enumerate(FLEET))
+    )
     one.ready()
     yield one
     one.close()
@@ -90,38 +92,38 @@
 FLEET = "x0", "x1", "x2", "y0", "y1"
 
 
-def test_a_conductor_knows_just_its_view_and_sees_drain_deletion_and_return(stage, tmp_path):
+def test_a_controller_knows_just_its_view_and_sees_drain_deletion_and_return(stage, tmp_path):
     one = ControllerProcess(stage, tmp_path, stage.role.address_of("c0"))
     one.holds("x0", "x1", "x2")
     stage.discovery.drain("x1")
     one.holds("x0", "x2")
     stage.discovery.drop("x1", "y1")
-    stage.discovery.put(node("x3", service="x"))
+    stage.discovery.put(endpoint_entry("x3", service="x"))
     one.holds("x0", "x2", "x3")
-    stage.discovery.put(node("x1", "b", service="x"), node("y2", service="y"))
+    stage.discovery.put(endpoint_entry("x1", "b", service="x"), endpoint_entry("y2", service="y"))
     one.holds("x0", "x1", "x2", "x3")
     assert "odd:" not in one.log() and "roll:" not in one.log()
     one.end()
 
 
-def test_a_conductor_that_cannot_be_served_yet_starts_with_nobody_and_gets_its_view_later(stage, tmp_path):
-    """A view that is not in the file: refused, nothing of it is kept, and the conductor goes on asking."""
+def test_a_controller_that_cannot_be_served_yet_starts_with_nobody_and_gets_its_view_later(stage, tmp_path):
+    """A view that is not in the file: rejected, nothing of it is kept, and the controller goes on asking."""
     address = stage.role.address_of("c0")
     stage.role.publisher.configure(stage.role.configuration._replace(controllers=()))
     one = ControllerProcess(stage, tmp_path, address)
-    stage.until(lambda: "status 404" in one.log(), "the refusal")
+    stage.until(lambda: "status 404" in one.log(), "the rejection")
     assert stage.role.publisher.histories == {}
     stage.role.publisher.configure(stage.role.configuration)
     one.holds("x0", "x1", "x2")
     one.end()
 
 
-def test_a_conductor_that_is_refused_keeps_its_list_and_is_told_what_it_missed(stage, tmp_path):
+def test_a_controller_that_is_rejected_keeps_its_list_and_is_served_what_it_missed(stage, tmp_path):
     one = ControllerProcess(stage, tmp_path, stage.role.address_of("c0"))
     one.holds("x0", "x1", "x2")
     stage.role.publisher.configure(stage.role.configuration._replace(controllers=()))
     stage.role.server.wake_watches(["c0"])
-    stage.until(lambda: "status 404" in one.log(), "the refusal")
+    stage.until(lambda: "status 404" in one.log(), "the rejection")
     stage.discovery.drain("x0")
     stage.for_(0.3)
     assert set(one.table) == {"x0", "x1", "x2"}, "its list stands"
@@ -130,7 +132,9 @@
     one.end()
 
 
-def test_a_control_role_that_dies_and_comes_back_costs_nothing_and_what_has_changed_is_told(stage, tmp_path):
+def test_a_control_role_that_dies_and_comes_back_costs_nothing_and_what_has_changed_is_served(
+    stage, tmp_path
+):
     address = stage.role.address_of("c0")
     one = ControllerProcess(stage, tmp_path, address)
     one.holds("x0", "x1", "x2")
@@ -146,7 +150,7 @@
     one.end()
 
 
-def test_a_conductor_moves_to_another_control_role_and_back_at_a_reload(stage, tmp_path):
+def test_a_controller_moves_to_another_control_role_and_back_at_a_reload(stage, tmp_path):
     """Revisions of two control roles have nothing to do with one another; what went meanwhile is gone at
     both."""
     one = ControllerProcess(stage, tmp_path, stage.role.address_of("c0"))
@@ -157,7 +161,7 @@
     one.process.send_signal(signal.SIGHUP)
     one.holds("x1", "x2")
     stage.until(lambda: other.server.watching.get("c0"), "the watch at the other one")
-    stage.discovery.put(node("x0", service="x"))
+    stage.discovery.put(endpoint_entry("x0", service="x"))
     one.holds("x0", "x1", "x2")
     stage.discovery.drop("x2")
     one.write(stage.role.address_of("c0"))
--- a/tests/views/test_views_decisions.py
+++ b/tests/views/test_views_decisions.py
@@ -1,7 +1,7 @@
 """Decisions in their own thread: what is told while one is under way, and what an error in one does."""
 
 import pytest
-from views_stage import Stage, controller, ids, node, phases
+from views_stage import Stage, controller, endpoint_entry, ids, phases
 
 from oatcart.views.decisions import RecordChanges, ViewDecider
 from oatcart.views.records import Controller, Endpoint, TooManyServicesError, ViewLimits
@@ -11,7 +11,7 @@
 @pytest.fixture
 def stage():
     one = Stage([controller("c0")])
-    one.discovery.put(*(node(f"s-{number}") for number in range(4)))
+    one.discovery.put(*(endpoint_entry(f"s-{number}") for number in range(4)))
     one.ready()
     yield one
     one.close()
@@ -28,13 +28,13 @@
     return held
 
 
-def test_drains_and_ends_are_told_while_a_decision_is_under_way(stage):
+def test_drains_and_ends_are_served_while_a_decision_is_under_way(stage):
     """Failure: the loss of a zone takes seconds to decide, and a drain behind it would come too late."""
     revision = stage.get("c0")["revision"]
     held = hold_back(stage)
     stage.discovery.drain("s-0")
     stage.discovery.drop("s-1")
-    stage.discovery.put(node("new"))
+    stage.discovery.put(endpoint_entry("new"))
     stage.until(lambda: len(held) >= 1 and "new" in stage.role.publisher.entries, "all of it heard")
     stage.until(lambda: len(stage.get("c0")["members"]) == 3, "the end told")
     told = stage.get("c0", f"?since={revision}")
@@ -44,12 +44,13 @@
     stage.until(lambda: "new" in ids(stage.get("c0")), "what was decided")
 
 
-def test_a_view_is_never_told_before_a_decision_on_the_first_list():
-    """Failure: decided without a list, every view is empty, and a conductor told so loses its own."""
+def test_a_view_is_never_served_before_a_decision_on_the_first_list():
+    """Failure: decided without a list, every view is empty, and a controller that receives it loses its
+    own."""
     stage = Stage([controller("c0")])
     try:
         held = hold_back(stage)
-        stage.discovery.put(node("s-0"))
+        stage.discovery.put(endpoint_entry("s-0"))
         stage.until(lambda: stage.role.publisher.entries, "the list")
         address = stage.role.address_of("c0")
         refused = stage.call(address, "/v1/servers")
@@ -108,5 +109,5 @@
 
 
 def test_entries_longer_than_the_file_tells_are_logged(stage):
-    stage.discovery.put(node("long", pad="x" * 200))
-    stage.until(lambda: stage.logged("more than views.most_entry_bytes 145"), "a word in the log")
+    stage.discovery.put(endpoint_entry("long", pad="x" * 200))
+    stage.until(lambda: stage.logged("more than views.most_entry_bytes 145"), "a log line")
--- a/tests/views/test_views_history.py
+++ b/tests/views/test_views_history.py
@@ -20,7 +20,7 @@
 
 
 def entries(view):
-    """Entries of nodes by id; a view is told as {id: (phase, start)}."""
+    """Entries of endpoints by id; a view is told as {id: (phase, start)}."""
     return {
         node: parse_entry({"id": node, "locality": "a", "phase": phase, "up_since_ms": started})
         for node, (phase, started) in view.items()
@@ -28,7 +28,7 @@
 
 
 class Watcher:
-    """What a conductor makes of the answers that it gets."""
+    """What a controller makes of the answers that it gets."""
 
     def __init__(self):
         self.revision, self.held = 0, {}
@@ -76,7 +76,7 @@
         assert watcher.ask(history) is None
 
 
-def test_changes_tell_each_node_once_as_it_stands():
+def test_changes_have_each_endpoint_once_as_it_stands():
     history = ViewHistory(1, entries({"s-0": ("SERVING", 0), "s-1": ("SERVING", 0), "s-2": ("SERVING", 0)}))
     history.replace(entries({"s-0": ("DRAINING", 0), "s-1": ("SERVING", 0), "s-2": ("SERVING", 0)}), 2)
     history.replace(entries({"s-1": ("SERVING", 5), "s-2": ("SERVING", 0)}), 3)
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("foreign", [0, 9, 11, 15, 21, 10**12])
-def test_a_revision_that_was_never_issued_gets_the_whole_view(foreign):
+def test_a_revision_that_was_never_issued_gets_the_complete_view(foreign):
     """Failure: a revision of another control role that lies among ours would be told changes that it cannot
     use."""
     history = ViewHistory(10, entries({"s-0": ("SERVING", 0)}))
@@ -112,7 +112,7 @@
     assert told["complete"] is True and [entry["id"] for entry in told["members"]] == ["s-1"]
 
 
-def test_whoever_is_too_far_behind_gets_the_whole_view_and_the_log_stays_bounded():
+def test_whoever_is_too_far_behind_gets_the_complete_view_and_the_log_stays_bounded():
     history = ViewHistory(1, entries({"s-0": ("SERVING", 0)}), max_logged_ids=3)
     for revision in range(2, 50):
         history.replace(entries({"s-0": ("SERVING", revision)}), revision)
@@ -128,7 +128,7 @@
     assert orjson.loads(history.changes_since(1))["complete"] is True
 
 
-def test_a_view_that_has_become_empty_is_told_as_deletions_not_as_an_empty_list():
+def test_a_view_that_has_become_empty_is_served_as_deletions_not_as_an_empty_list():
     history = ViewHistory(1, entries({"s-0": ("SERVING", 0), "s-1": ("SERVING", 0)}))
     history.replace({}, 2)
     told = orjson.loads(history.changes_since(1))
@@ -140,7 +140,7 @@
     return SimpleNamespace(randrange=lambda count: min(number, count - 1))
 
 
-def test_revisions_grow_while_the_clock_steps_back_and_stay_readable_for_a_conductor(monkeypatch):
+def test_revisions_grow_while_the_clock_steps_back_and_stay_readable_for_a_controller(monkeypatch):
     times = iter([2.0e9, 2.0e9, 1.9e9, 2.0e9 + 1])
     monkeypatch.setattr("time.time", lambda: next(times))
     revisions = RevisionSequence(Random(1))
--- a/tests/views/test_views_leases.py
+++ b/tests/views/test_views_leases.py
@@ -1,11 +1,11 @@
-"""Leases of conductors at the control role: who leaves, who stays, who comes back; and calls that are held
+"""Leases of controllers at the control role: who leaves, who stays, who comes back; and calls that are held
 open until a view is decided."""
 
 from pathlib import Path
 
 import orjson
 import pytest
-from views_stage import BOUNDS, Stage, controller, ids, node
+from views_stage import BOUNDS, Stage, controller, endpoint_entry, ids
 
 from oatcart.net.http import Client
 from oatcart.views.configuration import Configuration
@@ -32,7 +32,7 @@
 
 
 def fleet():
-    return [node(f"s-{number:02}", "ab"[number % 2], service="x") for number in range(40)]
+    return [endpoint_entry(f"s-{number:02}", "ab"[number % 2], service="x") for number in range(40)]
 
 
 def staged(leases, names=NAMES, bounds=BOUNDS):
@@ -57,7 +57,7 @@
 
 
 class Caller:
-    """A conductor: the whole list, then watch after watch, at its own address or by its name."""
+    """A controller: the complete list, then watch after watch, at its own address or by its name."""
 
     def __init__(self, stage, name, by_name=False):
         self.stage, self.told = stage, None
@@ -89,7 +89,7 @@
 
 
 def decided_for(stage, names):
-    """The views of these conductors as a fresh start decides them."""
+    """The views of these controllers as a fresh start decides them."""
     publisher = stage.role.publisher
     nodes = publisher.configuration.endpoint_fields
     return ViewDecider().decide(
@@ -103,7 +103,7 @@
     )
 
 
-def call_whole(stage, name):
+def call_complete(stage, name):
     return stage.call(stage.role.address_of(name), "/v1/servers")
 
 
@@ -121,7 +121,7 @@
 
 
 def gone(stage, name):
-    """Wait until a silent conductor has left and what that changes is decided."""
+    """Wait until a silent controller has left and what that changes is decided."""
     rest = [one for one in NAMES if one != name]
     stage.until(lambda: views(stage) == decided_for(stage, rest), f"{name} gone")
 
@@ -129,7 +129,7 @@
 # Over loopback.
 
 
-def test_silence_beyond_lease_and_grace_moves_only_its_share(stages):
+def test_an_expired_lease_moves_only_its_share(stages):
     stage = stages(QUICK)
     callers = [Caller(stage, name) for name in NAMES]
     before = views(stage)
@@ -137,7 +137,7 @@
     gone(stage, "c3")
     after = views(stage)
     moved = max(len(pairs(before) - pairs(after)), len(pairs(after) - pairs(before)))
-    assert moved <= 2 * len(before["c3"])  # 17 holders and fewer of a node: its share again, at the most
+    assert moved <= 2 * len(before["c3"])  # 17 holders and fewer of an endpoint: its share again, at the most
     assert lease_status(stage) == {"silent": ["c3"], "doubted": 0}
     assert stage.logged("leases: 1 controllers (c3) expired")
 
@@ -163,13 +163,13 @@
     stage = stages(PATIENT)
 
     def calls():
-        call_whole(stage, "c0").result(stage)
+        call_complete(stage, "c0").result(stage)
         stage.call(stage.role.main.address, "/v1/views/c1/servers").result(stage)
 
     assert overdue_after(stage, calls) == set(NAMES[2:])
 
 
-def test_a_call_that_is_put_off_renews_the_lease():
+def test_a_call_that_is_answered_with_503_renews_the_lease():
     stage = staged(PATIENT)
     try:
         put_off = []
@@ -204,7 +204,7 @@
     assert stage.out.getvalue().count("a mass expiry, they stay") == 1
 
 
-def test_a_role_just_started_that_nobody_has_called_yet_drops_nobody(stages):
+def test_a_role_just_started_without_any_call_expires_nobody(stages):
     stage = stages(PATIENT)
     before = views(stage)
     stage.for_(4 * PATIENT.lease_duration)
@@ -212,7 +212,7 @@
     assert ids(stage.get("c5")) == sorted(before["c5"])
 
 
-def test_a_conductor_that_never_calls_leaves_after_the_grace(stages):
+def test_a_controller_that_never_calls_expires_after_the_grace_period(stages):
     stage = stages(QUICK)
     for name in NAMES:
         if name != "c3":
@@ -235,7 +235,7 @@
     assert undecided_status(stage) == {"held": 0, "answered": 1, "refused": 0}
 
 
-def test_who_returns_while_a_decision_lasts_is_put_off_and_never_told_of_an_empty_list(stages):
+def test_who_returns_while_a_decision_lasts_is_answered_with_503_and_never_served_an_empty_list(stages):
     stage = stages(QUICK)
     callers = [Caller(stage, name) for name in NAMES]
     callers[3].stop()
@@ -250,8 +250,8 @@
     assert told and told == sorted(views(stage)["c3"])
 
 
-def test_what_was_decided_before_a_conductor_left_is_not_told_afterwards(stages):
-    """Failure: a decision under way while a conductor leaves brings its view back for good."""
+def test_what_was_decided_before_a_controller_left_is_not_published_afterwards(stages):
+    """Failure: a decision under way while a controller leaves brings its view back for good."""
     stage = stages(PATIENT)
     view = views(stage)["c3"]
     stage.role.publisher.expire(["c3"])
@@ -259,7 +259,7 @@
     assert "c3" not in views(stage)
 
 
-def test_off_by_default_all_conductors_count_whether_they_call_or_not(stages):
+def test_off_by_default_all_controllers_count_whether_they_call_or_not(stages):
     assert Configuration().leases is None
     stage = stages(None)
     before = views(stage)
@@ -268,7 +268,7 @@
     assert lease_status(stage) is None and not stage.logged("leases:")
 
 
-def test_a_reload_keeps_leases_and_who_is_silent(stages):
+def test_a_reload_keeps_leases_and_expired_ones(stages):
     stage = stages(QUICK)
     callers = [Caller(stage, name) for name in NAMES]
     callers[3].stop()
@@ -292,7 +292,7 @@
 def test_a_call_before_the_first_list_is_held_open_and_answered_with_the_view():
     stage = staged(None, bounds=BOUNDS._replace(undecided_timeout=3.0))
     try:
-        early = [call_whole(stage, name) for name in NAMES]
+        early = [call_complete(stage, name) for name in NAMES]
         stage.for_(0.1)
         assert undecided_status(stage) == {"held": 8, "answered": 0, "refused": 0}
         began = stage.loop.clock()
@@ -311,7 +311,7 @@
     stage = staged(None)
     try:
         began = stage.loop.clock()
-        refused = call_whole(stage, "c0")
+        refused = call_complete(stage, "c0")
         stage.until(lambda: refused.over, "an answer")
         assert "status 503" in str(refused.ended)
         assert BOUNDS.undecided_timeout <= refused.at - began < BOUNDS.undecided_timeout + 1.0
@@ -320,10 +320,10 @@
         stage.close()
 
 
-def test_held_calls_of_one_conductor_are_bounded_and_end_with_their_connections():
+def test_held_calls_of_one_controller_are_bounded_and_end_with_their_connections():
     stage = staged(None, bounds=BOUNDS._replace(undecided_timeout=3.0, max_connections_per_view=2))
     try:
-        calls = [call_whole(stage, "c0") for _ in range(5)]
+        calls = [call_complete(stage, "c0") for _ in range(5)]
         stage.until(lambda: sum(call.over for call in calls) == 3, "the oldest made way")
         assert undecided_status(stage)["held"] == 2
         for call in calls:
@@ -333,7 +333,7 @@
         stage.close()
 
 
-def test_a_held_call_for_a_conductor_that_leaves_the_file_is_refused_at_once():
+def test_a_held_call_for_a_controller_that_leaves_the_file_is_rejected_at_once():
     stage = staged(None, bounds=BOUNDS._replace(undecided_timeout=3.0))
     try:
         call = stage.call(stage.role.main.address, "/v1/views/c7/servers")
@@ -398,7 +398,7 @@
     assert not leases.check(345.0).is_retention_new and not leases.expired
 
 
-def test_one_leaves_once_and_comes_back_once():
+def test_a_controller_expires_once_and_returns_once():
     leases = LeaseTable(SLOW, CONTROLLERS, 0.0)
     for name in NAMES[1:]:
         leases.renew(name, 320.0)
@@ -408,7 +408,7 @@
     assert not leases.renew("nobody", 402.0)
 
 
-def test_other_conductors_in_the_file():
+def test_other_controllers_in_the_file():
     leases = LeaseTable(SLOW, CONTROLLERS, 0.0)
     kept = {name: controller for name, controller in CONTROLLERS.items() if name != "c0"}
     leases.configure(kept | {"new": controller("new").record}, 200.0)
@@ -459,7 +459,7 @@
         ("bounds:\n  undecided_wait: 4s", "2: bounds.undecided_wait: 4s is longer than 3s"),
     ],
 )
-def test_bad_values_are_refused_with_file_line_and_field(tmp_path, text, said):
+def test_bad_values_are_rejected_with_file_line_and_field(tmp_path, text, said):
     path = tmp_path / "views.yaml"
     path.write_text(text)
     with pytest.raises(InvalidConfigurationError) as wrong:
--- a/tests/views/test_views_list_guard.py
+++ b/tests/views/test_views_list_guard.py
@@ -10,7 +10,7 @@
 GUARD = ListGuard(max_removed_share=0.25, mass_removal_count=2, confirmation_delay=10.0, min_endpoints=2)
 
 
-def node(name, phase="SERVING", **more):
+def endpoint_entry(name, phase="SERVING", **more):
     return {"id": name, "host_port": "127.0.0.1:5", "locality": "a", "phase": phase} | more
 
 
@@ -24,12 +24,12 @@
 
 def accepted_list(count=20, guard=GUARD):
     accepted = AcceptedList(guard)
-    accepted.accept(0.0, answer([node(name) for name in names(count)]))
+    accepted.accept(0.0, answer([endpoint_entry(name) for name in names(count)]))
     return accepted
 
 
 def accept_complete(accepted, now, left, **phases):
-    return accepted.accept(now, answer([node(name, phases.get(name, "SERVING")) for name in left]))
+    return accepted.accept(now, answer([endpoint_entry(name, phases.get(name, "SERVING")) for name in left]))
 
 
 def test_removals_within_the_share_are_accepted_at_once():
@@ -80,7 +80,7 @@
 
 def test_deletions_among_changes_are_unconfirmed_like_gaps_in_a_list():
     accepted = accepted_list()
-    gone = [node(name, "DELETED") for name in names(8)]
+    gone = [endpoint_entry(name, "DELETED") for name in names(8)]
     changes = accepted.accept(1.0, answer(gone, 2, complete=False))
     assert (changes.removed, changes.unconfirmed) == (frozenset(), 8)
     again = accepted.accept(20.0, answer(gone, 3, complete=False))
@@ -91,7 +91,7 @@
 def test_a_few_deletions_among_changes_are_accepted():
     accepted = accepted_list()
     changes = accepted.accept(
-        1.0, answer([node("s-0", "DELETED"), node("never", "DELETED")], 2, complete=False)
+        1.0, answer([endpoint_entry("s-0", "DELETED"), endpoint_entry("never", "DELETED")], 2, complete=False)
     )
     assert changes.removed == {"s-0"} and not changes.changed
 
@@ -103,7 +103,7 @@
 
 def test_an_endpoint_whose_entry_is_malformed_stays_as_it_was():
     accepted = accepted_list()
-    endpoints = [node(name) for name in names(20)]
+    endpoints = [endpoint_entry(name) for name in names(20)]
     endpoints[4]["phase"] = "SPOILT"
     endpoints[5]["host_port"] = "nowhere"
     endpoints[6]["up_since_ms"] = -1
@@ -116,14 +116,19 @@
 def test_an_unconfirmed_endpoint_whose_entry_is_malformed_is_listed():
     accepted = accepted_list()
     accept_complete(accepted, 1.0, names(10))
-    accepted.accept(11.0, answer([*map(node, names(10)), *(node(name, "SPOILT") for name in names(20)[10:])]))
+    accepted.accept(
+        11.0,
+        answer(
+            [*map(endpoint_entry, names(10)), *(endpoint_entry(name, "SPOILT") for name in names(20)[10:])]
+        ),
+    )
     assert len(accepted.entries) == 20 and not accepted.unconfirmed_since
 
 
 @pytest.mark.parametrize("spoilt", [7, None, {}, {"id": ""}, {"id": 5}, {"id": "x" * 257}])
 def test_a_list_with_an_entry_without_readable_id_removes_nobody(spoilt):
     accepted = accepted_list()
-    received = answer([spoilt, *map(node, names(18))])
+    received = answer([spoilt, *map(endpoint_entry, names(18))])
     assert not received.is_complete and accepted.accept(1.0, received).removed == frozenset()
 
 
@@ -147,7 +152,9 @@
 
 
 def test_entries_are_passed_on_as_received():
-    fields = node("s-1", flavor="m2", cell=3, size=1.5, up_since_ms=1700000000123, other={"a": [1, None]})
+    fields = endpoint_entry(
+        "s-1", flavor="m2", cell=3, size=1.5, up_since_ms=1700000000123, other={"a": [1, None]}
+    )
     entry = answer([fields]).entries["s-1"]
     assert orjson.loads(entry.encoded) == fields
     assert orjson.loads(entry.deleted) == fields | {"phase": "DELETED"}
--- a/tests/views/test_views_process.py
+++ b/tests/views/test_views_process.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from views_stage import Call, Stage, ids, node
+from views_stage import Call, Stage, endpoint_entry, ids
 
 from oatcart.scale.ports import free_ports
 
@@ -43,7 +43,7 @@
         return Call(self.stage.loop, ("127.0.0.1", self.ports[1]), "/v1/servers" + query, 3.0)
 
     def served(self):
-        """The whole view, once it is served."""
+        """The complete view, once it is served."""
         answers = [self.call()]
 
         def answered():
@@ -63,7 +63,7 @@
 @pytest.fixture
 def stage():
     one = Stage([])
-    one.discovery.put(*(node(f"s-{number}") for number in range(4)))
+    one.discovery.put(*(endpoint_entry(f"s-{number}") for number in range(4)))
     yield one
     one.close()
 
@@ -81,7 +81,7 @@
     assert process.end() == 0
 
 
-def test_killed_and_started_again_what_changed_meanwhile_is_told(stage, process):
+def test_killed_and_started_again_what_changed_meanwhile_is_served(stage, process):
     held = process.served()
     process.end(signal.SIGKILL)
     stage.discovery.drop("s-1")
@@ -95,7 +95,7 @@
     held = process.served()
     process.write("- {name: c1, zne: a}\n")
     process.process.send_signal(signal.SIGHUP)
-    stage.until(lambda: process.logged("the old configuration stays in force"), "the refusal")
+    stage.until(lambda: process.logged("the old configuration stays in force"), "the rejection")
     assert process.logged("conductors[1].zne is not known; did you mean zone?") and process.served() == held
     process.write("- {name: c1, zone: a}\n")
     process.process.send_signal(signal.SIGHUP)
--- a/tests/views/test_views_server.py
+++ b/tests/views/test_views_server.py
@@ -1,11 +1,11 @@
-"""The control role over loopback: what conductors are answered, and what no caller and no discovery may do to
-it."""
+"""The control role over loopback: what controllers are answered, and what no caller and no discovery may do
+to it."""
 
 from random import SystemRandom
 
 import orjson
 import pytest
-from views_stage import ANY_PORT, Exchange, Stage, controller, ids, node, phases
+from views_stage import ANY_PORT, Exchange, Stage, controller, endpoint_entry, ids, phases
 
 from oatcart.net.http import Client
 from oatcart.net.reload import Unusable
@@ -14,17 +14,17 @@
 
 
 def nodes(service, count, zone="a"):
-    return [node(f"{service}-{zone}{number}", zone, service=service) for number in range(count)]
+    return [endpoint_entry(f"{service}-{zone}{number}", zone, service=service) for number in range(count)]
 
 
-def whole_fleet():
+def complete_fleet():
     return [*nodes("x", 4), *nodes("x", 4, "b"), *nodes("y", 4)]
 
 
 @pytest.fixture
 def stage():
     one = Stage([controller("c0", ["x"]), controller("c1", ["y"]), controller("c2", ["x", "y"])])
-    one.discovery.put(*whole_fleet())
+    one.discovery.put(*complete_fleet())
     one.ready()
     yield one
     one.close()
@@ -34,17 +34,17 @@
     return stage.call(stage.role.address_of(name), f"/v1/servers?since={since}&timeout_ms={wait_ms}")
 
 
-def refusal(answer):
+def rejection(answer):
     head, _, body = answer.partition(b"\r\n\r\n")
     return int(head.split()[1]), orjson.loads(body)
 
 
 def raw(stage, address, target, method="GET"):
     request = f"{method} {target} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".encode()
-    return refusal(stage.asked(address, request))
+    return rejection(stage.asked(address, request))
 
 
-def test_a_conductor_gets_its_view_whole_with_entries_as_they_came(stage):
+def test_a_controller_gets_its_view_complete_with_entries_as_they_came(stage):
     answer = stage.get("c1")
     assert answer["complete"] is True and answer["revision"] > 0
     assert {entry["id"]: entry for entry in answer["members"]} == {
@@ -64,13 +64,13 @@
     watching = watch(stage, "c0", revision)
     stage.for_(0.1)
     assert not watching.over
-    stage.discovery.put(node("x-a0", service="x", up_since_ms=77))
+    stage.discovery.put(endpoint_entry("x-a0", service="x", up_since_ms=77))
     answer = watching.result(stage)
     assert answer["complete"] is False and answer["revision"] > revision
     assert [(entry["id"], entry["up_since_ms"]) for entry in answer["members"]] == [("x-a0", 77)]
 
 
-def test_changes_between_the_whole_list_and_the_watch_are_told(stage):
+def test_changes_between_the_complete_list_and_the_watch_are_served(stage):
     revision = stage.get("c0")["revision"]
     stage.discovery.drain("x-a1")
     stage.discovery.drop("x-a2")
@@ -98,18 +98,18 @@
     revision = first.result(stage)["revision"]
     for start in range(1, 6):
         following = first.again(f"/v1/servers?since={revision}&timeout_ms=4000")
-        stage.discovery.put(node("x-a0", service="x", up_since_ms=start))
+        stage.discovery.put(endpoint_entry("x-a0", service="x", up_since_ms=start))
         answer = following.result(stage)
         assert [entry["up_since_ms"] for entry in answer["members"]] == [start]
         revision = answer["revision"]
     assert len(stage.role.server.tasks) == 1
 
 
-def test_a_node_that_goes_and_comes_back_is_told_both_times(stage):
+def test_an_endpoint_that_goes_and_comes_back_is_served_both_times(stage):
     revision = stage.get("c0")["revision"]
     stage.discovery.drop("x-a0")
     gone = watch(stage, "c0", revision).result(stage)
-    stage.discovery.put(node("x-a0", service="x", up_since_ms=9))
+    stage.discovery.put(endpoint_entry("x-a0", service="x", up_since_ms=9))
     back = watch(stage, "c0", gone["revision"]).result(stage)
     assert phases(gone) == {"x-a0": "DELETED"} and phases(back) == {"x-a0": "SERVING"}
 
@@ -133,7 +133,7 @@
         stage.close()
 
 
-def test_an_unknown_view_is_refused_with_what_and_why_and_leaves_no_trace(stage):
+def test_an_unknown_view_is_rejected_with_what_and_why_and_leaves_no_trace(stage):
     before = stage.call(stage.role.main.address, "/v1/views").result(stage)
     status, told = raw(stage, stage.role.main.address, "/v1/views/nobody/servers?since=4&timeout_ms=2000")
     assert status == 404 and told == {"error": "unknown view", "why": "no conductor named 'nobody' is known"}
@@ -153,17 +153,17 @@
         ("/v1/views/c0/servers?since=99999999999999999999", "GET", 400, "no whole number"),
     ],
 )
-def test_what_cannot_be_meant_is_refused(stage, target, method, status, why):
+def test_invalid_values_for_leases_are_rejected(stage, target, method, status, why):
     found, told = raw(stage, stage.role.main.address, target, method)
     assert found == status and why in told["why"]
 
 
-def test_a_conductors_own_address_serves_its_list_alone(stage):
+def test_a_controllers_own_address_serves_its_list_alone(stage):
     status, told = raw(stage, stage.role.address_of("c0"), "/v1/views/c1/servers")
     assert status == 404 and "the address of c0" in told["why"]
 
 
-def test_before_the_first_list_conductors_are_put_off_not_told_of_an_empty_one():
+def test_before_the_first_list_controllers_get_503_and_not_an_empty_one():
     stage = Stage([controller("c0")])
     try:
         stage.discovery.status = 503
@@ -179,12 +179,12 @@
         stage.close()
 
 
-def test_a_view_whose_services_do_not_fit_is_refused_and_others_are_served():
+def test_a_view_whose_services_do_not_fit_is_rejected_and_others_are_served():
     from oatcart.views.records import ViewLimits
 
     stage = Stage([controller("wide"), controller("c0", ["x"])], limits=ViewLimits(max_endpoints=3))
     try:
-        stage.discovery.put(*whole_fleet())
+        stage.discovery.put(*complete_fleet())
         stage.ready()
         status, told = raw(stage, stage.role.address_of("wide"), "/v1/servers")
         assert status == 503 and "needs 4 nodes" in told["why"]
@@ -194,14 +194,15 @@
 
 
 @pytest.mark.parametrize("revision", [0, 1, 7 * 10**12])
-def test_a_revision_of_elsewhere_gets_the_whole_list_at_once(stage, revision):
+def test_a_revision_of_elsewhere_gets_the_complete_list_at_once(stage, revision):
     stage.get("c0")
     answer = watch(stage, "c0", revision).result(stage)
     assert answer["complete"] is True and len(answer["members"]) == 8
 
 
-def test_a_revision_of_another_conductors_view_gets_the_whole_list(stage):
-    """Failure: positions in the file shift, a conductor's port is another's, and revisions must not match."""
+def test_a_revision_of_another_controllers_view_gets_the_complete_list(stage):
+    """Failure: positions in the file shift, a controller's port is another's, and revisions must not
+    match."""
     for name in "c0", "c2":
         stage.get(name)
     stage.discovery.drain("x-a1", "x-a2")
@@ -210,12 +211,12 @@
     assert answer["complete"] is True
 
 
-def test_whoever_is_too_far_behind_gets_the_whole_list(stage):
+def test_whoever_is_too_far_behind_gets_the_complete_list(stage):
     history = stage.role.publisher.history("c0")
     history.max_logged_ids = 3
     revision = stage.get("c0")["revision"]
     for start in range(1, 5):
-        stage.discovery.put(node("x-a0", service="x", up_since_ms=start))
+        stage.discovery.put(endpoint_entry("x-a0", service="x", up_since_ms=start))
         stage.until(lambda start=start: history.entries["x-a0"].fields["up_since_ms"] == start)
     answer = watch(stage, "c0", revision).result(stage)
     assert answer["complete"] is True and history.logged_ids == 3
@@ -228,7 +229,7 @@
     bounds = ServerBounds(batching_delay=0.02, write_timeout=0.4)
     stage = Stage([controller("c0"), controller("c1")], bounds)
     try:
-        stage.discovery.put(*(node(f"s-{number}", pad="x" * 8000) for number in range(60)))
+        stage.discovery.put(*(endpoint_entry(f"s-{number}", pad="x" * 8000) for number in range(60)))
         stage.ready()
         request = b"GET /v1/servers HTTP/1.1\r\nHost: x\r\n\r\n"
         slow = Exchange(stage.loop, stage.role.address_of("c0"), request * 40, reads=False)
@@ -242,7 +243,7 @@
         stage.close()
 
 
-def test_strangers_have_a_deadline_and_a_small_head():
+def test_unidentified_connections_have_a_deadline_and_a_small_head():
     stage = Stage([controller("c0")], ServerBounds(batching_delay=0.02, first_request_timeout=0.3))
     try:
         assert stage.asked(stage.role.main.address, b"") == b""
@@ -262,7 +263,7 @@
     stage.until(lambda: stage.logged("a message was too long"), "its end")
 
 
-def test_a_crowd_of_strangers_costs_no_one_who_is_in_use():
+def test_many_unidentified_connections_cost_no_one_who_is_in_use():
     stage = Stage([controller("c0")], ServerBounds(batching_delay=0.02, max_connections=6))
     try:
         stage.discovery.put(*nodes("x", 3))
@@ -279,7 +280,7 @@
         stage.close()
 
 
-def test_the_oldest_of_too_many_connections_of_one_conductor_makes_way(stage):
+def test_the_oldest_of_too_many_connections_of_one_controller_makes_way(stage):
     revision = stage.get("c0")["revision"]
     watching = [watch(stage, "c0", revision) for _ in range(4)]
     stage.for_(0.1)
@@ -316,8 +317,8 @@
 def test_fed_nonsense_the_last_good_list_stands_and_what_comes_after_it_is_taken(stage, spoil):
     before = stage.get("c2")
     stage.discovery.spoil = spoil
-    stage.discovery.put(node("x-new", service="x"))
-    stage.until(lambda: stage.logged("the last list stays in force"), "a word in the log")
+    stage.discovery.put(endpoint_entry("x-new", service="x"))
+    stage.until(lambda: stage.logged("the last list stays in force"), "a log line")
     assert stage.get("c2") == before
     stage.discovery.spoil = None
     stage.until(lambda: "x-new" in ids(stage.get("c2")), "the new node")
@@ -326,8 +327,8 @@
 def test_a_cut_answer_changes_nothing(stage):
     before = stage.get("c2")
     stage.discovery.cut = True
-    stage.discovery.put(node("x-new", service="x"))
-    stage.until(lambda: stage.logged("what came cannot be read"), "a word in the log")
+    stage.discovery.put(endpoint_entry("x-new", service="x"))
+    stage.until(lambda: stage.logged("what came cannot be read"), "a log line")
     assert stage.get("c2") == before
     stage.discovery.cut = False
     stage.ready(13)
@@ -335,7 +336,7 @@
 
 def test_an_answer_longer_than_allowed_changes_nothing(stage):
     stage.role.watcher.move(stage.role.watcher.source._replace(max_list_bytes=600))
-    stage.until(lambda: stage.logged("a message was too long"), "a word in the log")
+    stage.until(lambda: stage.logged("a message was too long"), "a log line")
     assert len(stage.get("c2")["members"]) == 12
 
 
@@ -343,7 +344,7 @@
     revision = stage.get("c0")["revision"]
     watching = watch(stage, "c0", revision, 5000)
     stage.discovery.die()
-    stage.until(lambda: stage.logged("the last list stays in force"), "a word in the log")
+    stage.until(lambda: stage.logged("the last list stays in force"), "a log line")
     stage.for_(0.2)
     assert len(stage.get("c0")["members"]) == 8 and not watching.over
     stage.discovery.start()
@@ -352,10 +353,10 @@
 
 
 @pytest.mark.parametrize("revision", [1, 50_000])
-def test_discovery_starts_over_and_its_new_list_is_taken_whole(stage, revision):
+def test_discovery_starts_over_and_its_new_list_is_accepted_complete(stage, revision):
     held = stage.get("c0")
     watching = watch(stage, "c0", held["revision"], 5000)
-    left = [entry for entry in whole_fleet() if entry["id"] != "x-a3"]
+    left = [entry for entry in complete_fleet() if entry["id"] != "x-a3"]
     left[0] |= {"up_since_ms": 5}
     stage.discovery.start_over(left, revision)
     assert phases(watching.result(stage)) == {"x-a0": "SERVING", "x-a3": "DELETED"}
@@ -363,13 +364,13 @@
     stage.until(lambda: "DRAINING" in phases(stage.get("c0")).values(), "a change of the new life")
 
 
-def test_changes_that_go_backwards_on_a_kept_connection_bring_the_whole_list(stage):
+def test_changes_that_go_backwards_on_a_kept_connection_bring_the_complete_list(stage):
     """Failure: discovery behind an unbroken connection starts over; its changes do not tell what has gone."""
     stage.discovery.revision = 0
     stage.discovery.log = []
     del stage.discovery.entries["x-a3"]
     stage.discovery.wake()
-    stage.until(lambda: stage.logged("changes up to revision 0 after"), "a word in the log")
+    stage.until(lambda: stage.logged("changes up to revision 0 after"), "a log line")
     stage.until(lambda: "x-a3" not in ids(stage.get("c0")), "the whole list taken anew")
 
 
@@ -381,7 +382,7 @@
     assert stage.logged("before the watch timeout") and len(stage.discovery.calls) - asked < 30
 
 
-def test_a_list_that_drops_too_many_is_held_and_asked_for_again():
+def test_a_list_that_drops_too_many_stays_unconfirmed_and_is_fetched_again():
     stage = Stage(
         [controller("c0")],
         guard=ListGuard(max_removed_share=0.25, mass_removal_count=3, confirmation_delay=0.5),
@@ -421,16 +422,19 @@
         stage.close()
 
 
-def test_an_empty_list_in_place_of_the_fleet_is_never_believed(stage):
+def test_an_empty_list_in_place_of_the_fleet_is_never_accepted(stage):
     stage.discovery.start_over([])
-    stage.until(lambda: stage.logged("complete list of 0 endpoints, fewer than 1"), "the refusal")
+    stage.until(lambda: stage.logged("complete list of 0 endpoints, fewer than 1"), "the rejection")
     stage.for_(0.6)
     assert len(stage.get("c2")["members"]) == 12
 
 
-def test_a_node_whose_entry_is_spoilt_stays_as_it_was(stage):
-    stage.discovery.put(node("x-a0", service="x", phase="HALF"), node("x-a1", service="x", phase="DRAINING"))
-    stage.until(lambda: stage.logged("x-a0: phase: 'HALF' is not known"), "a word in the log")
+def test_an_endpoint_whose_entry_is_malformed_stays_as_it_was(stage):
+    stage.discovery.put(
+        endpoint_entry("x-a0", service="x", phase="HALF"),
+        endpoint_entry("x-a1", service="x", phase="DRAINING"),
+    )
+    stage.until(lambda: stage.logged("x-a0: phase: 'HALF' is not known"), "a log line")
     stage.until(lambda: phases(stage.get("c0"))["x-a1"] == "DRAINING", "the change beside it")
     assert phases(stage.get("c0"))["x-a0"] == "SERVING"
 
@@ -442,7 +446,7 @@
     return stage.role.reconfigure(stage.role.configuration._replace(controllers=controllers, **more))
 
 
-def test_a_reload_takes_in_conductors_and_lets_them_go(stage):
+def test_a_reload_takes_in_controllers_and_lets_them_go(stage):
     kept, gone = stage.get("c0"), stage.role.address_of("c1")
     watching = stage.call(stage.role.main.address, "/v1/views/c1/servers?since=0")
     revision = watching.result(stage)["revision"]
@@ -453,14 +457,14 @@
     said = reconfigured(stage, controller("c0", ["x"]), controller("c3", ["y"]))
     assert said == "2 controllers, 1 addresses new, 2 gone"
     assert stage.get("c0") == kept and len(stage.get("c3")["members"]) == 4
-    stage.until(lambda: watching.over, "the refusal of a view that is gone")
+    stage.until(lambda: watching.over, "the rejection of a view that is gone")
     assert "404" in str(watching.ended)
     refused = stage.call(gone, "/v1/servers")
     stage.until(lambda: refused.over, "its end")
     assert "nobody took it" in str(refused.ended)
 
 
-def test_a_conductor_that_needs_other_services_is_told_the_difference(stage):
+def test_a_controller_that_needs_other_services_is_served_the_difference(stage):
     revision = stage.get("c1")["revision"]
     watching = watch(stage, "c1", revision)
     stage.for_(0.1)
@@ -493,7 +497,7 @@
     from views_stage import Discovery
 
     other = Discovery(stage.loop)
-    other.put(*(entry for entry in whole_fleet() if entry["id"] != "y-a0"))
+    other.put(*(entry for entry in complete_fleet() if entry["id"] != "y-a0"))
     source = stage.role.configuration.source._replace(address=other.address)
     reconfigured(stage, *stage.role.configuration.controllers, source=source)
     stage.until(lambda: "y-a0" not in ids(stage.get("c1")), "the other's list")
@@ -521,12 +525,12 @@
 
 def test_two_control_roles_that_publish_in_one_second_with_equal_strides_share_no_revision(monkeypatch):
     """Failure: a revision was the second and a random stride of 1 to 64, so of 64 pairs of control roles that
-    published in the same second one had the same revision, and a conductor that moved was told nothing."""
+    published in the same second one had the same revision, and a controller that moved was told nothing."""
     monkeypatch.setattr("time.time", lambda: 1.8e9)
     monkeypatch.setattr("oatcart.views.role.SystemRandom", EqualStrides)
     stage = Stage([controller("c0", ["x"]), controller("c1", ["y"])])
     try:
-        stage.discovery.put(*whole_fleet())
+        stage.discovery.put(*complete_fleet())
         stage.ready()
         other = stage.start(stage.configuration)
         stage.until(lambda: len(other.publisher.entries) == 12, "its list")
--- a/tests/views/test_views_subsets.py
+++ b/tests/views/test_views_subsets.py
@@ -50,7 +50,7 @@
 
 
 class Fleet(RuleBasedStateMachine):
-    """Nodes and conductors come, change and go; the views are those of a fresh start, within bounds."""
+    """Endpoints and controllers come, change and go; the views are those of a fresh start, within bounds."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -141,7 +141,7 @@
 
 
 def assert_enough(there: list[Endpoint], held: list[Endpoint]) -> None:
-    """Two ready nodes, in two zones, wherever the service has them."""
+    """Two ready endpoints, in two zones, wherever the service has them."""
     ready_there = [endpoint for endpoint in there if endpoint.ready]
     ready_held = [endpoint for endpoint in held if endpoint.ready]
     assert len(ready_held) >= min(2, len(ready_there))
@@ -160,20 +160,20 @@
 )
 
 
-def test_a_conductor_that_can_hold_a_service_holds_it_whole():
+def test_a_controller_whose_quota_allows_a_service_is_a_complete_holder():
     endpoints = endpoints_of("api", 5)
     subsets = subsets_of(endpoints, controllers_of(3, ("api",)))
     assert subsets.view("conductor-1") == tuple(sorted(endpoint.id for endpoint in endpoints))
 
 
-def test_the_bound_in_bytes_bounds_the_number_of_nodes():
+def test_the_bound_in_bytes_bounds_the_number_of_endpoints():
     assert ViewLimits().capacity == 70_000 // 145
     limits = ViewLimits(max_endpoints=500, max_bytes=1450, max_entry_bytes=145)
     subsets = subsets_of(endpoints_of("api", 100), controllers_of(20, ("api",)), limits)
     assert max(len(view) for view in views_of(subsets, controllers_of(20, ("api",))).values()) <= 10
 
 
-def test_unknown_conductors_and_unusable_sizes_are_refused():
+def test_unknown_controllers_and_unusable_sizes_are_rejected():
     subsets = subsets_of(endpoints_of("api", 5), controllers_of(1, ("api",)))
     with pytest.raises(UnknownControllerError):
         subsets.view("nobody")
@@ -183,7 +183,7 @@
     assert subsets.holders("odd") == frozenset()
 
 
-def test_more_services_than_fit_at_two_nodes_each_are_refused_until_they_fit():
+def test_more_services_than_fit_at_two_endpoints_each_are_rejected_until_they_fit():
     services = tuple(f"service-{number}" for number in range(7))
     endpoints = [endpoint for service in services for endpoint in endpoints_of(service, 4)]
     subsets = subsets_of(
@@ -200,7 +200,7 @@
 
 
 @pytest.mark.parametrize("controllers", [40, 80, 300])
-def test_busiest_to_mean_is_within_the_overload_and_none_is_unseen(controllers):
+def test_busiest_to_mean_is_within_the_overload_and_none_is_unheld(controllers):
     sizes = (1.0, 2.0, 4.0)
     endpoints = [
         endpoint._replace(nominal_weight=sizes[number % len(sizes)])
@@ -216,7 +216,7 @@
 
 
 @pytest.mark.parametrize("controllers", range(10, 41, 5))
-def test_none_is_unseen_where_seats_just_suffice(controllers):
+def test_none_is_unheld_where_quotas_just_suffice(controllers):
     endpoints = endpoints_of("api", 95)
     subsets = subsets_of(endpoints, controllers_of(controllers, ("api",)))
     seen = Counter(
@@ -229,7 +229,7 @@
     assert max(seen.values()) <= max(1.25 * mean, mean + 1)
 
 
-def test_with_fewer_seats_than_nodes_no_node_is_held_twice():
+def test_with_smaller_quotas_than_endpoints_no_endpoint_is_held_twice():
     controllers = controllers_of(4, ("api",))
     subsets = subsets_of(endpoints_of("api", 300), controllers)
     seen = Counter(endpoint_id for controller in controllers for endpoint_id in subsets.view(controller.name))
@@ -252,7 +252,7 @@
 
 
 def planned_controllers() -> list[Controller]:
-    """Conductors that need all of the services, or some."""
+    """Controllers that need all of the services, or some."""
     services = tuple(FLEET_SERVICES)
     needs = (services, ("api", "tiny"), ("api", "cart"), ("cart", "search", "single"))
     return [
@@ -278,7 +278,7 @@
     return share + ceil(share / 20)
 
 
-def test_nodes_that_go_and_come_move_their_share_and_a_twentieth_and_leave_no_trace():
+def test_endpoints_that_go_and_come_move_their_share_and_a_twentieth_and_leave_no_trace():
     endpoints, controllers = planned_endpoints(), planned_controllers()
     subsets = subsets_of(endpoints, controllers, FLEET_LIMITS)
     before = held_pairs(subsets, controllers)
@@ -293,7 +293,7 @@
     assert all(moved <= allowed(share) for moved, share in moves)
 
 
-def test_conductors_that_go_and_come_move_their_share_and_a_twentieth_and_leave_no_trace():
+def test_controllers_that_go_and_come_move_their_share_and_a_twentieth_and_leave_no_trace():
     controllers = planned_controllers()
     subsets = subsets_of(planned_endpoints(), controllers, FLEET_LIMITS)
     before = held_pairs(subsets, controllers)
@@ -344,7 +344,7 @@
         assert held_pairs(machine, controllers) == whole
 
 
-def test_seven_control_machines_decide_the_same_whatever_order_they_hear_in():
+def test_seven_control_roles_decide_the_same_whatever_order_they_hear_in():
     endpoints, controllers = planned_endpoints(), planned_controllers()
     decided = []
     for machine in range(7):
@@ -360,7 +360,7 @@
     assert all(pairs == decided[0] for pairs in decided[1:])
 
 
-def test_control_machines_that_differ_in_one_node_and_one_conductor_differ_by_little():
+def test_control_roles_that_differ_in_one_endpoint_and_one_controller_differ_by_little():
     endpoints, controllers = planned_endpoints(), planned_controllers()
     one = held_pairs(subsets_of(endpoints, controllers, FLEET_LIMITS), controllers)
     other = held_pairs(subsets_of(endpoints[1:], controllers[1:], FLEET_LIMITS), controllers[1:])
@@ -380,7 +380,7 @@
     )
 
 
-def test_holders_are_told_of_a_node_that_changes_its_service_though_they_hold_the_same_nodes():
+def test_holders_are_notified_of_an_endpoint_that_changes_its_service_though_they_hold_the_same_endpoints():
     endpoint, controller = endpoints_of("api", 1)[0], controllers_of(1, ("api", "cart"))[0]
     subsets = subsets_of([endpoint], [controller])
     subsets.pop_changed()
@@ -400,7 +400,7 @@
     assert before <= held_pairs(subsets, controllers)
 
 
-def test_ready_nodes_stand_in_while_a_whole_zone_and_more_drain_within_the_bound():
+def test_ready_endpoints_replace_others_while_a_zone_and_more_drain_within_the_bound():
     endpoints, controllers = planned_endpoints(), planned_controllers()
     subsets = subsets_of(endpoints, controllers, FLEET_LIMITS)
     before = held_pairs(subsets, controllers)
@@ -426,7 +426,8 @@
 
 
 def assert_usable(endpoints: list[Endpoint], controller: Controller, view: tuple[str, ...]) -> None:
-    """Ready nodes of each needed service, in two zones where there are two, and a view within the bound."""
+    """Ready endpoints of each needed service, in two zones where there are two, and a view within the
+    bound."""
     records = {endpoint.id: endpoint for endpoint in endpoints}
     assert len(view) <= FLEET_LIMITS.capacity
     for service in controller.services:
@@ -436,7 +437,7 @@
         )
 
 
-def test_where_nodes_have_few_holders_a_change_moves_its_share_and_at_most_a_twentieth_of_all_pairs():
+def test_where_endpoints_have_few_holders_a_change_moves_its_share_and_at_most_a_twentieth_of_all_pairs():
     """A bound of 1.25 is then few whole pairs, and to keep it moves more than a twentieth of the share."""
     endpoints, controllers = planned_endpoints(), planned_controllers()[:60]
     subsets = subsets_of(endpoints, controllers, FLEET_LIMITS)
--- a/tests/views/views_stage.py
+++ b/tests/views/views_stage.py
@@ -24,7 +24,7 @@
 SOON = DiscoverySettings(watch_timeout=1.0, fetch_timeout=1.0, max_backoff=0.1, refetch_interval=60.0)
 
 
-def node(name, zone="a", phase="SERVING", port=5000, **more):
+def endpoint_entry(name, zone="a", phase="SERVING", port=5000, **more):
     """An entry of the list."""
     told = {"id": name, "host_port": f"127.0.0.1:{port}", "locality": zone, "flavor": "m2", "cell": 3}
     return told | {"phase": phase, "size": 1.0, "up_since_ms": 0} | more
@@ -52,7 +52,7 @@
         self.address = self.listener.address
 
     def die(self):
-        """Its connections are reset, new ones are refused."""
+        """Its connections are reset, new ones are rejected."""
         self.loop.end(self.listener.accepting)
         self.loop.close(self.listener.sock.fileno())
         self.listener.sock.close()
@@ -63,7 +63,7 @@
         self.streams = []
 
     def put(self, *entries):
-        """Nodes that come or change, in one revision."""
+        """Endpoints that come or change, in one revision."""
         self.revision += 1
         for entry in entries:
             self.entries[entry["id"]] = entry
@@ -189,7 +189,7 @@
         return text in self.out.getvalue()
 
     def ready(self, count=None):
-        """So many nodes are known and all views decided."""
+        """So many endpoints are known and all views decided."""
         wanted = len(self.discovery.entries) if count is None else count
         publisher = self.role.publisher
         self.until(lambda: len(publisher.entries) == wanted, f"{wanted} nodes known")
@@ -200,7 +200,7 @@
         return Call(self.loop, address, path, within)
 
     def get(self, name, query=""):
-        """The answer at a conductor's own address, as JSON, once its view is decided."""
+        """The answer at a controller's own address, as JSON, once its view is decided."""
         self.until(lambda: name in self.role.publisher.views, f"a decision on {name}")
         return self.call(self.role.address_of(name), "/v1/servers" + query).result(self)
 
