--- /dev/null
+++ b/benchmarks/views_measures.py
@@ -0,0 +1,246 @@
+"""What `benchmarks.views` measures of views: balance of endpoints, missing zones, and the assignments that a
+change moves.
+"""
+
+import math
+import time
+from collections import defaultdict
+from collections.abc import Callable
+from dataclasses import dataclass
+from random import Random
+
+import numpy
+
+from oatcart.scale.configuration import FleetSettings
+from oatcart.scale.fleet import plan_fleet
+from oatcart.views.holder_limits import expected_holders
+from oatcart.views.records import Controller, Endpoint, ViewLimits
+from oatcart.views.subsets import Subsets
+
+ALLOWED_PART = 0.05  # of the share, that a change may move beyond it
+MIN_EXPECTED = 4.0  # holders; below, whole numbers alone exceed the overload
+
+Views = dict[str, frozenset[str]]
+
+
+@dataclass(frozen=True)
+class Fleet:
+    """The records of a drawn fleet."""
+
+    endpoints: dict[str, Endpoint]
+    controllers: dict[str, Controller]
+
+
+@dataclass
+class Balance:
+    """How evenly the endpoints are held, by controllers that are no complete holders of their service.
+
+    `busiest_to_mean` and `least_to_mean`: holders over the expected number, of endpoints for which that is
+    `MIN_EXPECTED` or more and less than all controllers. `over`: endpoints beyond the overload. `unheld`:
+    endpoints without holder though the quotas of their service's controllers have as many.
+    """
+
+    busiest_to_mean: float
+    least_to_mean: float
+    over: int
+    unheld: int
+
+
+@dataclass
+class Moves:
+    """Assignments that single changes move.
+
+    `beyond_to_share`: what is moved beyond the share, over the share, of all changes; `most_`: of one change.
+    `exceeding`: changes that move more than the share and `ALLOWED_PART` of it, rounded up. Times are
+    processor time in ms.
+    """
+
+    changes: int
+    beyond_to_share: float
+    most_beyond_to_share: float
+    most_beyond_pairs: int
+    exceeding: int
+    median_ms: float
+    longest_ms: float
+
+
+def drawn_fleet(settings: FleetSettings, seed: int) -> Fleet:
+    """A drawn fleet as the records that views are decided from."""
+    plan = plan_fleet(settings, seed)
+    endpoints = {
+        node.id: Endpoint(node.id, node.region, node.zone, node.service, float(node.size), True)
+        for node in plan.nodes
+    }
+    controllers = {
+        one.name: Controller(one.name, one.region, one.zone, one.services) for one in plan.conductors
+    }
+    return Fleet(endpoints, controllers)
+
+
+def settled(fleet: Fleet, seed: int) -> Subsets:
+    """The views of a fleet, decided."""
+    subsets = Subsets(ViewLimits(), seed)
+    subsets.put_endpoints(fleet.endpoints.values())
+    subsets.put_controllers(fleet.controllers.values())
+    subsets.pop_changed()
+    return subsets
+
+
+def all_views(subsets: Subsets, names: dict[str, Controller]) -> Views:
+    """The view of each controller."""
+    return {name: frozenset(subsets.view(name)) for name in names}
+
+
+def pairs_moved(before: Views, after: Views) -> int:
+    """The larger of the numbers of assignments lost and gained."""
+    nobody: frozenset[str] = frozenset()
+    lost = sum(len(view - after.get(name, nobody)) for name, view in before.items())
+    gained = sum(len(view - before.get(name, nobody)) for name, view in after.items())
+    return max(lost, gained)
+
+
+def processor_ms(action: Callable[[], object]) -> float:
+    """The processor time that an action takes, in ms."""
+    started = time.process_time()
+    action()
+    return 1000 * (time.process_time() - started)
+
+
+def balance(fleet: Fleet, views: Views) -> Balance:
+    """How evenly endpoints are held, service by service."""
+    endpoints_of = by_service(fleet)
+    held_of: dict[str, dict[str, set[str]]] = {service: {} for service in endpoints_of}
+    for name, view in views.items():
+        for service in fleet.controllers[name].services:
+            held_of[service][name] = {
+                endpoint.id for endpoint in endpoints_of[service] if endpoint.id in view
+            }
+    ratios: list[float] = []
+    over = unheld = 0
+    for service, endpoints in endpoints_of.items():
+        partial = [held for held in held_of[service].values() if len(held) < len(endpoints)]
+        if not partial:
+            continue
+        quota_sum = sum(map(len, partial))
+        weights = numpy.array([endpoint.nominal_weight for endpoint in endpoints])
+        holders = numpy.array([sum(endpoint.id in held for held in partial) for endpoint in endpoints])
+        expected = expected_holders(weights, quota_sum, len(partial))
+        counted = (expected >= MIN_EXPECTED) & (expected < len(partial))
+        ratios.extend((holders[counted] / expected[counted]).tolist())
+        over += int((holders > numpy.maximum(ViewLimits().overload * expected, numpy.ceil(expected))).sum())
+        if quota_sum >= len(endpoints) and len(partial) == len(held_of[service]):
+            unheld += int((holders == 0).sum())
+    return Balance(max(ratios, default=1.0), min(ratios, default=1.0), over, unheld)
+
+
+def by_service(fleet: Fleet) -> dict[str, list[Endpoint]]:
+    """The endpoints of each service."""
+    groups: dict[str, list[Endpoint]] = defaultdict(list)
+    for endpoint in fleet.endpoints.values():
+        groups[endpoint.service].append(endpoint)
+    return groups
+
+
+def short_of_zones(fleet: Fleet, views: Views) -> int:
+    """Services of controllers without ready endpoints in two zones, or in one if the service has no two."""
+    zones_of_service = {
+        service: len({(endpoint.region, endpoint.zone) for endpoint in endpoints if endpoint.ready})
+        for service, endpoints in by_service(fleet).items()
+    }
+    short = 0
+    for name, view in views.items():
+        zones: dict[str, set[tuple[str, str]]] = defaultdict(set)
+        for endpoint in (fleet.endpoints[endpoint_id] for endpoint_id in view):
+            if endpoint.ready:
+                zones[endpoint.service].add((endpoint.region, endpoint.zone))
+        short += sum(
+            len(zones[service]) < min(2, zones_of_service.get(service, 0))
+            for service in fleet.controllers[name].services
+        )
+    return short
+
+
+class Watched:
+    """Views kept up to date by the changes that `Subsets` reports."""
+
+    def __init__(self, subsets: Subsets, views: Views) -> None:
+        self.subsets = subsets
+        self.views = dict(views)
+
+    def after(self, change: Callable[[], None], removed: str | None = None) -> float:
+        """Makes a change and takes its views over; returns the processor time of the decision, ms."""
+        changed: list[frozenset[str]] = []
+
+        def decide() -> None:
+            change()
+            changed.append(self.subsets.pop_changed())
+
+        took = processor_ms(decide)
+        self.views.pop(removed, None)
+        for name in changed[0]:
+            self.views[name] = frozenset(self.subsets.view(name))
+        return took
+
+
+def endpoint_moves(fleet: Fleet, watched: Watched, changes: int, random: Random) -> Moves:
+    """Endpoints, drawn at random, are removed and added again."""
+    subsets = watched.subsets
+    tally = Tally()
+    for endpoint_id in random.sample(sorted(fleet.endpoints), min(changes, len(fleet.endpoints))):
+        before = dict(watched.views)
+        share = len(subsets.holders(endpoint_id))
+        removed_ms = watched.after(lambda endpoint_id=endpoint_id: subsets.remove_endpoint(endpoint_id))
+        tally.add(share, pairs_moved(before, watched.views))
+        added_ms = watched.after(
+            lambda endpoint_id=endpoint_id: subsets.put_endpoint(fleet.endpoints[endpoint_id])
+        )
+        tally.durations += [removed_ms, added_ms]
+        assert_restored(before, watched.views, endpoint_id)
+    return tally.moves()
+
+
+def controller_moves(fleet: Fleet, watched: Watched, changes: int, random: Random) -> Moves:
+    """Controllers, drawn at random, are removed and added again."""
+    subsets = watched.subsets
+    tally = Tally()
+    for name in random.sample(sorted(fleet.controllers), min(changes, len(fleet.controllers))):
+        before = dict(watched.views)
+        removed_ms = watched.after(lambda name=name: subsets.remove_controller(name), removed=name)
+        tally.add(len(before[name]), pairs_moved(before, watched.views))
+        added_ms = watched.after(lambda name=name: subsets.put_controller(fleet.controllers[name]))
+        tally.durations += [removed_ms, added_ms]
+        assert_restored(before, watched.views, name)
+    return tally.moves()
+
+
+def assert_restored(before: Views, after: Views, name: str) -> None:
+    """Raises AssertionError if a change undone does not restore the views."""
+    if after != before:
+        raise AssertionError(f"{name} was added again and the views differ")
+
+
+class Tally:
+    """Shares and moves of single changes."""
+
+    def __init__(self) -> None:
+        self.shares: list[int] = []
+        self.beyond: list[int] = []
+        self.durations: list[float] = []
+
+    def add(self, share: int, moved: int) -> None:
+        """Notes one change."""
+        self.shares.append(share)
+        self.beyond.append(moved - share)
+
+    def moves(self) -> Moves:
+        """The figures of all changes."""
+        changes = list(zip(self.beyond, self.shares, strict=True))
+        return Moves(
+            len(changes),
+            sum(self.beyond) / max(1, sum(self.shares)),
+            max(beyond / max(1, share) for beyond, share in changes),
+            max(self.beyond),
+            sum(beyond > math.ceil(ALLOWED_PART * share) for beyond, share in changes),
+            float(numpy.median(self.durations)),
+            max(self.durations),
+        )
