--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -29,7 +29,7 @@
     short_of_zones,
 )
 from oatcart.scale.configuration import FleetSettings
-from oatcart.views.subsets import Subsets
+from oatcart.views.fleet_views import FleetViews
 
 PLAN_ENDPOINTS = FleetSettings().nodes
 FEWER_CONTROLLERS = 4  # the plan's controllers are divided by this in one fleet
@@ -41,13 +41,13 @@
 def at_one_size(settings: FleetSettings, changes: int, seed: int) -> dict[str, object]:
     """All that is measured at one size of the fleet, by the names of the JSON line."""
     fleet = drawn_fleet(settings, seed)
-    decided: list[Subsets] = []
+    decided: list[FleetViews] = []
     all_ms = processor_ms(lambda: decided.append(settled(fleet, seed)))
-    subsets = decided[0]
-    views = all_views(subsets, fleet.controllers)
+    fleet_views = decided[0]
+    views = all_views(fleet_views, fleet.controllers)
     sizes = [len(view) for view in views.values()]
     random = Random(seed)
-    watched = Watched(subsets, views)
+    watched = Watched(fleet_views, views)
     return {
         "nodes": len(fleet.endpoints),
         "conductors": len(fleet.controllers),
@@ -65,16 +65,16 @@
 def faults(settings: FleetSettings, seed: int) -> dict[str, object]:
     """A zone lost and back, a partition between regions, and control roles that know different records."""
     fleet = drawn_fleet(settings, seed)
-    subsets = settled(fleet, seed)
-    before = all_views(subsets, fleet.controllers)
+    fleet_views = settled(fleet, seed)
+    before = all_views(fleet_views, fleet.controllers)
     return {
-        "zone_lost": zone_lost(fleet, subsets, before),
+        "zone_lost": zone_lost(fleet, fleet_views, before),
         "region_apart": region_partitioned(fleet, seed),
         "machines_differ": roles_differ(fleet, before, seed),
     }
 
 
-def zone_lost(fleet: Fleet, subsets: Subsets, before: Views) -> dict[str, object]:
+def zone_lost(fleet: Fleet, fleet_views: FleetViews, before: Views) -> dict[str, object]:
     """The zone with most endpoints is removed, with its controllers, and added again."""
     counts: dict[str, int] = defaultdict(int)
     for endpoint in fleet.endpoints.values():
@@ -84,23 +84,23 @@
     controllers = [controller for controller in fleet.controllers.values() if controller.zone == lost_zone]
     removed = {controller.name for controller in controllers}
     share = sum(len(before[name]) for name in removed)
-    share += sum(len(subsets.holders(endpoint.id) - removed) for endpoint in endpoints)
+    share += sum(len(fleet_views.holders(endpoint.id) - removed) for endpoint in endpoints)
 
     def lose() -> None:
         for endpoint in endpoints:
-            subsets.remove_endpoint(endpoint.id)
+            fleet_views.remove_endpoint(endpoint.id)
         for controller in controllers:
-            subsets.remove_controller(controller.name)
-        subsets.pop_changed()
+            fleet_views.remove_controller(controller.name)
+        fleet_views.pop_changed()
 
     def heal() -> None:
-        subsets.put_endpoints(endpoints)
-        subsets.put_controllers(controllers)
-        subsets.pop_changed()
+        fleet_views.put_endpoints(endpoints)
+        fleet_views.put_controllers(controllers)
+        fleet_views.pop_changed()
 
     lose_ms = processor_ms(lose)
     left = without_zone(fleet, lost_zone)
-    after = all_views(subsets, left.controllers)
+    after = all_views(fleet_views, left.controllers)
     heal_ms = processor_ms(heal)
     return {
         "nodes": len(endpoints),
@@ -108,7 +108,7 @@
         "share": share,
         "beyond_to_share": (pairs_moved(before, after) - share) / share,
         "short_of_zones": short_of_zones(left, after),
-        "healed_as_before": all_views(subsets, fleet.controllers) == before,
+        "healed_as_before": all_views(fleet_views, fleet.controllers) == before,
         "lose_s": lose_ms / 1000,
         "heal_s": heal_ms / 1000,
     }
--- a/benchmarks/views_measures.py
+++ b/benchmarks/views_measures.py
@@ -13,9 +13,9 @@
 
 from oatcart.scale.configuration import FleetSettings
 from oatcart.scale.fleet import plan_fleet
+from oatcart.views.fleet_views import FleetViews
 from oatcart.views.holder_limits import expected_holders
 from oatcart.views.records import Controller, Endpoint, ViewLimits
-from oatcart.views.subsets import Subsets
 
 ALLOWED_PART = 0.05  # of the share, that a change may move beyond it
 MIN_EXPECTED = 4.0  # holders; below, whole numbers alone exceed the overload
@@ -77,18 +77,18 @@
     return Fleet(endpoints, controllers)
 
 
-def settled(fleet: Fleet, seed: int) -> Subsets:
+def settled(fleet: Fleet, seed: int) -> FleetViews:
     """The views of a fleet, decided."""
-    subsets = Subsets(ViewLimits(), seed)
-    subsets.put_endpoints(fleet.endpoints.values())
-    subsets.put_controllers(fleet.controllers.values())
-    subsets.pop_changed()
-    return subsets
+    fleet_views = FleetViews(ViewLimits(), seed)
+    fleet_views.put_endpoints(fleet.endpoints.values())
+    fleet_views.put_controllers(fleet.controllers.values())
+    fleet_views.pop_changed()
+    return fleet_views
 
 
-def all_views(subsets: Subsets, names: dict[str, Controller]) -> Views:
+def all_views(fleet_views: FleetViews, names: dict[str, Controller]) -> Views:
     """The view of each controller."""
-    return {name: frozenset(subsets.view(name)) for name in names}
+    return {name: frozenset(fleet_views.view(name)) for name in names}
 
 
 def pairs_moved(before: Views, after: Views) -> int:
@@ -161,10 +161,10 @@
 
 
 class Watched:
-    """Views kept up to date by the changes that `Subsets` reports."""
+    """Views kept up to date by the changes that `FleetViews` reports."""
 
-    def __init__(self, subsets: Subsets, views: Views) -> None:
-        self.subsets = subsets
+    def __init__(self, fleet_views: FleetViews, views: Views) -> None:
+        self.fleet_views = fleet_views
         self.views = dict(views)
 
     def after(self, change: Callable[[], None], removed: str | None = None) -> float:
@@ -173,26 +173,26 @@
 
         def decide() -> None:
             change()
-            changed.append(self.subsets.pop_changed())
+            changed.append(self.fleet_views.pop_changed())
 
         took = processor_ms(decide)
         self.views.pop(removed, None)
         for name in changed[0]:
-            self.views[name] = frozenset(self.subsets.view(name))
+            self.views[name] = frozenset(self.fleet_views.view(name))
         return took
 
 
 def endpoint_moves(fleet: Fleet, watched: Watched, changes: int, random: Random) -> Moves:
     """Endpoints, drawn at random, are removed and added again."""
-    subsets = watched.subsets
+    fleet_views = watched.fleet_views
     tally = Tally()
     for endpoint_id in random.sample(sorted(fleet.endpoints), min(changes, len(fleet.endpoints))):
         before = dict(watched.views)
-        share = len(subsets.holders(endpoint_id))
-        removed_ms = watched.after(lambda endpoint_id=endpoint_id: subsets.remove_endpoint(endpoint_id))
+        share = len(fleet_views.holders(endpoint_id))
+        removed_ms = watched.after(lambda endpoint_id=endpoint_id: fleet_views.remove_endpoint(endpoint_id))
         tally.add(share, pairs_moved(before, watched.views))
         added_ms = watched.after(
-            lambda endpoint_id=endpoint_id: subsets.put_endpoint(fleet.endpoints[endpoint_id])
+            lambda endpoint_id=endpoint_id: fleet_views.put_endpoint(fleet.endpoints[endpoint_id])
         )
         tally.durations += [removed_ms, added_ms]
         assert_restored(before, watched.views, endpoint_id)
@@ -201,13 +201,13 @@
 
 def controller_moves(fleet: Fleet, watched: Watched, changes: int, random: Random) -> Moves:
     """Controllers, drawn at random, are removed and added again."""
-    subsets = watched.subsets
+    fleet_views = watched.fleet_views
     tally = Tally()
     for name in random.sample(sorted(fleet.controllers), min(changes, len(fleet.controllers))):
         before = dict(watched.views)
-        removed_ms = watched.after(lambda name=name: subsets.remove_controller(name), removed=name)
+        removed_ms = watched.after(lambda name=name: fleet_views.remove_controller(name), removed=name)
         tally.add(len(before[name]), pairs_moved(before, watched.views))
-        added_ms = watched.after(lambda name=name: subsets.put_controller(fleet.controllers[name]))
+        added_ms = watched.after(lambda name=name: fleet_views.put_controller(fleet.controllers[name]))
         tally.durations += [removed_ms, added_ms]
         assert_restored(before, watched.views, name)
     return tally.moves()
--- a/oatcart/scale/day_views.py
+++ b/oatcart/scale/day_views.py
@@ -1,6 +1,6 @@
 """Which views conductors ought to have, worked out from the changes made, beside the control role.
 
-Views are a function of the list alone, so a second `Subsets` that is told the same changes has the same
+Views are a function of the list alone, so a second `FleetViews` that is told the same changes has the same
 views as the control role. Where conductors follow the whole list, their views have no bound.
 """
 
@@ -12,9 +12,9 @@
 from oatcart.scale.discovery import DELETED
 from oatcart.views.configuration import EndpointFields
 from oatcart.views.entries import SERVING, parse_entry
+from oatcart.views.fleet_views import FleetViews
 from oatcart.views.publisher import endpoint_record
 from oatcart.views.records import Controller, ViewLimits
-from oatcart.views.subsets import Subsets
 
 UNBOUNDED = ViewLimits(max_endpoints=10**9, max_bytes=10**9, max_entry_bytes=1)
 ZONES_LEAST = 2  # of each service in a view, where the service has nodes ready in as many
@@ -39,24 +39,24 @@
         self.returned: dict[
             tuple[int, str], frozenset[str]
         ] = {}  # holders of nodes that changes brought back
-        self._subsets = Subsets(limits, seed)
-        self._subsets.put_controllers(viewers)
+        self._fleet_views = FleetViews(limits, seed)
+        self._fleet_views.put_controllers(viewers)
         self._set(entries)
-        self._history = {name: [ViewAt(-1, frozenset(self._subsets.view(name)))] for name in self.viewers}
-        self._subsets.pop_changed()
+        self._history = {name: [ViewAt(-1, frozenset(self._fleet_views.view(name)))] for name in self.viewers}
+        self._fleet_views.pop_changed()
 
     def take(self, changes: Sequence[Change]) -> None:
         """Works out the views after those of all changes that were not taken yet."""
         for number in range(self.taken, len(changes)):
             change = changes[number]
             self._set(change.entries)
-            for name in self._subsets.pop_changed():
-                nodes = frozenset(self._subsets.view(name))
+            for name in self._fleet_views.pop_changed():
+                nodes = frozenset(self._fleet_views.view(name))
                 if nodes != self._history[name][-1].nodes:
                     self._history[name].append(ViewAt(number, nodes))
             if change.kind is Kind.RETURN:
                 for entry in change.entries:
-                    self.returned[number, entry["id"]] = self._subsets.holders(entry["id"])
+                    self.returned[number, entry["id"]] = self._fleet_views.holders(entry["id"])
         self.taken = len(changes)
 
     def view(self, name: str) -> frozenset[str]:
@@ -94,8 +94,8 @@
     def _set(self, entries: Iterable[dict]) -> None:
         for entry in entries:
             if entry["phase"] == DELETED:
-                self._subsets.remove_endpoint(entry["id"])
+                self._fleet_views.remove_endpoint(entry["id"])
                 self.entries.pop(entry["id"], None)
             else:
-                self._subsets.put_endpoint(endpoint_record(parse_entry(entry), EndpointFields()))
+                self._fleet_views.put_endpoint(endpoint_record(parse_entry(entry), EndpointFields()))
                 self.entries[entry["id"]] = entry
--- a/oatcart/views/decisions.py
+++ b/oatcart/views/decisions.py
@@ -11,8 +11,8 @@
 from typing import NamedTuple
 
 from oatcart.net.loop import IN, Loop, Wait
+from oatcart.views.fleet_views import FleetViews
 from oatcart.views.records import Controller, Endpoint, ViewError, ViewLimits
-from oatcart.views.subsets import Subsets
 
 View = tuple[str, ...] | ViewError
 """The ids of the endpoints in a controller's view, or why it cannot be decided."""
@@ -35,27 +35,27 @@
     """Decides views for one batch of changes after the other."""
 
     def __init__(self) -> None:
-        self.subsets = Subsets(ViewLimits(), 0)
+        self.fleet_views = FleetViews(ViewLimits(), 0)
 
     def decide(self, changes: Iterable[RecordChanges]) -> dict[str, View]:
         """The views that may differ after these changes, by the names of controllers."""
         for change in changes:
             self._apply(change)
-        return {name: self._view(name) for name in self.subsets.pop_changed()}
+        return {name: self._view(name) for name in self.fleet_views.pop_changed()}
 
     def _apply(self, change: RecordChanges) -> None:
         if change.limits is not None:
-            self.subsets = Subsets(change.limits, change.seed)
+            self.fleet_views = FleetViews(change.limits, change.seed)
         for name in change.removed_controllers:
-            self.subsets.remove_controller(name)
+            self.fleet_views.remove_controller(name)
         for endpoint_id in change.removed_endpoints:
-            self.subsets.remove_endpoint(endpoint_id)
-        self.subsets.put_controllers(change.controllers)
-        self.subsets.put_endpoints(change.endpoints)
+            self.fleet_views.remove_endpoint(endpoint_id)
+        self.fleet_views.put_controllers(change.controllers)
+        self.fleet_views.put_endpoints(change.endpoints)
 
     def _view(self, name: str) -> View:
         try:
-            return self.subsets.view(name)
+            return self.fleet_views.view(name)
         except ViewError as error:
             return error
 
--- a/oatcart/views/subsets.py
+++ b/oatcart/views/fleet_views.py
@@ -1,6 +1,6 @@
 """Decides the view of each controller of a fleet: which endpoints of which services it is served.
 
-`Subsets` has the records of all endpoints and controllers and gives each controller a view: at most
+`FleetViews` has the records of all endpoints and controllers and gives each controller a view: at most
 `ViewLimits.capacity` endpoints, of each service that it needs at least two, in two zones if there are two.
 The views are a function of the records, the limits and the seed alone. So control roles that know the same
 decide the same, whatever the order of changes, and a change undone restores the views.
@@ -25,7 +25,7 @@
 _ORDER_KIND = "order"  # hashed with a controller's and a service's name
 
 
-class Subsets:
+class FleetViews:
     """The views of a fleet's controllers. A change is noted at once and worked out with the next question."""
 
     def __init__(self, limits: ViewLimits, seed: int) -> None:
--- a/tests/views/test_views_subsets.py
+++ b/tests/views/test_views_fleet.py
@@ -9,6 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
+from oatcart.views.fleet_views import FleetViews
 from oatcart.views.records import (
     Controller,
     Endpoint,
@@ -17,7 +18,6 @@
     UnknownControllerError,
     ViewLimits,
 )
-from oatcart.views.subsets import Subsets
 
 SEED = 7
 SERVICES = ("api", "cart", "search")
@@ -38,15 +38,15 @@
     ]
 
 
-def subsets_of(endpoints, controllers, limits: ViewLimits = SMALL) -> Subsets:
-    subsets = Subsets(limits, SEED)
-    subsets.put_endpoints(endpoints)
-    subsets.put_controllers(controllers)
-    return subsets
+def fleet_views_of(endpoints, controllers, limits: ViewLimits = SMALL) -> FleetViews:
+    fleet_views = FleetViews(limits, SEED)
+    fleet_views.put_endpoints(endpoints)
+    fleet_views.put_controllers(controllers)
+    return fleet_views
 
 
-def views_of(subsets: Subsets, controllers) -> dict[str, tuple[str, ...]]:
-    return {controller.name: subsets.view(controller.name) for controller in controllers}
+def views_of(fleet_views: FleetViews, controllers) -> dict[str, tuple[str, ...]]:
+    return {controller.name: fleet_views.view(controller.name) for controller in controllers}
 
 
 class Fleet(RuleBasedStateMachine):
@@ -54,7 +54,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.subsets = Subsets(SMALL, SEED)
+        self.fleet_views = FleetViews(SMALL, SEED)
         self.endpoints: dict[str, Endpoint] = {}
         self.controllers: dict[str, Controller] = {}
         self.told: dict[str, tuple[tuple[str, ...], tuple[Endpoint, ...]]] = {}
@@ -69,7 +69,7 @@
     def put_endpoint(self, number, place, service, weight, ready):
         endpoint = Endpoint(f"node-{number}", *place, service, weight, ready)
         self.endpoints[endpoint.id] = endpoint
-        self.subsets.put_endpoint(endpoint)
+        self.fleet_views.put_endpoint(endpoint)
 
     @precondition(lambda self: self.endpoints)
     @rule(data=st.data())
@@ -77,18 +77,18 @@
         endpoint_id = data.draw(st.sampled_from(sorted(self.endpoints)))
         endpoint = self.endpoints[endpoint_id]
         self.endpoints[endpoint_id] = endpoint._replace(ready=not endpoint.ready)
-        holders = self.subsets.holders(endpoint_id)
-        self.subsets.put_endpoint(self.endpoints[endpoint_id])
+        holders = self.fleet_views.holders(endpoint_id)
+        self.fleet_views.put_endpoint(self.endpoints[endpoint_id])
         if endpoint.ready:
-            lost = holders - self.subsets.holders(endpoint_id)
-            assert all(len(self.subsets.view(name)) == SMALL.capacity for name in lost)
+            lost = holders - self.fleet_views.holders(endpoint_id)
+            assert all(len(self.fleet_views.view(name)) == SMALL.capacity for name in lost)
 
     @precondition(lambda self: self.endpoints)
     @rule(data=st.data())
     def remove_endpoint(self, data):
         endpoint_id = data.draw(st.sampled_from(sorted(self.endpoints)))
         del self.endpoints[endpoint_id]
-        self.subsets.remove_endpoint(endpoint_id)
+        self.fleet_views.remove_endpoint(endpoint_id)
 
     @rule(
         number=st.integers(0, 15), place=st.sampled_from(ZONES), services=st.sets(st.sampled_from(SERVICES))
@@ -96,7 +96,7 @@
     def put_controller(self, number, place, services):
         controller = Controller(f"conductor-{number}", *place, tuple(sorted(services)))
         self.controllers[controller.name] = controller
-        self.subsets.put_controller(controller)
+        self.fleet_views.put_controller(controller)
 
     @precondition(lambda self: self.controllers)
     @rule(data=st.data())
@@ -104,18 +104,20 @@
         name = data.draw(st.sampled_from(sorted(self.controllers)))
         del self.controllers[name]
         self.told.pop(name, None)
-        self.subsets.remove_controller(name)
+        self.fleet_views.remove_controller(name)
 
     @invariant()
     def history_does_not_matter(self):
-        fresh = subsets_of(reversed(list(self.endpoints.values())), reversed(list(self.controllers.values())))
+        fresh = fleet_views_of(
+            reversed(list(self.endpoints.values())), reversed(list(self.controllers.values()))
+        )
         controllers = self.controllers.values()
-        assert views_of(self.subsets, controllers) == views_of(fresh, controllers)
+        assert views_of(self.fleet_views, controllers) == views_of(fresh, controllers)
 
     @invariant()
     def views_are_small_and_hold_what_is_needed(self):
         for controller in self.controllers.values():
-            view = self.subsets.view(controller.name)
+            view = self.fleet_views.view(controller.name)
             assert len(set(view)) == len(view) <= SMALL.capacity
             held = [self.endpoints[endpoint_id] for endpoint_id in view]
             assert {endpoint.service for endpoint in held} <= set(controller.services or SERVICES)
@@ -126,15 +128,15 @@
     @invariant()
     def holders_are_those_that_hold(self):
         for endpoint_id in self.endpoints:
-            holding = {name for name in self.controllers if endpoint_id in self.subsets.view(name)}
-            assert self.subsets.holders(endpoint_id) == holding
+            holding = {name for name in self.controllers if endpoint_id in self.fleet_views.view(name)}
+            assert self.fleet_views.holders(endpoint_id) == holding
 
     @invariant()
     def changes_are_told(self):
-        changed = self.subsets.pop_changed()
+        changed = self.fleet_views.pop_changed()
         assert changed <= self.controllers.keys()
         for name in self.controllers:
-            view = self.subsets.view(name)
+            view = self.fleet_views.view(name)
             now = (view, tuple(self.endpoints[endpoint_id] for endpoint_id in view))
             assert name in changed or self.told.get(name) == now
             self.told[name] = now
@@ -162,41 +164,41 @@
 
 def test_a_controller_whose_quota_allows_a_service_is_a_complete_holder():
     endpoints = endpoints_of("api", 5)
-    subsets = subsets_of(endpoints, controllers_of(3, ("api",)))
-    assert subsets.view("conductor-1") == tuple(sorted(endpoint.id for endpoint in endpoints))
+    fleet_views = fleet_views_of(endpoints, controllers_of(3, ("api",)))
+    assert fleet_views.view("conductor-1") == tuple(sorted(endpoint.id for endpoint in endpoints))
 
 
 def test_the_bound_in_bytes_bounds_the_number_of_endpoints():
     assert ViewLimits().capacity == 70_000 // 145
     limits = ViewLimits(max_endpoints=500, max_bytes=1450, max_entry_bytes=145)
-    subsets = subsets_of(endpoints_of("api", 100), controllers_of(20, ("api",)), limits)
-    assert max(len(view) for view in views_of(subsets, controllers_of(20, ("api",))).values()) <= 10
+    fleet_views = fleet_views_of(endpoints_of("api", 100), controllers_of(20, ("api",)), limits)
+    assert max(len(view) for view in views_of(fleet_views, controllers_of(20, ("api",))).values()) <= 10
 
 
 def test_unknown_controllers_and_unusable_sizes_are_rejected():
-    subsets = subsets_of(endpoints_of("api", 5), controllers_of(1, ("api",)))
+    fleet_views = fleet_views_of(endpoints_of("api", 5), controllers_of(1, ("api",)))
     with pytest.raises(UnknownControllerError):
-        subsets.view("nobody")
+        fleet_views.view("nobody")
     for size in (0.0, -1.0, float("inf"), float("nan")):
         with pytest.raises(InvalidEndpointError):
-            subsets.put_endpoint(Endpoint("odd", *ZONES[0], "api", size, True))
-    assert subsets.holders("odd") == frozenset()
+            fleet_views.put_endpoint(Endpoint("odd", *ZONES[0], "api", size, True))
+    assert fleet_views.holders("odd") == frozenset()
 
 
 def test_more_services_than_fit_at_two_endpoints_each_are_rejected_until_they_fit():
     services = tuple(f"service-{number}" for number in range(7))
     endpoints = [endpoint for service in services for endpoint in endpoints_of(service, 4)]
-    subsets = subsets_of(
+    fleet_views = fleet_views_of(
         endpoints, [Controller("greedy", *ZONES[0], services), Controller("all", *ZONES[0], ())]
     )
     for name in ("greedy", "all"):
         with pytest.raises(TooManyServicesError) as refused:
-            subsets.view(name)
+            fleet_views.view(name)
         assert (refused.value.needed, refused.value.capacity) == (14, 12)
     for endpoint in endpoints_of(services[0], 4):
-        subsets.remove_endpoint(endpoint.id)
-    assert subsets.pop_changed() == {"greedy", "all"}
-    assert len(subsets.view("greedy")) == len(subsets.view("all")) == 12
+        fleet_views.remove_endpoint(endpoint.id)
+    assert fleet_views.pop_changed() == {"greedy", "all"}
+    assert len(fleet_views.view("greedy")) == len(fleet_views.view("all")) == 12
 
 
 @pytest.mark.parametrize("controllers", [40, 80, 300])
@@ -206,23 +208,27 @@
         endpoint._replace(nominal_weight=sizes[number % len(sizes)])
         for number, endpoint in enumerate(endpoints_of("api", 150))
     ]
-    subsets = subsets_of(endpoints, controllers_of(controllers, ("api",)), ViewLimits(max_endpoints=50))
-    seats = sum(len(subsets.view(controller.name)) for controller in controllers_of(controllers, ("api",)))
+    fleet_views = fleet_views_of(
+        endpoints, controllers_of(controllers, ("api",)), ViewLimits(max_endpoints=50)
+    )
+    seats = sum(
+        len(fleet_views.view(controller.name)) for controller in controllers_of(controllers, ("api",))
+    )
     by_size = seats / sum(endpoint.nominal_weight for endpoint in endpoints)
     for endpoint in endpoints:
         expected = by_size * endpoint.nominal_weight
-        holders = len(subsets.holders(endpoint.id))
+        holders = len(fleet_views.holders(endpoint.id))
         assert 0 < holders <= min(controllers, max(1.25 * expected, expected + 1))
 
 
 @pytest.mark.parametrize("controllers", range(10, 41, 5))
 def test_none_is_unheld_where_quotas_just_suffice(controllers):
     endpoints = endpoints_of("api", 95)
-    subsets = subsets_of(endpoints, controllers_of(controllers, ("api",)))
+    fleet_views = fleet_views_of(endpoints, controllers_of(controllers, ("api",)))
     seen = Counter(
         endpoint_id
         for controller in controllers_of(controllers, ("api",))
-        for endpoint_id in subsets.view(controller.name)
+        for endpoint_id in fleet_views.view(controller.name)
     )
     assert len(seen) == len(endpoints)
     mean = sum(seen.values()) / len(endpoints)
@@ -231,8 +237,10 @@
 
 def test_with_smaller_quotas_than_endpoints_no_endpoint_is_held_twice():
     controllers = controllers_of(4, ("api",))
-    subsets = subsets_of(endpoints_of("api", 300), controllers)
-    seen = Counter(endpoint_id for controller in controllers for endpoint_id in subsets.view(controller.name))
+    fleet_views = fleet_views_of(endpoints_of("api", 300), controllers)
+    seen = Counter(
+        endpoint_id for controller in controllers for endpoint_id in fleet_views.view(controller.name)
+    )
     assert max(seen.values()) == 1
     assert sum(seen.values()) == 4 * 10
 
@@ -261,11 +269,11 @@
     ]
 
 
-def held_pairs(subsets: Subsets, controllers) -> set[tuple[str, str]]:
+def held_pairs(fleet_views: FleetViews, controllers) -> set[tuple[str, str]]:
     return {
         (controller.name, endpoint_id)
         for controller in controllers
-        for endpoint_id in subsets.view(controller.name)
+        for endpoint_id in fleet_views.view(controller.name)
     }
 
 
@@ -280,31 +288,31 @@
 
 def test_endpoints_that_go_and_come_move_their_share_and_a_twentieth_and_leave_no_trace():
     endpoints, controllers = planned_endpoints(), planned_controllers()
-    subsets = subsets_of(endpoints, controllers, FLEET_LIMITS)
-    before = held_pairs(subsets, controllers)
+    fleet_views = fleet_views_of(endpoints, controllers, FLEET_LIMITS)
+    before = held_pairs(fleet_views, controllers)
     moves = []
     for endpoint in endpoints[::20]:
-        share = len(subsets.holders(endpoint.id))
-        subsets.remove_endpoint(endpoint.id)
-        moves.append((pairs_moved(before, held_pairs(subsets, controllers)), share))
-        subsets.put_endpoint(endpoint)
-        assert held_pairs(subsets, controllers) == before
+        share = len(fleet_views.holders(endpoint.id))
+        fleet_views.remove_endpoint(endpoint.id)
+        moves.append((pairs_moved(before, held_pairs(fleet_views, controllers)), share))
+        fleet_views.put_endpoint(endpoint)
+        assert held_pairs(fleet_views, controllers) == before
     assert sum(moved for moved, _ in moves) <= 1.05 * sum(share for _, share in moves)
     assert all(moved <= allowed(share) for moved, share in moves)
 
 
 def test_controllers_that_go_and_come_move_their_share_and_a_twentieth_and_leave_no_trace():
     controllers = planned_controllers()
-    subsets = subsets_of(planned_endpoints(), controllers, FLEET_LIMITS)
-    before = held_pairs(subsets, controllers)
+    fleet_views = fleet_views_of(planned_endpoints(), controllers, FLEET_LIMITS)
+    before = held_pairs(fleet_views, controllers)
     moves = []
     for controller in controllers[::13]:
-        share = len(subsets.view(controller.name))
-        subsets.remove_controller(controller.name)
+        share = len(fleet_views.view(controller.name))
+        fleet_views.remove_controller(controller.name)
         left = [other for other in controllers if other != controller]
-        moves.append((pairs_moved(before, held_pairs(subsets, left)), share))
-        subsets.put_controller(controller)
-        assert held_pairs(subsets, controllers) == before
+        moves.append((pairs_moved(before, held_pairs(fleet_views, left)), share))
+        fleet_views.put_controller(controller)
+        assert held_pairs(fleet_views, controllers) == before
     assert sum(moved for moved, _ in moves) <= 1.05 * sum(share for _, share in moves)
     assert all(moved <= allowed(share) for moved, share in moves)
 
@@ -312,23 +320,23 @@
 @pytest.mark.parametrize("lost", ZONES)
 def test_a_lost_zone_leaves_usable_views_and_comes_back_without_a_trace(lost):
     endpoints, controllers = planned_endpoints(), planned_controllers()
-    subsets = subsets_of(endpoints, controllers, FLEET_LIMITS)
-    before = held_pairs(subsets, controllers)
+    fleet_views = fleet_views_of(endpoints, controllers, FLEET_LIMITS)
+    before = held_pairs(fleet_views, controllers)
     gone = [endpoint for endpoint in endpoints if (endpoint.region, endpoint.zone) == lost]
     left = [endpoint for endpoint in endpoints if (endpoint.region, endpoint.zone) != lost]
     for endpoint in gone:
-        subsets.remove_endpoint(endpoint.id)
+        fleet_views.remove_endpoint(endpoint.id)
     for controller in controllers:
-        assert_usable(left, controller, subsets.view(controller.name))
-    subsets.put_endpoints(reversed(gone))
-    assert held_pairs(subsets, controllers) == before
+        assert_usable(left, controller, fleet_views.view(controller.name))
+    fleet_views.put_endpoints(reversed(gone))
+    assert held_pairs(fleet_views, controllers) == before
 
 
 def test_regions_apart_decide_usable_views_and_agree_again_when_healed():
     endpoints, controllers = planned_endpoints(), planned_controllers()
-    whole = held_pairs(subsets_of(endpoints, controllers, FLEET_LIMITS), controllers)
+    whole = held_pairs(fleet_views_of(endpoints, controllers, FLEET_LIMITS), controllers)
     for region in ("west", "east"):
-        machine = subsets_of(endpoints, controllers, FLEET_LIMITS)
+        machine = fleet_views_of(endpoints, controllers, FLEET_LIMITS)
         near_endpoints = [endpoint for endpoint in endpoints if endpoint.region == region]
         near_controllers = [controller for controller in controllers if controller.region == region]
         for endpoint in endpoints:
@@ -349,21 +357,21 @@
     decided = []
     for machine in range(7):
         random = Random(machine)
-        subsets = Subsets(FLEET_LIMITS, SEED)
+        fleet_views = FleetViews(FLEET_LIMITS, SEED)
         random.shuffle(endpoints)
         random.shuffle(controllers)
         for part in range(4):
-            subsets.put_endpoints(endpoints[part::4])
-            subsets.put_controllers(controllers[part::4])
-            subsets.pop_changed()
-        decided.append(held_pairs(subsets, controllers))
+            fleet_views.put_endpoints(endpoints[part::4])
+            fleet_views.put_controllers(controllers[part::4])
+            fleet_views.pop_changed()
+        decided.append(held_pairs(fleet_views, controllers))
     assert all(pairs == decided[0] for pairs in decided[1:])
 
 
 def test_control_roles_that_differ_in_one_endpoint_and_one_controller_differ_by_little():
     endpoints, controllers = planned_endpoints(), planned_controllers()
-    one = held_pairs(subsets_of(endpoints, controllers, FLEET_LIMITS), controllers)
-    other = held_pairs(subsets_of(endpoints[1:], controllers[1:], FLEET_LIMITS), controllers[1:])
+    one = held_pairs(fleet_views_of(endpoints, controllers, FLEET_LIMITS), controllers)
+    other = held_pairs(fleet_views_of(endpoints[1:], controllers[1:], FLEET_LIMITS), controllers[1:])
     concerned = sum(
         name == controllers[0].name or endpoint_id == endpoints[0].id for name, endpoint_id in one
     )
@@ -372,57 +380,57 @@
 
 def test_another_seed_gives_other_views():
     endpoints, controllers = planned_endpoints(), planned_controllers()
-    other = Subsets(FLEET_LIMITS, SEED + 1)
+    other = FleetViews(FLEET_LIMITS, SEED + 1)
     other.put_endpoints(endpoints)
     other.put_controllers(controllers)
     assert held_pairs(other, controllers) != held_pairs(
-        subsets_of(endpoints, controllers, FLEET_LIMITS), controllers
+        fleet_views_of(endpoints, controllers, FLEET_LIMITS), controllers
     )
 
 
 def test_holders_are_notified_of_an_endpoint_that_changes_its_service_though_they_hold_the_same_endpoints():
     endpoint, controller = endpoints_of("api", 1)[0], controllers_of(1, ("api", "cart"))[0]
-    subsets = subsets_of([endpoint], [controller])
-    subsets.pop_changed()
-    subsets.put_endpoint(endpoint._replace(service="cart"))
-    assert subsets.view(controller.name) == (endpoint.id,)
-    assert subsets.pop_changed() == {controller.name}
+    fleet_views = fleet_views_of([endpoint], [controller])
+    fleet_views.pop_changed()
+    fleet_views.put_endpoint(endpoint._replace(service="cart"))
+    assert fleet_views.view(controller.name) == (endpoint.id,)
+    assert fleet_views.pop_changed() == {controller.name}
 
 
 def test_a_drain_reaches_every_holder_and_moves_nobody():
     endpoints, controllers = planned_endpoints(), planned_controllers()
-    subsets = subsets_of(endpoints, controllers, FLEET_LIMITS)
-    before = held_pairs(subsets, controllers)
-    subsets.pop_changed()
+    fleet_views = fleet_views_of(endpoints, controllers, FLEET_LIMITS)
+    before = held_pairs(fleet_views, controllers)
+    fleet_views.pop_changed()
     for endpoint in endpoints[::31]:
-        subsets.put_endpoint(endpoint._replace(ready=False))
-        assert subsets.pop_changed() == subsets.holders(endpoint.id)
-    assert before <= held_pairs(subsets, controllers)
+        fleet_views.put_endpoint(endpoint._replace(ready=False))
+        assert fleet_views.pop_changed() == fleet_views.holders(endpoint.id)
+    assert before <= held_pairs(fleet_views, controllers)
 
 
 def test_ready_endpoints_replace_others_while_a_zone_and_more_drain_within_the_bound():
     endpoints, controllers = planned_endpoints(), planned_controllers()
-    subsets = subsets_of(endpoints, controllers, FLEET_LIMITS)
-    before = held_pairs(subsets, controllers)
+    fleet_views = fleet_views_of(endpoints, controllers, FLEET_LIMITS)
+    before = held_pairs(fleet_views, controllers)
     draining = [endpoint._replace(ready=False) for endpoint in endpoints if endpoint.zone != "west-1"]
-    subsets.put_endpoints(draining)
+    fleet_views.put_endpoints(draining)
     records = {endpoint.id: endpoint for endpoint in endpoints} | {
         endpoint.id: endpoint for endpoint in draining
     }
-    assert before <= held_pairs(subsets, controllers)
+    assert before <= held_pairs(fleet_views, controllers)
     for controller in controllers:
-        assert_usable(list(records.values()), controller, subsets.view(controller.name))
-    subsets.put_endpoints(endpoints)
-    assert held_pairs(subsets, controllers) == before
+        assert_usable(list(records.values()), controller, fleet_views.view(controller.name))
+    fleet_views.put_endpoints(endpoints)
+    assert held_pairs(fleet_views, controllers) == before
 
 
 def test_a_service_of_one_tiny_zone_is_held_in_both_zones_before_it_is_balanced():
     large, tiny = ZONES[0], ZONES[2]
     endpoints = endpoints_of("api", 100, [large]) + [Endpoint("lonely", *tiny, "api", 1.0, True)]
     controllers = controllers_of(50, ("api",))
-    subsets = subsets_of(endpoints, controllers)
-    assert subsets.holders("lonely") == {controller.name for controller in controllers}
-    assert max(len(subsets.holders(endpoint.id)) for endpoint in endpoints[:-1]) <= 1.25 * 50 * 10 / 100
+    fleet_views = fleet_views_of(endpoints, controllers)
+    assert fleet_views.holders("lonely") == {controller.name for controller in controllers}
+    assert max(len(fleet_views.holders(endpoint.id)) for endpoint in endpoints[:-1]) <= 1.25 * 50 * 10 / 100
 
 
 def assert_usable(endpoints: list[Endpoint], controller: Controller, view: tuple[str, ...]) -> None:
@@ -440,17 +448,17 @@
 def test_where_endpoints_have_few_holders_a_change_moves_its_share_and_at_most_a_twentieth_of_all_pairs():
     """A bound of 1.25 is then few whole pairs, and to keep it moves more than a twentieth of the share."""
     endpoints, controllers = planned_endpoints(), planned_controllers()[:60]
-    subsets = subsets_of(endpoints, controllers, FLEET_LIMITS)
-    before = held_pairs(subsets, controllers)
+    fleet_views = fleet_views_of(endpoints, controllers, FLEET_LIMITS)
+    before = held_pairs(fleet_views, controllers)
     for controller in controllers[::4]:
-        share = len(subsets.view(controller.name))
-        subsets.remove_controller(controller.name)
+        share = len(fleet_views.view(controller.name))
+        fleet_views.remove_controller(controller.name)
         left = [other for other in controllers if other != controller]
-        assert pairs_moved(before, held_pairs(subsets, left)) <= share + len(before) / 20
-        subsets.put_controller(controller)
+        assert pairs_moved(before, held_pairs(fleet_views, left)) <= share + len(before) / 20
+        fleet_views.put_controller(controller)
     for endpoint in endpoints[::20]:
-        share = len(subsets.holders(endpoint.id))
-        subsets.remove_endpoint(endpoint.id)
-        assert pairs_moved(before, held_pairs(subsets, controllers)) <= share + len(before) / 20
-        subsets.put_endpoint(endpoint)
-    assert held_pairs(subsets, controllers) == before
+        share = len(fleet_views.holders(endpoint.id))
+        fleet_views.remove_endpoint(endpoint.id)
+        assert pairs_moved(before, held_pairs(fleet_views, controllers)) <= share + len(before) / 20
+        fleet_views.put_endpoint(endpoint)
+    assert held_pairs(fleet_views, controllers) == before
