--- a/oatcart/scale/configuration.py
+++ b/oatcart/scale/configuration.py
@@ -14,7 +14,7 @@
 from ruamel.yaml.comments import CommentedMap, CommentedSeq
 
 from oatcart.scale.measurement import DIMENSIONS
-from oatcart.yaml_files import Wrong, load, size, span, table, whole
+from oatcart.yaml_files import Wrong, duration, integer, load, size, table
 
 __all__ = [
     "Budgets",
@@ -250,8 +250,8 @@
     return check
 
 
-_COUNT = whole(1, MOST)
-_COUNT_OR_NONE = whole(0, MOST)
+_COUNT = integer(1, MOST)
+_COUNT_OR_NONE = integer(0, MOST)
 _SHARE = number(0.0, 1.0)
 
 
@@ -262,7 +262,7 @@
     fields: dict[str, Callable[[object], object] | None]
 
 
-_RUN_FIELDS = {"settle_for": span, "measure_for": span, "repeats": _COUNT, "sizes": None}
+_RUN_FIELDS = {"settle_for": duration, "measure_for": duration, "repeats": _COUNT, "sizes": None}
 _SECTIONS = {
     "fleet": _Section(
         FleetSettings,
@@ -285,19 +285,19 @@
         DaySettings,
         {
             "failures": _COUNT_OR_NONE,
-            "failed_for": span,
+            "failed_for": duration,
             "restarts": _COUNT_OR_NONE,
-            "drain_for": span,
-            "restart_for": span,
+            "drain_for": duration,
+            "restart_for": duration,
             "rack_losses": _COUNT_OR_NONE,
             "zone_losses": _COUNT_OR_NONE,
-            "lost_for": span,
+            "lost_for": duration,
             "partitions": _COUNT_OR_NONE,
-            "partition_for": span,
+            "partition_for": duration,
             "changes": _COUNT_OR_NONE,
             "burst_share": _SHARE,
             "burst_size": _COUNT,
-            "burst_for": span,
+            "burst_for": duration,
             "time_compression": number(1.0, 100_000.0),
         },
     ),
@@ -307,7 +307,7 @@
             "core_share": number(0.0001, 1.0),
             "memory": size,
             "traffic": traffic,
-            "change_in_force": span,
+            "change_in_force": duration,
             "control_machines": _COUNT,
         },
     ),
@@ -316,7 +316,7 @@
     "full": _Section(RunSettings, _RUN_FIELDS),
     "quick": _Section(quick_defaults, _RUN_FIELDS),
 }
-_TOP_FIELDS = {"seed": whole(0, 2**32 - 1)} | dict.fromkeys(_SECTIONS)
+_TOP_FIELDS = {"seed": integer(0, 2**32 - 1)} | dict.fromkeys(_SECTIONS)
 
 
 class _Reader:
--- a/oatcart/trace/configuration.py
+++ b/oatcart/trace/configuration.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from oatcart.trace.write_policy import Limits
-from oatcart.yaml_files import Wrong, load, name, size, span, table, whole
+from oatcart.yaml_files import Wrong, duration, integer, load, name, size, table
 
 __all__ = ["TraceSettings", "Wrong", "read"]
 
@@ -20,9 +20,9 @@
 KEYS = {
     "folder": name,
     "file_size": size,
-    "file_for": span,
+    "file_for": duration,
     "budget": size,
-    "room": whole(1000, 10_000_000),
+    "room": integer(1000, 10_000_000),
 }
 # The limit that each key sets
 LIMITS = {
--- a/oatcart/views/configuration_file.py
+++ b/oatcart/views/configuration_file.py
@@ -24,7 +24,7 @@
 from oatcart.views.list_guard import ListGuard
 from oatcart.views.liveness import LivenessSettings
 from oatcart.views.records import ViewLimits
-from oatcart.yaml_files import InvalidConfigurationError, load, name, size, span, table, whole, yes_or_no
+from oatcart.yaml_files import InvalidConfigurationError, boolean, duration, integer, load, name, size, table
 
 MAX_WATCH_TIMEOUT = 60.0  # s, by the protocol
 MAX_UNDECIDED_TIMEOUT = 3.0  # s; a controller ends a call that is no watch after 4 s
@@ -65,64 +65,64 @@
 
 
 def _watch_timeout(value: object) -> float:
-    timeout = span(value)
+    timeout = duration(value)
     if timeout > MAX_WATCH_TIMEOUT:
         raise ValueError(f"{value} is longer than a watch may wait, 60s")
     return timeout
 
 
 def _undecided_timeout(value: object) -> float:
-    timeout = span(value)
+    timeout = duration(value)
     if timeout > MAX_UNDECIDED_TIMEOUT:
         raise ValueError(f"{value} is longer than 3s; a controller ends its call after 4s")
     return timeout
 
 
 def _lease_duration(value: object) -> float:
-    duration = span(value)
-    if duration < MIN_LEASE_DURATION:
+    seconds = duration(value)
+    if seconds < MIN_LEASE_DURATION:
         raise ValueError(f"{value} is shorter than 1s")
-    return duration
+    return seconds
 
 
 SOURCE_SETTINGS = {
     "address": Setting("address", numeric_address),
     "wait": Setting("watch_timeout", _watch_timeout),
-    "answer_within": Setting("fetch_timeout", span),
-    "retry_most": Setting("max_backoff", span),
-    "reconcile_every": Setting("refetch_interval", span),
+    "answer_within": Setting("fetch_timeout", duration),
+    "retry_most": Setting("max_backoff", duration),
+    "reconcile_every": Setting("refetch_interval", duration),
     "list_most": Setting("max_list_bytes", size),
 }
 GUARD_SETTINGS = {
     "drop_share": Setting("max_removed_share", _share),
-    "drop_least": Setting("mass_removal_count", whole(1, MAX_COUNT)),
-    "hold": Setting("confirmation_delay", span),
-    "least_nodes": Setting("min_endpoints", whole(1, MAX_COUNT)),
+    "drop_least": Setting("mass_removal_count", integer(1, MAX_COUNT)),
+    "hold": Setting("confirmation_delay", duration),
+    "least_nodes": Setting("min_endpoints", integer(1, MAX_COUNT)),
 }
 VIEW_SETTINGS = {
-    "most_members": Setting("max_endpoints", whole(1, 100_000)),
-    "most_bytes": Setting("max_bytes", whole(1, 1 << 20)),
-    "most_entry_bytes": Setting("max_entry_bytes", whole(1, 65536)),
+    "most_members": Setting("max_endpoints", integer(1, 100_000)),
+    "most_bytes": Setting("max_bytes", integer(1, 1 << 20)),
+    "most_entry_bytes": Setting("max_entry_bytes", integer(1, 65536)),
     "overload": Setting("overload", _factor),
-    "seed": Setting("seed", whole(0, MAX_SEED)),
+    "seed": Setting("seed", integer(0, MAX_SEED)),
 }
 BOUND_SETTINGS = {
-    "gather": Setting("batching_delay", span),
-    "unread_for": Setting("write_timeout", span),
-    "request_within": Setting("first_request_timeout", span),
-    "idle_most": Setting("idle_timeout", span),
-    "connections": Setting("max_connections", whole(1, 100_000)),
-    "connections_each": Setting("max_connections_per_view", whole(1, 64)),
+    "gather": Setting("batching_delay", duration),
+    "unread_for": Setting("write_timeout", duration),
+    "request_within": Setting("first_request_timeout", duration),
+    "idle_most": Setting("idle_timeout", duration),
+    "connections": Setting("max_connections", integer(1, 100_000)),
+    "connections_each": Setting("max_connections_per_view", integer(1, 64)),
     "undecided_wait": Setting("undecided_timeout", _undecided_timeout),
 }
 LEASE_SETTINGS = {
-    "enabled": Setting("is_enabled", yes_or_no),
-    "only_control_role": Setting("is_only_control_role", yes_or_no),
+    "enabled": Setting("is_enabled", boolean),
+    "only_control_role": Setting("is_only_control_role", boolean),
     "lease": Setting("lease_duration", _lease_duration),
-    "grace": Setting("grace_period", span),
-    "hold": Setting("retention", span),
+    "grace": Setting("grace_period", duration),
+    "hold": Setting("retention", duration),
     "doubt_share": Setting("mass_expiry_share", _share),
-    "doubt_least": Setting("mass_expiry_count", whole(1, MAX_COUNT)),
+    "doubt_least": Setting("mass_expiry_count", integer(1, MAX_COUNT)),
 }
 # The parsers of the keys at the top; None: a part or list with keys of its own.
 TOP_KEYS = {
--- a/oatcart/views/controllers.py
+++ b/oatcart/views/controllers.py
@@ -14,7 +14,7 @@
 from oatcart.net.codec import address as ipv4_address
 from oatcart.net.stream import Address
 from oatcart.views.records import Controller
-from oatcart.yaml_files import name, table, whole
+from oatcart.yaml_files import integer, name, table
 
 PORTS = 65536
 MAX_CONTROLLERS = 20_000
@@ -56,7 +56,7 @@
 
 GROUP_KEYS = {
     "name": name,
-    "count": whole(1, MAX_CONTROLLERS),
+    "count": integer(1, MAX_CONTROLLERS),
     "zone": name,
     "region": name,
     "services": distinct_names,
--- a/oatcart/xds/configuration.py
+++ b/oatcart/xds/configuration.py
@@ -5,7 +5,7 @@
 
 from ruamel.yaml.comments import CommentedMap
 
-from oatcart.yaml_files import Wrong, address, load, name, span, table, whole, yes_or_no
+from oatcart.yaml_files import Wrong, address, boolean, duration, integer, load, name, table
 
 __all__ = ["Source", "Wrong", "Xds", "read"]
 
@@ -34,16 +34,16 @@
     source: Source | None = None
 
 
-SOURCE = {"address": address, "cluster": name, "hold": span, "dial_most": span, "with_roll": yes_or_no}
+SOURCE = {"address": address, "cluster": name, "hold": duration, "dial_most": duration, "with_roll": boolean}
 FIELDS = {
     "listen": address,
     "home_zone": name,
-    "clients": whole(1, 100_000),
-    "streams": whole(1, 64),
-    "names": whole(1, 100_000),
-    "pushes": whole(1, 1_000_000),
-    "unread_for": span,
-    "report_every": span,
+    "clients": integer(1, 100_000),
+    "streams": integer(1, 64),
+    "names": integer(1, 100_000),
+    "pushes": integer(1, 1_000_000),
+    "unread_for": duration,
+    "report_every": duration,
     "source": None,
 }
 
--- a/oatcart/yaml_files.py
+++ b/oatcart/yaml_files.py
@@ -26,11 +26,11 @@
 Wrong = InvalidConfigurationError
 
 
-def span(value: object) -> float:
+def duration(value: object) -> float:
     """
-    >>> span("250ms"), span("2 s")
+    >>> duration("250ms"), duration("2 s")
     (0.25, 2.0)
-    >>> span(5)
+    >>> duration(5)
     Traceback (most recent call last):
     ValueError: 5 has no unit; write it as 250ms, 2s or 1m
     """
@@ -43,7 +43,7 @@
     return seconds
 
 
-def whole(least: int, most: int) -> Callable[[object], int]:
+def integer(least: int, most: int) -> Callable[[object], int]:
     def turn(value: object) -> int:
         if isinstance(value, bool) or not isinstance(value, int) or not least <= value <= most:
             raise ValueError(f"{value} is not a whole number from {least} to {most}")
@@ -74,7 +74,7 @@
     return value
 
 
-def yes_or_no(value: object) -> bool:
+def boolean(value: object) -> bool:
     if not isinstance(value, bool):
         raise ValueError(f"{value!r} is neither true nor false")
     return value
