--- a/oatcart/policy/load_shedding.py
+++ b/oatcart/policy/load_shedding.py
@@ -5,7 +5,6 @@
 """
 
 from collections.abc import Iterable
-from statistics import median
 
 from oatcart.model import AdmissionMode, ControllerSettings, RetryPolicy
 from oatcart.policy.flow_control import URGENT_SHARE, UpdateChannel
@@ -13,7 +12,7 @@
 from oatcart.policy.slow_start import admissible_share, success_ratio, warm_fraction
 from oatcart.policy.state import Endpoint, Round, RoutingTable
 from oatcart.policy.subsetting import RoutingTables
-from oatcart.policy.telemetry import FAILING_RATIO, Telemetry, error_ratio, median_error_ratio, strain
+from oatcart.policy.telemetry import FAILING_RATIO, Telemetry, error_ratio, median, median_error_ratio, strain
 from oatcart.policy.workload import Workload
 
 MAX_CUT = 0.6  # share of the admitted work that a cut leaves at least
--- a/oatcart/policy/slow_start.py
+++ b/oatcart/policy/slow_start.py
@@ -5,11 +5,10 @@
 
 from collections.abc import Iterable
 from math import inf
-from statistics import median
 
 from oatcart.model import WarmUpLimits
 from oatcart.policy.state import Endpoint
-from oatcart.policy.telemetry import error_ratio
+from oatcart.policy.telemetry import error_ratio, median
 
 RAMP_START_SHARE = 0.25  # of its weight that an endpoint has at the start of its ramp
 RAMP_S = 5.0  # length of the ramp
--- a/oatcart/policy/telemetry.py
+++ b/oatcart/policy/telemetry.py
@@ -5,7 +5,6 @@
 """
 
 from collections.abc import Iterable, Sequence
-from statistics import median
 
 from oatcart.events import EndpointLoadReported, ProxyLoadReported
 from oatcart.model import RequestClass
@@ -21,6 +20,18 @@
 FAILING_RATIO = 0.15  # of the attempts, at the median endpoint: full strain
 
 
+def median(values: Iterable[float]) -> float:
+    """Returns the middle value, or the mean of both middle ones; there must be at least one.
+
+    `statistics` of the standard library would load `decimal` and `fractions` into every controller.
+    """
+    ordered = sorted(values)
+    middle = len(ordered) // 2
+    if len(ordered) % 2:
+        return ordered[middle]
+    return (ordered[middle - 1] + ordered[middle]) / 2
+
+
 def error_ratio(endpoints: Iterable[Endpoint], unknown: float = 0.0) -> float:
     """Returns the failed part of the attempts at some endpoints, or `unknown` where there were none."""
     endpoints = list(endpoints)
