--- a/oatcart/views/configuration_file.py
+++ b/oatcart/views/configuration_file.py
@@ -24,9 +24,9 @@
 from oatcart.views.list_guard import ListGuard
 from oatcart.views.liveness import LivenessSettings
 from oatcart.views.records import ViewLimits
+from oatcart.views.requests import MAX_WATCH_TIMEOUT
 from oatcart.yaml_files import InvalidConfigurationError, boolean, duration, integer, load, name, size, table
 
-MAX_WATCH_TIMEOUT = 60.0  # s, by the protocol
 MAX_UNDECIDED_TIMEOUT = 3.0  # s; a controller ends a call that is no watch after 4 s
 MIN_LEASE_DURATION = 1.0  # s
 MAX_SEED = 2**64 - 1
--- a/oatcart/views/requests.py
+++ b/oatcart/views/requests.py
@@ -12,7 +12,7 @@
 
 GET = b"GET"
 VIEWS_PATH = "/v1/views"
-MAX_WATCH_MS = 60_000  # by the protocol; a longer wait is cut
+MAX_WATCH_TIMEOUT = 60.0  # s, by the protocol; a longer one is cut
 MAX_SHOWN_LETTERS = 80  # of a rejected method, path or value
 MAX_DIGITS = 16  # of a number in a query
 OK, BAD_REQUEST, NOT_FOUND, METHOD_NOT_ALLOWED, UNAVAILABLE = 200, 400, 404, 405, 503
@@ -72,8 +72,8 @@
     if "since" not in fields:
         return ListRequest(view)
     since = _count("since", fields["since"])
-    wait_ms = min(MAX_WATCH_MS, _count("timeout_ms", fields.get("timeout_ms", "0")))
-    return ListRequest(view, since, wait_ms / 1000)
+    timeout_ms = _count("timeout_ms", fields.get("timeout_ms", "0"))
+    return ListRequest(view, since, min(MAX_WATCH_TIMEOUT, timeout_ms / 1000))
 
 
 def _count(field: str, value: str) -> int:
