--- a/oatcart/net/codec.py
+++ b/oatcart/net/codec.py
@@ -13,7 +13,7 @@
     ProxyLoadReported,
     UpdateAcknowledged,
 )
-from oatcart.handover import AMOUNT_MOST, is_amount, load
+from oatcart.load_reports import MAX_AMOUNT, is_amount, read_load_report
 from oatcart.model import EndpointState
 from oatcart.net.ending import Ended, Ending
 from oatcart.net.stream import Address
@@ -143,7 +143,7 @@
             took,
             errored,
             tried,
-            load(table.get("report")),
+            read_load_report(table.get("report")),
         )
 
     def _came(self, table: dict) -> tuple:
@@ -218,7 +218,7 @@
 }
 
 
-def _amount(value: object, most: float = AMOUNT_MOST) -> float:
+def _amount(value: object, most: float = MAX_AMOUNT) -> float:
     if not is_amount(value) or value > most:
         raise ValueError(f"{value!r} is no amount")
     return float(value)
--- a/oatcart/net/probe.py
+++ b/oatcart/net/probe.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Generator
 
 from oatcart.events import HealthCheckCompleted
-from oatcart.handover import load
+from oatcart.load_reports import read_load_report
 from oatcart.model import LoadReport
 from oatcart.net.codec import HEALTH_PATH, LOAD_PATH, parsed
 from oatcart.net.ending import PROBE_OUTCOMES, Ended, Ending
@@ -45,7 +45,7 @@
                 body = yield from client.get(LOAD_PATH if self.reports else HEALTH_PATH, began + self.within)
             finally:
                 client.close()
-            told = load(parsed(body)) if self.reports and body else told
+            told = read_load_report(parsed(body)) if self.reports and body else told
         except Ended as ended:
             ending = ended.ending
         finally:
--- a/oatcart/net/start.py
+++ b/oatcart/net/start.py
@@ -7,7 +7,6 @@
 import traceback
 from collections.abc import Callable, Mapping
 
-from oatcart.handover import seconds, socket_records
 from oatcart.net import codec as wire
 from oatcart.net.acceptor import Acceptor
 from oatcart.net.conductor import Rounds
@@ -18,6 +17,7 @@
 from oatcart.net.reload import Unusable, reloads
 from oatcart.net.roll import Watcher
 from oatcart.policy import Controller
+from oatcart.settings import read_seconds, read_socket_controller_settings
 
 ITS_OWN = "name", "listen"  # a file in which these differ is another conductor's
 AT_START = ("settings",)  # what is taken from the configuration once
@@ -53,7 +53,7 @@
     """All parts, each with its own few settings; the module has had its first round when this returns.
     Whoever has another front beside the sidecars' hands in a kind of `Rounds` that serves it too."""
     settings = read(cfg, "settings", dict)
-    records = read(cfg, "settings", socket_records)
+    records = read(cfg, "settings", read_socket_controller_settings)
     loop = Loop(time.monotonic, lambda error: log.say("task", "".join(traceback.format_exception(error))))
     log = Log(loop.clock)
     codec = read(
@@ -63,20 +63,20 @@
             [grade["name"] for grade in told["grades"]], told["zones"], told["specifics"]["proxyCount"]
         ),
     )
-    rounds = make_rounds(loop, log, codec, seconds(settings, "quantum"), time.time())
+    rounds = make_rounds(loop, log, codec, read_seconds(settings, "quantum"), time.time())
     allowed, reports = settings.get("policyLimits") or {}, settings.get("report") or {}
     watcher = Watcher(
         loop,
         codec,
         log,
         read(cfg, "discovery", wire.address),
-        WATCH_PART * seconds(settings.get("rules") or {}, "askWithin", UNASKED_MOST),
+        WATCH_PART * read_seconds(settings.get("rules") or {}, "askWithin", UNASKED_MOST),
         rounds.arrive,
     )
     prober = Prober(
         loop,
         reports.get("how", "off") != "off",
-        seconds(allowed, "connectTimeout", PROBE_MOST),
+        read_seconds(allowed, "connectTimeout", PROBE_MOST),
         watcher.addresses,
         rounds.arrive,
     )
--- a/oatcart/scale/hollow.py
+++ b/oatcart/scale/hollow.py
@@ -20,7 +20,6 @@
 from typing import NamedTuple, TextIO
 
 from oatcart.events import ProxyJoined, UpdateAcknowledged
-from oatcart.handover import seconds, socket_records
 from oatcart.net.codec import Codec, Odd
 from oatcart.net.conductor import Rounds
 from oatcart.net.log import Log
@@ -32,6 +31,7 @@
 from oatcart.scale.children import Child, CommandReader, ignore_interrupts, own_usage
 from oatcart.scale.discovery import LOOPBACK, Usage
 from oatcart.scale.peers import TICK_S, ConductorPeers, PeerMessage, PeerSettings, PeerTraffic
+from oatcart.settings import read_seconds, read_socket_controller_settings
 
 START_SPREAD_S = (
     0.25  # conductors start spread over the module's time between two looks, as a real fleet has them
@@ -163,19 +163,19 @@
             settings["zones"],
             settings["specifics"]["proxyCount"],
         )
-        quantum = seconds(settings, "quantum")
+        quantum = read_seconds(settings, "quantum")
         self.rounds = HollowRounds(loop, log, codec, quantum, time.time(), self.may_be_due)
-        wait = WATCH_PART * seconds(settings.get("rules") or {}, "askWithin", UNASKED_MOST)
+        wait = WATCH_PART * read_seconds(settings.get("rules") or {}, "askWithin", UNASKED_MOST)
         self.watcher = Watcher(loop, codec, log, (LOOPBACK, discovery_port), wait, self.rounds.arrive)
         allowed, reports = settings.get("policyLimits") or {}, settings.get("report") or {}
         prober = Prober(
             loop,
             reports.get("how", "off") != "off",
-            seconds(allowed, "connectTimeout", PROBE_MOST),
+            read_seconds(allowed, "connectTimeout", PROBE_MOST),
             self.watcher.addresses,
             self.rounds.arrive,
         )
-        module = Controller(socket_records(settings), seed)
+        module = Controller(read_socket_controller_settings(settings), seed)
         self.rounds.start(module.round, self.watcher, prober)
         self.rounds.due = True
 
--- a/oatcart/scale/module_rounds.py
+++ b/oatcart/scale/module_rounds.py
@@ -16,13 +16,13 @@
 import orjson
 
 from oatcart.events import EndpointListReceived, Event, ProxyJoined
-from oatcart.handover import socket_records
 from oatcart.net.codec import Codec, parsed
 from oatcart.policy import Controller
 from oatcart.routing_tables import RoutingTables
 from oatcart.scale.children import Child, CommandReader, ignore_interrupts, resident_megabytes
 from oatcart.scale.hollow import peer_settings
 from oatcart.scale.peers import TICK_S, ConductorPeers, PeerMessage, PeerSettings
+from oatcart.settings import read_socket_controller_settings
 
 START_S = 100.0  # virtual time at the start
 
@@ -72,7 +72,7 @@
     hollow_peers = ConductorPeers(peers)
     codec = Codec(peers.routes, settings["zones"], settings["specifics"]["proxyCount"])
     orders = CountingOrders(codec, hollow_peers)
-    module = Controller(socket_records(settings), seed)
+    module = Controller(read_socket_controller_settings(settings), seed)
 
     def one_round(now: float, messages: list[PeerMessage], first: list[Event]) -> float:
         began = time.process_time()
--- a/oatcart/simhost/host.py
+++ b/oatcart/simhost/host.py
@@ -14,9 +14,10 @@
     ProxyLoadReported,
     UpdateAcknowledged,
 )
-from oatcart.handover import load, start_records
+from oatcart.load_reports import read_load_report
 from oatcart.model import EndpointState, HealthCheckOutcome, LoadReport
 from oatcart.policy import Controller
+from oatcart.settings import read_controller_settings
 from oatcart.simhost import wire
 
 _OUTCOMES = {
@@ -82,7 +83,7 @@
     def __init__(self, inst: int, seed: int, params: bytes) -> None:
         settings = json.loads(params)
         self.inst = inst
-        self.conductor = Controller(start_records(settings), seed)
+        self.conductor = Controller(read_controller_settings(settings), seed)
         self.fields = list((settings.get("report") or {}).get("fields") or [])
         self.nodes: list[int] = []
         self.places: dict[int, int] = {}
@@ -95,7 +96,7 @@
         return self.places[node]
 
     def load(self, values: tuple[float, ...]) -> LoadReport:
-        return load(dict(zip(self.fields, values, strict=False)))
+        return read_load_report(dict(zip(self.fields, values, strict=False)))
 
     def arrival(self, record: tuple) -> Event | None:
         """A wire record as the module is told of it; None for what it has no use for."""
--- a/oatcart/trace/hook.py
+++ b/oatcart/trace/hook.py
@@ -5,8 +5,8 @@
 import time
 from collections.abc import Callable
 
-from oatcart.handover import socket_records
 from oatcart.net.conductor import Rounds
+from oatcart.settings import read_socket_controller_settings
 from oatcart.trace.configuration import Tracing
 from oatcart.trace.tap import Tap, start_record
 from oatcart.trace.writer import Writer
@@ -42,7 +42,7 @@
                     rounds.loop.now + rounds.offset,
                     instance,
                     int(cfg["seed"], 16),
-                    socket_records(settings),
+                    read_socket_controller_settings(settings),
                     {"kinds": rounds.codec.kind_names, "zones": list(rounds.codec.zones)},
                 )
             ]
--- a/oatcart/views/entries.py
+++ b/oatcart/views/entries.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from oatcart.handover import is_amount
+from oatcart.load_reports import is_amount
 from oatcart.net.codec import ID_MOST, NAME_SHOWN, address
 
 SERVING, DRAINING, DELETED = "SERVING", "DRAINING", "DELETED"
--- a/oatcart/xds/follow.py
+++ b/oatcart/xds/follow.py
@@ -10,7 +10,7 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from google.protobuf.message import DecodeError
 
-from oatcart.handover import AMOUNT_MOST
+from oatcart.load_reports import MAX_AMOUNT
 from oatcart.model import EndpointState
 from oatcart.net.codec import ID_MOST, Codec, address
 from oatcart.net.stream import Address
@@ -82,7 +82,7 @@
     if KEY not in told or "started" not in told[KEY].fields:
         return None
     value = told[KEY].fields["started"].number_value
-    if not isfinite(value) or not 0 <= value <= AMOUNT_MOST:
+    if not isfinite(value) or not 0 <= value <= MAX_AMOUNT:
         raise Unfit(f"{field}.metadata: {KEY}.started {value}")
     return value
 
--- a/oatcart/xds/loads.py
+++ b/oatcart/xds/loads.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from oatcart.events import EndpointLoadReported, ProxyLoadReported
-from oatcart.handover import LOAD_MOST
+from oatcart.load_reports import MAX_LOAD
 from oatcart.model import LoadReport
 
 COUNT_MOST = 10**7  # reqs of one interval: more than a client meets in any
@@ -153,4 +153,4 @@
 def busy(tally: Tally) -> float | None:
     """The share of a node's cores in use, where the client was told."""
     count, total = tally.metrics.get(BUSY, (0, 0.0))
-    return min(LOAD_MOST, total / count) if count else None
+    return min(MAX_LOAD, total / count) if count else None
--- a/oatcart/xds/serve.py
+++ b/oatcart/xds/serve.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable
 from random import Random
 
-from oatcart.handover import start_records
 from oatcart.model import AdmissionMode
 from oatcart.net.loop import Loop
 from oatcart.net.reload import Unusable, wake_pair
 from oatcart.net.start import assemble
+from oatcart.settings import read_controller_settings
 from oatcart.xds.configuration import Xds
 from oatcart.xds.encode import Encoder
 from oatcart.xds.follow import Follower
@@ -38,7 +38,7 @@
     ) -> None:
         self.xds = xds
         self.loop, self.rounds, self.acceptor = assemble(cfg, woken, traced(self._rounds))
-        records, codec = start_records(cfg["settings"]), self.rounds.codec
+        records, codec = read_controller_settings(cfg["settings"]), self.rounds.codec
         zones = sorted(codec.zones, key=codec.zones.get)
         self.front = Front(
             self.rounds,
--- a/tests/views/test_views_history.py
+++ b/tests/views/test_views_history.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oatcart.handover import AMOUNT_MOST
+from oatcart.load_reports import MAX_AMOUNT
 from oatcart.views.entries import DELETED, parse_entry
 from oatcart.views.history import History
 from oatcart.views.revisions import SECOND, STRIDE_MOST, Revisions
@@ -133,5 +133,5 @@
     times = iter([2.0e9, 2.0e9, 1.9e9, 2.0e9 + 1])
     revisions = Revisions(lambda: next(times), Random(1))
     issued = [revisions.next() for _ in range(4)]
-    assert issued == sorted(set(issued)) and issued[0] > 2.0e9 * SECOND and issued[-1] < AMOUNT_MOST
+    assert issued == sorted(set(issued)) and issued[0] > 2.0e9 * SECOND and issued[-1] < MAX_AMOUNT
     assert issued[2] - issued[1] <= STRIDE_MOST < issued[3] - issued[2]
