--- a/benchmarks/trace_layouts.py
+++ b/benchmarks/trace_layouts.py
@@ -9,58 +9,78 @@
 import json
 import sys
 import time
+from collections.abc import Callable, Sequence
 
 import msgpack
 import zstandard
 
-from oatcart.trace import format as form
 from oatcart.trace import generate
+from oatcart.trace.file_format import BLOCK_HEADER, ZSTD_LEVEL, decode_block, encode_block
 
-SIZES = (256, 1024, 4096, 16384)
+BLOCK_SIZES = (256, 1024, 4096, 16384)  # records
+DICTIONARY_BYTES = 64 * 1024
+SAMPLE_ROWS = 64  # rows of one sample for the dictionary
+
+
+def decode_rows(block: bytes) -> None:
+    """Decode a block of rows."""
+    packed = zstandard.ZstdDecompressor().decompress(block)
+    list(msgpack.Unpacker(io.BytesIO(packed), use_list=False))
+
+
+def decode_columns(block: bytes) -> None:
+    """Decode a block of columns."""
+    decode_block(block[BLOCK_HEADER.size :])
+
+
+def mean_time(decode: Callable[[bytes], None], blocks: Sequence[bytes]) -> float:
+    """The mean time to decode a block, in ms."""
+    started_at = time.perf_counter()
+    for block in blocks:
+        decode(block)
+    return (time.perf_counter() - started_at) / len(blocks) * 1e3
+
+
+def measure(
+    records: Sequence[tuple], dictionary: zstandard.ZstdCompressionDict, size: int
+) -> dict[str, float]:
+    """Bytes a record of each layout, and ms to read a block, with `size` records a block."""
+    plain = zstandard.ZstdCompressor(level=ZSTD_LEVEL)
+    trained = zstandard.ZstdCompressor(level=ZSTD_LEVEL, dict_data=dictionary)
+    parts = [records[start : start + size] for start in range(0, len(records), size)]
+    packed = [b"".join(map(msgpack.packb, part)) for part in parts]
+    rows = [plain.compress(part) for part in packed]
+    columns = [encode_block(number, part) for number, part in enumerate(parts)]
+    return {
+        "rows": sum(map(len, rows)) / len(records),
+        "rows_dict": sum(len(trained.compress(part)) for part in packed) / len(records),
+        "columns": sum(map(len, columns)) / len(records),
+        "rows_ms": mean_time(decode_rows, rows),
+        "columns_ms": mean_time(decode_columns, columns),
+    }
 
 
 def main() -> int:
-    records = list(generate.records(11, 60.0, 500.0))
+    """Measure and print."""
+    records = list(generate.generate_records(11, 60.0, 500.0))
     rows = [msgpack.packb(record) for record in records]
-    dictionary = zstandard.train_dictionary(
-        64 * 1024, [b"".join(rows[at : at + 64]) for at in range(0, len(rows), 64)]
-    )
-    out = {}
+    samples = [b"".join(rows[start : start + SAMPLE_ROWS]) for start in range(0, len(rows), SAMPLE_ROWS)]
+    dictionary = zstandard.train_dictionary(DICTIONARY_BYTES, samples)
     print(f"{len(records)} records; bytes a record, and ms to read a block")
     print(
         f"{'records a block':>16} {'rows':>8} {'+dict':>8} {'columns':>8} {'rows ms':>8} {'columns ms':>11}"
     )
-    for size in SIZES:
-        plain = zstandard.ZstdCompressor(level=form.LEVEL)
-        trained = zstandard.ZstdCompressor(level=form.LEVEL, dict_data=dictionary)
-        parts = [records[at : at + size] for at in range(0, len(records), size)]
-        packed = [b"".join(rows[at : at + size]) for at in range(0, len(records), size)]
-        by_rows = [plain.compress(one) for one in packed]
-        by_dict = sum(len(trained.compress(one)) for one in packed)
-        columns = [form.block(at, one) for at, one in enumerate(parts)]
-        began = time.perf_counter()
-        for one in by_rows:
-            list(msgpack.Unpacker(io.BytesIO(zstandard.ZstdDecompressor().decompress(one)), use_list=False))
-        middle = time.perf_counter()
-        for one in columns:
-            form.read_block(one[form.HEADER.size :])
-        ended = time.perf_counter()
-        found = out[size] = {
-            "rows": sum(map(len, by_rows)) / len(records),
-            "rows_dict": by_dict / len(records),
-            "columns": sum(map(len, columns)) / len(records),
-            "rows_ms": (middle - began) / len(parts) * 1e3,
-            "columns_ms": (ended - middle) / len(parts) * 1e3,
-        }
+    results = {}
+    for size in BLOCK_SIZES:
+        found = results[size] = measure(records, dictionary, size)
         print(
             f"{size:16} {found['rows']:8.2f} {found['rows_dict']:8.2f} {found['columns']:8.2f} "
             f"{found['rows_ms']:8.2f} {found['columns_ms']:11.2f}"
         )
-    print(
-        json.dumps(
-            {str(size): {name: round(value, 3) for name, value in one.items()} for size, one in out.items()}
-        )
-    )
+    rounded = {
+        size: {name: round(value, 3) for name, value in found.items()} for size, found in results.items()
+    }
+    print(json.dumps(rounded))
     return 0
 
 
--- a/oatcart/trace/run.py
+++ b/oatcart/trace/run.py
@@ -1,5 +1,6 @@
-"""`python -m oatcart.trace.run deploy/trace.yaml`: a plain conductor, configured by `EDGE_CONFIG`, that
-writes traces.
+"""`python -m oatcart.trace.run deploy/trace.yaml`: a controller on sockets that writes traces.
+
+The controller is configured by `EDGE_CONFIG`, as with `python -m oatcart`.
 """
 
 import argparse
@@ -10,25 +11,29 @@
 from oatcart.net.reload import Unusable, wake_pair
 from oatcart.net.start import assemble, configuration, read
 from oatcart.trace.configuration import Wrong
-from oatcart.trace.configuration import read as read_tracing
-from oatcart.trace.hook import end_with, traced
+from oatcart.trace.configuration import read as read_settings
+from oatcart.trace.controller_tracing import flush_on_termination, trace_controller
 
-UNUSABLE = 2  # exit code where a configuration cannot be used
+INVALID_CONFIGURATION = 2  # exit code
 
 
-def main(words: list[str] | None = None) -> int:
+def main(arguments: list[str] | None = None) -> int:
+    """Run until the process is told to end; returns an exit code where a configuration is invalid."""
     parser = argparse.ArgumentParser(prog="oatcart.trace.run", description=__doc__)
     parser.add_argument("file", help="where traces go, YAML")
-    told = parser.parse_args(words)
+    args = parser.parse_args(arguments)
     writers = []
     try:
-        tracing, cfg = read_tracing(told.file), read(os.environ, "EDGE_CONFIG", configuration)
-        loop, rounds, _ = assemble(cfg, wake_pair(), traced(Rounds, cfg, tracing, writers.append))
+        settings = read_settings(args.file)
+        controller_configuration = read(os.environ, "EDGE_CONFIG", configuration)
+        make_rounds = trace_controller(Rounds, controller_configuration, settings, writers.append)
+        loop, rounds, _ = assemble(controller_configuration, wake_pair(), make_rounds)
     except (Wrong, Unusable) as error:
         print(error, file=sys.stderr)
-        return UNUSABLE
-    writers[0].start()
-    end_with(writers[0])
+        return INVALID_CONFIGURATION
+    (writer,) = writers
+    writer.start()
+    flush_on_termination(writer)
     while True:
         loop.turn()
         rounds.turn()
--- /dev/null
+++ b/oatcart/views/controllers.py
@@ -0,0 +1,183 @@
+"""The controllers that the deploy file lists: one by one, in groups, or in a file of JSON lines.
+
+A large list is written by a program. YAML that keeps its lines takes about a millisecond a controller to
+read; JSON lines, one controller a line with the same keys, take a small part of that.
+"""
+
+from collections.abc import Callable, Iterable, Iterator
+from pathlib import Path
+from typing import NamedTuple
+
+import orjson
+from ruamel.yaml.comments import CommentedMap, CommentedSeq
+
+from oatcart.net.codec import address as ipv4_address
+from oatcart.net.stream import Address
+from oatcart.views.records import Controller
+from oatcart.yaml_files import name, table, whole
+
+PORTS = 65536
+MAX_CONTROLLERS = 20_000
+NUMBER_FIELD = "{number}"  # in the name of a group; replaced by numbers from 0 up
+
+
+class ServedController(NamedTuple):
+    """A controller that is served. `address`: its own listening address, None if it requests its view by name
+    alone."""
+
+    record: Controller
+    address: Address | None
+
+
+class ControllerGroup(NamedTuple):
+    """One entry of the list, not yet checked. `at` is its path in messages; `where` names a line of its file,
+    counted from 0."""
+
+    value: object
+    at: str
+    line: int
+    where: Callable[[int], str]
+
+
+def numeric_address(value: object) -> Address:
+    """An IPv4 address and a port; raises ValueError."""
+    try:
+        return ipv4_address(str(value))
+    except ValueError:
+        raise ValueError(f"{value!r} is not a numeric IPv4 address and a port, as 127.0.0.1:8600") from None
+
+
+def distinct_names(value: object) -> tuple[str, ...]:
+    """A list of names; raises ValueError."""
+    if not isinstance(value, list) or len(set(map(str, value))) < len(value):
+        raise ValueError(f"{value} is no list of distinct names")
+    return tuple(name(one) for one in value)
+
+
+GROUP_KEYS = {
+    "name": name,
+    "count": whole(1, MAX_CONTROLLERS),
+    "zone": name,
+    "region": name,
+    "services": distinct_names,
+    "address": numeric_address,
+}
+
+
+def groups_of_list(
+    value: object, line: int, where: Callable[[int], str], problems: list[str]
+) -> Iterator[ControllerGroup]:
+    """The entries of `conductors` in the YAML file, whose value begins at that line."""
+    if not isinstance(value, CommentedSeq):
+        problems.append(f"{where(line)}: conductors is no list")
+        return
+    for position, group in enumerate(value):
+        yield ControllerGroup(group, f"conductors[{position}].", value.lc.item(position)[0], where)
+
+
+def groups_of_file(path: Path, problems: list[str]) -> Iterator[ControllerGroup]:
+    """The entries of a file of JSON lines."""
+
+    def where(line: int) -> str:
+        return f"{path}:{line + 1}"
+
+    try:
+        lines = path.read_bytes().splitlines()
+    except OSError as error:
+        problems.append(f"{path}: {error.strerror}")
+        return
+    for line, text in enumerate(lines):
+        if not text.strip():
+            continue
+        try:
+            value = orjson.loads(text)
+        except orjson.JSONDecodeError as error:
+            problems.append(f"{where(line)}: {error}")
+            continue
+        yield ControllerGroup(_with_line(value, line), "", line, where)
+
+
+def _with_line(value: object, line: int) -> object:
+    """A JSON object as a YAML map, all of whose keys are at that line."""
+    if not isinstance(value, dict):
+        return value
+    found = CommentedMap(value)
+    for key in value:
+        found.lc.add_kv_line_col(key, [line, 0, line, 0])
+    return found
+
+
+def expand_groups(
+    groups: Iterable[ControllerGroup],
+    listen: Address,
+    base: Address | None,
+    region_of: Callable[[str], str],
+    problems: list[str],
+) -> tuple[ServedController, ...]:
+    """All controllers of all groups. A controller without an address of its own gets the port above `base`
+    that is its position in the list, if there is a base."""
+    found: list[ServedController] = []
+    names: set[str] = set()
+    users = {listen: "listen"}
+    for group in groups:
+        for served in _expanded(group, base, len(found), region_of, problems):
+            _check_distinct(served, names, users, group.where(group.line), problems)
+            found.append(served)
+    if len(found) > MAX_CONTROLLERS:
+        problems.append(f"conductors: {len(found)}, more than {MAX_CONTROLLERS}")
+    return tuple(found)
+
+
+def _expanded(
+    group: ControllerGroup,
+    base: Address | None,
+    position: int,
+    region_of: Callable[[str], str],
+    problems: list[str],
+) -> Iterator[ServedController]:
+    """The controllers of one entry: one, or `count` with a number in their names."""
+    problems_before = len(problems)
+    fields = table(group.value, GROUP_KEYS, group.at, group.where, problems, group.line)
+    _check_fields(group, fields, problems)
+    if len(problems) > problems_before:
+        return
+    region = fields.get("region", region_of(fields["zone"]))
+    for number in range(fields.get("count", 1)):
+        own_name = fields["name"]
+        if "count" in fields:
+            own_name = own_name.replace(NUMBER_FIELD, str(number))
+        record = Controller(own_name, region, fields["zone"], fields.get("services", ()))
+        yield ServedController(record, fields.get("address") or _above(base, position + number))
+
+
+def _check_fields(group: ControllerGroup, fields: dict, problems: list[str]) -> None:
+    here = group.where(group.line)
+    if isinstance(group.value, CommentedMap):
+        missing = [key for key in ("name", "zone") if key not in group.value]
+        problems += [f"{here}: {group.at}{key} is missing" for key in missing]
+    if "count" in fields and NUMBER_FIELD not in fields.get("name", NUMBER_FIELD):
+        problems.append(f"{here}: {group.at}name: a group's needs {NUMBER_FIELD}")
+    if "count" in fields and "address" in fields:
+        problems.append(f"{here}: {group.at}address: a group is listened for above the base")
+
+
+def _check_distinct(
+    served: ServedController, names: set[str], users: dict[Address, str], here: str, problems: list[str]
+) -> None:
+    """Checks a name and an address against those before; `users` has the names by address."""
+    own_name, address = served.record.name, served.address
+    if own_name in names:
+        problems.append(f"{here}: conductors: the name {own_name} stands there twice")
+    names.add(own_name)
+    if address is None or not address[1]:  # port 0 asks for any free port
+        return
+    if address[1] >= PORTS:
+        problems.append(f"{here}: conductors: {own_name} would have port {address[1]}; set a lower base")
+    if address in users:
+        shown = "{}:{}".format(*address)
+        problems.append(f"{here}: conductors: {own_name} and {users[address]} would both have {shown}")
+    users[address] = own_name
+
+
+def _above(base: Address | None, position: int) -> Address | None:
+    return None if base is None else (base[0], base[1] + position)
