--- a/oatcart/simhost/__main__.py
+++ b/oatcart/simhost/__main__.py
@@ -2,18 +2,18 @@
 
 import sys
 
-from oatcart.simhost.host import Host
-from oatcart.simhost.wire import WireError, read_batch, write_reply
+from oatcart.simhost.adapter import Adapter
+from oatcart.simhost.frames import MalformedFrameError, read_batch, write_reply
 
 
 def main() -> int:
     """Serve batches until the input ends; a malformed one ends the process."""
-    host = Host()
+    adapter = Adapter()
     source, sink = sys.stdin.buffer, sys.stdout.buffer
     try:
         while (batch := read_batch(source)) is not None:
-            write_reply(sink, *host.answer(*batch))
-    except WireError as error:
+            write_reply(sink, *adapter.answer(*batch))
+    except MalformedFrameError as error:
         print(f"oatcart.simhost: {error}", file=sys.stderr)
         return 2
     return 0
--- a/oatcart/simhost/wire.py
+++ b/oatcart/simhost/frames.py
@@ -8,13 +8,13 @@
 from collections.abc import Iterator
 from typing import BinaryIO
 
-_BATCH = struct.Struct(">IId")
-_REPLY = struct.Struct(">II")
+_BATCH_HEADER = struct.Struct(">IId")
+_REPLY_HEADER = struct.Struct(">II")
 _ENTRY = struct.Struct(">IHdBBfH")
 _U8, _U16, _U32 = (struct.Struct(f) for f in (">B", ">H", ">I"))
 
 # Event code -> (our name, fixed fields, what follows them: "" nothing, "u16"/"u32" bytes, "load", "entries")
-_EVENTS: dict[int, tuple[str, struct.Struct, str]] = {
+_LAYOUTS: dict[int, tuple[str, struct.Struct, str]] = {
     code: (name, struct.Struct(fields), tail)
     for code, name, fields, tail in (
         (1, "start", ">IQ", "u32"),
@@ -35,14 +35,14 @@
 }
 
 
-class WireError(Exception):
+class MalformedFrameError(Exception):
     """A frame that is cut short or cannot be understood."""
 
 
 def _read(source: BinaryIO, size: int) -> bytes:
     data = source.read(size)
     if len(data) != size:
-        raise WireError(f"the frame is cut short: {len(data)} bytes of {size}")
+        raise MalformedFrameError(f"the frame is cut short: {len(data)} bytes of {size}")
     return data
 
 
@@ -59,46 +59,48 @@
     if not first:
         return None
     if len(first) != 4:
-        raise WireError("the frame is cut short in its length")
+        raise MalformedFrameError("the frame is cut short in its length")
     (size,) = _U32.unpack(first)
     if size < 12:
-        raise WireError(f"a frame of {size} bytes cannot hold a header")
+        raise MalformedFrameError(f"a frame of {size} bytes cannot hold a header")
     data = first + _read(source, size)
-    _, count, clock = _BATCH.unpack_from(data)
-    return clock, list(_records(data, count))
+    _, count, clock = _BATCH_HEADER.unpack_from(data)
+    return clock, list(split_records(data, count))
 
 
-def _records(data: bytes, count: int) -> Iterator[tuple]:
+def split_records(data: bytes, count: int) -> Iterator[tuple]:
     """The records of a batch, one tuple each.
 
     >>> body = bytes.fromhex("0a00000003408f4000000000004048200000000000000000010000000e03124a070000"
     ...                      "0140e00000" "0300000003000000000000004d" "08000000050029")
-    >>> for record in _records(bytes(16) + body, 3): print(record)
+    >>> for record in split_records(bytes(16) + body, 3): print(record)
     ('met', 3, 1000.0, 48.25, 1, 14, 51530247, 0, (7.0,))
     ('woke', 3, 77)
     ('left', 5, 41)
     """
-    at = _BATCH.size
+    at = _BATCH_HEADER.size
     try:
         for _ in range(count):
             code = data[at]
-            if code not in _EVENTS:
-                raise WireError(f"record code {code} at byte {at} is unknown and has no length to skip by")
-            name, fixed, tail = _EVENTS[code]
+            if code not in _LAYOUTS:
+                raise MalformedFrameError(
+                    f"record code {code} at byte {at} is unknown and has no length to skip by"
+                )
+            name, fixed, tail = _LAYOUTS[code]
             fields = fixed.unpack_from(data, at + 1)
             at += 1 + fixed.size
             if not tail:
                 yield (name, *fields)
                 continue
-            last, at = _tail(data, at, tail)
+            last, at = _read_content(data, at, tail)
             yield (name, *fields, last)
     except (IndexError, struct.error) as error:
-        raise WireError(f"a record is cut short near byte {at}") from error
+        raise MalformedFrameError(f"a record is cut short near byte {at}") from error
     if at != len(data):
-        raise WireError(f"{len(data) - at} bytes follow the last record")
+        raise MalformedFrameError(f"{len(data) - at} bytes follow the last record")
 
 
-def _tail(data: bytes, at: int, kind: str) -> tuple[object, int]:
+def _read_content(data: bytes, at: int, kind: str) -> tuple[object, int]:
     size_of = {"load": _U8, "u16": _U16}.get(kind, _U32)
     (size,) = size_of.unpack_from(data, at)
     at += size_of.size
@@ -118,88 +120,88 @@
     >>> import io; sink = io.BytesIO(); write_reply(sink, 0, b""); sink.getvalue().hex()
     '0000000000000000'
     """
-    sink.write(_REPLY.pack(count, len(body)) + body)
+    sink.write(_REPLY_HEADER.pack(count, len(body)) + body)
     sink.flush()
 
 
-_WAKE = struct.Struct(">BIQd")
-_NODE = struct.Struct(">BII")
+_SCHEDULE_ROUND = struct.Struct(">BIQd")
+_CHECK_HEALTH = struct.Struct(">BII")
 _TEXT = struct.Struct(">BIH")
-_FLAG = struct.Struct(">BIB")
-_BARE = struct.Struct(">BI")
-_LINE = struct.Struct(">BIIfH")
-_TABLE = struct.Struct(">BIH")
-_SHUT = struct.Struct(">BIIB")
-_BIND = struct.Struct(">BIHHH")
-_ADMIT = struct.Struct(">BIBfHH")
-_MARK = struct.Struct(">BIIB")
+_WATCH_ENDPOINTS = struct.Struct(">BIB")
+_FETCH_ENDPOINTS = struct.Struct(">BI")
+_SET_WEIGHT = struct.Struct(">BIIfH")
+_CLEAR_TABLE = struct.Struct(">BIH")
+_SET_EJECTED = struct.Struct(">BIIB")
+_ASSIGN_TABLE = struct.Struct(">BIHHH")
+_SET_ADMISSION = struct.Struct(">BIBfHH")
+_REQUEST_ACK = struct.Struct(">BIIB")
 
 
-def wake(inst: int, token: int, after_ms: float) -> bytes:
+def schedule_round(instance: int, token: int, after_ms: float) -> bytes:
     """
-    >>> wake(3, 77, 500.0).hex()
+    >>> schedule_round(3, 77, 500.0).hex()
     '0100000003000000000000004d407f400000000000'
     """
-    return _WAKE.pack(1, inst, token, after_ms)
+    return _SCHEDULE_ROUND.pack(1, instance, token, after_ms)
 
 
-def probe(inst: int, node: int) -> bytes:
-    return _NODE.pack(2, inst, node)
+def check_health(instance: int, endpoint_id: int) -> bytes:
+    return _CHECK_HEALTH.pack(2, instance, endpoint_id)
 
 
-def note(inst: int, text: str) -> bytes:
+def log(instance: int, text: str) -> bytes:
     """
-    >>> note(5, "two servers known").hex()
+    >>> log(5, "two servers known").hex()
     '0400000005001174776f2073657276657273206b6e6f776e'
     """
-    line = text.encode()[:0xFFFF]
-    return _TEXT.pack(4, inst, len(line)) + line
+    encoded = text.encode()[:0xFFFF]
+    return _TEXT.pack(4, instance, len(encoded)) + encoded
 
 
-def fault(inst: int, text: str) -> bytes:
-    line = text.encode()[:0xFFFF]
-    return _TEXT.pack(5, inst, len(line)) + line
+def fault(instance: int, text: str) -> bytes:
+    encoded = text.encode()[:0xFFFF]
+    return _TEXT.pack(5, instance, len(encoded)) + encoded
 
 
-def follow(inst: int, on: bool) -> bytes:
-    return _FLAG.pack(6, inst, on)
+def watch_endpoints(instance: int, enabled: bool) -> bytes:
+    return _WATCH_ENDPOINTS.pack(6, instance, enabled)
 
 
-def fetch(inst: int) -> bytes:
-    return _BARE.pack(7, inst)
+def fetch_endpoints(instance: int) -> bytes:
+    return _FETCH_ENDPOINTS.pack(7, instance)
 
 
-def line(inst: int, table: int, node: int, weight: float) -> bytes:
+def set_weight(instance: int, table: int, endpoint_id: int, weight: float) -> bytes:
     """
-    >>> line(3, 117, 0x2c9011f2, 0.75).hex()
+    >>> set_weight(3, 117, 0x2c9011f2, 0.75).hex()
     '08000000032c9011f23f4000000075'
     """
-    return _LINE.pack(8, inst, node, weight, table)
+    return _SET_WEIGHT.pack(8, instance, endpoint_id, weight, table)
 
 
-def blank(inst: int, table: int) -> bytes:
-    return _TABLE.pack(9, inst, table)
+def clear_table(instance: int, table: int) -> bytes:
+    return _CLEAR_TABLE.pack(9, instance, table)
 
 
-def withdraw(inst: int, node: int, out: bool) -> bytes:
-    return _SHUT.pack(10, inst, node, out)
+def set_ejected(instance: int, endpoint_id: int, ejected: bool) -> bytes:
+    return _SET_EJECTED.pack(10, instance, endpoint_id, ejected)
 
 
-def bind(inst: int, table: int, proxy: int, kinds: int) -> bytes:
+def assign_table(instance: int, table: int, proxy: int, classes: int) -> bytes:
     """
-    >>> bind(3, 117, 41, 0).hex()
+    >>> assign_table(3, 117, 41, 0).hex()
     '0b00000003007500290000'
     """
-    return _BIND.pack(11, inst, table, proxy, kinds)
+    return _ASSIGN_TABLE.pack(11, instance, table, proxy, classes)
 
 
-def admit(inst: int, table: int, kinds: int, level: float, tries: int) -> bytes:
+def set_admission(instance: int, table: int, classes: int, quota: float, retry_policy: int) -> bytes:
     """
-    >>> admit(3, 117, 2, 0.75, 1).hex()
+    >>> set_admission(3, 117, 2, 0.75, 1).hex()
     '0c00000003013f40000000020075'
     """
-    return _ADMIT.pack(12, inst, tries, level, kinds, table)
+    return _SET_ADMISSION.pack(12, instance, retry_policy, quota, classes, table)
 
 
-def ask_ack(inst: int, mark: int, everyone: bool) -> bytes:
-    return _MARK.pack(13, inst, mark, everyone)
+def request_ack(instance: int, nonce: int, all_proxies: bool) -> bytes:
+    return _REQUEST_ACK.pack(13, instance, nonce, all_proxies)
--- a/tests/test_instances.py
+++ b/tests/simhost/test_simhost_instances.py
@@ -2,7 +2,7 @@
 
 import json
 
-from oatcart.simhost.host import Host
+from oatcart.simhost.adapter import Adapter
 
 SETTINGS = {
     1: {
@@ -48,49 +48,59 @@
 }
 
 
-def came(inst, turn):
+def records_of(instance, turn):
     """What comes to an instance in one batch: joins, a list with a node that fails, sums, marks, an end."""
-    nodes = [
-        (node, node % 2, 0.0 if node % 3 else 3000.0, 1 + (turn > 20 and node == 4), 0, 1.0 + inst, 0)
-        for node in range(6)
+    entries = [
+        (
+            endpoint,
+            endpoint % 2,
+            0.0 if endpoint % 3 else 3000.0,
+            1 + (turn > 20 and endpoint == 4),
+            0,
+            1.0 + instance,
+            0,
+        )
+        for endpoint in range(6)
     ]
-    records = [("listed", inst, 2, 0, nodes)] if turn % 7 == 0 else []
+    records = [("listed", instance, 2, 0, entries)] if turn % 7 == 0 else []
     records += [
-        ("joined", inst, proxy % 2, proxy, proxy % 2, 12.0 * inst) for proxy in range(6) if turn == proxy
+        ("joined", instance, proxy % 2, proxy, proxy % 2, 12.0 * instance)
+        for proxy in range(6)
+        if turn == proxy
     ]
     records += [
         (
             "met",
-            inst,
+            instance,
             1000.0,
-            40.0 + 90.0 * node * inst,
-            (turn + node) % 4 * inst,
+            40.0 + 90.0 * endpoint * instance,
+            (turn + endpoint) % 4 * instance,
             12,
-            node,
-            node % 2,
-            (0.3 * node,),
+            endpoint,
+            endpoint % 2,
+            (0.3 * endpoint,),
         )
-        for node in range(6)
+        for endpoint in range(6)
         if turn % 2
     ]
     records += [
-        ("came", inst, turn % 6, 0, 30 * turn, 0, 1000.0),
-        ("applied", inst, turn % 6, turn // 2, 100.0),
+        ("came", instance, turn % 6, 0, 30 * turn, 0, 1000.0),
+        ("applied", instance, turn % 6, turn // 2, 100.0),
     ]
-    return records + ([("left", inst, 3)] if turn == 30 else [])
+    return records + ([("left", instance, 3)] if turn == 30 else [])
 
 
-def played(*instances):
-    host, replies = Host(), []
-    start = [("start", inst, 7, json.dumps(SETTINGS[inst]).encode()) for inst in instances]
+def play(*instances):
+    adapter, replies = Adapter(), []
+    start = [("start", instance, 7, json.dumps(SETTINGS[instance]).encode()) for instance in instances]
     for turn in range(60):
-        records = [record for inst in instances for record in came(inst, turn)]
-        replies.append(host.answer(250.0 * turn, (start if not turn else []) + records))
+        records = [record for instance in instances for record in records_of(instance, turn)]
+        replies.append(adapter.answer(250.0 * turn, (start if not turn else []) + records))
     return replies
 
 
 def test_instances_with_other_settings_decide_as_each_alone():
-    both, one, two = played(1, 2), played(1), played(2)
+    both, one, two = play(1, 2), play(1), play(2)
     assert [(n + m, here + there) for (n, here), (m, there) in zip(one, two, strict=False)] == both
     assert all(
         sum(n for n, _ in alone) > 80 and b"Error" not in b"".join(orders for _, orders in alone)
--- a/tests/xds/test_configuration.py
+++ b/tests/xds/test_configuration.py
@@ -72,7 +72,7 @@
         [
             sys.executable,
             "-c",
-            "import sys, oatcart.__main__, oatcart.simhost.host; "
+            "import sys, oatcart.__main__, oatcart.simhost.adapter; "
             "print([name for name in ('grpc', 'google.protobuf', 'envoy', 'asyncio', 'ruamel.yaml', "
             "'oatcart.xds', 'oatcart.trace', 'numpy', 'msgpack', 'zstandard') if name in sys.modules])",
         ],
