--- a/oatcart/simhost/__main__.py
+++ b/oatcart/simhost/__main__.py
@@ -1,21 +1,26 @@
-"""Stdin loop of the adapter: one reply a batch, until the input ends."""
+"""Runs the adapter on standard input and output: one reply a batch, until the input ends.
+
+Exit code 0 at the end of the input, 2 after a malformed frame, with the reason on standard error.
+"""
 
 import sys
 
 from oatcart.simhost.adapter import Adapter
 from oatcart.simhost.frames import MalformedFrameError, read_batch, write_reply
 
+MALFORMED_FRAME = 2  # exit code
+
 
 def main() -> int:
-    """Serve batches until the input ends; a malformed one ends the process."""
+    """Answer batches until the input ends; return the exit code."""
     adapter = Adapter()
     source, sink = sys.stdin.buffer, sys.stdout.buffer
     try:
         while (batch := read_batch(source)) is not None:
-            write_reply(sink, *adapter.answer(*batch))
+            write_reply(sink, adapter.answer(batch))
     except MalformedFrameError as error:
         print(f"oatcart.simhost: {error}", file=sys.stderr)
-        return 2
+        return MALFORMED_FRAME
     return 0
 
 
--- a/oatcart/simhost/frames.py
+++ b/oatcart/simhost/frames.py
@@ -1,207 +1,201 @@
-"""Frame codec of the simulator's wire: big-endian, packed, no padding.
+"""Frames of the simulator's wire: reads batches of records and writes replies.
 
-Reading turns a batch into plain tuples (name, instance, fields...), named in our words;
-writing packs one record a call. Times are milliseconds here and seconds everywhere else.
+All fields are big-endian and packed. A record is its code, fixed fields that begin with the instance's
+number, and for some codes content that begins with its count. Records are split here; `event_decoding.py`
+gives them their meaning.
 """
 
 import struct
 from collections.abc import Iterator
-from typing import BinaryIO
-
-_BATCH_HEADER = struct.Struct(">IId")
-_REPLY_HEADER = struct.Struct(">II")
-_ENTRY = struct.Struct(">IHdBBfH")
-_U8, _U16, _U32 = (struct.Struct(f) for f in (">B", ">H", ">I"))
-
-# Event code -> (our name, fixed fields, what follows them: "" nothing, "u16"/"u32" bytes, "load", "entries")
-_LAYOUTS: dict[int, tuple[str, struct.Struct, str]] = {
-    code: (name, struct.Struct(fields), tail)
-    for code, name, fields, tail in (
-        (1, "start", ">IQ", "u32"),
-        (2, "listed", ">IBI", "entries"),
-        (3, "woke", ">IQ", ""),
-        (4, "probed", ">IIHd", "load"),
-        (5, "peer", ">II", "u16"),
-        (6, "stop", ">I", ""),
-        (7, "joined", ">IBHHf", ""),
-        (8, "left", ">IH", ""),
-        (9, "applied", ">IHId", ""),
-        (10, "met", ">IddIIIH", "load"),
-        (11, "came", ">IHHIId", ""),
-        (12, "heat", ">IdIHHI", ""),
-        (13, "given", ">IHB", ""),
-        (14, "held", ">IHIf", ""),
-    )
-}
+from enum import Enum, IntEnum, auto
+from typing import BinaryIO, NamedTuple
+
+_U8 = struct.Struct(">B")
+_U16 = struct.Struct(">H")
+_U32 = struct.Struct(">I")
+_BATCH_HEADER = struct.Struct(">IId")  # bytes after this field, records, clock in ms
+_REPLY_HEADER = struct.Struct(">II")  # records, bytes after this field
+_ENTRY = struct.Struct(">IHdBBfH")  # of the endpoint list, see EntryFields
+_HEADER_BYTES = _BATCH_HEADER.size - _U32.size  # without the length that stands before
 
 
 class MalformedFrameError(Exception):
-    """A frame that is cut short or cannot be understood."""
+    """A frame that is cut short or cannot be understood; the message says where."""
+
+
+class RecordCode(IntEnum):
+    """Codes of the records of a batch; the protocol's name stands beside each."""
+
+    START = 1  # Provision
+    ENDPOINT_LIST = 2  # Update
+    TIMER = 3  # Fired
+    HEALTH_CHECK = 4  # Echo
+    PEER_MESSAGE = 5  # Peer
+    STOP = 6  # Down
+    PROXY_JOINED = 7  # Subscribed
+    PROXY_LEFT = 8  # StreamDown
+    UPDATE_ACKNOWLEDGED = 9  # Installed
+    ENDPOINT_LOAD = 10  # Observed
+    PROXY_LOAD = 11  # Ingress
+    SLICE_LOAD = 12  # Pressure
+    SLICE_ASSIGNED = 13  # Handed
+    SLICE_WEIGHT = 14  # StoredLine
+
+
+class Record(NamedTuple):
+    """One record of a batch."""
+
+    code: RecordCode
+    instance: int
+    fields: tuple  # what follows the instance, in the protocol's order; the content, if any, is the last
+
+
+class EntryFields(NamedTuple):
+    """One entry of an endpoint list, as it is packed."""
+
+    endpoint_id: int
+    zone: int
+    started_ms: float  # of the batch's clock; 0: long ago
+    state: int
+    machine_kind: int
+    nominal_weight: float
+    cell: int
+
+
+class Batch(NamedTuple):
+    """The events of one moment, for any number of instances."""
+
+    clock_ms: float
+    records: list[Record]
+
 
+class Reply(NamedTuple):
+    """The answer to a batch: packed records."""
 
-def _read(source: BinaryIO, size: int) -> bytes:
-    data = source.read(size)
-    if len(data) != size:
-        raise MalformedFrameError(f"the frame is cut short: {len(data)} bytes of {size}")
-    return data
+    record_count: int
+    body: bytes
 
 
-def read_batch(source: BinaryIO) -> tuple[float, list[tuple]] | None:
-    """One batch as (milliseconds, records), or None at the end of the input.
+class _Content(Enum):
+    """What follows the fixed fields of a record."""
+
+    NONE = auto()
+    SHORT_BYTES = auto()  # u16 n, n bytes
+    LONG_BYTES = auto()  # u32 n, n bytes
+    LOAD = auto()  # u8 n, n f32
+    ENTRIES = auto()  # u32 n, n entries
+
+
+class _Layout(NamedTuple):
+    code: RecordCode
+    fixed: struct.Struct
+    content: _Content
+
+
+_LAYOUTS = {
+    int(code): _Layout(code, struct.Struct(fixed), content)
+    for code, fixed, content in (
+        (RecordCode.START, ">IQ", _Content.LONG_BYTES),
+        (RecordCode.ENDPOINT_LIST, ">IBI", _Content.ENTRIES),
+        (RecordCode.TIMER, ">IQ", _Content.NONE),
+        (RecordCode.HEALTH_CHECK, ">IIHd", _Content.LOAD),
+        (RecordCode.PEER_MESSAGE, ">II", _Content.SHORT_BYTES),
+        (RecordCode.STOP, ">I", _Content.NONE),
+        (RecordCode.PROXY_JOINED, ">IBHHf", _Content.NONE),
+        (RecordCode.PROXY_LEFT, ">IH", _Content.NONE),
+        (RecordCode.UPDATE_ACKNOWLEDGED, ">IHId", _Content.NONE),
+        (RecordCode.ENDPOINT_LOAD, ">IddIIIH", _Content.LOAD),
+        (RecordCode.PROXY_LOAD, ">IHHIId", _Content.NONE),
+        (RecordCode.SLICE_LOAD, ">IdIHHI", _Content.NONE),
+        (RecordCode.SLICE_ASSIGNED, ">IHB", _Content.NONE),
+        (RecordCode.SLICE_WEIGHT, ">IHIf", _Content.NONE),
+    )
+}
+_COUNTS = {
+    _Content.SHORT_BYTES: _U16,
+    _Content.LONG_BYTES: _U32,
+    _Content.LOAD: _U8,
+    _Content.ENTRIES: _U32,
+}
+
+
+def read_batch(source: BinaryIO) -> Batch | None:
+    """Read one batch; None at the end of the input. Raises MalformedFrameError.
 
     >>> import io
     >>> read_batch(io.BytesIO(bytes.fromhex("0000000c0000000040c06e2000000000")))
-    (8412.25, [])
+    Batch(clock_ms=8412.25, records=[])
     >>> read_batch(io.BytesIO(b"")) is None
     True
     """
-    first = source.read(4)
-    if not first:
+    length = source.read(_U32.size)
+    if not length:
         return None
-    if len(first) != 4:
+    if len(length) != _U32.size:
         raise MalformedFrameError("the frame is cut short in its length")
-    (size,) = _U32.unpack(first)
-    if size < 12:
+    (size,) = _U32.unpack(length)
+    if size < _HEADER_BYTES:
         raise MalformedFrameError(f"a frame of {size} bytes cannot hold a header")
-    data = first + _read(source, size)
-    _, count, clock = _BATCH_HEADER.unpack_from(data)
-    return clock, list(split_records(data, count))
+    rest = source.read(size)
+    if len(rest) != size:
+        raise MalformedFrameError(f"the frame is cut short: {len(rest)} bytes of {size}")
+    frame = length + rest
+    _, count, clock_ms = _BATCH_HEADER.unpack_from(frame)
+    return Batch(clock_ms, list(split_records(frame, count)))
 
 
-def split_records(data: bytes, count: int) -> Iterator[tuple]:
-    """The records of a batch, one tuple each.
+def split_records(frame: bytes, count: int) -> Iterator[Record]:
+    """Split the records of a frame that follow its header. Raises MalformedFrameError.
 
     >>> body = bytes.fromhex("0a00000003408f4000000000004048200000000000000000010000000e03124a070000"
     ...                      "0140e00000" "0300000003000000000000004d" "08000000050029")
-    >>> for record in split_records(bytes(16) + body, 3): print(record)
-    ('met', 3, 1000.0, 48.25, 1, 14, 51530247, 0, (7.0,))
-    ('woke', 3, 77)
-    ('left', 5, 41)
+    >>> for record in split_records(bytes(16) + body, 3):
+    ...     print(record.code.name, record.instance, record.fields)
+    ENDPOINT_LOAD 3 (1000.0, 48.25, 1, 14, 51530247, 0, (7.0,))
+    TIMER 3 (77,)
+    PROXY_LEFT 5 (41,)
     """
     at = _BATCH_HEADER.size
     try:
         for _ in range(count):
-            code = data[at]
-            if code not in _LAYOUTS:
+            layout = _LAYOUTS.get(frame[at])
+            if layout is None:
                 raise MalformedFrameError(
-                    f"record code {code} at byte {at} is unknown and has no length to skip by"
+                    f"record code {frame[at]} at byte {at} is unknown and has no length to skip by"
                 )
-            name, fixed, tail = _LAYOUTS[code]
-            fields = fixed.unpack_from(data, at + 1)
-            at += 1 + fixed.size
-            if not tail:
-                yield (name, *fields)
+            fixed = layout.fixed.unpack_from(frame, at + 1)
+            at += 1 + layout.fixed.size
+            if layout.content is _Content.NONE:
+                yield Record(layout.code, fixed[0], fixed[1:])
                 continue
-            last, at = _read_content(data, at, tail)
-            yield (name, *fields, last)
+            content, at = _read_content(frame, at, layout.content)
+            yield Record(layout.code, fixed[0], (*fixed[1:], content))
     except (IndexError, struct.error) as error:
         raise MalformedFrameError(f"a record is cut short near byte {at}") from error
-    if at != len(data):
-        raise MalformedFrameError(f"{len(data) - at} bytes follow the last record")
-
-
-def _read_content(data: bytes, at: int, kind: str) -> tuple[object, int]:
-    size_of = {"load": _U8, "u16": _U16}.get(kind, _U32)
-    (size,) = size_of.unpack_from(data, at)
-    at += size_of.size
-    if kind == "load":
-        return struct.unpack_from(f">{size}f", data, at), at + 4 * size
-    end = at + size * (_ENTRY.size if kind == "entries" else 1)
-    if end > len(data):
+    if at != len(frame):
+        raise MalformedFrameError(f"{len(frame) - at} bytes follow the last record")
+
+
+def _read_content(frame: bytes, at: int, content: _Content) -> tuple[object, int]:
+    """The content that begins with its count at byte `at`, and where it ends."""
+    count_struct = _COUNTS[content]
+    (count,) = count_struct.unpack_from(frame, at)
+    at += count_struct.size
+    if content is _Content.LOAD:
+        return struct.unpack_from(f">{count}f", frame, at), at + 4 * count
+    end = at + count * (_ENTRY.size if content is _Content.ENTRIES else 1)
+    if end > len(frame):
         raise IndexError
-    if kind == "entries":
-        return list(_ENTRY.iter_unpack(data[at:end])), end
-    return data[at:end], end
+    if content is _Content.ENTRIES:
+        return list(map(EntryFields._make, _ENTRY.iter_unpack(frame[at:end]))), end
+    return frame[at:end], end
 
 
-def write_reply(sink: BinaryIO, count: int, body: bytes) -> None:
+def write_reply(sink: BinaryIO, reply: Reply) -> None:
     """Write and flush one reply.
 
-    >>> import io; sink = io.BytesIO(); write_reply(sink, 0, b""); sink.getvalue().hex()
+    >>> import io; sink = io.BytesIO(); write_reply(sink, Reply(0, b"")); sink.getvalue().hex()
     '0000000000000000'
     """
-    sink.write(_REPLY_HEADER.pack(count, len(body)) + body)
+    sink.write(_REPLY_HEADER.pack(reply.record_count, len(reply.body)) + reply.body)
     sink.flush()
-
-
-_SCHEDULE_ROUND = struct.Struct(">BIQd")
-_CHECK_HEALTH = struct.Struct(">BII")
-_TEXT = struct.Struct(">BIH")
-_WATCH_ENDPOINTS = struct.Struct(">BIB")
-_FETCH_ENDPOINTS = struct.Struct(">BI")
-_SET_WEIGHT = struct.Struct(">BIIfH")
-_CLEAR_TABLE = struct.Struct(">BIH")
-_SET_EJECTED = struct.Struct(">BIIB")
-_ASSIGN_TABLE = struct.Struct(">BIHHH")
-_SET_ADMISSION = struct.Struct(">BIBfHH")
-_REQUEST_ACK = struct.Struct(">BIIB")
-
-
-def schedule_round(instance: int, token: int, after_ms: float) -> bytes:
-    """
-    >>> schedule_round(3, 77, 500.0).hex()
-    '0100000003000000000000004d407f400000000000'
-    """
-    return _SCHEDULE_ROUND.pack(1, instance, token, after_ms)
-
-
-def check_health(instance: int, endpoint_id: int) -> bytes:
-    return _CHECK_HEALTH.pack(2, instance, endpoint_id)
-
-
-def log(instance: int, text: str) -> bytes:
-    """
-    >>> log(5, "two servers known").hex()
-    '0400000005001174776f2073657276657273206b6e6f776e'
-    """
-    encoded = text.encode()[:0xFFFF]
-    return _TEXT.pack(4, instance, len(encoded)) + encoded
-
-
-def fault(instance: int, text: str) -> bytes:
-    encoded = text.encode()[:0xFFFF]
-    return _TEXT.pack(5, instance, len(encoded)) + encoded
-
-
-def watch_endpoints(instance: int, enabled: bool) -> bytes:
-    return _WATCH_ENDPOINTS.pack(6, instance, enabled)
-
-
-def fetch_endpoints(instance: int) -> bytes:
-    return _FETCH_ENDPOINTS.pack(7, instance)
-
-
-def set_weight(instance: int, table: int, endpoint_id: int, weight: float) -> bytes:
-    """
-    >>> set_weight(3, 117, 0x2c9011f2, 0.75).hex()
-    '08000000032c9011f23f4000000075'
-    """
-    return _SET_WEIGHT.pack(8, instance, endpoint_id, weight, table)
-
-
-def clear_table(instance: int, table: int) -> bytes:
-    return _CLEAR_TABLE.pack(9, instance, table)
-
-
-def set_ejected(instance: int, endpoint_id: int, ejected: bool) -> bytes:
-    return _SET_EJECTED.pack(10, instance, endpoint_id, ejected)
-
-
-def assign_table(instance: int, table: int, proxy: int, classes: int) -> bytes:
-    """
-    >>> assign_table(3, 117, 41, 0).hex()
-    '0b00000003007500290000'
-    """
-    return _ASSIGN_TABLE.pack(11, instance, table, proxy, classes)
-
-
-def set_admission(instance: int, table: int, classes: int, quota: float, retry_policy: int) -> bytes:
-    """
-    >>> set_admission(3, 117, 2, 0.75, 1).hex()
-    '0c00000003013f40000000020075'
-    """
-    return _SET_ADMISSION.pack(12, instance, retry_policy, quota, classes, table)
-
-
-def request_ack(instance: int, nonce: int, all_proxies: bool) -> bytes:
-    return _REQUEST_ACK.pack(13, instance, nonce, all_proxies)
--- a/tests/simhost/test_simhost_instances.py
+++ b/tests/simhost/test_simhost_instances.py
@@ -1,8 +1,9 @@
-"""One adapter process hosts many instances of the simulator: nothing of one turns up in another."""
+"""One adapter process runs many instances: nothing of one turns up in another."""
 
 import json
 
 from oatcart.simhost.adapter import Adapter
+from oatcart.simhost.frames import Batch, EntryFields, Record, RecordCode
 
 SETTINGS = {
     1: {
@@ -48,61 +49,63 @@
 }
 
 
-def records_of(instance, turn):
-    """What comes to an instance in one batch: joins, a list with a node that fails, sums, marks, an end."""
-    entries = [
-        (
-            endpoint,
-            endpoint % 2,
-            0.0 if endpoint % 3 else 3000.0,
-            1 + (turn > 20 and endpoint == 4),
-            0,
-            1.0 + instance,
-            0,
-        )
-        for endpoint in range(6)
-    ]
-    records = [("listed", instance, 2, 0, entries)] if turn % 7 == 0 else []
-    records += [
-        ("joined", instance, proxy % 2, proxy, proxy % 2, 12.0 * instance)
-        for proxy in range(6)
-        if turn == proxy
-    ]
-    records += [
-        (
-            "met",
-            instance,
-            1000.0,
-            40.0 + 90.0 * endpoint * instance,
-            (turn + endpoint) % 4 * instance,
-            12,
-            endpoint,
-            endpoint % 2,
-            (0.3 * endpoint,),
+def entries(instance, turn):
+    """An endpoint list in which one endpoint drains from turn 21 on."""
+    return [
+        EntryFields(
+            endpoint_id=endpoint,
+            zone=endpoint % 2,
+            started_ms=0.0 if endpoint % 3 else 3000.0,
+            state=2 if turn > 20 and endpoint == 4 else 1,
+            machine_kind=0,
+            nominal_weight=1.0 + instance,
+            cell=0,
         )
         for endpoint in range(6)
-        if turn % 2
-    ]
-    records += [
-        ("came", instance, turn % 6, 0, 30 * turn, 0, 1000.0),
-        ("applied", instance, turn % 6, turn // 2, 100.0),
     ]
-    return records + ([("left", instance, 3)] if turn == 30 else [])
+
+
+def records_of(instance, turn):
+    """What one batch brings to an instance: joins, lists, load reports, acknowledgements, a lost stream."""
+    records = []
+    if turn % 7 == 0:
+        records.append(Record(RecordCode.ENDPOINT_LIST, instance, (2, 0, entries(instance, turn))))
+    if turn < 6:
+        fields = (turn % 2, turn, turn % 2, 12.0 * instance)
+        records.append(Record(RecordCode.PROXY_JOINED, instance, fields))
+    if turn % 2:
+        for endpoint in range(6):
+            duration_ms = 40.0 + 90.0 * endpoint * instance
+            errors = (turn + endpoint) % 4 * instance
+            fields = (1000.0, duration_ms, errors, 12, endpoint, endpoint % 2, (0.3 * endpoint,))
+            records.append(Record(RecordCode.ENDPOINT_LOAD, instance, fields))
+    records.append(Record(RecordCode.PROXY_LOAD, instance, (turn % 6, 0, 30 * turn, 0, 1000.0)))
+    records.append(Record(RecordCode.UPDATE_ACKNOWLEDGED, instance, (turn % 6, turn // 2, 100.0)))
+    if turn == 30:
+        records.append(Record(RecordCode.PROXY_LEFT, instance, (3,)))
+    return records
 
 
 def play(*instances):
+    """The replies of an adapter that runs these instances."""
     adapter, replies = Adapter(), []
-    start = [("start", instance, 7, json.dumps(SETTINGS[instance]).encode()) for instance in instances]
+    starts = [
+        Record(RecordCode.START, instance, (7, json.dumps(SETTINGS[instance]).encode()))
+        for instance in instances
+    ]
     for turn in range(60):
         records = [record for instance in instances for record in records_of(instance, turn)]
-        replies.append(adapter.answer(250.0 * turn, (start if not turn else []) + records))
+        replies.append(adapter.answer(Batch(250.0 * turn, (starts if not turn else []) + records)))
     return replies
 
 
 def test_instances_with_other_settings_decide_as_each_alone():
-    both, one, two = play(1, 2), play(1), play(2)
-    assert [(n + m, here + there) for (n, here), (m, there) in zip(one, two, strict=False)] == both
-    assert all(
-        sum(n for n, _ in alone) > 80 and b"Error" not in b"".join(orders for _, orders in alone)
-        for alone in (one, two)
-    )
+    both, first, second = play(1, 2), play(1), play(2)
+    assert len(both) == len(first) == len(second) == 60
+    assert both == [
+        (one.record_count + other.record_count, one.body + other.body)
+        for one, other in zip(first, second, strict=True)
+    ]
+    for alone in (first, second):
+        assert sum(reply.record_count for reply in alone) > 80
+        assert b"Error" not in b"".join(reply.body for reply in alone)
