--- a/oatcart/simhost/adapter.py
+++ b/oatcart/simhost/adapter.py
@@ -7,8 +7,8 @@
 from oatcart.policy import Controller
 from oatcart.settings import read_controller_settings
 from oatcart.simhost.command_encoding import CommandEncoder, encode_fault
-from oatcart.simhost.event_decoding import MS_PER_SECOND, EventDecoder
-from oatcart.simhost.frames import Batch, Record, RecordCode, Reply
+from oatcart.simhost.event_decoding import EventDecoder
+from oatcart.simhost.frames import MS_PER_SECOND, Batch, Record, RecordCode, Reply
 
 
 class ControllerInstance:
--- a/oatcart/simhost/command_encoding.py
+++ b/oatcart/simhost/command_encoding.py
@@ -5,8 +5,8 @@
 from enum import IntEnum
 
 from oatcart.model import RetryPolicy
+from oatcart.simhost.frames import MS_PER_SECOND
 
-MS_PER_SECOND = 1000
 MAX_TEXT_BYTES = 0xFFFF  # of a log line or a fault: its length is a u16
 TIMER_TOKEN = 0  # timers are not told apart
 
--- a/oatcart/simhost/event_decoding.py
+++ b/oatcart/simhost/event_decoding.py
@@ -19,9 +19,8 @@
 )
 from oatcart.load_reports import read_load_report
 from oatcart.model import EndpointState, HealthCheckOutcome, LoadReport
-from oatcart.simhost.frames import EntryFields, Record, RecordCode
+from oatcart.simhost.frames import MS_PER_SECOND, EntryFields, Record, RecordCode
 
-MS_PER_SECOND = 1000
 # Modes of an endpoint list; 0 is a list of changes
 LIST_CACHED, LIST_FULL, LIST_FAILED = 1, 2, 4
 # Outcome codes of a health check; any other is taken as a check that was not made
--- a/oatcart/simhost/frames.py
+++ b/oatcart/simhost/frames.py
@@ -10,6 +10,7 @@
 from enum import Enum, IntEnum, auto
 from typing import BinaryIO, NamedTuple
 
+MS_PER_SECOND = 1000  # the wire has times in ms, all else has seconds
 _U8 = struct.Struct(">B")
 _U16 = struct.Struct(">H")
 _U32 = struct.Struct(">I")
