--- a/tests/xds/sim.py
+++ b/tests/xds/sim.py
@@ -96,7 +96,7 @@
         told = names if self.delta else tuple(self.names[kind])
         if not self.delta and not nonce:
             nonce = self.nonces.get(kind, "")
-            self.unanswered.pop(nonce, None)  # names asked for bear the last nonce, which answers it
+            self.answered_up_to(kind, nonce)  # names asked for bear the last nonce, which answers it
         self.stage.front.ask(
             self.stage.now,
             self.stream,
@@ -111,6 +111,13 @@
             ),
         )
 
+    def answered_up_to(self, kind, nonce):
+        """Answers come in order: that to a push answers those of its type that were sent before it."""
+        if nonce in self.unanswered:
+            before = [one for one, (other, _) in self.unanswered.items() if other == kind]
+            for one in before[: before.index(nonce) + 1]:
+                del self.unanswered[one]
+
     def drop(self):
         if self.stream is not None:
             self.stage.front.close(self.stage.now, self.stream)
