--- a/oatcart/xds/decode.py
+++ b/oatcart/xds/decode.py
@@ -70,7 +70,14 @@
             refusal,
             node,
         )
-    return Ask(kind, tuple(message.resource_names), nonce=message.response_nonce, refusal=refusal, node=node)
+    return Ask(
+        kind,
+        tuple(message.resource_names),
+        nonce=message.response_nonce,
+        refusal=refusal,
+        node=node,
+        version=message.version_info,
+    )
 
 
 def _seconds(span: object) -> float:
--- a/oatcart/xds/front.py
+++ b/oatcart/xds/front.py
@@ -20,7 +20,7 @@
 from oatcart.xds import view
 from oatcart.xds.limits import JOINED, Budget, Gate, Refused, check_names, rank
 from oatcart.xds.loads import Books, ClusterReport
-from oatcart.xds.pushes import Line, Push, Refusal
+from oatcart.xds.pushes import NEVER, Line, Push, Refusal
 from oatcart.xds.shelf import Shelf, digest
 
 CLUSTER, ENDPOINTS, MEMBER, LISTENER, ROUTE = "cluster", "endpoints", "member", "listener", "route"
@@ -52,7 +52,8 @@
 
 
 class Ask(NamedTuple):
-    """A discovery request of either protocol. `names`: all names, or those newly subscribed."""
+    """A discovery request of either protocol. `names`: all names, or those newly subscribed. `version`: of
+    the last state-of-the-world response of this type that the client accepted, on whichever stream."""
 
     type: str
     names: tuple[str, ...]
@@ -61,6 +62,7 @@
     nonce: str = ""
     refusal: str | None = None
     node: Node | None = None
+    version: str = ""
 
 
 @dataclass(eq=False, slots=True)
@@ -172,13 +174,14 @@
             line = Line(
                 stream.delta, whole, f"{self.life}.{stream.key}.{ask.type[0]}", ask.type in WHOLE_TYPES
             )
+            line.returning = bool(ask.brought or ask.version)
         self.gate.wanted(
             sum(len(one.wanted) for one in stream.lines.values())
             + len(ask.names)
             - (len(line.wanted) if not stream.delta else 0)
         )
         stream.lines[ask.type] = line
-        stream.returning = stream.returning or bool(ask.brought)
+        stream.returning = stream.returning or line.returning
         if stream.delta:
             said = line.change(ask.names, ask.unsubscribe, ask.brought, ask.nonce, ask.refusal)
         else:
@@ -471,11 +474,15 @@
         return out
 
     def _may_add(self, stream: Stream, shelves: dict, kind: str, name: str) -> bool:
-        """A client that asks for a cluster gets what builds on it once it has taken the cluster."""
+        """A client that asks for a cluster gets what builds on it once it has taken the cluster. One that
+        holds resources of an earlier stream sends requests by them, so it gets what replaces them right after
+        the cluster."""
         clusters = stream.lines.get(CLUSTER)
         if kind in (CLUSTER, MEMBER) or clusters is None or not clusters.awaits(name):
             return True
-        return name not in shelves[CLUSTER].items or name in clusters.held
+        if name not in shelves[CLUSTER].items or name in clusters.held:
+            return True
+        return stream.lines[kind].returning and clusters.sent.get(name, NEVER) > NEVER
 
     def _may_remove(self, stream: Stream, shelves: dict, kind: str, name: str) -> bool:
         """What builds on a cluster goes before it, as far as the incremental protocol can tell that."""
--- a/oatcart/xds/pushes.py
+++ b/oatcart/xds/pushes.py
@@ -84,6 +84,7 @@
     reset: bool = True  # all that is wanted has to be looked at
     calm: int = 0  # the shelf's seq up to which nothing urgent is left to send
     owes: bool = False  # an answer is due even if nothing changed
+    returning: bool = False  # the client holds resources of this type from an earlier stream
 
     # -- what the client says
 
--- a/tests/xds/sim.py
+++ b/tests/xds/sim.py
@@ -66,6 +66,7 @@
         self.stage, self.id, self.zone, self.delta, self.shape = stage, id, zone, delta, shape
         self.held = {kind: {} for kind in (CLUSTER, ENDPOINTS, MEMBER, ROUTE)}
         self.names = {kind: {} for kind in self.held}
+        self.versions = {}  # by type: of the last push that was accepted, on whichever stream
         self.late = self.stalled = False
         self.refused = False  # on this stream
         self.refuses = None  # a node whose lists it does not want
@@ -108,6 +109,7 @@
                 nonce,
                 refusal,
                 Node(self.id, ZONES[self.zone], self.shape),
+                "" if self.delta else self.versions.get(kind, ""),
             ),
         )
 
@@ -156,6 +158,7 @@
         for name, content in push.items:
             self.check(kind, name, content)
         if not refusal:
+            self.versions[kind] = push.version
             assert all(name in self.held[CLUSTER] for name, _ in push.items if kind in (ENDPOINTS, ROUTE)), (
                 "what builds on a cluster came before it"
             )
--- a/tests/xds/test_decisions.py
+++ b/tests/xds/test_decisions.py
@@ -72,6 +72,38 @@
     assert peer.view("lookup") == stage.view(0, 0)
 
 
+@pytest.mark.parametrize("delta, shape", SHAPES)
+def test_a_returning_client_that_answers_nothing_sees_the_drain(delta, shape):
+    """A client that holds endpoints of an earlier stream gets the list of now without accepting its clusters
+    first; found by the machine.
+    """
+    stage = stage_of()
+    peer = peer_of(stage, delta=delta, shape=shape)
+    turns(stage, 2)
+    peer.late = True
+    peer.drop()
+    turned(stage, 0, EndpointState.DRAINING)
+    turns(stage, 1)
+    peer.connect()
+    turns(stage, GRACE)
+    assert peer.answers and peer.view("lookup")["n0"][1] == view.DRAINING
+
+
+def test_an_incremental_client_that_returns_with_other_clusters_sees_the_drain():
+    """The same where the clusters it holds differ from those of now, as after an upgrade."""
+    stage = stage_of()
+    peer = peer_of(stage, delta=True)
+    turns(stage, 2)
+    peer.late = True
+    peer.drop()
+    peer.held[CLUSTER] = {name: ("old", body) for name, (_, body) in peer.held[CLUSTER].items()}
+    turned(stage, 0, EndpointState.DRAINING)
+    turns(stage, 1)
+    peer.connect()
+    turns(stage, GRACE)
+    assert peer.answers and peer.view("lookup")["n0"][1] == view.DRAINING
+
+
 def test_a_cluster_goes_after_what_builds_on_it():
     """Incremental: endpoints of a kind that is no more are taken back first, then its cluster."""
     stage = stage_of()
--- a/tests/xds/test_front.py
+++ b/tests/xds/test_front.py
@@ -120,6 +120,23 @@
     played(story())
 
 
+@pytest.mark.parametrize("delta, shape", WAYS)
+def test_a_drain_is_seen_by_a_client_that_returns_and_answers_nothing(delta, shape):
+    """Failure: the client holds endpoints of an earlier stream and accepts its clusters late."""
+
+    async def story():
+        async with Table(nodes(4)) as table:
+            client = await subscribed(table, "c", delta, shape)
+            await client.drop()
+            client.answers.clear()
+            table.roll(n2=(9002, "a", "DRAINING", 0))
+            comes_back(client, shape)
+            await client.until(lambda: client.endpoints("lookup")["n2"][1] == "DRAINING")
+            assert not client.answers.is_set()
+
+    played(story())
+
+
 @pytest.mark.parametrize("delta, shape", WAYS)
 def test_a_restart_of_the_conductor(delta, shape):
     """Failure: clients hold versions of its former life. Equal contents bear equal versions, others never."""
