--- a/tests/xds/test_decisions.py
+++ b/tests/xds/test_decisions.py
@@ -239,6 +239,24 @@
     assert all(peer.view("lookup")["n1"][1] == view.DRAINING for peer in peers)
 
 
+def test_a_returning_client_sees_the_drain_though_others_spent_the_budget():
+    """Found by the machine. Three drains to six clients leave the budget in debt; a client that was away
+    meanwhile still holds the drained endpoint as healthy when it returns.
+    """
+    stage = stage_of(8, pushes=8.0)
+    peers = [peer_of(stage, f"p{at}") for at in range(6)]
+    turns(stage, 12)
+    for node in 1, 2, 3:
+        turned(stage, node, EndpointState.DRAINING)
+        turns(stage, STEP)
+    peers[-1].drop()
+    turned(stage, 0, EndpointState.DRAINING)
+    turns(stage, STEP)
+    peers[-1].connect()
+    turns(stage, GRACE)
+    assert [peer.view("lookup")["n0"][1] for peer in peers] == [view.DRAINING] * 6
+
+
 def shelf_of(**bodies):
     shelf = Shelf()
     for name, body in bodies.items():
