--- a/oatcart/__main__.py
+++ b/oatcart/__main__.py
@@ -9,7 +9,8 @@
 
 import sys
 
-from oatcart.net.reload import Unusable, wake_pair
+from oatcart.errors import InvalidConfiguration
+from oatcart.net.reload import wake_pair
 from oatcart.net.start import assemble, configuration, read
 
 UNUSABLE = 2  # exit code where the configuration cannot be used
@@ -19,7 +20,7 @@
     woken = wake_pair()
     try:
         loop, rounds, _ = assemble(read(os.environ, "EDGE_CONFIG", configuration), woken)
-    except Unusable as error:
+    except InvalidConfiguration as error:
         print(f"config: {error}", file=sys.stderr)
         return UNUSABLE
     while True:
--- /dev/null
+++ b/oatcart/errors.py
@@ -0,0 +1,80 @@
+"""The errors that oatcart raises, in one hierarchy: a caller catches one kind, or `OatcartError` for all.
+
+A message names the field and the value that cannot be used; whoever logs it puts the peer or the file in
+front.
+"""
+
+import errno
+from enum import Enum
+from typing import Self
+
+
+class OatcartError(Exception):
+    """Base class of the errors that oatcart raises itself."""
+
+
+class InvalidConfiguration(OatcartError):
+    """A configuration cannot be used; nothing of it takes effect."""
+
+    @classmethod
+    def of_field(cls, field: str, problem: object) -> Self:
+        """The error of one field, or of the environment variable that names the file.
+
+        >>> str(InvalidConfiguration.of_field("seed", "'?' is not a hexadecimal number"))
+        "seed is invalid: '?' is not a hexadecimal number"
+        """
+        return cls(f"{field} is invalid: {problem}")
+
+
+class InvalidMessage(OatcartError):
+    """A message can be parsed, but a field of it cannot be used; its connection goes on."""
+
+
+class CloseReason(Enum):
+    """Why a connection, or a call on one, has ended. The values are what the log prints."""
+
+    COMPLETED = "completed"
+    CLOSED_BY_PEER = "closed by the peer"
+    RESET_BY_PEER = "reset by the peer"
+    REFUSED = "connection refused"
+    UNREACHABLE = "could not connect"
+    TIMED_OUT = "timed out"
+    MALFORMED = "malformed data"
+    MESSAGE_TOO_LONG = "message too long"
+    SEND_BUFFER_FULL = "the peer left too much unread"
+    ERROR_RESPONSE = "error response"
+    OUT_OF_RESOURCES = "no capacity for it here"
+
+
+_REASONS_BY_ERRNO = {
+    errno.ECONNREFUSED: CloseReason.REFUSED,
+    errno.ECONNRESET: CloseReason.RESET_BY_PEER,
+    errno.EPIPE: CloseReason.RESET_BY_PEER,
+    errno.ECONNABORTED: CloseReason.RESET_BY_PEER,
+    errno.ETIMEDOUT: CloseReason.TIMED_OUT,
+    errno.EMFILE: CloseReason.OUT_OF_RESOURCES,
+    errno.ENFILE: CloseReason.OUT_OF_RESOURCES,
+    errno.ENOBUFS: CloseReason.OUT_OF_RESOURCES,
+    errno.ENOMEM: CloseReason.OUT_OF_RESOURCES,
+}
+
+
+class ConnectionClosed(OatcartError):
+    """A connection has ended; raised in the task that owns it, at the point where it waits, reads or writes.
+
+    `reason`: why it ended. `detail`: free text for the log, as a status code or the parser's message.
+    """
+
+    def __init__(self, reason: CloseReason, detail: str = "") -> None:
+        super().__init__(f"{reason.value}: {detail}" if detail else reason.value)
+        self.reason = reason
+        self.detail = detail
+
+    @classmethod
+    def from_os_error(cls, error: OSError) -> Self:
+        """The error that an operation on a socket stands for; an unknown errno counts as UNREACHABLE.
+
+        >>> ConnectionClosed.from_os_error(ConnectionResetError(errno.ECONNRESET, "")).reason.name
+        'RESET_BY_PEER'
+        """
+        return cls(_REASONS_BY_ERRNO.get(error.errno, CloseReason.UNREACHABLE), error.strerror or "")
--- a/oatcart/net/acceptor.py
+++ b/oatcart/net/acceptor.py
@@ -4,10 +4,10 @@
 import socket
 from collections.abc import Generator
 
+from oatcart.errors import CloseReason, ConnectionClosed, InvalidMessage
 from oatcart.net import collector, sidecar, talk
-from oatcart.net.codec import Codec, Odd
+from oatcart.net.codec import Codec
 from oatcart.net.conductor import Rounds
-from oatcart.net.ending import Ended, Ending, ended_by
 from oatcart.net.log import Log
 from oatcart.net.loop import IN, Loop, Task, Wait
 from oatcart.net.stream import Address, Stream
@@ -56,7 +56,7 @@
                 continue
             except OSError as error:
                 if error.errno != errno.ECONNABORTED:
-                    self.log.say("acceptor", f"cannot accept: {ended_by(error)}")
+                    self.log.say("acceptor", f"cannot accept: {ConnectionClosed.from_os_error(error)}")
                     yield Wait(until=self.loop.now + NO_ROOM_WAIT)
 
     def _let_in(self, sock: socket.socket) -> None:
@@ -70,10 +70,10 @@
         self.lives[stream] = life
         while self.loop.open > self.loop.open_most and self.strangers:
             oldest = next(iter(self.strangers))
-            oldest.late = Ending.CROWDED
+            oldest.late = CloseReason.OUT_OF_RESOURCES
             self.loop.expire(self.lives[oldest])
         if self.loop.open > self.loop.open_most:
-            self.log.say("acceptor", f"a stranger gone: {Ended(Ending.CROWDED)}")
+            self.log.say("acceptor", f"a stranger gone: {ConnectionClosed(CloseReason.OUT_OF_RESOURCES)}")
             self._end(stream)
 
     def _life(self, stream: Stream) -> Generator[Wait, bool, None]:
@@ -95,8 +95,8 @@
                 stream.widen()
                 yield from sidecar.live(stream, told, self.codec, self.rounds, self._skipped, self._end)
             else:
-                self._refuse(Odd(f"{told[0]!r} is no first message"))
-        except Ended as ended:
+                self._refuse(InvalidMessage(f"{told[0]!r} is no first message"))
+        except ConnectionClosed as ended:
             self.log.say("acceptor", f"{who} gone: {ended}")
         finally:
             for kept in self.strangers, self.collectors, self.lives:
@@ -112,10 +112,10 @@
         if stream in self.lives:
             self.loop.end(self.lives[stream])
 
-    def _refuse(self, odd: Odd) -> None:
+    def _refuse(self, odd: InvalidMessage) -> None:
         """Who does not say who it is has no use here."""
-        raise Ended(Ending.UNREADABLE, str(odd))
+        raise ConnectionClosed(CloseReason.MALFORMED, str(odd))
 
-    def _skipped(self, odd: Odd) -> None:
+    def _skipped(self, odd: InvalidMessage) -> None:
         """A stream that we end leaves its proxy without orders until it has dialled again; so it goes on."""
         self.log.say("odd", str(odd))
--- a/oatcart/net/collector.py
+++ b/oatcart/net/collector.py
@@ -2,8 +2,9 @@
 
 from collections.abc import Callable, Generator
 
+from oatcart.errors import InvalidMessage
 from oatcart.net import talk
-from oatcart.net.codec import Codec, Odd
+from oatcart.net.codec import Codec
 from oatcart.net.conductor import Rounds
 from oatcart.net.loop import Wait
 from oatcart.net.stream import Stream
@@ -12,11 +13,11 @@
 
 
 def live(
-    stream: Stream, codec: Codec, rounds: Rounds, skipped: Callable[[Odd], None]
+    stream: Stream, codec: Codec, rounds: Rounds, skipped: Callable[[InvalidMessage], None]
 ) -> Generator[Wait, bool, None]:
     while True:
         told = yield from talk.arrival(stream, codec, skipped)
         if told[0] in REPORTS:
             rounds.arrive(told)
         else:
-            skipped(Odd(f"a collector does not say {told[:2]}"))
+            skipped(InvalidMessage(f"a collector does not say {told[:2]}"))
--- a/oatcart/net/conductor.py
+++ b/oatcart/net/conductor.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Iterator
 from math import inf
 
+from oatcart.errors import ConnectionClosed
 from oatcart.net.codec import Codec
-from oatcart.net.ending import Ended
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop
 from oatcart.net.probe import Prober
@@ -132,6 +132,6 @@
             encoded[parts] = self.codec.message(parts)
         try:
             self.streams[proxy].write(encoded[parts])
-        except Ended as ended:
+        except ConnectionClosed as ended:
             self.log.say("stream", f"proxy {proxy} cannot be told: {ended}")
             self.lost.append(self.streams[proxy])
--- a/oatcart/net/http.py
+++ b/oatcart/net/http.py
@@ -4,7 +4,7 @@
 
 import h11
 
-from oatcart.net.ending import Ended, Ending
+from oatcart.errors import CloseReason, ConnectionClosed
 from oatcart.net.loop import Loop, Wait
 from oatcart.net.stream import MESSAGE_MOST, Address, Stream, dial
 
@@ -24,7 +24,7 @@
         self.stream: Stream | None = None
 
     def get(self, path: str, until: float) -> Generator[Wait, bool, memoryview]:
-        """The body of the answer to one call; raises Ended, DENIED for any status but 200.
+        """The body of the answer to one call; raises ConnectionClosed, DENIED for any status but 200.
 
         A kept connection may be closed between two calls with nobody at fault. So one that is over already,
         or on which bytes lie that answer nothing we asked, is left for a new one; and a call that meets its
@@ -34,8 +34,8 @@
         kept, began = self.stream is not None, self.loop.now
         try:
             return (yield from self._call(path, until))
-        except Ended as ended:
-            over = ended.ending in (Ending.CLOSED, Ending.RESET) and not self.heard
+        except ConnectionClosed as ended:
+            over = ended.reason in (CloseReason.CLOSED_BY_PEER, CloseReason.RESET_BY_PEER) and not self.heard
             if not (kept and over and self.loop.now - began <= REPEAT_WITHIN):
                 raise
         return (yield from self._call(path, until))
@@ -51,7 +51,7 @@
             status, body = yield from self._answer(until)
         except h11.ProtocolError as error:
             self.close()
-            raise Ended(Ending.UNREADABLE, str(error)) from None
+            raise ConnectionClosed(CloseReason.MALFORMED, str(error)) from None
         except BaseException:
             self.close()
             raise
@@ -62,7 +62,7 @@
         else:
             self.close()
         if status != OK:
-            raise Ended(Ending.DENIED, f"status {status}")
+            raise ConnectionClosed(CloseReason.ERROR_RESPONSE, f"status {status}")
         return body
 
     def _answer(self, until: float) -> Generator[Wait, bool, tuple[int, memoryview]]:
@@ -73,7 +73,7 @@
                 part = yield from self.stream.some(until)
                 self.heard = self.heard or bool(part)
                 if not part and self.http.their_state is h11.SEND_RESPONSE:
-                    raise Ended(Ending.CLOSED)
+                    raise ConnectionClosed(CloseReason.CLOSED_BY_PEER)
                 self.http.receive_data(part)
             elif type(event) is h11.Response:
                 status = event.status_code
@@ -81,7 +81,7 @@
                 parts.append(event.data)  # h11's own copy
                 size += len(event.data)
                 if size > self.body_most:
-                    raise Ended(Ending.TOO_LONG)
+                    raise ConnectionClosed(CloseReason.MESSAGE_TOO_LONG)
             elif type(event) is h11.EndOfMessage:
                 return status, memoryview(b"".join(parts))
 
--- a/oatcart/net/probe.py
+++ b/oatcart/net/probe.py
@@ -2,13 +2,28 @@
 
 from collections.abc import Callable, Generator
 
+from oatcart import interface as our
+from oatcart.errors import CloseReason, ConnectionClosed
 from oatcart.handover import load
 from oatcart.net.codec import HEALTH_PATH, LOAD_PATH, parsed
-from oatcart.net.ending import PROBE_OUTCOMES, Ended, Ending
 from oatcart.net.http import Client
 from oatcart.net.loop import Loop, Wait
 from oatcart.net.stream import Address
 
+# What a probe that ended so has shown of its node; no room here is not the node's fault
+PROBE_OUTCOMES = {
+    CloseReason.COMPLETED: our.ANSWERED,
+    CloseReason.ERROR_RESPONSE: our.ERRORED,
+    CloseReason.MALFORMED: our.ERRORED,
+    CloseReason.MESSAGE_TOO_LONG: our.ERRORED,
+    CloseReason.CLOSED_BY_PEER: our.UNREACHED,
+    CloseReason.RESET_BY_PEER: our.UNREACHED,
+    CloseReason.REFUSED: our.UNREACHED,
+    CloseReason.UNREACHABLE: our.UNREACHED,
+    CloseReason.TIMED_OUT: our.SILENT,
+    CloseReason.SEND_BUFFER_FULL: our.SILENT,
+    CloseReason.OUT_OF_RESOURCES: our.TURNED_AWAY,
+}
 # at a time, each a descriptor while there are any left; a round asks for one a withdrawn node
 PROBES_MOST = 64
 
@@ -33,20 +48,20 @@
         """The life of a probe: dial, ask, and tell the module how it ended. Where the node has another
         address by then, or its number is another's, it has shown nothing of who is there now."""
         address = self.addresses.get(node)
-        began, told, ending = self.loop.now, (None, None, None), Ending.DONE
+        began, told, reason = self.loop.now, (None, None, None), CloseReason.COMPLETED
         self.under_way += 1
         try:
             if self.under_way > PROBES_MOST or self.loop.open >= self.loop.open_most or address is None:
-                raise Ended(Ending.CROWDED)
+                raise ConnectionClosed(CloseReason.OUT_OF_RESOURCES)
             client = Client(self.loop, address)
             try:
                 body = yield from client.get(LOAD_PATH if self.reports else HEALTH_PATH, began + self.within)
             finally:
                 client.close()
             told = load(parsed(body)) if self.reports and body else told
-        except Ended as ended:
-            ending = ended.ending
+        except ConnectionClosed as ended:
+            reason = ended.reason
         finally:
             self.under_way -= 1
         if self.addresses.get(node) == address:
-            self.arrive(("probed", node, PROBE_OUTCOMES[ending], self.loop.now - began, told))
+            self.arrive(("probed", node, PROBE_OUTCOMES[reason], self.loop.now - began, told))
--- a/oatcart/net/reload.py
+++ b/oatcart/net/reload.py
@@ -10,16 +10,13 @@
 from contextlib import suppress
 from math import inf
 
+from oatcart.errors import InvalidConfiguration
 from oatcart.net.log import Log
 from oatcart.net.loop import IN, Loop, Wait
 
 AGAIN_AFTER, AGAIN_MOST = 0.5, 6  # s, times: a file that cannot be used may still be on its way
 
 
-class Unusable(Exception):
-    """A field of the configuration that is missing or cannot be used."""
-
-
 def wake_pair() -> socket.socket:
     """From now on SIGHUP ends nothing: it makes the socket that is handed back readable."""
     woken, waker = socket.socketpair()
@@ -44,7 +41,7 @@
         again = inf
         try:
             log.say("reload", take())
-        except Unusable as error:  # the old one stays in force, as a whole; said once
+        except InvalidConfiguration as error:  # the old one stays in force, as a whole; said once
             if said != (said := str(error)):
                 log.say("reload", f"{error}; the old configuration stays in force")
             tries += 1
--- a/oatcart/net/roll.py
+++ b/oatcart/net/roll.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable, Generator
 from math import inf
 
+from oatcart.errors import CloseReason, ConnectionClosed
 from oatcart.net.codec import ROLL_PATH, Codec, Roll, parsed, watch_path
-from oatcart.net.ending import Ended, Ending
 from oatcart.net.http import Client
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop, Task, Wait
@@ -86,14 +86,16 @@
                 roll = self.codec.roll(parsed((yield from client.get(path, until))))
                 self.anew = roll.revision < since < inf and not roll.whole
                 if self.anew:
-                    raise Ended(Ending.UNREADABLE, f"changes up to {roll.revision} since {since}")
+                    raise ConnectionClosed(
+                        CloseReason.MALFORMED, f"changes up to {roll.revision} since {since}"
+                    )
                 if roll.revision == since and self.loop.now - asked < EARLY * wait:
-                    raise Ended(Ending.UNREADABLE, "nothing, before its time")
+                    raise ConnectionClosed(CloseReason.MALFORMED, "nothing, before its time")
                 if not wait or roll.whole or roll.entries:  # a wait that brought nothing is no news
                     self.take(roll, since)
                 self.revision = max(self.revision, roll.revision)  # also where nobody has changed
                 wait = self.wait
-        except Ended as ended:
+        except ConnectionClosed as ended:
             self.watching = None
             self._failed("watch", ended)
         finally:
@@ -103,12 +105,12 @@
         client, self.fetching = Client(self.loop, self.discovery), True
         try:
             self.take(self.codec.roll(parsed((yield from client.get(ROLL_PATH, self.loop.now + CALL_MOST)))))
-        except Ended as ended:
+        except ConnectionClosed as ended:
             self._failed("fetch", ended)
         finally:
             self.fetching = False
             client.close()
 
-    def _failed(self, what: str, ended: Ended) -> None:
+    def _failed(self, what: str, ended: ConnectionClosed) -> None:
         self.log.say("roll", f"the {what} ended: {ended}")
         self.arrive(("unlisted",))
--- a/oatcart/net/sidecar.py
+++ b/oatcart/net/sidecar.py
@@ -2,8 +2,9 @@
 
 from collections.abc import Callable, Generator
 
+from oatcart.errors import InvalidMessage
 from oatcart.net import talk
-from oatcart.net.codec import Codec, Odd
+from oatcart.net.codec import Codec
 from oatcart.net.conductor import Rounds
 from oatcart.net.loop import Wait
 from oatcart.net.stream import Stream
@@ -16,7 +17,7 @@
     joined: tuple,
     codec: Codec,
     rounds: Rounds,
-    skipped: Callable[[Odd], None],
+    skipped: Callable[[InvalidMessage], None],
     end: Callable[[Stream], None],
 ) -> Generator[Wait, bool, None]:
     """Tell the module what the proxy says. Its older stream is over: it may have broken and never be seen to
@@ -32,10 +33,10 @@
         while True:
             told = yield from talk.arrival(stream, codec, skipped)
             if told[0] not in SPEAKS or told[1] != proxy:
-                skipped(Odd(f"proxy {proxy} does not say {told[:2]}"))
+                skipped(InvalidMessage(f"proxy {proxy} does not say {told[:2]}"))
             # it would pass for an acknowledgement
             elif told[0] == "applied" and not rounds.asked(proxy, told[2]):
-                skipped(Odd(f"proxy {proxy} was not asked for mark {told[2]}"))
+                skipped(InvalidMessage(f"proxy {proxy} was not asked for mark {told[2]}"))
             else:
                 rounds.arrive(told)
     finally:
--- a/oatcart/net/start.py
+++ b/oatcart/net/start.py
@@ -7,22 +7,31 @@
 import traceback
 from collections.abc import Callable, Mapping
 
+from oatcart.errors import ConnectionClosed, InvalidConfiguration
 from oatcart.handover import seconds, socket_records
 from oatcart.net import codec as wire
 from oatcart.net.acceptor import Acceptor
 from oatcart.net.conductor import Rounds
-from oatcart.net.ending import Ended
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop
 from oatcart.net.probe import Prober
-from oatcart.net.reload import Unusable, reloads
+from oatcart.net.reload import reloads
 from oatcart.net.roll import Watcher
 from oatcart.policy import Conductor
 
 ITS_OWN = "name", "listen"  # a file in which these differ is another conductor's
 AT_START = ("settings",)  # what is taken from the configuration once
 # Raised over what cannot be used; nesting without end is one more kind of that
-_UNFIT = ArithmeticError, AttributeError, LookupError, TypeError, ValueError, RecursionError, Ended, OSError
+_UNFIT = (
+    ArithmeticError,
+    AttributeError,
+    LookupError,
+    TypeError,
+    ValueError,
+    RecursionError,
+    ConnectionClosed,
+    OSError,
+)
 # of the time without a call after which news counts as told: a lost watch shows well within it
 WATCH_PART = 0.5
 # s without a call where the settings tell none: half of it and 2 s more are the protocol's 6
@@ -35,7 +44,7 @@
     try:
         return turn(cfg[name])
     except _UNFIT as error:
-        raise Unusable(f"{name} cannot be used: {error!r}") from None
+        raise InvalidConfiguration.of_field(name, repr(error)) from None
 
 
 def configuration(path: str) -> dict:
@@ -100,7 +109,7 @@
         new = read(os.environ, "EDGE_CONFIG", configuration)
         for field in ITS_OWN:
             if new.get(field) != cfg.get(field):
-                raise Unusable(f"{field} cannot be used: {new.get(field)!r} is not this conductor's")
+                raise InvalidConfiguration.of_field(field, f"{new.get(field)!r} is not this conductor's")
         discovery, most = read(new, "discovery", wire.address), read(new, "limits", descriptors)
         acceptor.limit(most)
         watcher.move(discovery)
--- a/oatcart/net/stream.py
+++ b/oatcart/net/stream.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 from math import inf
 
-from oatcart.net.ending import Ended, Ending, ended_by
+from oatcart.errors import CloseReason, ConnectionClosed
 from oatcart.net.loop import IN, OUT, Loop, Wait
 
 # bytes; a turn's reading of one connection, some dozen reports; hundreds of connections have one
@@ -39,9 +39,9 @@
         self.start = self.seen = self.end = 0  # bytes handed out, searched and read
         self.unsent = bytearray()
         # how writing ended; a message left out or cut would spoil all later ones
-        self.broken: Ending | None = None
+        self.broken: CloseReason | None = None
         self.fresh = True  # nothing was read yet: what may have come with the connection is not waited for
-        self.late = Ending.SILENT  # what it is to whoever waits here when the time is over
+        self.late = CloseReason.TIMED_OUT  # what it is to whoever waits here when the time is over
         self.looked = False  # once more since the time was over
         self.widen(room, most, unsent_most)
 
@@ -59,9 +59,9 @@
                 return line
             self.seen = self.end
             if self.end - self.start > self.most:
-                raise Ended(Ending.TOO_LONG)
+                raise ConnectionClosed(CloseReason.MESSAGE_TOO_LONG)
             if not (yield from self._fill(until)):
-                raise Ended(Ending.CLOSED)
+                raise ConnectionClosed(CloseReason.CLOSED_BY_PEER)
 
     def some(self, until: float = inf) -> Generator[Wait, bool, memoryview]:
         """All that is there, at least a byte; nothing once the other side has closed."""
@@ -88,18 +88,18 @@
         while True:
             over = not self.fresh and not (yield Wait(self.fd, IN, until))
             if self.broken is not None:
-                raise Ended(self.broken)
+                raise ConnectionClosed(self.broken)
             if over and self.looked:  # else whoever never stops would never be late
-                raise Ended(self.late)
+                raise ConnectionClosed(self.late)
             self.fresh, self.looked = False, over
             try:
                 size = self.sock.recv_into(self.view[self.end :])
             except BlockingIOError:
                 if over:
-                    raise Ended(self.late) from None
+                    raise ConnectionClosed(self.late) from None
                 continue
             except OSError as error:
-                raise ended_by(error) from None
+                raise ConnectionClosed.from_os_error(error) from None
             self.end += size
             return size
 
@@ -118,11 +118,11 @@
         self.start, self.end = 0, left
 
     def write(self, data: bytes) -> None:
-        """Send at once what goes, keep the rest in order; never waits. Raises Ended, and so does whoever
-        reads here.
+        """Send at once what goes, keep the rest in order; never waits. Raises ConnectionClosed, and so does
+        whoever reads here.
         """
         if self.broken is not None:
-            raise Ended(self.broken)
+            raise ConnectionClosed(self.broken)
         if self.unsent:
             self.unsent += data
         else:
@@ -131,7 +131,7 @@
                 self.unsent += memoryview(data)[sent:]
                 self.loop.spawn(self._flush())
         if len(self.unsent) > self.unsent_most:
-            raise self._break(Ended(Ending.UNREAD))
+            raise self._break(ConnectionClosed(CloseReason.SEND_BUFFER_FULL))
 
     def _send(self, data: bytes | bytearray) -> int:
         try:
@@ -139,11 +139,11 @@
         except BlockingIOError:
             return 0
         except OSError as error:
-            raise self._break(ended_by(error)) from None
+            raise self._break(ConnectionClosed.from_os_error(error)) from None
 
-    def _break(self, ended: Ended) -> Ended:
+    def _break(self, ended: ConnectionClosed) -> ConnectionClosed:
         """Nothing is written from here on, and the reader is woken to learn of it, whatever the error was."""
-        self.broken = ended.ending
+        self.broken = ended.reason
         self.unsent.clear()
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
@@ -152,7 +152,7 @@
     def _flush(self) -> Generator[Wait, bool, None]:
         while self.unsent:
             yield Wait(self.fd, OUT)
-            with suppress(Ended):  # the reader of this connection learns of it too
+            with suppress(ConnectionClosed):  # the reader of this connection learns of it too
                 del self.unsent[: self._send(self.unsent)]
 
     def close(self) -> None:
@@ -167,19 +167,19 @@
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     except OSError as error:
-        raise ended_by(error) from None
+        raise ConnectionClosed.from_os_error(error) from None
     stream = Stream(loop, sock)
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         with suppress(BlockingIOError):
             sock.connect(address)
         if not (yield Wait(stream.fd, OUT, until)):
-            raise Ended(Ending.UNREACHED)
+            raise ConnectionClosed(CloseReason.UNREACHABLE)
         if code := sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             raise OSError(code, "")
     except OSError as error:
         stream.close()
-        raise ended_by(error) from None
+        raise ConnectionClosed.from_os_error(error) from None
     except BaseException:
         stream.close()
         raise
--- a/oatcart/proxy/again.py
+++ b/oatcart/proxy/again.py
@@ -9,9 +9,13 @@
 from typing import NamedTuple
 
 from oatcart import interface as our
-from oatcart.net.ending import Ending
+from oatcart.errors import CloseReason
 
-NEVER_UP = (Ending.REFUSED, Ending.UNREACHED, Ending.CROWDED)  # no connection, so no byte was ever read
+NEVER_UP = (
+    CloseReason.REFUSED,
+    CloseReason.UNREACHABLE,
+    CloseReason.OUT_OF_RESOURCES,
+)  # no connection, so no byte was ever read
 BUDGET_PART, BUDGET_LEAST = 0.2, 3.0  # of first tries that may be tried again; a second, where there are few
 BUDGET_OVER = 10.0  # s over which both are counted
 WORTH = 1.5  # times a usual try that must be left of a req's time, else another is waste
@@ -22,7 +26,7 @@
     answered that it did not begin (503 with the header that says so); `answered`: bytes of an answer had
     come; `site`: where it ran."""
 
-    ending: Ending
+    reason: CloseReason
     sent: int
     unbegun: bool = False
     answered: int = 0
@@ -44,10 +48,12 @@
 
 def never_ran(one: Try) -> bool:
     """
-    >>> never_ran(Try(Ending.REFUSED, 0)), never_ran(Try(Ending.RESET, 0)), never_ran(Try(Ending.RESET, 1))
-    (True, True, False)
+    >>> never_ran(Try(CloseReason.REFUSED, 0)), never_ran(Try(CloseReason.RESET_BY_PEER, 0))
+    (True, True)
+    >>> never_ran(Try(CloseReason.RESET_BY_PEER, 1))
+    False
     """
-    return one.unbegun or not one.answered and (one.ending in NEVER_UP or one.sent == 0)
+    return one.unbegun or not one.answered and (one.reason in NEVER_UP or one.sent == 0)
 
 
 class Budget:
--- a/oatcart/views/follower.py
+++ b/oatcart/views/follower.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable, Generator
 from math import inf
 
+from oatcart.errors import ConnectionClosed
 from oatcart.net.codec import ROLL_PATH, watch_path
-from oatcart.net.ending import Ended
 from oatcart.net.http import Client
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop, Task, Wait
@@ -73,7 +73,7 @@
         while True:
             try:
                 yield from self._follow(backoff)
-            except (Ended, MalformedAnswer, RefusedAnswer, StartedOver) as error:
+            except (ConnectionClosed, MalformedAnswer, RefusedAnswer, StartedOver) as error:
                 wait = backoff.next()
                 self.log.say(
                     "source",
--- a/oatcart/views/role.py
+++ b/oatcart/views/role.py
@@ -10,9 +10,9 @@
 
 import orjson
 
+from oatcart.errors import InvalidConfiguration
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop, Wait
-from oatcart.net.reload import Unusable
 from oatcart.net.stream import Address
 from oatcart.views.configuration import Conductor, Configuration, Wrong, read
 from oatcart.views.deciding import DecidingThread, View
@@ -121,19 +121,20 @@
         return {listener.view: listener for listener in self.listeners.values()}[name].address
 
     def reload(self, path: str | Path) -> str:
-        """Read the file again; a file that cannot be used changes nothing and raises Unusable."""
+        """Read the file again; a file that cannot be used changes nothing and raises InvalidConfiguration."""
         try:
             return self.reconfigure(read(path))
         except Wrong as wrong:
-            raise Unusable(str(wrong)) from None
+            raise InvalidConfiguration(str(wrong)) from None
 
     def reconfigure(self, new: Configuration) -> str:
-        """Another configuration, all of it or nothing; hands back what is to be logged. Raises Unusable."""
+        """Another configuration, all of it or nothing; hands back what is to be logged. Raises
+        InvalidConfiguration."""
         old, wanted = self.configuration, _conductors_by_key(new)
         try:
             fresh = self._listen({key: one for key, one in wanted.items() if key not in self.listeners})
         except OSError as error:
-            raise Unusable(error.strerror) from None
+            raise InvalidConfiguration(error.strerror) from None
         self.publisher.configure(new)
         if self.leases is not None:
             self.leases.configure(self.publisher.viewers, self.loop.now)
--- a/oatcart/views/server.py
+++ b/oatcart/views/server.py
@@ -13,7 +13,7 @@
 
 import h11
 
-from oatcart.net.ending import Ended, Ending, ended_by
+from oatcart.errors import CloseReason, ConnectionClosed
 from oatcart.net.log import Log
 from oatcart.net.loop import IN, Loop, Task, Wait
 from oatcart.net.stream import MESSAGE_MOST, Address, Stream
@@ -141,7 +141,7 @@
                 continue
             except OSError as error:
                 if error.errno != errno.ECONNABORTED:
-                    self.log.say("connection", f"cannot accept: {ended_by(error)}")
+                    self.log.say("connection", f"cannot accept: {ConnectionClosed.from_os_error(error)}")
                     yield Wait(until=self.loop.now + NO_ROOM_WAIT)
 
     def _let_in(self, sock: socket.socket, listener: Listener) -> None:
@@ -156,10 +156,10 @@
         self.lives[stream] = life
         while len(self.lives) > self.bounds.connections and self.strangers:
             oldest = next(iter(self.strangers))
-            oldest.late = Ending.CROWDED
+            oldest.late = CloseReason.OUT_OF_RESOURCES
             self.loop.expire(self.lives[oldest])
         if len(self.lives) > self.bounds.connections:
-            self.log.say("connection", f"a stranger gone: {Ended(Ending.CROWDED)}")
+            self.log.say("connection", f"a stranger gone: {ConnectionClosed(CloseReason.OUT_OF_RESOURCES)}")
             self._end(stream)
 
     def _life(self, stream: Stream, listener: Listener) -> Generator[Wait, bool, None]:
@@ -172,8 +172,8 @@
                     return
                 http.start_next_cycle()
                 until = self.loop.now + self.bounds.idle_most
-        except Ended as ended:
-            if ended.ending not in (Ending.CLOSED, Ending.RESET):
+        except ConnectionClosed as ended:
+            if ended.reason not in (CloseReason.CLOSED_BY_PEER, CloseReason.RESET_BY_PEER):
                 self.log.say("connection", f"{self._who(stream)} gone: {ended}")
         finally:
             del listener.streams[stream]
@@ -202,7 +202,7 @@
             if http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
                 refused = RefusedRequest(BAD_REQUEST, "the request cannot be read", str(error))
                 yield from self._answer(stream, http, refused.status, refused.body)
-            raise Ended(Ending.UNREADABLE, str(error)) from None
+            raise ConnectionClosed(CloseReason.MALFORMED, str(error)) from None
         return http.our_state is h11.DONE and http.their_state is h11.DONE
 
     def _request(
@@ -216,20 +216,20 @@
             if event is h11.NEED_DATA:
                 part = yield from stream.some(until)
                 if not part:
-                    raise Ended(Ending.CLOSED)
+                    raise ConnectionClosed(CloseReason.CLOSED_BY_PEER)
                 http.receive_data(part)
             elif isinstance(event, h11.Request):
                 request = event
             elif isinstance(event, h11.Data):
                 unused += len(event.data)
                 if unused > HEAD_MOST:
-                    raise Ended(Ending.TOO_LONG)
+                    raise ConnectionClosed(CloseReason.MESSAGE_TOO_LONG)
             elif isinstance(event, h11.EndOfMessage):
                 self.strangers.pop(stream, None)
-                stream.late = Ending.SILENT
+                stream.late = CloseReason.TIMED_OUT
                 return request
             else:
-                raise Ended(Ending.CLOSED)
+                raise ConnectionClosed(CloseReason.CLOSED_BY_PEER)
 
     def _list(self, stream: Stream, http: h11.Connection, call: ListRequest) -> Generator[Wait, bool, bytes]:
         """The body that answers a call for a view; a watch waits here until there is news or its time is
@@ -278,17 +278,17 @@
         waiting[stream] = None
         try:
             part = yield from stream.some(until)
-        except Ended as ended:
-            if ended.ending is not Ending.SILENT or stream.broken:
+        except ConnectionClosed as ended:
+            if ended.reason is not CloseReason.TIMED_OUT or stream.broken:
                 raise
             return
         finally:
             waiting.pop(stream)
         if not part:
-            raise Ended(Ending.CLOSED)
+            raise ConnectionClosed(CloseReason.CLOSED_BY_PEER)
         http.receive_data(part)  # a further request, sent ahead
         if len(http.trailing_data[0]) > HEAD_MOST:
-            raise Ended(Ending.TOO_LONG)
+            raise ConnectionClosed(CloseReason.MESSAGE_TOO_LONG)
 
     def _answer(
         self, stream: Stream, http: h11.Connection, status: int, body: bytes
@@ -305,7 +305,7 @@
             if len(stream.unsent) < left:
                 left, late = len(stream.unsent), self.loop.now + self.bounds.unread_for
             elif self.loop.now >= late:
-                raise Ended(Ending.UNREAD)
+                raise ConnectionClosed(CloseReason.SEND_BUFFER_FULL)
 
     def _use(self, stream: Stream, view: str) -> None:
         """A connection has asked for that view; the oldest of too many makes way."""
--- a/oatcart/xds/serve.py
+++ b/oatcart/xds/serve.py
@@ -7,9 +7,10 @@
 from collections.abc import Callable
 from random import Random
 
+from oatcart.errors import InvalidConfiguration
 from oatcart.handover import start_records
 from oatcart.net.loop import Loop
-from oatcart.net.reload import Unusable, wake_pair
+from oatcart.net.reload import wake_pair
 from oatcart.net.start import assemble
 from oatcart.xds.configuration import Xds
 from oatcart.xds.encode import Encoder
@@ -136,7 +137,7 @@
     """`traced` may put a tap between the module and its rounds."""
     try:
         await Conductor(cfg, xds, wake_pair(), traced).start()
-    except (Unusable, RuntimeError) as error:
+    except (InvalidConfiguration, RuntimeError) as error:
         print(f"config: {error}", file=sys.stderr)
         return UNUSABLE
     return await asyncio.get_running_loop().create_future()  # a signal ends the process
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from oatcart import interface as our
-from oatcart.net.ending import Ending
+from oatcart.errors import CloseReason
 from oatcart.proxy.admit import OVERLOADED, TOO_MANY, Admission
 from oatcart.proxy.again import BUDGET_OVER, Budget, Req, Try, allowed, decide, never_ran
 from oatcart.proxy.choose import Chooser, odds, odds_idle
@@ -116,7 +116,7 @@
 
 ENDINGS = st.builds(
     Try,
-    st.sampled_from(list(Ending)),
+    st.sampled_from(list(CloseReason)),
     st.sampled_from([0, 1, 500]),
     st.booleans(),
     st.sampled_from([0, 0, 9]),
@@ -159,16 +159,20 @@
 
 
 def test_proof_is_what_was_never_sent_or_never_begun():
-    assert never_ran(Try(Ending.SILENT, 0)) and never_ran(Try(Ending.DONE, 500, unbegun=True))
-    assert not never_ran(Try(Ending.CLOSED, 1)) and not never_ran(Try(Ending.RESET, 0, answered=1))
+    assert never_ran(Try(CloseReason.TIMED_OUT, 0)) and never_ran(
+        Try(CloseReason.COMPLETED, 500, unbegun=True)
+    )
+    assert not never_ran(Try(CloseReason.CLOSED_BY_PEER, 1)) and not never_ran(
+        Try(CloseReason.RESET_BY_PEER, 0, answered=1)
+    )
     fee = Req(our.NON_REPLAYABLE, 0.0, 9.0, tries=1)
-    assert allowed(fee, Try(Ending.REFUSED, 0), our.AFTER_PROOF)
-    assert not allowed(fee, Try(Ending.REFUSED, 0), our.NO_TRY)
-    assert not allowed(fee, Try(Ending.RESET, 9), our.TWO_AFTER_ANY)
+    assert allowed(fee, Try(CloseReason.REFUSED, 0), our.AFTER_PROOF)
+    assert not allowed(fee, Try(CloseReason.REFUSED, 0), our.NO_TRY)
+    assert not allowed(fee, Try(CloseReason.RESET_BY_PEER, 9), our.TWO_AFTER_ANY)
 
 
 def test_a_try_without_time_for_it_is_not_made():
-    budget, reset = Budget(1.0, 9.0), Try(Ending.RESET, 9, site="east")
+    budget, reset = Budget(1.0, 9.0), Try(CloseReason.RESET_BY_PEER, 9, site="east")
     req = Req(our.REPLAYABLE, 0.0, 1.0, tries=1)
     assert decide(0.8, req, reset, our.AFTER_ANY, 0.1, budget) == (True, "")
     assert decide(0.9, req, reset, our.AFTER_ANY, 0.1, budget) == (False, "")
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -8,13 +8,14 @@
 import socket
 import struct
 
+from oatcart.errors import InvalidConfiguration
 from oatcart.net import codec as wire
 from oatcart.net.acceptor import KEPT_BACK, Acceptor
 from oatcart.net.conductor import Rounds
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop
 from oatcart.net.probe import Prober
-from oatcart.net.reload import Unusable, reloads
+from oatcart.net.reload import reloads
 from oatcart.net.roll import Watcher
 
 TURNS, TURN = 400, 0.005  # turns of the loop until something must have come, s each; a met want ends them
@@ -68,7 +69,7 @@
     def reload(self):
         """What a new configuration brings here: an address of discovery, or none that can be used."""
         if self.discovery is None:
-            raise Unusable("discovery cannot be used")
+            raise InvalidConfiguration.of_field("discovery", "no address")
         self.rounds.watcher.move(self.discovery)
         return "taken in"
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -9,9 +9,9 @@
 
 import stage
 
+from oatcart.errors import CloseReason, ConnectionClosed
 from oatcart.net import loop
 from oatcart.net.acceptor import STRANGER_MOST
-from oatcart.net.ending import Ended, Ending
 from oatcart.net.loop import IN, OUT, Loop, Wait
 from oatcart.net.stream import Stream, dial
 
@@ -98,7 +98,7 @@
         monkeypatch.setattr(loop, "EVENTS_MOST", 1)
         one.turn()
         assert [*one.rounds.streams] == [1, 2]
-        assert not one.acceptor.strangers and "a stranger gone: nothing came in time" in one.out.getvalue()
+        assert not one.acceptor.strangers and "a stranger gone: timed out" in one.out.getvalue()
 
 
 def test_who_never_stops_is_late_all_the_same():
@@ -119,19 +119,19 @@
         try:
             while True:
                 yield from stream.line(4.0)
-        except Ended as error:
-            ended.append(error.ending)
+        except ConnectionClosed as error:
+            ended.append(error.reason)
             stream.close()
 
     with theirs:
         turns.spawn(life(Stream(turns, Endless())))
         turns.turn(0.0)
-    assert ended == [Ending.SILENT] and len(reads) == 2  # what came with the connection, and one look
+    assert ended == [CloseReason.TIMED_OUT] and len(reads) == 2  # what came with the connection, and one look
     turns.poll.close()
 
 
 def test_the_oldest_stranger_is_read_before_it_makes_way():
-    """Failure: where there was no room it was closed with its joining unread, and so might a whole fleet that
+    """Failure: where no capacity it was closed with its joining unread, and so might a whole fleet that
     dials be.
     """
     with ExitStack() as stack:
@@ -141,9 +141,7 @@
         oldest.sendall(JOINED % 1)  # behind the newest, so the acceptor's turn is first
         next_one.sendall(b'{"msg":"jo')
         one.quiet()
-        assert [*one.rounds.streams] == [1] and one.out.getvalue().count(
-            "a stranger gone: there was no room"
-        ) == 1
+        assert [*one.rounds.streams] == [1] and one.out.getvalue().count("a stranger gone: no capacity") == 1
         newest.sendall(JOINED % 2)
         one.quiet()
         assert [*one.rounds.streams] == [1, 2]
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -18,10 +18,10 @@
 import stage
 
 from oatcart import interface as our
+from oatcart.errors import CloseReason, ConnectionClosed
 from oatcart.net.acceptor import NO_ROOM_WAIT
 from oatcart.net.codec import Codec
 from oatcart.net.conductor import Rounds
-from oatcart.net.ending import Ended, Ending
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop
 from oatcart.net.start import assemble
@@ -267,11 +267,11 @@
     ours, theirs = socket.socketpair()
     loop = Loop(lambda: 0.0, lambda error: None)
     stream, sent = Stream(loop, ours), 0
-    with theirs, pytest.raises(Ended) as ended:
+    with theirs, pytest.raises(ConnectionClosed) as ended:
         while sent < 100 * UNSENT_MOST:
             stream.write(b"x" * 4096)
             sent += 4096
-    assert ended.value.ending is Ending.UNREAD and len(stream.unsent) <= UNSENT_MOST + 4096
+    assert ended.value.reason is CloseReason.SEND_BUFFER_FULL and len(stream.unsent) <= UNSENT_MOST + 4096
     stream.close()
 
 
@@ -295,7 +295,7 @@
     listener.setblocking(False)
     one.loop.spawn(one.acceptor._accept(full))
     with listener, socket.create_connection(listener.getsockname()) as end:
-        one.until(lambda: "no room" in one.out.getvalue(), "a line in the log")
+        one.until(lambda: "no capacity" in one.out.getvalue(), "a line in the log")
         one.quiet()
         assert full.tries == 1
         one.now += NO_ROOM_WAIT
@@ -384,8 +384,8 @@
                 json.dumps(CONFIG | {"discovery": "127.0.0.1:2", "settings": other}),
                 "discovery at 127.0.0.1:2, 256 descriptors; only a restart changes settings",
             ),
-            ('{"discovery": ', "EDGE_CONFIG cannot be used"),
-            (json.dumps(CONFIG | {"listen": "127.0.0.1:1"}), "listen cannot be used: '127.0.0.1:1' is not"),
+            ('{"discovery": ', "EDGE_CONFIG is invalid"),
+            (json.dumps(CONFIG | {"listen": "127.0.0.1:1"}), "listen is invalid: '127.0.0.1:1' is not"),
             (json.dumps(CONFIG), "discovery at 127.0.0.1:1, 256 descriptors\n"),
         ):
             assert said in reloaded(one, tmp_path, text)
@@ -401,7 +401,7 @@
     """
     with start(tmp_path) as one:
         assert "start: n0 listens" in one.stderr.readline()
-        assert "EDGE_CONFIG cannot be used" in reloaded(one, tmp_path, text)
+        assert "EDGE_CONFIG is invalid" in reloaded(one, tmp_path, text)
         assert "256 descriptors" in reloaded(one, tmp_path, json.dumps(CONFIG))
         one.send_signal(signal.SIGTERM)
         assert one.wait(10) == 0
--- a/tests/views/test_views_conductor.py
+++ b/tests/views/test_views_conductor.py
@@ -10,7 +10,7 @@
 import pytest
 from views_stage import Stage, conductor, node
 
-from oatcart.net.ending import Ended
+from oatcart.errors import ConnectionClosed
 from oatcart.net.stream import dial
 
 ROOT = Path(__file__).parents[2]
@@ -57,7 +57,7 @@
         try:
             while True:
                 self._order(json.loads(bytes((yield from stream.line()))))
-        except Ended:
+        except ConnectionClosed:
             stream.close()
 
     def _order(self, told):
--- a/tests/views/test_views_server.py
+++ b/tests/views/test_views_server.py
@@ -5,8 +5,8 @@
 import pytest
 from views_stage import ANY_PORT, Exchange, Stage, conductor, ids, node, phases
 
+from oatcart.errors import InvalidConfiguration
 from oatcart.net.http import Client
-from oatcart.net.reload import Unusable
 from oatcart.views.configuration import Bounds
 from oatcart.views.trust import Guard
 
@@ -233,7 +233,7 @@
         stage.until(lambda: any(stream.unsent for stream in stage.role.server.lives), "an answer left unread")
         assert max(len(stream.unsent) for stream in stage.role.server.lives) < 500_000
         assert len(stage.get("c1")["members"]) == 60
-        stage.until(lambda: stage.logged("c0 gone: the other side left too much unread"), "its end")
+        stage.until(lambda: stage.logged("c0 gone: the peer left too much unread"), "its end")
         slow.stream.close()
         assert len(stage.get("c0")["members"]) == 60
     finally:
@@ -245,7 +245,7 @@
     try:
         assert stage.asked(stage.role.main.address, b"") == b""
         assert stage.asked(stage.role.main.address, b"GET /v1/vie") == b""
-        assert stage.logged("a stranger gone: nothing came in time")
+        assert stage.logged("a stranger gone: timed out")
         flood = stage.asked(stage.role.main.address, b"GET / HTTP/1.1\r\nA: " + b"x" * 40_000)
         assert flood.startswith((b"HTTP/1.1 400", b""))
         assert stage.asked(stage.role.main.address, b"what?\r\n\r\n").startswith(b"HTTP/1.1 400")
@@ -257,7 +257,7 @@
 def test_a_long_body_ends_its_connection(stage):
     head = b"GET /v1/servers HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n"
     assert stage.asked(stage.role.address_of("c0"), head + b"x" * 100_000) == b""
-    stage.until(lambda: stage.logged("a message was too long"), "its end")
+    stage.until(lambda: stage.logged("message too long"), "its end")
 
 
 def test_a_crowd_of_strangers_costs_no_one_who_is_in_use():
@@ -268,7 +268,7 @@
         watching = watch(stage, "c0", stage.get("c0")["revision"])
         stage.until(lambda: stage.role.server.waiting.get("c0"), "the watch stands")
         crowd = [Exchange(stage.loop, stage.role.main.address, b"") for _ in range(20)]
-        stage.until(lambda: stage.logged("there was no room"), "some that are gone")
+        stage.until(lambda: stage.logged("no capacity"), "some that are gone")
         stage.for_(0.1)
         assert len(stage.role.server.lives) <= 6 and not watching.over
         stage.discovery.drain("x-a0")
@@ -325,7 +325,7 @@
     before = stage.get("c2")
     stage.discovery.cut = True
     stage.discovery.put(node("x-new", service="x"))
-    stage.until(lambda: stage.logged("what came cannot be read"), "a word in the log")
+    stage.until(lambda: stage.logged("malformed data"), "a word in the log")
     assert stage.get("c2") == before
     stage.discovery.cut = False
     stage.ready(13)
@@ -333,7 +333,7 @@
 
 def test_an_answer_longer_than_allowed_changes_nothing(stage):
     stage.role.follower.move(stage.role.follower.source._replace(list_most=600))
-    stage.until(lambda: stage.logged("a message was too long"), "a word in the log")
+    stage.until(lambda: stage.logged("message too long"), "a word in the log")
     assert len(stage.get("c2")["members"]) == 12
 
 
@@ -449,7 +449,7 @@
     assert "404" in str(watching.ended)
     refused = stage.call(gone, "/v1/servers")
     stage.until(lambda: refused.over, "its end")
-    assert "nobody took it" in str(refused.ended)
+    assert "connection refused" in str(refused.ended)
 
 
 def test_a_conductor_that_needs_other_services_is_told_the_difference(stage):
@@ -467,14 +467,14 @@
 def test_an_address_that_is_taken_leaves_everything_as_it_was(stage):
     taken = stage.discovery.address
     before = set(stage.role.listeners)
-    with pytest.raises(Unusable, match="c4: .* in use"):
+    with pytest.raises(InvalidConfiguration, match="c4: .* in use"):
         reconfigured(stage, conductor("c3"), conductor("c4", address=taken))
     assert set(stage.role.listeners) == before and len(stage.get("c1")["members"]) == 4
 
 
 def test_a_file_that_cannot_be_used_leaves_everything_as_it_was(stage, tmp_path):
     (tmp_path / "views.yaml").write_text("conductors: 7\nguard: {hold: 4}\n")
-    with pytest.raises(Unusable) as unusable:
+    with pytest.raises(InvalidConfiguration) as unusable:
         stage.role.reload(tmp_path / "views.yaml")
     assert "views.yaml:1: conductors is no list" in str(unusable.value)
     assert "views.yaml:2: guard.hold" in str(unusable.value)
