--- a/oatcart/net/acceptor.py
+++ b/oatcart/net/acceptor.py
@@ -9,7 +9,7 @@
 from oatcart.net.codec import Codec
 from oatcart.net.conductor import Rounds
 from oatcart.net.log import Log
-from oatcart.net.loop import IN, Loop, Task, Wait
+from oatcart.net.loop import READABLE, Loop, Task, Wait
 from oatcart.net.stream import Address, Stream
 
 # s from its accept until a stranger has said who it is; a proxy does so with its first bytes
@@ -34,7 +34,7 @@
         rounds.ends_by(self._end)
 
     def limit(self, descriptors: int) -> None:
-        self.loop.open_most = max(1, descriptors - KEPT_BACK)
+        self.loop.connection_limit = max(1, descriptors - KEPT_BACK)
 
     def listen(self, address: Address) -> socket.socket:
         self.listener = sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
@@ -46,7 +46,7 @@
 
     def _accept(self, listener: socket.socket) -> Generator[Wait, bool, None]:
         while True:
-            yield Wait(listener.fileno(), IN)
+            yield Wait(listener.fileno(), READABLE)
             try:
                 for _ in range(ACCEPTS_MOST):
                     sock, _ = listener.accept()
@@ -57,7 +57,7 @@
             except OSError as error:
                 if error.errno != errno.ECONNABORTED:
                     self.log.say("acceptor", f"cannot accept: {ConnectionClosed.from_os_error(error)}")
-                    yield Wait(until=self.loop.now + NO_ROOM_WAIT)
+                    yield Wait(deadline=self.loop.now + NO_ROOM_WAIT)
 
     def _let_in(self, sock: socket.socket) -> None:
         """Where there is no room the oldest stranger makes way, else this one; never who is in use. What has
@@ -68,11 +68,11 @@
         if stream.sock.fileno() < 0:
             return  # it was over at once
         self.lives[stream] = life
-        while self.loop.open > self.loop.open_most and self.strangers:
+        while self.loop.connections > self.loop.connection_limit and self.strangers:
             oldest = next(iter(self.strangers))
             oldest.late = CloseReason.OUT_OF_RESOURCES
             self.loop.expire(self.lives[oldest])
-        if self.loop.open > self.loop.open_most:
+        if self.loop.connections > self.loop.connection_limit:
             self.log.say("acceptor", f"a stranger gone: {ConnectionClosed(CloseReason.OUT_OF_RESOURCES)}")
             self._end(stream)
 
@@ -110,7 +110,7 @@
 
     def _end(self, stream: Stream) -> None:
         if stream in self.lives:
-            self.loop.end(self.lives[stream])
+            self.loop.cancel(self.lives[stream])
 
     def _refuse(self, odd: InvalidMessage) -> None:
         """Who does not say who it is has no use here."""
--- a/oatcart/net/conductor.py
+++ b/oatcart/net/conductor.py
@@ -66,7 +66,7 @@
         self.watcher.fetch()
 
     def wake(self, after: float) -> None:
-        self.loop.at(self.loop.now + after, self._woken)
+        self.loop.call_at(self.loop.now + after, self._woken)
 
     def _woken(self) -> None:
         self.due = True
@@ -90,7 +90,7 @@
                 self.watcher.addresses.pop(node, None)
         elif self.due and not self.set_off:
             self.set_off = True
-            self.loop.at(self.last + self.least_gap, self._gap_over)
+            self.loop.call_at(self.last + self.least_gap, self._gap_over)
         self.longest = max(self.longest, self.loop.clock() - self.loop.now)
 
     def _gap_over(self) -> None:
@@ -101,10 +101,10 @@
             self.log.say(
                 "turns",
                 f"longest {self.longest * 1000:.1f} ms, {self.rounds} rounds, "
-                f"{len(self.streams)} proxies, {len(self.loop.masks)} connections",
+                f"{len(self.streams)} proxies, {len(self.loop.registered)} connections",
             )
         self.rounds, self.longest = 0, 0.0
-        self.loop.at(self.loop.now + TELL_EVERY, self._keep_telling)
+        self.loop.call_at(self.loop.now + TELL_EVERY, self._keep_telling)
 
     def _round(self, now: float) -> None:
         """A mistake in one arrival costs that arrival alone: the module goes on behind it."""
--- a/oatcart/net/loop.py
+++ b/oatcart/net/loop.py
@@ -1,6 +1,7 @@
 """The event loop: select.epoll, timers, and generators as coroutines.
 
-A task yields a `Wait` and is resumed with True once its descriptor is ready, False once the time is over.
+A coroutine yields a `Wait`. It is resumed with True once its descriptor is ready, with False once the
+deadline has passed. Times are seconds of the loop's clock.
 """
 
 import select
@@ -9,139 +10,164 @@
 from math import inf
 from typing import NamedTuple
 
-IN, OUT = select.EPOLLIN, select.EPOLLOUT
-EVENTS_MOST = 256  # events taken in one turn, so that no turn gets long
-GONE_WRONG = select.EPOLLERR | select.EPOLLHUP
-NOTHING = -1  # no descriptor: a wait for time alone
+READABLE = select.EPOLLIN
+WRITABLE = select.EPOLLOUT
+HUNG_UP = select.EPOLLERR | select.EPOLLHUP
+MAX_EVENTS_PER_TURN = 256  # the rest is taken in the next turn, so that timers are not late
+NO_DESCRIPTOR = -1  # of a wait for time alone
 
 
 class Wait(NamedTuple):
-    fd: int = NOTHING
-    event: int = IN
-    until: float = inf  # by the loop's clock
+    """What a coroutine waits for: an event of a descriptor, a deadline, or whichever comes first."""
 
+    fd: int = NO_DESCRIPTOR
+    event: int = READABLE
+    deadline: float = inf
 
-Steps = Generator[Wait, bool, object]
+
+Coroutine = Generator[Wait, bool, object]
 
 
 class Task:
-    __slots__ = ("steps", "wait", "turn")
+    """A running coroutine and its current wait. `resumptions` tells which of its timers are outdated."""
+
+    __slots__ = ("coroutine", "wait", "resumptions")
 
-    def __init__(self, steps: Steps) -> None:
-        self.steps, self.wait, self.turn = steps, Wait(), 0
+    def __init__(self, coroutine: Coroutine) -> None:
+        self.coroutine = coroutine
+        self.wait = Wait()
+        self.resumptions = 0
 
     @property
-    def over(self) -> bool:
-        return self.steps.gi_frame is None
+    def done(self) -> bool:
+        """Whether the coroutine has returned, raised or been cancelled."""
+        return self.coroutine.gi_frame is None
+
+
+Timer = tuple[float, int, Task | Callable[[], None], int]
+"""Due time, sequence number, what is resumed or called, and the task's `resumptions` when it was set."""
 
 
 class Loop:
-    def __init__(self, clock: Callable[[], float], failed: Callable[[BaseException], None]) -> None:
-        self.clock, self.failed = clock, failed
-        self.poll = select.epoll()
-        self.masks: dict[int, int] = {}  # as registered, by descriptor
+    """Runs tasks and timers in one thread.
+
+    `clock`: seconds, monotonic. `on_error`: called with the exception of a task that raised; that task
+    is over, all others go on. `connections` and `connection_limit` are kept by
+    the code that opens connections.
+    """
+
+    def __init__(self, clock: Callable[[], float], on_error: Callable[[BaseException], None]) -> None:
+        self.clock = clock
+        self.on_error = on_error
+        self.epoll = select.epoll()
+        self.registered: dict[int, int] = {}  # event mask by descriptor
         self.waiting: dict[tuple[int, int], Task] = {}  # by descriptor and event
-        self.timers: list[tuple] = []  # (when, number, task or call, the task's turn)
-        self.timed = 0
-        self.closed: set[int] = set()  # descriptors since the last poll
-        self.open, self.open_most = 0, inf  # connections, whoever dialled; for how many there are descriptors
+        self.timers: list[Timer] = []  # a heap
+        self.timers_set = 0
+        self.closed_this_turn: set[int] = set()
+        self.connections = 0
+        self.connection_limit: float = inf
         self.now = clock()
 
-    def spawn(self, steps: Steps) -> Task:
-        """Start a task; it runs up to its first wait at once."""
-        task = Task(steps)
+    def spawn(self, coroutine: Coroutine) -> Task:
+        """Start a task; it runs up to its first wait before this returns."""
+        task = Task(coroutine)
         self._resume(task, True)
         return task
 
-    def at(self, when: float, call: Callable[[], None]) -> None:
-        self._time(when, call, 0)
+    def call_at(self, when: float, callback: Callable[[], None]) -> None:
+        """Call `callback` once, in the first turn at or after `when`."""
+        self._set_timer(when, callback, 0)
 
-    def end(self, task: Task) -> None:
-        """End another task where it waits; its `finally` parts run."""
-        self._forget(task)
-        task.steps.close()
+    def cancel(self, task: Task) -> None:
+        """End a task where it waits; its `finally` clauses run before this returns."""
+        self._stop_waiting(task)
+        task.coroutine.close()
 
     def expire(self, task: Task) -> None:
-        """Have the time be over that a task waits for."""
+        """Resume a task as if the deadline of its wait had passed."""
         self._resume(task, False)
 
-    def close(self, fd: int) -> None:
-        """Forget a descriptor that its owner is about to close."""
-        self.closed.add(fd)
-        if self.masks.pop(fd, 0):
-            self.poll.unregister(fd)
-        for event in (IN, OUT):
+    def unregister(self, fd: int) -> None:
+        """Forget a descriptor that the caller is about to close."""
+        self.closed_this_turn.add(fd)
+        if self.registered.pop(fd, 0):
+            self.epoll.unregister(fd)
+        for event in (READABLE, WRITABLE):
             self.waiting.pop((fd, event), None)
 
-    def due_in(self) -> float:
-        """Seconds until the next timer; below 0 where it is late."""
+    def seconds_to_next_timer(self) -> float:
+        """Seconds until the next timer is due: negative where it is late, infinite where none is set."""
         return self.timers[0][0] - self.clock() if self.timers else inf
 
-    def turn(self, longest: float = inf) -> None:
-        """Wait for what comes next, `longest` at most, and run all that is due."""
-        self.closed.clear()
-        wait = max(0.0, min(self.due_in(), longest))
-        events = self.poll.poll(None if wait == inf else wait, EVENTS_MOST)
+    def turn(self, max_wait: float = inf) -> None:
+        """Wait for the next event or timer, at most `max_wait` seconds, then run all tasks that are due."""
+        self.closed_this_turn.clear()
+        timeout = max(0.0, min(self.seconds_to_next_timer(), max_wait))
+        events = self.epoll.poll(None if timeout == inf else timeout, MAX_EVENTS_PER_TURN)
         self.now = self.clock()
         for fd, mask in events:
-            for event in (IN, OUT):
-                # Closed in this turn, its number may be another's: what came was for the owner that is gone.
-                # A new connection would be taken as up before it is.
-                if fd in self.closed:
+            for event in (READABLE, WRITABLE):
+                # The number of a descriptor that was closed in this turn may belong to a new connection
+                # already; this event is the old one's, and would pass for a completed connect of the new one.
+                if fd in self.closed_this_turn:
                     break
-                if mask & (event | GONE_WRONG) and (task := self.waiting.get((fd, event))):
+                if mask & (event | HUNG_UP) and (task := self.waiting.get((fd, event))):
                     self._resume(task, True)
+        self._run_timers()
+
+    def _run_timers(self) -> None:
         while self.timers and self.timers[0][0] <= self.now:
-            _, _, due, turn = heappop(self.timers)
+            _, _, due, resumptions = heappop(self.timers)
             if not isinstance(due, Task):
                 due()
-            elif due.turn == turn:
+            elif due.resumptions == resumptions:
                 self._resume(due, False)
 
-    def _time(self, when: float, due: Task | Callable[[], None], turn: int) -> None:
-        self.timed += 1
-        heappush(self.timers, (when, self.timed, due, turn))
+    def _set_timer(self, when: float, due: Task | Callable[[], None], resumptions: int) -> None:
+        self.timers_set += 1
+        heappush(self.timers, (when, self.timers_set, due, resumptions))
 
     def _resume(self, task: Task, ready: bool) -> None:
-        before = self._forget(task)
+        previous_fd = self._stop_waiting(task)
         try:
-            wait = task.steps.send(ready if task.turn > 1 else None)
+            wait = task.coroutine.send(ready if task.resumptions > 1 else None)
         except StopIteration:
             wait = None
-        except Exception as error:  # a task that fails ends alone
-            self.failed(error)
+        except Exception as error:
+            self.on_error(error)
             wait = None
         if wait is not None:
             task.wait = wait
-            if wait.fd != NOTHING:
+            if wait.fd != NO_DESCRIPTOR:
                 self.waiting[wait.fd, wait.event] = task
-                self._register(wait.fd)
-            if wait.until < inf:
-                self._time(wait.until, task, task.turn)
-        if before != NOTHING and (wait is None or wait.fd != before):
-            self._register(before)
-
-    def _forget(self, task: Task) -> int:
-        """Take a task out of what it waits for; its timer, if any, is void."""
-        task.turn += 1
+                self._update_mask(wait.fd)
+            if wait.deadline < inf:
+                self._set_timer(wait.deadline, task, task.resumptions)
+        if previous_fd != NO_DESCRIPTOR and (wait is None or wait.fd != previous_fd):
+            self._update_mask(previous_fd)
+
+    def _stop_waiting(self, task: Task) -> int:
+        """Remove a task from what it waits for and outdate its timer; returns the descriptor, if any."""
+        task.resumptions += 1
         fd, event, _ = task.wait
         if self.waiting.get((fd, event)) is task:
             del self.waiting[fd, event]
             return fd
-        return NOTHING
+        return NO_DESCRIPTOR
 
-    def _register(self, fd: int) -> None:
-        """Ask for the events that tasks wait for at a descriptor, and for no others."""
-        mask = sum(event for event in (IN, OUT) if (fd, event) in self.waiting)
-        old = self.masks.get(fd, 0)
-        if mask == old:
+    def _update_mask(self, fd: int) -> None:
+        """Register a descriptor for exactly those events that tasks wait for."""
+        mask = sum(event for event in (READABLE, WRITABLE) if (fd, event) in self.waiting)
+        registered = self.registered.get(fd, 0)
+        if mask == registered:
             return
-        if not old:
-            self.poll.register(fd, mask)
+        if not registered:
+            self.epoll.register(fd, mask)
         elif mask:
-            self.poll.modify(fd, mask)
+            self.epoll.modify(fd, mask)
         else:
-            self.poll.unregister(fd)
-        self.masks[fd] = mask
+            self.epoll.unregister(fd)
+        self.registered[fd] = mask
         if not mask:
-            del self.masks[fd]
+            del self.registered[fd]
--- a/oatcart/net/probe.py
+++ b/oatcart/net/probe.py
@@ -51,7 +51,11 @@
         began, told, reason = self.loop.now, (None, None, None), CloseReason.COMPLETED
         self.under_way += 1
         try:
-            if self.under_way > PROBES_MOST or self.loop.open >= self.loop.open_most or address is None:
+            if (
+                self.under_way > PROBES_MOST
+                or self.loop.connections >= self.loop.connection_limit
+                or address is None
+            ):
                 raise ConnectionClosed(CloseReason.OUT_OF_RESOURCES)
             client = Client(self.loop, address)
             try:
--- a/oatcart/net/reload.py
+++ b/oatcart/net/reload.py
@@ -12,7 +12,7 @@
 
 from oatcart.errors import InvalidConfiguration
 from oatcart.net.log import Log
-from oatcart.net.loop import IN, Loop, Wait
+from oatcart.net.loop import READABLE, Loop, Wait
 
 AGAIN_AFTER, AGAIN_MOST = 0.5, 6  # s, times: a file that cannot be used may still be on its way
 
@@ -33,7 +33,7 @@
     """The life of all reloads: `take` reads the file, hands on what may change, and says what it did."""
     again, tries, said = inf, 0, ""
     while True:
-        if (yield Wait(woken.fileno(), IN, again)):
+        if (yield Wait(woken.fileno(), READABLE, again)):
             tries, said = 0, ""
             with suppress(BlockingIOError):
                 while woken.recv(64):
--- a/oatcart/net/roll.py
+++ b/oatcart/net/roll.py
@@ -44,7 +44,7 @@
             return
         self.discovery, self.anew = discovery, True
         if self.fetching:
-            self.loop.end(self.fetcher)
+            self.loop.cancel(self.fetcher)
         if self.wanted:  # at once, also where the module waits after a failure at the old address
             self.follow(True)
 
@@ -62,11 +62,11 @@
     def follow(self, on: bool) -> None:
         self.wanted = on
         if self.watching is not None:
-            self.loop.end(self.watching)
+            self.loop.cancel(self.watching)
             self.watching = None
         if on:
             watching = self.loop.spawn(self._watch())
-            self.watching = None if watching.over else watching  # it may fail at once, as it is started
+            self.watching = None if watching.done else watching  # it may fail at once, as it is started
 
     def fetch(self) -> None:
         if not self.fetching:
--- a/oatcart/net/stream.py
+++ b/oatcart/net/stream.py
@@ -9,7 +9,7 @@
 from math import inf
 
 from oatcart.errors import CloseReason, ConnectionClosed
-from oatcart.net.loop import IN, OUT, Loop, Wait
+from oatcart.net.loop import READABLE, WRITABLE, Loop, Wait
 
 # bytes; a turn's reading of one connection, some dozen reports; hundreds of connections have one
 ROOM = 4 * 1024
@@ -34,7 +34,7 @@
     ) -> None:
         sock.setblocking(False)
         self.loop, self.sock, self.fd = loop, sock, sock.fileno()
-        loop.open += 1
+        loop.connections += 1
         self.view = memoryview(bytearray(room))
         self.start = self.seen = self.end = 0  # bytes handed out, searched and read
         self.unsent = bytearray()
@@ -86,7 +86,7 @@
     def _fill(self, until: float) -> Generator[Wait, bool, int]:
         self._make_room()
         while True:
-            over = not self.fresh and not (yield Wait(self.fd, IN, until))
+            over = not self.fresh and not (yield Wait(self.fd, READABLE, until))
             if self.broken is not None:
                 raise ConnectionClosed(self.broken)
             if over and self.looked:  # else whoever never stops would never be late
@@ -151,14 +151,14 @@
 
     def _flush(self) -> Generator[Wait, bool, None]:
         while self.unsent:
-            yield Wait(self.fd, OUT)
+            yield Wait(self.fd, WRITABLE)
             with suppress(ConnectionClosed):  # the reader of this connection learns of it too
                 del self.unsent[: self._send(self.unsent)]
 
     def close(self) -> None:
         if self.sock.fileno() >= 0:  # else the descriptor may be another's by now
-            self.loop.close(self.fd)
-            self.loop.open -= 1
+            self.loop.unregister(self.fd)
+            self.loop.connections -= 1
             self.sock.close()
 
 
@@ -173,7 +173,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         with suppress(BlockingIOError):
             sock.connect(address)
-        if not (yield Wait(stream.fd, OUT, until)):
+        if not (yield Wait(stream.fd, WRITABLE, until)):
             raise ConnectionClosed(CloseReason.UNREACHABLE)
         if code := sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             raise OSError(code, "")
--- a/oatcart/scale/hollow.py
+++ b/oatcart/scale/hollow.py
@@ -24,7 +24,7 @@
 from oatcart.net.codec import Codec
 from oatcart.net.conductor import Rounds
 from oatcart.net.log import Log
-from oatcart.net.loop import IN, Loop, Steps, Task, Wait
+from oatcart.net.loop import READABLE, Coroutine, Loop, Task, Wait
 from oatcart.net.probe import Prober
 from oatcart.net.roll import Watcher
 from oatcart.net.start import PROBE_MOST, UNASKED_MOST, WATCH_PART
@@ -60,19 +60,19 @@
             self.longest_s = max(self.longest_s, took)
 
 
-def metered(steps: Steps, meter: Meter) -> Steps:
+def metered(coroutine: Coroutine, meter: Meter) -> Coroutine:
     """The same task, each of its steps under the meter."""
     ready = None
     try:
         while True:
             try:
                 with meter:
-                    wait = steps.send(ready)
+                    wait = coroutine.send(ready)
             except StopIteration:
                 return
             ready = yield wait
     finally:
-        steps.close()
+        coroutine.close()
 
 
 class ConductorLoop:
@@ -80,17 +80,17 @@
 
     def __init__(self, shared: Loop, meter: Meter) -> None:
         self._shared, self._meter = shared, meter
-        self.clock, self.at, self.close = shared.clock, shared.at, shared.close
-        self.end, self.expire = shared.end, shared.expire
-        self.masks: dict[int, int] = {}  # only looked at for the log
-        self.open, self.open_most = 0, float("inf")
+        self.clock, self.call_at, self.unregister = shared.clock, shared.call_at, shared.unregister
+        self.cancel, self.expire = shared.cancel, shared.expire
+        self.registered: dict[int, int] = {}  # only looked at for the log
+        self.connections, self.connection_limit = 0, float("inf")
 
     @property
     def now(self) -> float:
         return self._shared.now
 
-    def spawn(self, steps: Steps) -> Task:
-        return self._shared.spawn(metered(steps, self._meter))
+    def spawn(self, coroutine: Coroutine) -> Task:
+        return self._shared.spawn(metered(coroutine, self._meter))
 
 
 class HollowRounds(Rounds):
@@ -251,7 +251,7 @@
         """Starts a conductor for each of discovery's ports, spread over some seconds."""
         for place, (port, seed) in enumerate(zip(ports, seeds, strict=True)):
             after = spread_s * place / len(ports)
-            self.loop.at(
+            self.loop.call_at(
                 self.loop.clock() + after, lambda port=port, seed=seed: self._start(settings, seed, port)
             )
         return {}
@@ -261,7 +261,7 @@
         for place, (conductor, told) in enumerate(zip(self.conductors, peers, strict=True)):
             one = ConductorPeers(peer_settings(told), keep_orders)
             first = self.loop.clock() + TICK_S * place / len(peers)
-            self.loop.at(first, lambda conductor=conductor, one=one: self._join(conductor, one))
+            self.loop.call_at(first, lambda conductor=conductor, one=one: self._join(conductor, one))
         return {}
 
     def fail(self, nodes: list[str]) -> dict:
@@ -312,7 +312,7 @@
         self._tick_after(conductor, self.loop.clock() + TICK_S)
 
     def _tick_after(self, conductor: HollowConductor, when: float) -> None:
-        self.loop.at(when, lambda: self._tick(conductor, when))
+        self.loop.call_at(when, lambda: self._tick(conductor, when))
 
     def _tick(self, conductor: HollowConductor, when: float) -> None:
         self.late_s = max(self.late_s, self.loop.clock() - when)
@@ -349,7 +349,7 @@
             }
         )
         while self.reading:
-            yield Wait(sys.stdin.fileno(), IN)
+            yield Wait(sys.stdin.fileno(), READABLE)
             self.reading = reader.read()
 
 
--- a/oatcart/views/deciding.py
+++ b/oatcart/views/deciding.py
@@ -10,7 +10,7 @@
 from threading import Thread
 from typing import NamedTuple
 
-from oatcart.net.loop import IN, Loop, Wait
+from oatcart.net.loop import READABLE, Loop, Wait
 from oatcart.views.records import Member, Viewer, ViewError, ViewLimits
 from oatcart.views.subsets import Subsets
 
@@ -85,9 +85,9 @@
         """Decide no more, once what is under way is done."""
         self.updates.put(None)
         self.thread.join()
-        if not self.delivering.over:
-            self.loop.end(self.delivering)
-        self.loop.close(self.woken.fileno())
+        if not self.delivering.done:
+            self.loop.cancel(self.delivering)
+        self.loop.unregister(self.woken.fileno())
         self.woken.close()
         self.waker.close()
 
@@ -109,7 +109,7 @@
 
     def _deliver(self) -> Generator[Wait, bool, None]:
         while True:
-            yield Wait(self.woken.fileno(), IN)
+            yield Wait(self.woken.fileno(), READABLE)
             self.woken.recv(WAKES_MOST)
             while not self.decided.empty():
                 views = self.decided.get()
--- a/oatcart/views/follower.py
+++ b/oatcart/views/follower.py
@@ -49,7 +49,7 @@
     @property
     def failed(self) -> bool:
         """Whether its task has ended by an error that nobody foresaw."""
-        return self.task is not None and self.task.over
+        return self.task is not None and self.task.done
 
     def start(self) -> None:
         """Follow from now on."""
@@ -57,8 +57,8 @@
 
     def stop(self) -> None:
         """Follow no more; the list stays."""
-        if self.task is not None and not self.task.over:
-            self.loop.end(self.task)
+        if self.task is not None and not self.task.done:
+            self.loop.cancel(self.task)
         self.task = None
 
     def move(self, source: Source) -> None:
@@ -79,7 +79,7 @@
                     "source",
                     f"{self._name()}: {error}; the last list stands, asked anew in {wait:.2f} s",
                 )
-                yield Wait(until=self.loop.now + wait)
+                yield Wait(deadline=self.loop.now + wait)
 
     def _follow(self, backoff: Backoff) -> Generator[Wait, bool, None]:
         """One connection's life, from the whole list to the first failure."""
@@ -90,7 +90,7 @@
                 if self.loop.now >= due:
                     yield from self._whole(client)
                 elif self.loop.now + LEAST_WAIT >= due:
-                    yield Wait(until=due)
+                    yield Wait(deadline=due)
                 else:
                     yield from self._watch(client)
                     backoff.answered()
--- a/oatcart/views/role.py
+++ b/oatcart/views/role.py
@@ -228,7 +228,7 @@
 
     def _next_turn(self) -> Wait:
         """A time after this turn's: what is due by `loop.now` is run in the same turn."""
-        return Wait(until=self.loop.clock())
+        return Wait(deadline=self.loop.clock())
 
     def _called(self, name: str) -> None:
         if self.leases is not None and self.leases.renew(name, self.loop.now):
@@ -236,7 +236,7 @@
             self.log.say("leases", f"{name} is back; its view is decided anew")
 
     def _check_leases_later(self) -> None:
-        self.loop.at(self.loop.now + self.leases.check_every, self._check_leases)
+        self.loop.call_at(self.loop.now + self.leases.check_every, self._check_leases)
 
     def _check_leases(self) -> None:
         """A call that stands renews its lease as well."""
@@ -276,7 +276,7 @@
     def _publish(self) -> Generator[Wait, bool, None]:
         """Gather changes for a while, then bring the views up to date, some in a turn of the loop."""
         try:
-            yield Wait(until=self.loop.now + self.configuration.bounds.gather)
+            yield Wait(deadline=self.loop.now + self.configuration.bounds.gather)
             while self.publisher.changed:
                 self.server.wake(self.publisher.publish([*islice(self.publisher.changed, SLICE)]))
                 yield self._next_turn()
@@ -294,4 +294,4 @@
             f"{len(self.publisher.histories)} views, {watches} watches, {len(self.server.lives)} connections",
         )
         self.longest = 0.0
-        self.loop.at(self.loop.now + TELL_EVERY, self._keep_telling)
+        self.loop.call_at(self.loop.now + TELL_EVERY, self._keep_telling)
--- a/oatcart/views/server.py
+++ b/oatcart/views/server.py
@@ -15,7 +15,7 @@
 
 from oatcart.errors import CloseReason, ConnectionClosed
 from oatcart.net.log import Log
-from oatcart.net.loop import IN, Loop, Task, Wait
+from oatcart.net.loop import READABLE, Loop, Task, Wait
 from oatcart.net.stream import MESSAGE_MOST, Address, Stream
 from oatcart.views.configuration import Bounds
 from oatcart.views.history import History
@@ -103,8 +103,8 @@
 
     def unlisten(self, listener: Listener) -> None:
         """Listen there no more, and end the connections that came in there."""
-        self.loop.end(listener.accepting)
-        self.loop.close(listener.sock.fileno())
+        self.loop.cancel(listener.accepting)
+        self.loop.unregister(listener.sock.fileno())
         listener.sock.close()
         self._end_all(listener)
 
@@ -131,7 +131,7 @@
 
     def _accept(self, listener: Listener) -> Generator[Wait, bool, None]:
         while True:
-            yield Wait(listener.sock.fileno(), IN)
+            yield Wait(listener.sock.fileno(), READABLE)
             try:
                 for _ in range(ACCEPTS_MOST):
                     sock, _ = listener.sock.accept()
@@ -142,7 +142,7 @@
             except OSError as error:
                 if error.errno != errno.ECONNABORTED:
                     self.log.say("connection", f"cannot accept: {ConnectionClosed.from_os_error(error)}")
-                    yield Wait(until=self.loop.now + NO_ROOM_WAIT)
+                    yield Wait(deadline=self.loop.now + NO_ROOM_WAIT)
 
     def _let_in(self, sock: socket.socket, listener: Listener) -> None:
         """Where there is no room the oldest stranger makes way, else this one; never who is in use. What has
@@ -301,7 +301,7 @@
         stream.write(b"".join(parts) + http.send(h11.EndOfMessage()))
         left, late = len(stream.unsent), self.loop.now + self.bounds.unread_for
         while stream.unsent:
-            yield Wait(until=self.loop.now + UNSENT_LOOK)
+            yield Wait(deadline=self.loop.now + UNSENT_LOOK)
             if len(stream.unsent) < left:
                 left, late = len(stream.unsent), self.loop.now + self.bounds.unread_for
             elif self.loop.now >= late:
@@ -332,7 +332,7 @@
 
     def _end(self, stream: Stream) -> None:
         if stream in self.lives:
-            self.loop.end(self.lives[stream])
+            self.loop.cancel(self.lives[stream])
 
     def _end_all(self, listener: Listener) -> None:
         for stream in [*listener.streams]:
--- a/oatcart/xds/nested.py
+++ b/oatcart/xds/nested.py
@@ -19,12 +19,12 @@
 
     def start(self) -> None:
         self.outer = asyncio.get_running_loop()
-        self.outer.add_reader(self.inner.poll.fileno(), self.turn)
+        self.outer.add_reader(self.inner.epoll.fileno(), self.turn)
         self.turn()
 
     def stop(self) -> None:
         self.stopped = True
-        self.outer.remove_reader(self.inner.poll.fileno())
+        self.outer.remove_reader(self.inner.epoll.fileno())
         if self.timer is not None:
             self.timer.cancel()
 
@@ -42,5 +42,5 @@
         self.rounds.turn()
         if self.timer is not None:
             self.timer.cancel()
-        due = self.inner.due_in()
+        due = self.inner.seconds_to_next_timer()
         self.timer = self.outer.call_later(max(0.0, due), self.turn) if due < inf else None
--- a/oatcart/xds/serve.py
+++ b/oatcart/xds/serve.py
@@ -129,8 +129,8 @@
 def close(loop: Loop) -> None:
     """Close what the epoll loop's tasks hold."""
     for task in set(loop.waiting.values()):
-        loop.end(task)
-    loop.poll.close()
+        loop.cancel(task)
+    loop.epoll.close()
 
 
 async def run(cfg: dict, xds: Xds, traced: Callable[[Callable], Callable] = lambda make: make) -> int:
--- a/tests/scale/test_scale_hollow.py
+++ b/tests/scale/test_scale_hollow.py
@@ -179,8 +179,8 @@
 
     def steps():
         try:
-            ended.append((yield Wait(until=1.0)))
-            yield Wait(until=2.0)
+            ended.append((yield Wait(deadline=1.0)))
+            yield Wait(deadline=2.0)
         finally:
             ended.append("closed")
 
@@ -189,10 +189,10 @@
     task = ConductorLoop(loop, Meter()).spawn(steps())
     now[0] = 1.0
     loop.turn(0.0)
-    assert ended == [False] and not task.over
-    loop.end(task)
-    assert ended == [False, "closed"] and task.over
-    loop.poll.close()
+    assert ended == [False] and not task.done
+    loop.cancel(task)
+    assert ended == [False, "closed"] and task.done
+    loop.epoll.close()
 
 
 def test_an_error_in_a_metered_task_reaches_the_loop() -> None:
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -104,7 +104,7 @@
 
     def close(self):
         for task in set(self.loop.waiting.values()):
-            self.loop.end(task)
+            self.loop.cancel(task)
         for sock in (
             *self.ends.values(),
             *self.calls,
@@ -113,7 +113,7 @@
             self.listener,
             self.woken,
             self.waker,
-            self.loop.poll,
+            self.loop.epoll,
         ):
             sock.close()
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -12,7 +12,7 @@
 from oatcart.errors import CloseReason, ConnectionClosed
 from oatcart.net import loop
 from oatcart.net.acceptor import STRANGER_MOST
-from oatcart.net.loop import IN, OUT, Loop, Wait
+from oatcart.net.loop import READABLE, WRITABLE, Loop, Wait
 from oatcart.net.stream import Stream, dial
 
 
@@ -48,11 +48,11 @@
             up.append(stream)
 
         def reads(mine, other):
-            yield Wait(mine.fd, IN)
+            yield Wait(mine.fd, READABLE)
             number = other.fd
             other.close()
             turns.spawn(dials())
-            assert (number, OUT) in turns.waiting, "the dial has its number"
+            assert (number, WRITABLE) in turns.waiting, "the dial has its number"
 
         for mine, other in (streams, streams[::-1]):
             turns.spawn(reads(mine, other))
@@ -61,10 +61,10 @@
         turns.turn(0.0)
         assert not up
         for task in [*turns.waiting.values()]:
-            turns.end(task)
+            turns.cancel(task)
         for stream in streams:
             stream.close()
-        turns.poll.close()
+        turns.epoll.close()
 
 
 JOINED = b'{"msg":"joined","sidecar":%d,"az":"a","share":1}\n'
@@ -95,7 +95,7 @@
         other.sendall(b'{"msg":"ping"}\n')
         stranger.sendall(JOINED % 2)
         one.now += STRANGER_MOST
-        monkeypatch.setattr(loop, "EVENTS_MOST", 1)
+        monkeypatch.setattr(loop, "MAX_EVENTS_PER_TURN", 1)
         one.turn()
         assert [*one.rounds.streams] == [1, 2]
         assert not one.acceptor.strangers and "a stranger gone: timed out" in one.out.getvalue()
@@ -127,7 +127,7 @@
         turns.spawn(life(Stream(turns, Endless())))
         turns.turn(0.0)
     assert ended == [CloseReason.TIMED_OUT] and len(reads) == 2  # what came with the connection, and one look
-    turns.poll.close()
+    turns.epoll.close()
 
 
 def test_the_oldest_stranger_is_read_before_it_makes_way():
@@ -214,9 +214,9 @@
             proxies[-1].setblocking(False)
             proxies[-1].sendall(JOINED % number)
             one.turn()
-            most = max(most, one.loop.open)
+            most = max(most, one.loop.connections)
         one.quiet()
-        assert sorted(one.rounds.streams) == [*range(60)] and most <= one.loop.open_most
+        assert sorted(one.rounds.streams) == [*range(60)] and most <= one.loop.connection_limit
         one.now += STRANGER_MOST
         one.quiet()
         assert not one.acceptor.strangers and len(one.acceptor.lives) == 60
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -260,7 +260,7 @@
     rounds.arrive(("listed", True, []))
     rounds.turn()
     assert came == [("listed", True, [])]
-    loop.poll.close()
+    loop.epoll.close()
 
 
 def test_what_is_left_unread_is_bounded():
@@ -418,7 +418,7 @@
     with woken, waker:
         loop, rounds, acceptor = assemble(CONFIG, woken)
         with acceptor.listener:
-            before = rounds.watcher.discovery, loop.open_most
+            before = rounds.watcher.discovery, loop.connection_limit
             other = CONFIG | {"discovery": "127.0.0.1:2", "limits": {"sockets": 300}}
             for text, found in (
                 (other | {field: "127.0.0.9:9"}, before),
@@ -428,7 +428,7 @@
                 waker.send(b"\x01")
                 for _ in range(stage.QUIET):
                     loop.turn(stage.TURN)
-                assert (rounds.watcher.discovery, loop.open_most) == found
+                assert (rounds.watcher.discovery, loop.connection_limit) == found
 
 
 def test_with_no_list_at_hand_discovery_is_asked_for_one():
--- a/tests/views/test_views_deciding.py
+++ b/tests/views/test_views_deciding.py
@@ -73,7 +73,7 @@
 
 def test_an_unforeseen_error_in_publishing_ends_the_process_too(stage):
     failures = []
-    stage.loop.failed = failures.append
+    stage.loop.on_error = failures.append
     stage.role.publisher.publish = None
     stage.get("c0")
     stage.discovery.drain("s-0")
--- a/tests/views/test_views_leases.py
+++ b/tests/views/test_views_leases.py
@@ -70,7 +70,7 @@
             query = f"?since={answer['revision']}&timeout_ms=5000"
 
     def stop(self):
-        self.stage.loop.end(self.task)
+        self.stage.loop.cancel(self.task)
         self.client.close()
 
 
--- a/tests/views/views_stage.py
+++ b/tests/views/views_stage.py
@@ -10,7 +10,7 @@
 from oatcart.errors import ConnectionClosed
 from oatcart.net.http import Client
 from oatcart.net.log import Log
-from oatcart.net.loop import IN, Loop, Wait
+from oatcart.net.loop import READABLE, Loop, Wait
 from oatcart.net.stream import Stream, dial
 from oatcart.views.configuration import Bounds, Conductor, Configuration, Source
 from oatcart.views.records import Viewer
@@ -53,12 +53,12 @@
 
     def die(self):
         """Its connections are reset, new ones are refused."""
-        self.loop.end(self.listener.accepting)
-        self.loop.close(self.listener.sock.fileno())
+        self.loop.cancel(self.listener.accepting)
+        self.loop.unregister(self.listener.sock.fileno())
         self.listener.sock.close()
         for task, stream in self.streams:
-            if not task.over:
-                self.loop.end(task)
+            if not task.done:
+                self.loop.cancel(task)
             stream.close()
         self.streams = []
 
@@ -87,7 +87,7 @@
 
     def wake(self):
         for task, _ in self.streams:
-            if not task.over and task.wait.fd == -1:
+            if not task.done and task.wait.fd == -1:
                 self.loop.expire(task)
 
     def _let_in(self, sock, listener):
@@ -130,7 +130,7 @@
         since = int(query["since"][0]) if "since" in query else None
         until = self.loop.now + int(query.get("timeout_ms", ["0"])[0]) / 1000
         while since == self.revision and self.loop.now < until and self.spoil is None and self.status == 200:
-            yield Wait(until=until)
+            yield Wait(deadline=until)
         if self.spoil is not None:
             return self.spoil
         if since is None:
@@ -167,9 +167,9 @@
         """Whatever still waits ends, and what it holds is closed."""
         self.role.stop()
         for task in set(self.loop.waiting.values()):
-            self.loop.end(task)
+            self.loop.cancel(task)
         self.discovery.die()
-        self.loop.poll.close()
+        self.loop.epoll.close()
 
     def until(self, met, what="that"):
         """Turn the loop until `met` hands back something true; hands it back."""
@@ -259,7 +259,7 @@
         if self.reads:
             self.stream.close()
         else:
-            yield Wait(self.stream.fd, IN)
+            yield Wait(self.stream.fd, READABLE)
 
 
 def ids(answer):
