--- a/oatcart/net/acceptor.py
+++ b/oatcart/net/acceptor.py
@@ -70,7 +70,7 @@
         self.lives[stream] = life
         while self.loop.connections > self.loop.connection_limit and self.strangers:
             oldest = next(iter(self.strangers))
-            oldest.late = CloseReason.OUT_OF_RESOURCES
+            oldest.timeout_reason = CloseReason.OUT_OF_RESOURCES
             self.loop.expire(self.lives[oldest])
         if self.loop.connections > self.loop.connection_limit:
             self.log.say("acceptor", f"a stranger gone: {ConnectionClosed(CloseReason.OUT_OF_RESOURCES)}")
@@ -85,14 +85,14 @@
             if told[0] == "collector":
                 who = f"collector of {told[1]}"
                 del self.strangers[stream]
-                stream.widen(REPORTS_ROOM)
+                stream.set_limits(REPORTS_ROOM)
                 self.collectors[stream] = told[1]
                 self._keep_newest(told[1])
                 yield from collector.live(stream, self.codec, self.rounds, self._skipped)
             elif told[0] == "joined":
                 who = f"proxy {told[1]}"
                 del self.strangers[stream]
-                stream.widen()
+                stream.set_limits()
                 yield from sidecar.live(stream, told, self.codec, self.rounds, self._skipped, self._end)
             else:
                 self._refuse(InvalidMessage(f"{told[0]!r} is no first message"))
--- a/oatcart/net/probe.py
+++ b/oatcart/net/probe.py
@@ -6,7 +6,7 @@
 from oatcart.errors import CloseReason, ConnectionClosed
 from oatcart.handover import load
 from oatcart.net.codec import HEALTH_PATH, LOAD_PATH, parsed
-from oatcart.net.http import Client
+from oatcart.net.http_client import HttpClient
 from oatcart.net.loop import Loop, Wait
 from oatcart.net.stream import Address
 
@@ -57,7 +57,7 @@
                 or address is None
             ):
                 raise ConnectionClosed(CloseReason.OUT_OF_RESOURCES)
-            client = Client(self.loop, address)
+            client = HttpClient(self.loop, address)
             try:
                 body = yield from client.get(LOAD_PATH if self.reports else HEALTH_PATH, began + self.within)
             finally:
--- a/oatcart/net/roll.py
+++ b/oatcart/net/roll.py
@@ -5,7 +5,7 @@
 
 from oatcart.errors import CloseReason, ConnectionClosed
 from oatcart.net.codec import ROLL_PATH, Codec, Roll, parsed, watch_path
-from oatcart.net.http import Client
+from oatcart.net.http_client import HttpClient
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop, Task, Wait
 from oatcart.net.stream import Address
@@ -77,7 +77,7 @@
         answer of another address is its whole list, whatever its revision; so is the next one where discovery
         has started over, as its changes do not tell what has gone. An answer before its time that says
         nothing new fails too: asked again at once it would be again, as fast as the network goes."""
-        client, wait = Client(self.loop, self.discovery), 0.0
+        client, wait = HttpClient(self.loop, self.discovery), 0.0
         try:
             while True:
                 asked, since = self.loop.now, self.revision
@@ -102,7 +102,7 @@
             client.close()
 
     def _fetch(self) -> Generator[Wait, bool, None]:
-        client, self.fetching = Client(self.loop, self.discovery), True
+        client, self.fetching = HttpClient(self.loop, self.discovery), True
         try:
             self.take(self.codec.roll(parsed((yield from client.get(ROLL_PATH, self.loop.now + CALL_MOST)))))
         except ConnectionClosed as ended:
--- a/oatcart/net/stream.py
+++ b/oatcart/net/stream.py
@@ -1,6 +1,6 @@
-"""A connection's bytes: what is read stays in one buffer and is handed out in slices of it.
+"""A TCP connection as a stream of bytes, read by one coroutine and written to without waiting.
 
-A slice is good until the next read; who needs it longer copies it.
+What is read stays in one buffer; lines are slices of it and valid until the next read.
 """
 
 import socket
@@ -11,70 +11,81 @@
 from oatcart.errors import CloseReason, ConnectionClosed
 from oatcart.net.loop import READABLE, WRITABLE, Loop, Wait
 
-# bytes; a turn's reading of one connection, some dozen reports; hundreds of connections have one
-ROOM = 4 * 1024
-MESSAGE_MOST = 1024 * 1024  # bytes of a line or of an answer's part: the protocol's limit
-UNSENT_MOST = 256 * 1024  # bytes; hundreds of tables, so whoever leaves them unread is silent, not slow
+READ_BUFFER_BYTES = 4 * 1024  # some dozen reports; there are hundreds of connections
+MAX_MESSAGE_BYTES = 1024 * 1024  # of a line or a response body: the protocol's limit
+MAX_UNSENT_BYTES = 256 * 1024  # hundreds of routing tables: whoever leaves that unread has stopped reading
 
 Address = tuple[str, int]
 
 
 class Stream:
-    """`room`: bytes that are read at a time. `most`: of a message. `unsent_most`: left unread by the other
-    side.
+    """One connection, counted against the loop's limit until `close`.
+
+    `buffer_bytes` are read at a time, `max_message_bytes` bound a line, `max_unsent_bytes` bound what waits
+    to be sent. `timeout_reason` is the close reason of a read whose deadline has passed.
     """
 
     def __init__(
         self,
         loop: Loop,
         sock: socket.socket,
-        room: int = ROOM,
-        most: int = MESSAGE_MOST,
-        unsent_most: int = UNSENT_MOST,
+        buffer_bytes: int = READ_BUFFER_BYTES,
+        max_message_bytes: int = MAX_MESSAGE_BYTES,
+        max_unsent_bytes: int = MAX_UNSENT_BYTES,
     ) -> None:
         sock.setblocking(False)
         self.loop, self.sock, self.fd = loop, sock, sock.fileno()
         loop.connections += 1
-        self.view = memoryview(bytearray(room))
-        self.start = self.seen = self.end = 0  # bytes handed out, searched and read
+        self.buffer = memoryview(bytearray(buffer_bytes))
+        # Offsets into the buffer: consumed up to `start`, searched for a line end up to `searched`, filled up
+        # to `end`.
+        self.start = self.searched = self.end = 0
         self.unsent = bytearray()
-        # how writing ended; a message left out or cut would spoil all later ones
-        self.broken: CloseReason | None = None
-        self.fresh = True  # nothing was read yet: what may have come with the connection is not waited for
-        self.late = CloseReason.TIMED_OUT  # what it is to whoever waits here when the time is over
-        self.looked = False  # once more since the time was over
-        self.widen(room, most, unsent_most)
-
-    def widen(self, room: int = ROOM, most: int = MESSAGE_MOST, unsent_most: int = UNSENT_MOST) -> None:
-        """Other bounds from here on: whoever has said who it is gets those of a connection in use."""
-        self.room, self.most, self.unsent_most = room, most, unsent_most
-
-    def line(self, until: float = inf) -> Generator[Wait, bool, memoryview]:
-        """The next line without its end."""
+        # A message that was left out or cut would corrupt all later ones, so nothing is written any more.
+        self.write_failure: CloseReason | None = None
+        self.timeout_reason = CloseReason.TIMED_OUT
+        self._never_read = True  # bytes may have come with the connection: the first read does not wait
+        self._read_past_deadline = False
+        self.set_limits(buffer_bytes, max_message_bytes, max_unsent_bytes)
+
+    def set_limits(
+        self,
+        buffer_bytes: int = READ_BUFFER_BYTES,
+        max_message_bytes: int = MAX_MESSAGE_BYTES,
+        max_unsent_bytes: int = MAX_UNSENT_BYTES,
+    ) -> None:
+        """Use other limits from the next read or write on, in bytes; the defaults suit an identified peer."""
+        self.buffer_bytes = buffer_bytes
+        self.max_message_bytes = max_message_bytes
+        self.max_unsent_bytes = max_unsent_bytes
+
+    def read_line(self, deadline: float = inf) -> Generator[Wait, bool, memoryview]:
+        """The next line without its line feed, valid until the next read.
+
+        Raises ConnectionClosed: CLOSED_BY_PEER, MESSAGE_TOO_LONG, the timeout reason, or a socket's error.
+        """
         while True:
-            at = self.view.obj.find(b"\n", self.seen, self.end)
+            at = self.buffer.obj.find(b"\n", self.searched, self.end)
             if at >= 0:
-                line, self.start = self.view[self.start : at], at + 1
-                self.seen = self.start
+                line, self.start = self.buffer[self.start : at], at + 1
+                self.searched = self.start
                 return line
-            self.seen = self.end
-            if self.end - self.start > self.most:
+            self.searched = self.end
+            if self.end - self.start > self.max_message_bytes:
                 raise ConnectionClosed(CloseReason.MESSAGE_TOO_LONG)
-            if not (yield from self._fill(until)):
+            if not (yield from self._fill_buffer(deadline)):
                 raise ConnectionClosed(CloseReason.CLOSED_BY_PEER)
 
-    def some(self, until: float = inf) -> Generator[Wait, bool, memoryview]:
-        """All that is there, at least a byte; nothing once the other side has closed."""
+    def read_available(self, deadline: float = inf) -> Generator[Wait, bool, memoryview]:
+        """All bytes that have come, at least one; empty once the peer has closed its sending side."""
         if self.start == self.end:
-            yield from self._fill(until)
-        part, self.start = self.view[self.start : self.end], self.end
-        self.seen = self.end
-        return part
-
-    def quiet(self) -> bool:
-        """Whether nothing has come, not even an end. What has is read and lost: such a connection is of no
-        use.
-        """
+            yield from self._fill_buffer(deadline)
+        data, self.start = self.buffer[self.start : self.end], self.end
+        self.searched = self.end
+        return data
+
+    def is_idle(self) -> bool:
+        """Whether nothing has come, not even the end. A stream that is not idle loses a byte: close it."""
         try:
             self.sock.recv(1)
         except BlockingIOError:
@@ -83,46 +94,52 @@
             pass
         return False
 
-    def _fill(self, until: float) -> Generator[Wait, bool, int]:
-        self._make_room()
+    def _fill_buffer(self, deadline: float) -> Generator[Wait, bool, int]:
+        """Wait for bytes and read them; returns how many, 0 at the end of the stream.
+
+        What has come by the deadline is still read, once: a peer that never stops sending is late too.
+        """
+        self._make_space()
         while True:
-            over = not self.fresh and not (yield Wait(self.fd, READABLE, until))
-            if self.broken is not None:
-                raise ConnectionClosed(self.broken)
-            if over and self.looked:  # else whoever never stops would never be late
-                raise ConnectionClosed(self.late)
-            self.fresh, self.looked = False, over
+            timed_out = not self._never_read and not (yield Wait(self.fd, READABLE, deadline))
+            if self.write_failure is not None:
+                raise ConnectionClosed(self.write_failure)
+            if timed_out and self._read_past_deadline:
+                raise ConnectionClosed(self.timeout_reason)
+            self._never_read, self._read_past_deadline = False, timed_out
             try:
-                size = self.sock.recv_into(self.view[self.end :])
+                size = self.sock.recv_into(self.buffer[self.end :])
             except BlockingIOError:
-                if over:
-                    raise ConnectionClosed(self.late) from None
+                if timed_out:
+                    raise ConnectionClosed(self.timeout_reason) from None
                 continue
             except OSError as error:
                 raise ConnectionClosed.from_os_error(error) from None
             self.end += size
             return size
 
-    def _make_room(self) -> None:
-        """Move what is left to the front, in a larger buffer if it fills half of this one."""
-        left = self.end - self.start
-        if not left and len(self.view) != self.room:
-            self.view = memoryview(bytearray(self.room))
-        elif 2 * left > len(self.view):
-            larger = memoryview(bytearray(2 * len(self.view)))
-            larger[:left] = self.view[self.start : self.end]
-            self.view = larger
+    def _make_space(self) -> None:
+        """Move unread bytes to the front, into a buffer twice as large if they fill half of this one."""
+        unread = self.end - self.start
+        if not unread and len(self.buffer) != self.buffer_bytes:
+            self.buffer = memoryview(bytearray(self.buffer_bytes))
+        elif 2 * unread > len(self.buffer):
+            larger = memoryview(bytearray(2 * len(self.buffer)))
+            larger[:unread] = self.buffer[self.start : self.end]
+            self.buffer = larger
         elif self.start:
-            self.view[:left] = self.view[self.start : self.end]
-        self.seen -= self.start
-        self.start, self.end = 0, left
+            self.buffer[:unread] = self.buffer[self.start : self.end]
+        self.searched -= self.start
+        self.start, self.end = 0, unread
 
     def write(self, data: bytes) -> None:
-        """Send at once what goes, keep the rest in order; never waits. Raises ConnectionClosed, and so does
-        whoever reads here.
+        """Send what the socket takes at once and queue the rest in order; never waits.
+
+        Raises ConnectionClosed: SEND_BUFFER_FULL or a socket's error. The coroutine that reads is woken and
+        gets the same reason.
         """
-        if self.broken is not None:
-            raise ConnectionClosed(self.broken)
+        if self.write_failure is not None:
+            raise ConnectionClosed(self.write_failure)
         if self.unsent:
             self.unsent += data
         else:
@@ -130,8 +147,8 @@
             if sent < len(data):
                 self.unsent += memoryview(data)[sent:]
                 self.loop.spawn(self._flush())
-        if len(self.unsent) > self.unsent_most:
-            raise self._break(ConnectionClosed(CloseReason.SEND_BUFFER_FULL))
+        if len(self.unsent) > self.max_unsent_bytes:
+            raise self._stop_writing(ConnectionClosed(CloseReason.SEND_BUFFER_FULL))
 
     def _send(self, data: bytes | bytearray) -> int:
         try:
@@ -139,31 +156,32 @@
         except BlockingIOError:
             return 0
         except OSError as error:
-            raise self._break(ConnectionClosed.from_os_error(error)) from None
+            raise self._stop_writing(ConnectionClosed.from_os_error(error)) from None
 
-    def _break(self, ended: ConnectionClosed) -> ConnectionClosed:
-        """Nothing is written from here on, and the reader is woken to learn of it, whatever the error was."""
-        self.broken = ended.reason
+    def _stop_writing(self, error: ConnectionClosed) -> ConnectionClosed:
+        """Write nothing from here on, and wake the coroutine that reads; returns the error, to be raised."""
+        self.write_failure = error.reason
         self.unsent.clear()
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
-        return ended
+        return error
 
     def _flush(self) -> Generator[Wait, bool, None]:
         while self.unsent:
             yield Wait(self.fd, WRITABLE)
-            with suppress(ConnectionClosed):  # the reader of this connection learns of it too
+            with suppress(ConnectionClosed):  # raised to the coroutine that reads as well
                 del self.unsent[: self._send(self.unsent)]
 
     def close(self) -> None:
+        """Close the socket; closing again does nothing."""
         if self.sock.fileno() >= 0:  # else the descriptor may be another's by now
             self.loop.unregister(self.fd)
             self.loop.connections -= 1
             self.sock.close()
 
 
-def dial(loop: Loop, address: Address, until: float) -> Generator[Wait, bool, Stream]:
-    """A connection of our own."""
+def connect(loop: Loop, address: Address, deadline: float) -> Generator[Wait, bool, Stream]:
+    """Open a connection by the deadline; raises ConnectionClosed."""
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     except OSError as error:
@@ -173,7 +191,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         with suppress(BlockingIOError):
             sock.connect(address)
-        if not (yield Wait(stream.fd, WRITABLE, until)):
+        if not (yield Wait(stream.fd, WRITABLE, deadline)):
             raise ConnectionClosed(CloseReason.UNREACHABLE)
         if code := sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             raise OSError(code, "")
--- a/oatcart/net/talk.py
+++ b/oatcart/net/talk.py
@@ -15,7 +15,7 @@
     """The next message that there is a use for, by the time `until` whatever else comes before it. One that
     can be read but not used goes to `odd`, which may end the connection."""
     while True:
-        line = yield from stream.line(until)
+        line = yield from stream.read_line(until)
         try:
             told = codec.arrival(line)
         except InvalidMessage as error:
--- a/oatcart/scale/trial.py
+++ b/oatcart/scale/trial.py
@@ -30,7 +30,7 @@
 
 import orjson
 
-from oatcart.net.stream import MESSAGE_MOST
+from oatcart.net.stream import MAX_MESSAGE_BYTES
 from oatcart.scale.children import MEGABYTE, ChildProcess
 from oatcart.scale.conductor_settings import (
     WARM_AFTER_S,
@@ -129,8 +129,8 @@
     processes = settings.real + STAND_INS
     if processes > settings.limits.processes:
         raise DoesNotFit(f"{processes} processes are over the limit of {settings.limits.processes}")
-    if list_bytes > MESSAGE_MOST:
-        raise DoesNotFit(f"a list of {list_bytes} bytes is over the protocol's {MESSAGE_MOST}: refused")
+    if list_bytes > MAX_MESSAGE_BYTES:
+        raise DoesNotFit(f"a list of {list_bytes} bytes is over the protocol's {MAX_MESSAGE_BYTES}: refused")
     descriptors = DESCRIPTORS_OF_CONDUCTOR * (settings.hollow + settings.real) + DESCRIPTORS_SPARE
     if descriptors > (most := raise_descriptor_limit()):
         raise DoesNotFit(f"{descriptors} descriptors are over the limit of {most}")
--- a/oatcart/views/follower.py
+++ b/oatcart/views/follower.py
@@ -10,7 +10,7 @@
 
 from oatcart.errors import ConnectionClosed
 from oatcart.net.codec import ROLL_PATH, watch_path
-from oatcart.net.http import Client
+from oatcart.net.http_client import HttpClient
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop, Task, Wait
 from oatcart.views.configuration import Source
@@ -83,7 +83,7 @@
 
     def _follow(self, backoff: Backoff) -> Generator[Wait, bool, None]:
         """One connection's life, from the whole list to the first failure."""
-        client = Client(self.loop, self.source.address, self.source.list_most)
+        client = HttpClient(self.loop, self.source.address, self.source.list_most)
         try:
             while True:
                 due = self._whole_due()
@@ -103,7 +103,7 @@
         doubt = max(self.trusted.ask_again(), self.last_whole + self.trusted.guard.hold)
         return min(doubt, self.last_whole + self.source.reconcile_every)
 
-    def _whole(self, client: Client) -> Generator[Wait, bool, None]:
+    def _whole(self, client: HttpClient) -> Generator[Wait, bool, None]:
         asked = self.loop.now
         body = yield from client.get(ROLL_PATH, asked + self.source.answer_within)
         answer = parse_answer(body)
@@ -114,7 +114,7 @@
         )
         self.last_whole = asked
 
-    def _watch(self, client: Client) -> Generator[Wait, bool, None]:
+    def _watch(self, client: HttpClient) -> Generator[Wait, bool, None]:
         asked, since = self.loop.now, self.revision
         wait = min(self.source.wait, self._whole_due() - asked)
         connection = client.stream
--- a/oatcart/views/server.py
+++ b/oatcart/views/server.py
@@ -16,7 +16,7 @@
 from oatcart.errors import CloseReason, ConnectionClosed
 from oatcart.net.log import Log
 from oatcart.net.loop import READABLE, Loop, Task, Wait
-from oatcart.net.stream import MESSAGE_MOST, Address, Stream
+from oatcart.net.stream import MAX_MESSAGE_BYTES, Address, Stream
 from oatcart.views.configuration import Bounds
 from oatcart.views.history import History
 from oatcart.views.publisher import NotDecided, Publisher
@@ -147,7 +147,7 @@
     def _let_in(self, sock: socket.socket, listener: Listener) -> None:
         """Where there is no room the oldest stranger makes way, else this one; never who is in use. What has
         come of the oldest already is read first, as it may be a request."""
-        stream = Stream(self.loop, sock, ROOM, HEAD_MOST, MESSAGE_MOST)
+        stream = Stream(self.loop, sock, ROOM, HEAD_MOST, MAX_MESSAGE_BYTES)
         self.strangers[stream] = None
         listener.streams[stream] = None
         life = self.loop.spawn(self._life(stream, listener))
@@ -156,7 +156,7 @@
         self.lives[stream] = life
         while len(self.lives) > self.bounds.connections and self.strangers:
             oldest = next(iter(self.strangers))
-            oldest.late = CloseReason.OUT_OF_RESOURCES
+            oldest.timeout_reason = CloseReason.OUT_OF_RESOURCES
             self.loop.expire(self.lives[oldest])
         if len(self.lives) > self.bounds.connections:
             self.log.say("connection", f"a stranger gone: {ConnectionClosed(CloseReason.OUT_OF_RESOURCES)}")
@@ -214,7 +214,7 @@
         while True:
             event = http.next_event()
             if event is h11.NEED_DATA:
-                part = yield from stream.some(until)
+                part = yield from stream.read_available(until)
                 if not part:
                     raise ConnectionClosed(CloseReason.CLOSED_BY_PEER)
                 http.receive_data(part)
@@ -226,7 +226,7 @@
                     raise ConnectionClosed(CloseReason.MESSAGE_TOO_LONG)
             elif isinstance(event, h11.EndOfMessage):
                 self.strangers.pop(stream, None)
-                stream.late = CloseReason.TIMED_OUT
+                stream.timeout_reason = CloseReason.TIMED_OUT
                 return request
             else:
                 raise ConnectionClosed(CloseReason.CLOSED_BY_PEER)
@@ -277,9 +277,9 @@
         connection is in `waiting`."""
         waiting[stream] = None
         try:
-            part = yield from stream.some(until)
+            part = yield from stream.read_available(until)
         except ConnectionClosed as ended:
-            if ended.reason is not CloseReason.TIMED_OUT or stream.broken:
+            if ended.reason is not CloseReason.TIMED_OUT or stream.write_failure:
                 raise
             return
         finally:
--- a/tests/scale/test_scale_runs.py
+++ b/tests/scale/test_scale_runs.py
@@ -50,7 +50,7 @@
 def test_a_list_over_the_protocols_limit_is_left_out_and_the_module_is_measured(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(trial, "MESSAGE_MOST", 1_000)
+    monkeypatch.setattr(trial, "MAX_MESSAGE_BYTES", 1_000)
     found = by_role(measure(settings_with({"nodes": (50,)}), True, None, lambda line: None))
     assert "list" in found["conductor"].left_out and "refused" in found["hollow_conductor"].left_out
     assert found["viewed_conductor"].left_out is None and found["control"].ready_core_s > 0
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,7 +13,7 @@
 from oatcart.net import loop
 from oatcart.net.acceptor import STRANGER_MOST
 from oatcart.net.loop import READABLE, WRITABLE, Loop, Wait
-from oatcart.net.stream import Stream, dial
+from oatcart.net.stream import Stream, connect
 
 
 def raising(error):
@@ -44,7 +44,7 @@
         address = full_listener(stack)
 
         def dials():
-            stream = yield from dial(turns, address, 1.0)
+            stream = yield from connect(turns, address, 1.0)
             up.append(stream)
 
         def reads(mine, other):
@@ -118,7 +118,7 @@
     def life(stream):
         try:
             while True:
-                yield from stream.line(4.0)
+                yield from stream.read_line(4.0)
         except ConnectionClosed as error:
             ended.append(error.reason)
             stream.close()
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -25,7 +25,7 @@
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop
 from oatcart.net.start import assemble
-from oatcart.net.stream import UNSENT_MOST, Stream
+from oatcart.net.stream import MAX_UNSENT_BYTES, Stream
 from oatcart.policy import Conductor
 
 HERE = Path(__file__).parent
@@ -268,10 +268,12 @@
     loop = Loop(lambda: 0.0, lambda error: None)
     stream, sent = Stream(loop, ours), 0
     with theirs, pytest.raises(ConnectionClosed) as ended:
-        while sent < 100 * UNSENT_MOST:
+        while sent < 100 * MAX_UNSENT_BYTES:
             stream.write(b"x" * 4096)
             sent += 4096
-    assert ended.value.reason is CloseReason.SEND_BUFFER_FULL and len(stream.unsent) <= UNSENT_MOST + 4096
+    assert (
+        ended.value.reason is CloseReason.SEND_BUFFER_FULL and len(stream.unsent) <= MAX_UNSENT_BYTES + 4096
+    )
     stream.close()
 
 
--- a/tests/test_short_days.py
+++ b/tests/test_short_days.py
@@ -14,7 +14,7 @@
 from live.process import SETTINGS, Conductor
 from live.waiting import until
 
-from oatcart.net.stream import UNSENT_MOST
+from oatcart.net.stream import MAX_UNSENT_BYTES
 
 NAMES = {f"n{number}" for number in range(5)}
 
@@ -162,7 +162,7 @@
         read = {slow: b"", quick: b""}
         stream = one.rounds.streams[0]
         mark = 0
-        while len(stream.unsent) < UNSENT_MOST // 2:
+        while len(stream.unsent) < MAX_UNSENT_BYTES // 2:
             mark += 1
             assert mark < UNREAD_ROUNDS
             for line in ("order bind 0 0 0", "order bind 0 1 0", f"order ask_ack {mark} true"):
@@ -191,7 +191,7 @@
             for line in ("order bind 0 0 0", "order bind 0 1 0", f"order ask_ack {mark} true"):
                 one.play(line)
             one.turn()
-            assert len(stream.unsent) <= UNSENT_MOST
+            assert len(stream.unsent) <= MAX_UNSENT_BYTES
             heard += taken(other, 1 << 22).count(b"\n")
         one.quiet()
         heard += taken(other, 1 << 22).count(b"\n")
--- a/tests/views/test_views_conductor.py
+++ b/tests/views/test_views_conductor.py
@@ -11,7 +11,7 @@
 from views_stage import Stage, conductor, node
 
 from oatcart.errors import ConnectionClosed
-from oatcart.net.stream import dial
+from oatcart.net.stream import connect
 
 ROOT = Path(__file__).parents[2]
 SETTINGS = {
@@ -52,11 +52,11 @@
         return self.said
 
     def _stream(self, address):
-        stream = yield from dial(self.stage.loop, address, self.stage.loop.clock() + 5.0)
+        stream = yield from connect(self.stage.loop, address, self.stage.loop.clock() + 5.0)
         stream.write(b'{"msg":"joined","sidecar":0,"az":"a","share":10,"standing":true}\n')
         try:
             while True:
-                self._order(json.loads(bytes((yield from stream.line()))))
+                self._order(json.loads(bytes((yield from stream.read_line()))))
         except ConnectionClosed:
             stream.close()
 
--- a/tests/views/test_views_leases.py
+++ b/tests/views/test_views_leases.py
@@ -7,7 +7,7 @@
 import pytest
 from views_stage import BOUNDS, Stage, conductor, ids, node
 
-from oatcart.net.http import Client
+from oatcart.net.http_client import HttpClient
 from oatcart.views.alive import AliveSettings
 from oatcart.views.configuration import Configuration, Wrong, read
 from oatcart.views.deciding import Decider, Update
@@ -57,7 +57,7 @@
         self.stage, self.told = stage, None
         address = stage.role.main.address if by_name else stage.role.address_of(name)
         self.path = f"/v1/views/{name}/servers" if by_name else "/v1/servers"
-        self.client = Client(stage.loop, address)
+        self.client = HttpClient(stage.loop, address)
         self.task = stage.loop.spawn(self._run())
         stage.until(lambda: self.told is not None, f"the list of {name}")
 
--- a/tests/views/test_views_server.py
+++ b/tests/views/test_views_server.py
@@ -6,7 +6,7 @@
 from views_stage import ANY_PORT, Exchange, Stage, conductor, ids, node, phases
 
 from oatcart.errors import InvalidConfiguration
-from oatcart.net.http import Client
+from oatcart.net.http_client import HttpClient
 from oatcart.views.configuration import Bounds
 from oatcart.views.trust import Guard
 
@@ -511,4 +511,4 @@
         told["nodes"] == 12 and told["held"] == 0 and told["source"]["revision"] == stage.discovery.revision
     )
     assert list(told["views"]) == ["c0"] and told["views"]["c0"]["nodes"] == 8
-    assert ANY_PORT and Client
+    assert ANY_PORT and HttpClient
--- a/tests/views/views_stage.py
+++ b/tests/views/views_stage.py
@@ -8,10 +8,10 @@
 import orjson
 
 from oatcart.errors import ConnectionClosed
-from oatcart.net.http import Client
+from oatcart.net.http_client import HttpClient
 from oatcart.net.log import Log
 from oatcart.net.loop import READABLE, Loop, Wait
-from oatcart.net.stream import Stream, dial
+from oatcart.net.stream import Stream, connect
 from oatcart.views.configuration import Bounds, Conductor, Configuration, Source
 from oatcart.views.records import Viewer
 from oatcart.views.role import ControlRole
@@ -100,7 +100,7 @@
             while True:
                 event = http.next_event()
                 if event is h11.NEED_DATA:
-                    part = yield from stream.some()
+                    part = yield from stream.read_available()
                     if not part:
                         return
                     http.receive_data(part)
@@ -216,7 +216,7 @@
 
     def __init__(self, loop, address, path, within=5.0, client=None):
         self.loop, self.body, self.ended, self.at = loop, None, None, None
-        self.client = client or Client(loop, address)
+        self.client = client or HttpClient(loop, address)
         loop.spawn(self._run(path, loop.clock() + within))
 
     @property
@@ -248,10 +248,10 @@
         loop.spawn(self._run(address, request))
 
     def _run(self, address, request):
-        self.stream = yield from dial(self.loop, address, self.loop.clock() + 5.0)
+        self.stream = yield from connect(self.loop, address, self.loop.clock() + 5.0)
         self.stream.write(request)
         try:
-            while self.reads and (part := (yield from self.stream.some(self.loop.now + 1.0))):
+            while self.reads and (part := (yield from self.stream.read_available(self.loop.now + 1.0))):
                 self.data += bytes(part)
         except ConnectionClosed:
             pass
