--- a/oatcart/__main__.py
+++ b/oatcart/__main__.py
@@ -10,14 +10,14 @@
 import sys
 
 from oatcart.errors import InvalidConfiguration
-from oatcart.net.reload import wake_pair
+from oatcart.net.configuration_reload import reload_signal
 from oatcart.net.start import assemble, configuration, read
 
 UNUSABLE = 2  # exit code where the configuration cannot be used
 
 
 def main() -> int:
-    woken = wake_pair()
+    woken = reload_signal()
     try:
         loop, rounds, _ = assemble(read(os.environ, "EDGE_CONFIG", configuration), woken)
     except InvalidConfiguration as error:
--- a/oatcart/net/acceptor.py
+++ b/oatcart/net/acceptor.py
@@ -5,11 +5,12 @@
 from collections.abc import Generator
 
 from oatcart.errors import CloseReason, ConnectionClosed, InvalidMessage
-from oatcart.net import collector, sidecar, talk
+from oatcart.net import collector, sidecar
 from oatcart.net.codec import Codec
 from oatcart.net.conductor import Rounds
 from oatcart.net.log import Log
 from oatcart.net.loop import READABLE, Loop, Task, Wait
+from oatcart.net.message_reader import read_message
 from oatcart.net.stream import Address, Stream
 
 # s from its accept until a stranger has said who it is; a proxy does so with its first bytes
@@ -56,7 +57,7 @@
                 continue
             except OSError as error:
                 if error.errno != errno.ECONNABORTED:
-                    self.log.say("acceptor", f"cannot accept: {ConnectionClosed.from_os_error(error)}")
+                    self.log.write("acceptor", f"cannot accept: {ConnectionClosed.from_os_error(error)}")
                     yield Wait(deadline=self.loop.now + NO_ROOM_WAIT)
 
     def _let_in(self, sock: socket.socket) -> None:
@@ -73,7 +74,7 @@
             oldest.timeout_reason = CloseReason.OUT_OF_RESOURCES
             self.loop.expire(self.lives[oldest])
         if self.loop.connections > self.loop.connection_limit:
-            self.log.say("acceptor", f"a stranger gone: {ConnectionClosed(CloseReason.OUT_OF_RESOURCES)}")
+            self.log.write("acceptor", f"a stranger gone: {ConnectionClosed(CloseReason.OUT_OF_RESOURCES)}")
             self._end(stream)
 
     def _life(self, stream: Stream) -> Generator[Wait, bool, None]:
@@ -81,7 +82,7 @@
         whatever it says, and a small buffer: what strangers cost is theirs alone."""
         who = "a stranger"
         try:
-            told = yield from talk.arrival(stream, self.codec, self._refuse, self.loop.now + STRANGER_MOST)
+            told = yield from read_message(stream, self.codec, self._refuse, self.loop.now + STRANGER_MOST)
             if told[0] == "collector":
                 who = f"collector of {told[1]}"
                 del self.strangers[stream]
@@ -97,7 +98,7 @@
             else:
                 self._refuse(InvalidMessage(f"{told[0]!r} is no first message"))
         except ConnectionClosed as ended:
-            self.log.say("acceptor", f"{who} gone: {ended}")
+            self.log.write("acceptor", f"{who} gone: {ended}")
         finally:
             for kept in self.strangers, self.collectors, self.lives:
                 kept.pop(stream, None)
@@ -118,4 +119,4 @@
 
     def _skipped(self, odd: InvalidMessage) -> None:
         """A stream that we end leaves its proxy without orders until it has dialled again; so it goes on."""
-        self.log.say("odd", str(odd))
+        self.log.write("odd", str(odd))
--- a/oatcart/net/collector.py
+++ b/oatcart/net/collector.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable, Generator
 
 from oatcart.errors import InvalidMessage
-from oatcart.net import talk
 from oatcart.net.codec import Codec
 from oatcart.net.conductor import Rounds
 from oatcart.net.loop import Wait
+from oatcart.net.message_reader import read_message
 from oatcart.net.stream import Stream
 
 REPORTS = ("met", "came")
@@ -16,7 +16,7 @@
     stream: Stream, codec: Codec, rounds: Rounds, skipped: Callable[[InvalidMessage], None]
 ) -> Generator[Wait, bool, None]:
     while True:
-        told = yield from talk.arrival(stream, codec, skipped)
+        told = yield from read_message(stream, codec, skipped)
         if told[0] in REPORTS:
             rounds.arrive(told)
         else:
--- a/oatcart/net/conductor.py
+++ b/oatcart/net/conductor.py
@@ -72,7 +72,7 @@
         self.due = True
 
     def note(self, text: str) -> None:
-        self.log.say("note", text)
+        self.log.write("note", text)
 
     def turn(self) -> None:
         """After each turn of the loop: a round, if one is due and the last is far enough back."""
@@ -84,7 +84,7 @@
             try:
                 self._tell()
             except Exception:
-                self.log.say("round", f"its orders cannot be told\n{traceback.format_exc()}")
+                self.log.write("round", f"its orders cannot be told\n{traceback.format_exc()}")
             for node in dropped:  # told, and nothing that is still to be read names it by its number
                 self.codec.free(node)
                 self.watcher.addresses.pop(node, None)
@@ -98,7 +98,7 @@
 
     def _keep_telling(self) -> None:
         if self.rounds:
-            self.log.say(
+            self.log.write(
                 "turns",
                 f"longest {self.longest * 1000:.1f} ms, {self.rounds} rounds, "
                 f"{len(self.streams)} proxies, {len(self.loop.registered)} connections",
@@ -112,7 +112,7 @@
             try:
                 return self.call(now, self._drain(), self)
             except Exception:
-                self.log.say("round", f"failed, {len(self.came)} arrivals left\n{traceback.format_exc()}")
+                self.log.write("round", f"failed, {len(self.came)} arrivals left\n{traceback.format_exc()}")
                 if not self.came:
                     return self.wake(FAILED_WAKE)
 
@@ -133,5 +133,5 @@
         try:
             self.streams[proxy].write(encoded[parts])
         except ConnectionClosed as ended:
-            self.log.say("stream", f"proxy {proxy} cannot be told: {ended}")
+            self.log.write("stream", f"proxy {proxy} cannot be told: {ended}")
             self.lost.append(self.streams[proxy])
--- a/oatcart/net/log.py
+++ b/oatcart/net/log.py
@@ -1,6 +1,6 @@
-"""The log: plain lines on standard error, so many of a kind in a span and no more.
+"""The log: plain lines on standard error, with a limit per kind, so that a storm of one buries no other.
 
-Whoever reads the log may stop or be gone: a line that cannot be written at once is left out.
+Whoever reads the log may be slow or gone: a line that cannot be written without waiting is left out.
 """
 
 import os
@@ -8,15 +8,17 @@
 import sys
 from collections.abc import Callable
 from contextlib import suppress
+from dataclasses import dataclass
 from typing import TextIO
 
-LINES_MOST, LINES_OVER = 5, 10.0  # lines of one kind, in so many s: a storm of one must not bury the rest
-LINE_BYTES_MOST = select.PIPE_BUF  # a pipe with any room takes so much without waiting
+MAX_LINES_PER_PERIOD = 5  # of one kind
+PERIOD_S = 10.0
+MAX_LINE_BYTES = select.PIPE_BUF  # a pipe that is ready to be written to takes so much without waiting
 
 
-def _write_at_once(descriptor: int, line: str) -> bool:
-    """Whether it was written; never waits, and a reader that is gone is no error."""
-    data = line.encode(errors="replace")[: LINE_BYTES_MOST - 1] + b"\n"
+def _write_without_waiting(descriptor: int, line: str) -> bool:
+    """Write a line if that needs no waiting; whether it was written. A reader that is gone is no error."""
+    data = line.encode(errors="replace")[: MAX_LINE_BYTES - 1] + b"\n"
     poll = select.poll()
     poll.register(descriptor, select.POLLOUT)
     with suppress(OSError):
@@ -24,37 +26,53 @@
     return False
 
 
+@dataclass(slots=True)
+class _Period:
+    """The lines of one kind since `began`, in seconds of the log's clock."""
+
+    began: float
+    lines: int = 0
+    left_out: int = 0
+
+
 class Log:
-    """
-    >>> log = Log(lambda: 3.0, sys.stdout, most=1)
-    >>> log.say("probe", "node 4 is silent"); log.say("probe", "node 5 is silent")
-    probe: node 4 is silent
+    """Writes lines as `KIND: TEXT`; those over the limit are counted, and the count is written later.
+
+    `clock`: seconds. `out`: None where the process was started with standard error closed.
+
+    >>> log = Log(lambda: 3.0, sys.stdout, max_lines=1)
+    >>> log.write("health", "endpoint 4 timed out"); log.write("health", "endpoint 5 timed out")
+    health: endpoint 4 timed out
     """
 
     def __init__(
-        self, clock: Callable[[], float], out: TextIO | None = sys.stderr, most: int = LINES_MOST
+        self,
+        clock: Callable[[], float],
+        out: TextIO | None = sys.stderr,
+        max_lines: int = MAX_LINES_PER_PERIOD,
     ) -> None:
-        self.clock, self.out, self.most = clock, out, most
-        self.spans: dict[str, list] = {}  # by kind: when its span began, lines said, lines left out
+        self.clock, self.out, self.max_lines = clock, out, max_lines
+        self.periods: dict[str, _Period] = {}  # by kind
 
-    def say(self, kind: str, text: str) -> None:
+    def write(self, kind: str, text: str) -> None:
+        """Log a line of a kind, unless there were too many of that kind in this period."""
         now = self.clock()
-        span = self.spans.setdefault(kind, [now, 0, 0])
-        if now - span[0] >= LINES_OVER:
-            if span[2]:
-                self._write(f"{kind}: {span[2]} more lines left out")
-            span[:] = now, 0, 0
-        span[1] += 1
-        if span[1] > self.most or not self._write(f"{kind}: {text}"):
-            span[2] += 1
-
-    def _write(self, line: str) -> bool:
-        """Whether the line went out."""
-        if self.out is None:  # started with standard error closed
+        period = self.periods.setdefault(kind, _Period(now))
+        if now - period.began >= PERIOD_S:
+            if period.left_out:
+                self._write_line(f"{kind}: {period.left_out} more lines left out")
+            period = self.periods[kind] = _Period(now)
+        period.lines += 1
+        if period.lines > self.max_lines or not self._write_line(f"{kind}: {text}"):
+            period.left_out += 1
+
+    def _write_line(self, line: str) -> bool:
+        """Whether the line was written."""
+        if self.out is None:
             return False
         try:
             descriptor = self.out.fileno()
-        except (OSError, ValueError):  # kept in memory
+        except (OSError, ValueError):  # a buffer in memory
             self.out.write(line + "\n")
             return True
-        return _write_at_once(descriptor, line)
+        return _write_without_waiting(descriptor, line)
--- a/oatcart/net/roll.py
+++ b/oatcart/net/roll.py
@@ -51,7 +51,7 @@
     def take(self, roll: Roll, since: float = 0) -> None:
         """What came late says nothing new; older than what was asked for, discovery has started over."""
         for odd in roll.odd:
-            self.log.say("odd", odd)
+            self.log.write("odd", odd)
         if roll.revision >= self.revision or roll.revision < since:
             self.revision = roll.revision
             self.addresses |= roll.addresses  # of an older list they may be of a node's former life
@@ -112,5 +112,5 @@
             client.close()
 
     def _failed(self, what: str, ended: ConnectionClosed) -> None:
-        self.log.say("roll", f"the {what} ended: {ended}")
+        self.log.write("roll", f"the {what} ended: {ended}")
         self.arrive(("unlisted",))
--- a/oatcart/net/sidecar.py
+++ b/oatcart/net/sidecar.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable, Generator
 
 from oatcart.errors import InvalidMessage
-from oatcart.net import talk
 from oatcart.net.codec import Codec
 from oatcart.net.conductor import Rounds
 from oatcart.net.loop import Wait
+from oatcart.net.message_reader import read_message
 from oatcart.net.stream import Stream
 
 SPEAKS = ("applied", "came")  # what a proxy tells once it has joined
@@ -31,7 +31,7 @@
         end(older)
     try:
         while True:
-            told = yield from talk.arrival(stream, codec, skipped)
+            told = yield from read_message(stream, codec, skipped)
             if told[0] not in SPEAKS or told[1] != proxy:
                 skipped(InvalidMessage(f"proxy {proxy} does not say {told[:2]}"))
             # it would pass for an acknowledgement
--- a/oatcart/net/start.py
+++ b/oatcart/net/start.py
@@ -12,10 +12,10 @@
 from oatcart.net import codec as wire
 from oatcart.net.acceptor import Acceptor
 from oatcart.net.conductor import Rounds
+from oatcart.net.configuration_reload import reload_on_signal
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop
 from oatcart.net.probe import Prober
-from oatcart.net.reload import reloads
 from oatcart.net.roll import Watcher
 from oatcart.policy import Conductor
 
@@ -63,7 +63,7 @@
     Whoever has another front beside the sidecars' hands in a kind of `Rounds` that serves it too."""
     settings = read(cfg, "settings", dict)
     records = read(cfg, "settings", socket_records)
-    loop = Loop(time.monotonic, lambda error: log.say("task", "".join(traceback.format_exception(error))))
+    loop = Loop(time.monotonic, lambda error: log.write("task", "".join(traceback.format_exception(error))))
     log = Log(loop.clock)
     codec = read(
         cfg,
@@ -97,7 +97,7 @@
     rounds.due = True  # also with no list at hand: the first round is what asks discovery for one
     rounds.turn()  # from here on it can decide, so whoever asks may be answered
     listener = read(cfg, "listen", lambda address: acceptor.listen(wire.address(address)))
-    log.say(
+    log.write(
         "start",
         "{} listens at {}:{}, {} nodes known".format(
             cfg.get("name"), *listener.getsockname(), len(codec.nodes)
@@ -118,5 +118,5 @@
             *discovery, most, f"; only a restart changes {', '.join(kept)}" if kept else ""
         )
 
-    loop.spawn(reloads(loop, log, woken, take))
+    loop.spawn(reload_on_signal(loop, log, woken, take))
     return loop, rounds, acceptor
--- a/oatcart/trace/hook.py
+++ b/oatcart/trace/hook.py
@@ -29,7 +29,7 @@
             instance,
             {"format": "oatcart"},
             lambda: rounds.loop.clock() + rounds.offset,
-            rounds.log.say,
+            rounds.log.write,
             tracing.file_size,
             tracing.file_for,
             tracing.budget,
--- a/oatcart/trace/run.py
+++ b/oatcart/trace/run.py
@@ -8,7 +8,7 @@
 
 from oatcart.errors import InvalidConfiguration
 from oatcart.net.conductor import Rounds
-from oatcart.net.reload import wake_pair
+from oatcart.net.configuration_reload import reload_signal
 from oatcart.net.start import assemble, configuration, read
 from oatcart.trace.configuration import Wrong
 from oatcart.trace.configuration import read as read_tracing
@@ -24,7 +24,7 @@
     writers = []
     try:
         tracing, cfg = read_tracing(told.file), read(os.environ, "EDGE_CONFIG", configuration)
-        loop, rounds, _ = assemble(cfg, wake_pair(), traced(Rounds, cfg, tracing, writers.append))
+        loop, rounds, _ = assemble(cfg, reload_signal(), traced(Rounds, cfg, tracing, writers.append))
     except (Wrong, InvalidConfiguration) as error:
         print(error, file=sys.stderr)
         return UNUSABLE
--- a/oatcart/views/__main__.py
+++ b/oatcart/views/__main__.py
@@ -18,9 +18,9 @@
 import time
 import traceback
 
+from oatcart.net.configuration_reload import reload_on_signal, reload_signal
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop
-from oatcart.net.reload import reloads, wake_pair
 from oatcart.views.configuration import Configuration, Wrong, read
 from oatcart.views.descriptors import check_descriptors
 from oatcart.views.role import ControlRole
@@ -30,7 +30,7 @@
 
 def assemble(configuration: Configuration) -> ControlRole:
     """A control role on a loop of its own, which logs to standard error."""
-    loop = Loop(time.monotonic, lambda error: log.say("task", "".join(traceback.format_exception(error))))
+    loop = Loop(time.monotonic, lambda error: log.write("task", "".join(traceback.format_exception(error))))
     log = Log(loop.clock)
     return ControlRole(configuration, loop, log)
 
@@ -40,7 +40,7 @@
     parser.add_argument("file", help="the control role's settings, YAML")
     parser.add_argument("--check", action="store_true", help="read and check the file, start nothing")
     told = parser.parse_args(words)
-    woken = wake_pair()
+    woken = reload_signal()
     try:
         configuration = read(told.file)
         check_descriptors(configuration)
@@ -52,7 +52,7 @@
     except (Wrong, OSError) as error:
         print(error, file=sys.stderr)
         return UNUSABLE
-    role.loop.spawn(reloads(role.loop, role.log, woken, lambda: role.reload(told.file)))
+    role.loop.spawn(reload_on_signal(role.loop, role.log, woken, lambda: role.reload(told.file)))
     while True:
         role.turn()
 
--- a/oatcart/views/follower.py
+++ b/oatcart/views/follower.py
@@ -75,7 +75,7 @@
                 yield from self._follow(backoff)
             except (ConnectionClosed, MalformedAnswer, RefusedAnswer, StartedOver) as error:
                 wait = backoff.next()
-                self.log.say(
+                self.log.write(
                     "source",
                     f"{self._name()}: {error}; the last list stands, asked anew in {wait:.2f} s",
                 )
@@ -108,7 +108,7 @@
         body = yield from client.get(ROLL_PATH, asked + self.source.answer_within)
         answer = parse_answer(body)
         self._believe(answer)
-        self.log.say(
+        self.log.write(
             "source",
             f"{self._name()}: whole list of {len(answer.entries)} nodes at revision {answer.revision}",
         )
@@ -137,9 +137,9 @@
         outcome = self.trusted.take(self.loop.now, answer)
         self.revision, self.heard = answer.revision, self.loop.now
         for odd in answer.odd:
-            self.log.say("odd", odd)
+            self.log.write("odd", odd)
         if outcome.held:
-            self.log.say(
+            self.log.write(
                 "doubt",
                 f"{self._name()}: an answer drops {outcome.held} of {len(self.trusted.entries)} nodes "
                 f"at once; they stay, the list is asked for again in {self.trusted.guard.hold:g} s",
--- a/oatcart/views/role.py
+++ b/oatcart/views/role.py
@@ -80,7 +80,7 @@
         """Listen everywhere and begin to follow."""
         self.main = self.server.listen(self.configuration.listen)
         self.listeners = self._listen(_conductors_by_key(self.configuration))
-        self.log.say(
+        self.log.write(
             "start",
             "control role listens at {}:{}, and at {} conductors' addresses".format(
                 *self.main.address, len(self.listeners)
@@ -208,7 +208,7 @@
         longest = max((len(entry.encoded) for entry in outcome.changed.values()), default=0)
         told = self.configuration.limits.most_entry_bytes
         if longest > told:
-            self.log.say(
+            self.log.write(
                 "size",
                 f"an entry takes {longest} bytes, more than views.most_entry_bytes {told}: "
                 "a view may take more than views.most_bytes",
@@ -233,7 +233,7 @@
     def _called(self, name: str) -> None:
         if self.leases is not None and self.leases.renew(name, self.loop.now):
             self.publisher.come_back(name)
-            self.log.say("leases", f"{name} is back; its view is decided anew")
+            self.log.write("leases", f"{name} is back; its view is decided anew")
 
     def _check_leases_later(self) -> None:
         self.loop.call_at(self.loop.now + self.leases.check_every, self._check_leases)
@@ -251,13 +251,13 @@
 
     def _tell_silence(self, silence: Silence) -> None:
         if silence.left:
-            self.log.say(
+            self.log.write(
                 "leases",
                 f"{_shown(silence.left)} silent for longer than lease and grace; "
                 "others get their shares of the nodes",
             )
         if silence.is_new_doubt:
-            self.log.say(
+            self.log.write(
                 "leases",
                 f"{_shown(silence.doubted)} silent for longer than lease and grace, "
                 "too many at once; they stay for the hold",
@@ -288,7 +288,7 @@
 
     def _keep_telling(self) -> None:
         watches = sum(map(len, self.server.waiting.values()))
-        self.log.say(
+        self.log.write(
             "turns",
             f"longest {self.longest * 1000:.1f} ms, {len(self.publisher.entries)} nodes, "
             f"{len(self.publisher.histories)} views, {watches} watches, {len(self.server.lives)} connections",
--- a/oatcart/views/server.py
+++ b/oatcart/views/server.py
@@ -141,7 +141,7 @@
                 continue
             except OSError as error:
                 if error.errno != errno.ECONNABORTED:
-                    self.log.say("connection", f"cannot accept: {ConnectionClosed.from_os_error(error)}")
+                    self.log.write("connection", f"cannot accept: {ConnectionClosed.from_os_error(error)}")
                     yield Wait(deadline=self.loop.now + NO_ROOM_WAIT)
 
     def _let_in(self, sock: socket.socket, listener: Listener) -> None:
@@ -159,7 +159,7 @@
             oldest.timeout_reason = CloseReason.OUT_OF_RESOURCES
             self.loop.expire(self.lives[oldest])
         if len(self.lives) > self.bounds.connections:
-            self.log.say("connection", f"a stranger gone: {ConnectionClosed(CloseReason.OUT_OF_RESOURCES)}")
+            self.log.write("connection", f"a stranger gone: {ConnectionClosed(CloseReason.OUT_OF_RESOURCES)}")
             self._end(stream)
 
     def _life(self, stream: Stream, listener: Listener) -> Generator[Wait, bool, None]:
@@ -174,7 +174,7 @@
                 until = self.loop.now + self.bounds.idle_most
         except ConnectionClosed as ended:
             if ended.reason not in (CloseReason.CLOSED_BY_PEER, CloseReason.RESET_BY_PEER):
-                self.log.say("connection", f"{self._who(stream)} gone: {ended}")
+                self.log.write("connection", f"{self._who(stream)} gone: {ended}")
         finally:
             del listener.streams[stream]
             self.strangers.pop(stream, None)
@@ -196,7 +196,7 @@
             )
             yield from self._answer(stream, http, OK, body)
         except RefusedRequest as refused:
-            self.log.say("refused", f"{self._who(stream)}: {refused}")
+            self.log.write("refused", f"{self._who(stream)}: {refused}")
             yield from self._answer(stream, http, refused.status, refused.body)
         except h11.RemoteProtocolError as error:
             if http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
--- a/oatcart/xds/serve.py
+++ b/oatcart/xds/serve.py
@@ -9,8 +9,8 @@
 
 from oatcart.errors import InvalidConfiguration
 from oatcart.handover import start_records
+from oatcart.net.configuration_reload import reload_signal
 from oatcart.net.loop import Loop
-from oatcart.net.reload import wake_pair
 from oatcart.net.start import assemble
 from oatcart.xds.configuration import Xds
 from oatcart.xds.encode import Encoder
@@ -50,7 +50,7 @@
             Budget(xds.pushes),
             records["admitting"] == "rate",
             xds.home_zone,
-            self.rounds.log.say,
+            self.rounds.log.write,
         )
         self.nested = Nested(self.loop, self.rounds)
         self.encoder = Encoder()
@@ -62,7 +62,7 @@
             xds.report_every,
             xds.clients * xds.streams,
             self.place,
-            self.rounds.log.say,
+            self.rounds.log.write,
             self.nested.kick,
         )
 
@@ -88,7 +88,7 @@
                 self.loop.clock,
                 time.time,
                 self._listed,
-                self.rounds.log.say,
+                self.rounds.log.write,
             )
 
     def _rounds(self, *args: object) -> XdsRounds:
@@ -111,7 +111,7 @@
         """Serve; hands back the port of the xDS front."""
         self.port = await self.server.start(self.xds.listen)
         self.rounds.serve(self.front, self.server.soon)
-        self.rounds.log.say("start", f"xDS at port {self.port}")
+        self.rounds.log.write("start", f"xDS at port {self.port}")
         self.nested.start()
         if self.follower is not None:
             self.follower.start()
@@ -136,7 +136,7 @@
 async def run(cfg: dict, xds: Xds, traced: Callable[[Callable], Callable] = lambda make: make) -> int:
     """`traced` may put a tap between the module and its rounds."""
     try:
-        await Conductor(cfg, xds, wake_pair(), traced).start()
+        await Conductor(cfg, xds, reload_signal(), traced).start()
     except (InvalidConfiguration, RuntimeError) as error:
         print(f"config: {error}", file=sys.stderr)
         return UNUSABLE
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -12,10 +12,10 @@
 from oatcart.net import codec as wire
 from oatcart.net.acceptor import KEPT_BACK, Acceptor
 from oatcart.net.conductor import Rounds
+from oatcart.net.configuration_reload import reload_on_signal
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop
 from oatcart.net.probe import Prober
-from oatcart.net.reload import reloads
 from oatcart.net.roll import Watcher
 
 TURNS, TURN = 400, 0.005  # turns of the loop until something must have come, s each; a met want ends them
@@ -47,7 +47,7 @@
         self.calls = []
         desk = self.desk.getsockname()
         self.loop = Loop(lambda: self.now, self.failed)
-        log = Log(self.loop.clock, self.out, most=int(cfg.get("log_most", 100)))
+        log = Log(self.loop.clock, self.out, max_lines=int(cfg.get("log_most", 100)))
         self.codec = wire.Codec(["lookup", "order"], ["a", "b"], 64)
         self.rounds = Rounds(self.loop, log, self.codec, cfg.get("gap", 0), 1000.0)
         watcher = Watcher(self.loop, self.codec, log, desk, 5.0, self.rounds.arrive)
@@ -60,7 +60,7 @@
         self.woken, self.waker = socket.socketpair()
         self.woken.setblocking(False)
         self.discovery, self.closed = desk, []
-        self.loop.spawn(reloads(self.loop, log, self.woken, self.reload))
+        self.loop.spawn(reload_on_signal(self.loop, log, self.woken, self.reload))
 
     def open_desk(self):
         self.desk = socket.create_server(("127.0.0.1", 0))  # discovery and all nodes in one
--- a/tests/views/views_stage.py
+++ b/tests/views/views_stage.py
@@ -159,7 +159,7 @@
 
     def start(self, configuration):
         """One more control role, on the same loop and before the same discovery."""
-        role = ControlRole(configuration, self.loop, Log(lambda: 0.0, self.out, most=1000))
+        role = ControlRole(configuration, self.loop, Log(lambda: 0.0, self.out, max_lines=1000))
         role.start()
         return role
 
--- a/tests/xds/table.py
+++ b/tests/xds/table.py
@@ -63,10 +63,10 @@
         ours.setblocking(False)
         xds = self.xds._replace(listen=f"127.0.0.1:{port}")
         self.one = Conductor(config(self.known, **self.settings), xds, ours)
-        self.one.rounds.log.say = lambda kind, text: self.lines.append(f"{kind}: {text}")
-        self.one.front.say = self.one.server.say = self.one.rounds.log.say
+        self.one.rounds.log.write = lambda kind, text: self.lines.append(f"{kind}: {text}")
+        self.one.front.say = self.one.server.say = self.one.rounds.log.write
         if self.one.follower is not None:
-            self.one.follower.say = self.one.rounds.log.say
+            self.one.follower.say = self.one.rounds.log.write
         self.sidecar_port = self.one.acceptor.listener.getsockname()[1]
         self.port = await self.one.start()
 
