--- a/oatcart/__main__.py
+++ b/oatcart/__main__.py
@@ -9,7 +9,7 @@
 
 import sys
 
-from oatcart.errors import InvalidConfiguration
+from oatcart.errors import InvalidConfigurationError
 from oatcart.net.configuration_reload import reload_signal
 from oatcart.net.start import assemble, configuration, read
 
@@ -20,7 +20,7 @@
     woken = reload_signal()
     try:
         loop, rounds, _ = assemble(read(os.environ, "EDGE_CONFIG", configuration), woken)
-    except InvalidConfiguration as error:
+    except InvalidConfigurationError as error:
         print(f"config: {error}", file=sys.stderr)
         return UNUSABLE
     while True:
--- a/oatcart/errors.py
+++ b/oatcart/errors.py
@@ -13,20 +13,20 @@
     """Base class of the errors that oatcart raises itself."""
 
 
-class InvalidConfiguration(OatcartError):
+class InvalidConfigurationError(OatcartError):
     """A configuration cannot be used; nothing of it takes effect."""
 
     @classmethod
     def of_field(cls, field: str, problem: object) -> Self:
         """The error of one field, or of the environment variable that names the file.
 
-        >>> str(InvalidConfiguration.of_field("seed", "'?' is not a hexadecimal number"))
+        >>> str(InvalidConfigurationError.of_field("seed", "'?' is not a hexadecimal number"))
         "seed is invalid: '?' is not a hexadecimal number"
         """
         return cls(f"{field} is invalid: {problem}")
 
 
-class InvalidMessage(OatcartError):
+class InvalidMessageError(OatcartError):
     """A message can be parsed, but a field of it cannot be used; its connection goes on."""
 
 
@@ -59,7 +59,7 @@
 }
 
 
-class ConnectionClosed(OatcartError):
+class ConnectionClosedError(OatcartError):
     """A connection has ended; raised in the task that owns it, at the point where it waits, reads or writes.
 
     `reason`: why it ended. `detail`: free text for the log, as a status code or the parser's message.
@@ -74,7 +74,7 @@
     def from_os_error(cls, error: OSError) -> Self:
         """The error that an operation on a socket stands for; an unknown errno counts as UNREACHABLE.
 
-        >>> ConnectionClosed.from_os_error(ConnectionResetError(errno.ECONNRESET, "")).reason.name
+        >>> ConnectionClosedError.from_os_error(ConnectionResetError(errno.ECONNRESET, "")).reason.name
         'RESET_BY_PEER'
         """
         return cls(_REASONS_BY_ERRNO.get(error.errno, CloseReason.UNREACHABLE), error.strerror or "")
--- a/oatcart/net/acceptor.py
+++ b/oatcart/net/acceptor.py
@@ -4,7 +4,7 @@
 import socket
 from collections.abc import Generator
 
-from oatcart.errors import CloseReason, ConnectionClosed, InvalidMessage
+from oatcart.errors import CloseReason, ConnectionClosedError, InvalidMessageError
 from oatcart.net import collector, sidecar
 from oatcart.net.codec import Codec
 from oatcart.net.conductor import Rounds
@@ -57,7 +57,7 @@
                 continue
             except OSError as error:
                 if error.errno != errno.ECONNABORTED:
-                    self.log.write("acceptor", f"cannot accept: {ConnectionClosed.from_os_error(error)}")
+                    self.log.write("acceptor", f"cannot accept: {ConnectionClosedError.from_os_error(error)}")
                     yield Wait(deadline=self.loop.now + NO_ROOM_WAIT)
 
     def _let_in(self, sock: socket.socket) -> None:
@@ -74,7 +74,9 @@
             oldest.timeout_reason = CloseReason.OUT_OF_RESOURCES
             self.loop.expire(self.lives[oldest])
         if self.loop.connections > self.loop.connection_limit:
-            self.log.write("acceptor", f"a stranger gone: {ConnectionClosed(CloseReason.OUT_OF_RESOURCES)}")
+            self.log.write(
+                "acceptor", f"a stranger gone: {ConnectionClosedError(CloseReason.OUT_OF_RESOURCES)}"
+            )
             self._end(stream)
 
     def _life(self, stream: Stream) -> Generator[Wait, bool, None]:
@@ -96,8 +98,8 @@
                 stream.set_limits()
                 yield from sidecar.live(stream, told, self.codec, self.rounds, self._skipped, self._end)
             else:
-                self._refuse(InvalidMessage(f"{told[0]!r} is no first message"))
-        except ConnectionClosed as ended:
+                self._refuse(InvalidMessageError(f"{told[0]!r} is no first message"))
+        except ConnectionClosedError as ended:
             self.log.write("acceptor", f"{who} gone: {ended}")
         finally:
             for kept in self.strangers, self.collectors, self.lives:
@@ -113,10 +115,10 @@
         if stream in self.lives:
             self.loop.cancel(self.lives[stream])
 
-    def _refuse(self, odd: InvalidMessage) -> None:
+    def _refuse(self, odd: InvalidMessageError) -> None:
         """Who does not say who it is has no use here."""
-        raise ConnectionClosed(CloseReason.MALFORMED, str(odd))
+        raise ConnectionClosedError(CloseReason.MALFORMED, str(odd))
 
-    def _skipped(self, odd: InvalidMessage) -> None:
+    def _skipped(self, odd: InvalidMessageError) -> None:
         """A stream that we end leaves its proxy without orders until it has dialled again; so it goes on."""
         self.log.write("odd", str(odd))
--- a/oatcart/net/codec.py
+++ b/oatcart/net/codec.py
@@ -7,7 +7,7 @@
 import orjson
 
 from oatcart import interface as our
-from oatcart.errors import CloseReason, ConnectionClosed, InvalidMessage
+from oatcart.errors import CloseReason, ConnectionClosedError, InvalidMessageError
 from oatcart.handover import AMOUNT_MOST, is_amount, load
 from oatcart.net.stream import Address
 from oatcart.tables import Part
@@ -48,9 +48,9 @@
     try:
         table = orjson.loads(message)
     except orjson.JSONDecodeError as error:
-        raise ConnectionClosed(CloseReason.MALFORMED, str(error)) from None
+        raise ConnectionClosedError(CloseReason.MALFORMED, str(error)) from None
     if not isinstance(table, dict):
-        raise ConnectionClosed(CloseReason.MALFORMED, "not an object")
+        raise ConnectionClosedError(CloseReason.MALFORMED, "not an object")
     return table
 
 
@@ -98,7 +98,7 @@
         try:
             return _READERS[table["msg"]](self, table)
         except _UNFIT as error:
-            raise InvalidMessage(
+            raise InvalidMessageError(
                 f"{str(table.get('msg'))[:NAME_SHOWN]}: {str(error)[:NAME_SHOWN]!r} does not fit"
             ) from None
 
@@ -157,7 +157,7 @@
         """A list of nodes, whole or changed entries only; an entry that cannot be used is left out, and as
         the node it was about may be any, such a list leaves out nobody else: it counts as changes."""
         if not is_amount(table.get("revision")) or not isinstance(table.get("members"), list):
-            raise ConnectionClosed(CloseReason.MALFORMED, "no list of nodes")
+            raise ConnectionClosedError(CloseReason.MALFORMED, "no list of nodes")
         roll = Roll(int(table["revision"]), bool(table.get("complete")), [], [], [])
         for one in table["members"]:
             try:
--- a/oatcart/net/collector.py
+++ b/oatcart/net/collector.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Generator
 
-from oatcart.errors import InvalidMessage
+from oatcart.errors import InvalidMessageError
 from oatcart.net.codec import Codec
 from oatcart.net.conductor import Rounds
 from oatcart.net.loop import Wait
@@ -13,11 +13,11 @@
 
 
 def live(
-    stream: Stream, codec: Codec, rounds: Rounds, skipped: Callable[[InvalidMessage], None]
+    stream: Stream, codec: Codec, rounds: Rounds, skipped: Callable[[InvalidMessageError], None]
 ) -> Generator[Wait, bool, None]:
     while True:
         told = yield from read_message(stream, codec, skipped)
         if told[0] in REPORTS:
             rounds.arrive(told)
         else:
-            skipped(InvalidMessage(f"a collector does not say {told[:2]}"))
+            skipped(InvalidMessageError(f"a collector does not say {told[:2]}"))
--- a/oatcart/net/conductor.py
+++ b/oatcart/net/conductor.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterator
 from math import inf
 
-from oatcart.errors import ConnectionClosed
+from oatcart.errors import ConnectionClosedError
 from oatcart.net.codec import Codec
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop
@@ -132,6 +132,6 @@
             encoded[parts] = self.codec.message(parts)
         try:
             self.streams[proxy].write(encoded[parts])
-        except ConnectionClosed as ended:
+        except ConnectionClosedError as ended:
             self.log.write("stream", f"proxy {proxy} cannot be told: {ended}")
             self.lost.append(self.streams[proxy])
--- a/oatcart/net/configuration_reload.py
+++ b/oatcart/net/configuration_reload.py
@@ -10,7 +10,7 @@
 from contextlib import suppress
 from math import inf
 
-from oatcart.errors import InvalidConfiguration
+from oatcart.errors import InvalidConfigurationError
 from oatcart.net.log import Log
 from oatcart.net.loop import READABLE, Loop, Wait
 
@@ -34,8 +34,8 @@
 ) -> Generator[Wait, bool, None]:
     """The task that reloads the configuration for the life of the process.
 
-    `reload` applies the file and returns what is to be logged, or raises InvalidConfiguration and has changed
-    nothing. An invalid file is read again some times; a problem is logged once until the next signal.
+    `reload` applies the file and returns what is to be logged, or raises InvalidConfigurationError and has
+    changed nothing. An invalid file is read again some times; a problem is logged once until the next signal.
     """
     retry_at, failures, logged_problem = inf, 0, ""
     while True:
@@ -47,7 +47,7 @@
         retry_at = inf
         try:
             log.write("reload", reload())
-        except InvalidConfiguration as error:
+        except InvalidConfigurationError as error:
             problem = str(error)
             if problem != logged_problem:
                 logged_problem = problem
--- a/oatcart/net/http_client.py
+++ b/oatcart/net/http_client.py
@@ -4,7 +4,7 @@
 
 import h11
 
-from oatcart.errors import CloseReason, ConnectionClosed
+from oatcart.errors import CloseReason, ConnectionClosedError
 from oatcart.net.loop import Loop, Wait
 from oatcart.net.stream import MAX_MESSAGE_BYTES, Address, Stream, connect
 
@@ -25,7 +25,9 @@
         self.stream: Stream | None = None
 
     def get(self, path: str, deadline: float) -> Generator[Wait, bool, memoryview]:
-        """The body of the response to one GET; raises ConnectionClosed, ERROR_RESPONSE for a status but 200.
+        """The body of the response to one GET.
+
+        Raises ConnectionClosedError, with the reason ERROR_RESPONSE for any status but 200.
 
         A connection that was kept open may have been closed between two calls with nobody at fault. One that
         is closed already, or holds bytes that answer nothing, is replaced; a call that finds it closed before
@@ -36,7 +38,7 @@
         was_kept_open, started_at = self.stream is not None, self.loop.now
         try:
             return (yield from self._call(path, deadline))
-        except ConnectionClosed as error:
+        except ConnectionClosedError as error:
             was_closed = error.reason in (CloseReason.CLOSED_BY_PEER, CloseReason.RESET_BY_PEER)
             may_repeat = was_kept_open and was_closed and not self._response_began
             if not may_repeat or self.loop.now - started_at > REPEAT_WITHIN_S:
@@ -54,7 +56,7 @@
             status, body = yield from self._read_response(deadline)
         except h11.ProtocolError as error:
             self.close()
-            raise ConnectionClosed(CloseReason.MALFORMED, str(error)) from None
+            raise ConnectionClosedError(CloseReason.MALFORMED, str(error)) from None
         except BaseException:
             self.close()
             raise
@@ -65,7 +67,7 @@
         else:
             self.close()
         if status != STATUS_OK:
-            raise ConnectionClosed(CloseReason.ERROR_RESPONSE, f"status {status}")
+            raise ConnectionClosedError(CloseReason.ERROR_RESPONSE, f"status {status}")
         return body
 
     def _read_response(self, deadline: float) -> Generator[Wait, bool, tuple[int, memoryview]]:
@@ -76,7 +78,7 @@
                 data = yield from self.stream.read_available(deadline)
                 self._response_began = self._response_began or bool(data)
                 if not data and self.http.their_state is h11.SEND_RESPONSE:
-                    raise ConnectionClosed(CloseReason.CLOSED_BY_PEER)
+                    raise ConnectionClosedError(CloseReason.CLOSED_BY_PEER)
                 self.http.receive_data(data)
             elif type(event) is h11.Response:
                 status = event.status_code
@@ -84,7 +86,7 @@
                 parts.append(event.data)  # a copy that h11 made
                 size += len(event.data)
                 if size > self.max_body_bytes:
-                    raise ConnectionClosed(CloseReason.MESSAGE_TOO_LONG)
+                    raise ConnectionClosedError(CloseReason.MESSAGE_TOO_LONG)
             elif type(event) is h11.EndOfMessage:
                 return status, memoryview(b"".join(parts))
 
--- a/oatcart/net/message_reader.py
+++ b/oatcart/net/message_reader.py
@@ -3,25 +3,25 @@
 from collections.abc import Callable, Generator
 from math import inf
 
-from oatcart.errors import InvalidMessage
+from oatcart.errors import InvalidMessageError
 from oatcart.net.codec import PING, PONG, Codec
 from oatcart.net.loop import Wait
 from oatcart.net.stream import Stream
 
 
 def read_message(
-    stream: Stream, codec: Codec, on_invalid: Callable[[InvalidMessage], None], deadline: float = inf
+    stream: Stream, codec: Codec, on_invalid: Callable[[InvalidMessageError], None], deadline: float = inf
 ) -> Generator[Wait, bool, tuple]:
     """The next message but pings, by the deadline however many of those come before it.
 
-    `on_invalid` is called with each message that can be parsed but not used; it may raise ConnectionClosed.
-    Raises ConnectionClosed.
+    `on_invalid` is called with each message that can be parsed but not used; it may raise
+    ConnectionClosedError, as reading may.
     """
     while True:
         line = yield from stream.read_line(deadline)
         try:
             message = codec.arrival(line)
-        except InvalidMessage as error:
+        except InvalidMessageError as error:
             on_invalid(error)
             continue
         if message == PING:
--- a/oatcart/net/probe.py
+++ b/oatcart/net/probe.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Generator
 
 from oatcart import interface as our
-from oatcart.errors import CloseReason, ConnectionClosed
+from oatcart.errors import CloseReason, ConnectionClosedError
 from oatcart.handover import load
 from oatcart.net.codec import HEALTH_PATH, LOAD_PATH, parsed
 from oatcart.net.http_client import HttpClient
@@ -56,14 +56,14 @@
                 or self.loop.connections >= self.loop.connection_limit
                 or address is None
             ):
-                raise ConnectionClosed(CloseReason.OUT_OF_RESOURCES)
+                raise ConnectionClosedError(CloseReason.OUT_OF_RESOURCES)
             client = HttpClient(self.loop, address)
             try:
                 body = yield from client.get(LOAD_PATH if self.reports else HEALTH_PATH, began + self.within)
             finally:
                 client.close()
             told = load(parsed(body)) if self.reports and body else told
-        except ConnectionClosed as ended:
+        except ConnectionClosedError as ended:
             reason = ended.reason
         finally:
             self.under_way -= 1
--- a/oatcart/net/roll.py
+++ b/oatcart/net/roll.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Generator
 from math import inf
 
-from oatcart.errors import CloseReason, ConnectionClosed
+from oatcart.errors import CloseReason, ConnectionClosedError
 from oatcart.net.codec import ROLL_PATH, Codec, Roll, parsed, watch_path
 from oatcart.net.http_client import HttpClient
 from oatcart.net.log import Log
@@ -86,16 +86,16 @@
                 roll = self.codec.roll(parsed((yield from client.get(path, until))))
                 self.anew = roll.revision < since < inf and not roll.whole
                 if self.anew:
-                    raise ConnectionClosed(
+                    raise ConnectionClosedError(
                         CloseReason.MALFORMED, f"changes up to {roll.revision} since {since}"
                     )
                 if roll.revision == since and self.loop.now - asked < EARLY * wait:
-                    raise ConnectionClosed(CloseReason.MALFORMED, "nothing, before its time")
+                    raise ConnectionClosedError(CloseReason.MALFORMED, "nothing, before its time")
                 if not wait or roll.whole or roll.entries:  # a wait that brought nothing is no news
                     self.take(roll, since)
                 self.revision = max(self.revision, roll.revision)  # also where nobody has changed
                 wait = self.wait
-        except ConnectionClosed as ended:
+        except ConnectionClosedError as ended:
             self.watching = None
             self._failed("watch", ended)
         finally:
@@ -105,12 +105,12 @@
         client, self.fetching = HttpClient(self.loop, self.discovery), True
         try:
             self.take(self.codec.roll(parsed((yield from client.get(ROLL_PATH, self.loop.now + CALL_MOST)))))
-        except ConnectionClosed as ended:
+        except ConnectionClosedError as ended:
             self._failed("fetch", ended)
         finally:
             self.fetching = False
             client.close()
 
-    def _failed(self, what: str, ended: ConnectionClosed) -> None:
+    def _failed(self, what: str, ended: ConnectionClosedError) -> None:
         self.log.write("roll", f"the {what} ended: {ended}")
         self.arrive(("unlisted",))
--- a/oatcart/net/sidecar.py
+++ b/oatcart/net/sidecar.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Generator
 
-from oatcart.errors import InvalidMessage
+from oatcart.errors import InvalidMessageError
 from oatcart.net.codec import Codec
 from oatcart.net.conductor import Rounds
 from oatcart.net.loop import Wait
@@ -17,7 +17,7 @@
     joined: tuple,
     codec: Codec,
     rounds: Rounds,
-    skipped: Callable[[InvalidMessage], None],
+    skipped: Callable[[InvalidMessageError], None],
     end: Callable[[Stream], None],
 ) -> Generator[Wait, bool, None]:
     """Tell the module what the proxy says. Its older stream is over: it may have broken and never be seen to
@@ -33,10 +33,10 @@
         while True:
             told = yield from read_message(stream, codec, skipped)
             if told[0] not in SPEAKS or told[1] != proxy:
-                skipped(InvalidMessage(f"proxy {proxy} does not say {told[:2]}"))
+                skipped(InvalidMessageError(f"proxy {proxy} does not say {told[:2]}"))
             # it would pass for an acknowledgement
             elif told[0] == "applied" and not rounds.asked(proxy, told[2]):
-                skipped(InvalidMessage(f"proxy {proxy} was not asked for mark {told[2]}"))
+                skipped(InvalidMessageError(f"proxy {proxy} was not asked for mark {told[2]}"))
             else:
                 rounds.arrive(told)
     finally:
--- a/oatcart/net/start.py
+++ b/oatcart/net/start.py
@@ -7,7 +7,7 @@
 import traceback
 from collections.abc import Callable, Mapping
 
-from oatcart.errors import ConnectionClosed, InvalidConfiguration
+from oatcart.errors import ConnectionClosedError, InvalidConfigurationError
 from oatcart.handover import seconds, socket_records
 from oatcart.net import codec as wire
 from oatcart.net.acceptor import Acceptor
@@ -29,7 +29,7 @@
     TypeError,
     ValueError,
     RecursionError,
-    ConnectionClosed,
+    ConnectionClosedError,
     OSError,
 )
 # of the time without a call after which news counts as told: a lost watch shows well within it
@@ -44,7 +44,7 @@
     try:
         return turn(cfg[name])
     except _UNFIT as error:
-        raise InvalidConfiguration.of_field(name, repr(error)) from None
+        raise InvalidConfigurationError.of_field(name, repr(error)) from None
 
 
 def configuration(path: str) -> dict:
@@ -109,7 +109,7 @@
         new = read(os.environ, "EDGE_CONFIG", configuration)
         for field in ITS_OWN:
             if new.get(field) != cfg.get(field):
-                raise InvalidConfiguration.of_field(field, f"{new.get(field)!r} is not this conductor's")
+                raise InvalidConfigurationError.of_field(field, f"{new.get(field)!r} is not this conductor's")
         discovery, most = read(new, "discovery", wire.address), read(new, "limits", descriptors)
         acceptor.limit(most)
         watcher.move(discovery)
--- a/oatcart/net/stream.py
+++ b/oatcart/net/stream.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 from math import inf
 
-from oatcart.errors import CloseReason, ConnectionClosed
+from oatcart.errors import CloseReason, ConnectionClosedError
 from oatcart.net.loop import READABLE, WRITABLE, Loop, Wait
 
 READ_BUFFER_BYTES = 4 * 1024  # some dozen reports; there are hundreds of connections
@@ -62,7 +62,7 @@
     def read_line(self, deadline: float = inf) -> Generator[Wait, bool, memoryview]:
         """The next line without its line feed, valid until the next read.
 
-        Raises ConnectionClosed: CLOSED_BY_PEER, MESSAGE_TOO_LONG, the timeout reason, or a socket's error.
+        Raises ConnectionClosedError: CLOSED_BY_PEER, MESSAGE_TOO_LONG, the timeout reason or a socket's.
         """
         while True:
             at = self.buffer.obj.find(b"\n", self.searched, self.end)
@@ -72,9 +72,9 @@
                 return line
             self.searched = self.end
             if self.end - self.start > self.max_message_bytes:
-                raise ConnectionClosed(CloseReason.MESSAGE_TOO_LONG)
+                raise ConnectionClosedError(CloseReason.MESSAGE_TOO_LONG)
             if not (yield from self._fill_buffer(deadline)):
-                raise ConnectionClosed(CloseReason.CLOSED_BY_PEER)
+                raise ConnectionClosedError(CloseReason.CLOSED_BY_PEER)
 
     def read_available(self, deadline: float = inf) -> Generator[Wait, bool, memoryview]:
         """All bytes that have come, at least one; empty once the peer has closed its sending side."""
@@ -103,18 +103,18 @@
         while True:
             timed_out = not self._never_read and not (yield Wait(self.fd, READABLE, deadline))
             if self.write_failure is not None:
-                raise ConnectionClosed(self.write_failure)
+                raise ConnectionClosedError(self.write_failure)
             if timed_out and self._read_past_deadline:
-                raise ConnectionClosed(self.timeout_reason)
+                raise ConnectionClosedError(self.timeout_reason)
             self._never_read, self._read_past_deadline = False, timed_out
             try:
                 size = self.sock.recv_into(self.buffer[self.end :])
             except BlockingIOError:
                 if timed_out:
-                    raise ConnectionClosed(self.timeout_reason) from None
+                    raise ConnectionClosedError(self.timeout_reason) from None
                 continue
             except OSError as error:
-                raise ConnectionClosed.from_os_error(error) from None
+                raise ConnectionClosedError.from_os_error(error) from None
             self.end += size
             return size
 
@@ -135,11 +135,11 @@
     def write(self, data: bytes) -> None:
         """Send what the socket takes at once and queue the rest in order; never waits.
 
-        Raises ConnectionClosed: SEND_BUFFER_FULL or a socket's error. The coroutine that reads is woken and
-        gets the same reason.
+        Raises ConnectionClosedError: SEND_BUFFER_FULL or a socket's error. The coroutine that reads is woken
+        and gets the same reason.
         """
         if self.write_failure is not None:
-            raise ConnectionClosed(self.write_failure)
+            raise ConnectionClosedError(self.write_failure)
         if self.unsent:
             self.unsent += data
         else:
@@ -148,7 +148,7 @@
                 self.unsent += memoryview(data)[sent:]
                 self.loop.spawn(self._flush())
         if len(self.unsent) > self.max_unsent_bytes:
-            raise self._stop_writing(ConnectionClosed(CloseReason.SEND_BUFFER_FULL))
+            raise self._stop_writing(ConnectionClosedError(CloseReason.SEND_BUFFER_FULL))
 
     def _send(self, data: bytes | bytearray) -> int:
         try:
@@ -156,9 +156,9 @@
         except BlockingIOError:
             return 0
         except OSError as error:
-            raise self._stop_writing(ConnectionClosed.from_os_error(error)) from None
+            raise self._stop_writing(ConnectionClosedError.from_os_error(error)) from None
 
-    def _stop_writing(self, error: ConnectionClosed) -> ConnectionClosed:
+    def _stop_writing(self, error: ConnectionClosedError) -> ConnectionClosedError:
         """Write nothing from here on, and wake the coroutine that reads; returns the error, to be raised."""
         self.write_failure = error.reason
         self.unsent.clear()
@@ -169,7 +169,7 @@
     def _flush(self) -> Generator[Wait, bool, None]:
         while self.unsent:
             yield Wait(self.fd, WRITABLE)
-            with suppress(ConnectionClosed):  # raised to the coroutine that reads as well
+            with suppress(ConnectionClosedError):  # raised to the coroutine that reads as well
                 del self.unsent[: self._send(self.unsent)]
 
     def close(self) -> None:
@@ -181,23 +181,23 @@
 
 
 def connect(loop: Loop, address: Address, deadline: float) -> Generator[Wait, bool, Stream]:
-    """Open a connection by the deadline; raises ConnectionClosed."""
+    """Open a connection by the deadline; raises ConnectionClosedError."""
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     except OSError as error:
-        raise ConnectionClosed.from_os_error(error) from None
+        raise ConnectionClosedError.from_os_error(error) from None
     stream = Stream(loop, sock)
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         with suppress(BlockingIOError):
             sock.connect(address)
         if not (yield Wait(stream.fd, WRITABLE, deadline)):
-            raise ConnectionClosed(CloseReason.UNREACHABLE)
+            raise ConnectionClosedError(CloseReason.UNREACHABLE)
         if code := sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             raise OSError(code, "")
     except OSError as error:
         stream.close()
-        raise ConnectionClosed.from_os_error(error) from None
+        raise ConnectionClosedError.from_os_error(error) from None
     except BaseException:
         stream.close()
         raise
--- a/oatcart/scale/hollow.py
+++ b/oatcart/scale/hollow.py
@@ -19,7 +19,7 @@
 from dataclasses import asdict
 from typing import NamedTuple, TextIO
 
-from oatcart.errors import InvalidMessage
+from oatcart.errors import InvalidMessageError
 from oatcart.handover import seconds, socket_records
 from oatcart.net.codec import Codec
 from oatcart.net.conductor import Rounds
@@ -203,7 +203,7 @@
             for message in messages:
                 try:
                     arrival = self.rounds.codec.arrival(memoryview(message.line))
-                except InvalidMessage:  # a node that is not listed
+                except InvalidMessageError:  # a node that is not listed
                     continue
                 if arrival[0] == "joined":
                     self.rounds.join(message.proxy, arrival[-1], HollowStream(self.peers, message.proxy))
--- a/oatcart/trace/run.py
+++ b/oatcart/trace/run.py
@@ -6,7 +6,7 @@
 import os
 import sys
 
-from oatcart.errors import InvalidConfiguration
+from oatcart.errors import InvalidConfigurationError
 from oatcart.net.conductor import Rounds
 from oatcart.net.configuration_reload import reload_signal
 from oatcart.net.start import assemble, configuration, read
@@ -25,7 +25,7 @@
     try:
         tracing, cfg = read_tracing(told.file), read(os.environ, "EDGE_CONFIG", configuration)
         loop, rounds, _ = assemble(cfg, reload_signal(), traced(Rounds, cfg, tracing, writers.append))
-    except (Wrong, InvalidConfiguration) as error:
+    except (Wrong, InvalidConfigurationError) as error:
         print(error, file=sys.stderr)
         return UNUSABLE
     writers[0].start()
--- a/oatcart/views/follower.py
+++ b/oatcart/views/follower.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Generator
 from math import inf
 
-from oatcart.errors import ConnectionClosed
+from oatcart.errors import ConnectionClosedError
 from oatcart.net.codec import ROLL_PATH, watch_path
 from oatcart.net.http_client import HttpClient
 from oatcart.net.log import Log
@@ -73,7 +73,7 @@
         while True:
             try:
                 yield from self._follow(backoff)
-            except (ConnectionClosed, MalformedAnswer, RefusedAnswer, StartedOver) as error:
+            except (ConnectionClosedError, MalformedAnswer, RefusedAnswer, StartedOver) as error:
                 wait = backoff.next()
                 self.log.write(
                     "source",
--- a/oatcart/views/role.py
+++ b/oatcart/views/role.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from oatcart.errors import InvalidConfiguration
+from oatcart.errors import InvalidConfigurationError
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop, Wait
 from oatcart.net.stream import Address
@@ -121,20 +121,21 @@
         return {listener.view: listener for listener in self.listeners.values()}[name].address
 
     def reload(self, path: str | Path) -> str:
-        """Read the file again; a file that cannot be used changes nothing and raises InvalidConfiguration."""
+        """Read the file again; a file that cannot be used changes nothing and raises
+        InvalidConfigurationError."""
         try:
             return self.reconfigure(read(path))
         except Wrong as wrong:
-            raise InvalidConfiguration(str(wrong)) from None
+            raise InvalidConfigurationError(str(wrong)) from None
 
     def reconfigure(self, new: Configuration) -> str:
         """Another configuration, all of it or nothing; hands back what is to be logged. Raises
-        InvalidConfiguration."""
+        InvalidConfigurationError."""
         old, wanted = self.configuration, _conductors_by_key(new)
         try:
             fresh = self._listen({key: one for key, one in wanted.items() if key not in self.listeners})
         except OSError as error:
-            raise InvalidConfiguration(error.strerror) from None
+            raise InvalidConfigurationError(error.strerror) from None
         self.publisher.configure(new)
         if self.leases is not None:
             self.leases.configure(self.publisher.viewers, self.loop.now)
--- a/oatcart/views/server.py
+++ b/oatcart/views/server.py
@@ -13,7 +13,7 @@
 
 import h11
 
-from oatcart.errors import CloseReason, ConnectionClosed
+from oatcart.errors import CloseReason, ConnectionClosedError
 from oatcart.net.log import Log
 from oatcart.net.loop import READABLE, Loop, Task, Wait
 from oatcart.net.stream import MAX_MESSAGE_BYTES, Address, Stream
@@ -141,7 +141,9 @@
                 continue
             except OSError as error:
                 if error.errno != errno.ECONNABORTED:
-                    self.log.write("connection", f"cannot accept: {ConnectionClosed.from_os_error(error)}")
+                    self.log.write(
+                        "connection", f"cannot accept: {ConnectionClosedError.from_os_error(error)}"
+                    )
                     yield Wait(deadline=self.loop.now + NO_ROOM_WAIT)
 
     def _let_in(self, sock: socket.socket, listener: Listener) -> None:
@@ -159,7 +161,9 @@
             oldest.timeout_reason = CloseReason.OUT_OF_RESOURCES
             self.loop.expire(self.lives[oldest])
         if len(self.lives) > self.bounds.connections:
-            self.log.write("connection", f"a stranger gone: {ConnectionClosed(CloseReason.OUT_OF_RESOURCES)}")
+            self.log.write(
+                "connection", f"a stranger gone: {ConnectionClosedError(CloseReason.OUT_OF_RESOURCES)}"
+            )
             self._end(stream)
 
     def _life(self, stream: Stream, listener: Listener) -> Generator[Wait, bool, None]:
@@ -172,7 +176,7 @@
                     return
                 http.start_next_cycle()
                 until = self.loop.now + self.bounds.idle_most
-        except ConnectionClosed as ended:
+        except ConnectionClosedError as ended:
             if ended.reason not in (CloseReason.CLOSED_BY_PEER, CloseReason.RESET_BY_PEER):
                 self.log.write("connection", f"{self._who(stream)} gone: {ended}")
         finally:
@@ -202,7 +206,7 @@
             if http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
                 refused = RefusedRequest(BAD_REQUEST, "the request cannot be read", str(error))
                 yield from self._answer(stream, http, refused.status, refused.body)
-            raise ConnectionClosed(CloseReason.MALFORMED, str(error)) from None
+            raise ConnectionClosedError(CloseReason.MALFORMED, str(error)) from None
         return http.our_state is h11.DONE and http.their_state is h11.DONE
 
     def _request(
@@ -216,20 +220,20 @@
             if event is h11.NEED_DATA:
                 part = yield from stream.read_available(until)
                 if not part:
-                    raise ConnectionClosed(CloseReason.CLOSED_BY_PEER)
+                    raise ConnectionClosedError(CloseReason.CLOSED_BY_PEER)
                 http.receive_data(part)
             elif isinstance(event, h11.Request):
                 request = event
             elif isinstance(event, h11.Data):
                 unused += len(event.data)
                 if unused > HEAD_MOST:
-                    raise ConnectionClosed(CloseReason.MESSAGE_TOO_LONG)
+                    raise ConnectionClosedError(CloseReason.MESSAGE_TOO_LONG)
             elif isinstance(event, h11.EndOfMessage):
                 self.strangers.pop(stream, None)
                 stream.timeout_reason = CloseReason.TIMED_OUT
                 return request
             else:
-                raise ConnectionClosed(CloseReason.CLOSED_BY_PEER)
+                raise ConnectionClosedError(CloseReason.CLOSED_BY_PEER)
 
     def _list(self, stream: Stream, http: h11.Connection, call: ListRequest) -> Generator[Wait, bool, bytes]:
         """The body that answers a call for a view; a watch waits here until there is news or its time is
@@ -278,17 +282,17 @@
         waiting[stream] = None
         try:
             part = yield from stream.read_available(until)
-        except ConnectionClosed as ended:
+        except ConnectionClosedError as ended:
             if ended.reason is not CloseReason.TIMED_OUT or stream.write_failure:
                 raise
             return
         finally:
             waiting.pop(stream)
         if not part:
-            raise ConnectionClosed(CloseReason.CLOSED_BY_PEER)
+            raise ConnectionClosedError(CloseReason.CLOSED_BY_PEER)
         http.receive_data(part)  # a further request, sent ahead
         if len(http.trailing_data[0]) > HEAD_MOST:
-            raise ConnectionClosed(CloseReason.MESSAGE_TOO_LONG)
+            raise ConnectionClosedError(CloseReason.MESSAGE_TOO_LONG)
 
     def _answer(
         self, stream: Stream, http: h11.Connection, status: int, body: bytes
@@ -305,7 +309,7 @@
             if len(stream.unsent) < left:
                 left, late = len(stream.unsent), self.loop.now + self.bounds.unread_for
             elif self.loop.now >= late:
-                raise ConnectionClosed(CloseReason.SEND_BUFFER_FULL)
+                raise ConnectionClosedError(CloseReason.SEND_BUFFER_FULL)
 
     def _use(self, stream: Stream, view: str) -> None:
         """A connection has asked for that view; the oldest of too many makes way."""
--- a/oatcart/xds/__main__.py
+++ b/oatcart/xds/__main__.py
@@ -13,7 +13,7 @@
 import asyncio
 import sys
 
-from oatcart.errors import InvalidConfiguration
+from oatcart.errors import InvalidConfigurationError
 from oatcart.net.start import configuration, read
 from oatcart.xds.configuration import Wrong
 from oatcart.xds.configuration import read as read_xds
@@ -34,7 +34,7 @@
             from oatcart.trace import hook
 
             where = tracing.read(told.trace)
-    except (Wrong, InvalidConfiguration) as error:
+    except (Wrong, InvalidConfigurationError) as error:
         print(error, file=sys.stderr)
         return UNUSABLE
     if told.check:
--- a/oatcart/xds/serve.py
+++ b/oatcart/xds/serve.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from random import Random
 
-from oatcart.errors import InvalidConfiguration
+from oatcart.errors import InvalidConfigurationError
 from oatcart.handover import start_records
 from oatcart.net.configuration_reload import reload_signal
 from oatcart.net.loop import Loop
@@ -137,7 +137,7 @@
     """`traced` may put a tap between the module and its rounds."""
     try:
         await Conductor(cfg, xds, reload_signal(), traced).start()
-    except (InvalidConfiguration, RuntimeError) as error:
+    except (InvalidConfigurationError, RuntimeError) as error:
         print(f"config: {error}", file=sys.stderr)
         return UNUSABLE
     return await asyncio.get_running_loop().create_future()  # a signal ends the process
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -8,7 +8,7 @@
 import socket
 import struct
 
-from oatcart.errors import InvalidConfiguration
+from oatcart.errors import InvalidConfigurationError
 from oatcart.net import codec as wire
 from oatcart.net.acceptor import KEPT_BACK, Acceptor
 from oatcart.net.conductor import Rounds
@@ -69,7 +69,7 @@
     def reload(self):
         """What a new configuration brings here: an address of discovery, or none that can be used."""
         if self.discovery is None:
-            raise InvalidConfiguration.of_field("discovery", "no address")
+            raise InvalidConfigurationError.of_field("discovery", "no address")
         self.rounds.watcher.move(self.discovery)
         return "taken in"
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -9,7 +9,7 @@
 
 import stage
 
-from oatcart.errors import CloseReason, ConnectionClosed
+from oatcart.errors import CloseReason, ConnectionClosedError
 from oatcart.net import loop
 from oatcart.net.acceptor import STRANGER_MOST
 from oatcart.net.loop import READABLE, WRITABLE, Loop, Wait
@@ -119,7 +119,7 @@
         try:
             while True:
                 yield from stream.read_line(4.0)
-        except ConnectionClosed as error:
+        except ConnectionClosedError as error:
             ended.append(error.reason)
             stream.close()
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -18,7 +18,7 @@
 import stage
 
 from oatcart import interface as our
-from oatcart.errors import CloseReason, ConnectionClosed
+from oatcart.errors import CloseReason, ConnectionClosedError
 from oatcart.net.acceptor import NO_ROOM_WAIT
 from oatcart.net.codec import Codec
 from oatcart.net.conductor import Rounds
@@ -267,7 +267,7 @@
     ours, theirs = socket.socketpair()
     loop = Loop(lambda: 0.0, lambda error: None)
     stream, sent = Stream(loop, ours), 0
-    with theirs, pytest.raises(ConnectionClosed) as ended:
+    with theirs, pytest.raises(ConnectionClosedError) as ended:
         while sent < 100 * MAX_UNSENT_BYTES:
             stream.write(b"x" * 4096)
             sent += 4096
--- a/tests/views/test_views_conductor.py
+++ b/tests/views/test_views_conductor.py
@@ -10,7 +10,7 @@
 import pytest
 from views_stage import Stage, conductor, node
 
-from oatcart.errors import ConnectionClosed
+from oatcart.errors import ConnectionClosedError
 from oatcart.net.stream import connect
 
 ROOT = Path(__file__).parents[2]
@@ -57,7 +57,7 @@
         try:
             while True:
                 self._order(json.loads(bytes((yield from stream.read_line()))))
-        except ConnectionClosed:
+        except ConnectionClosedError:
             stream.close()
 
     def _order(self, told):
--- a/tests/views/test_views_server.py
+++ b/tests/views/test_views_server.py
@@ -5,7 +5,7 @@
 import pytest
 from views_stage import ANY_PORT, Exchange, Stage, conductor, ids, node, phases
 
-from oatcart.errors import InvalidConfiguration
+from oatcart.errors import InvalidConfigurationError
 from oatcart.net.http_client import HttpClient
 from oatcart.views.configuration import Bounds
 from oatcart.views.trust import Guard
@@ -467,14 +467,14 @@
 def test_an_address_that_is_taken_leaves_everything_as_it_was(stage):
     taken = stage.discovery.address
     before = set(stage.role.listeners)
-    with pytest.raises(InvalidConfiguration, match="c4: .* in use"):
+    with pytest.raises(InvalidConfigurationError, match="c4: .* in use"):
         reconfigured(stage, conductor("c3"), conductor("c4", address=taken))
     assert set(stage.role.listeners) == before and len(stage.get("c1")["members"]) == 4
 
 
 def test_a_file_that_cannot_be_used_leaves_everything_as_it_was(stage, tmp_path):
     (tmp_path / "views.yaml").write_text("conductors: 7\nguard: {hold: 4}\n")
-    with pytest.raises(InvalidConfiguration) as unusable:
+    with pytest.raises(InvalidConfigurationError) as unusable:
         stage.role.reload(tmp_path / "views.yaml")
     assert "views.yaml:1: conductors is no list" in str(unusable.value)
     assert "views.yaml:2: guard.hold" in str(unusable.value)
--- a/tests/views/views_stage.py
+++ b/tests/views/views_stage.py
@@ -7,7 +7,7 @@
 import h11
 import orjson
 
-from oatcart.errors import ConnectionClosed
+from oatcart.errors import ConnectionClosedError
 from oatcart.net.http_client import HttpClient
 from oatcart.net.log import Log
 from oatcart.net.loop import READABLE, Loop, Wait
@@ -120,7 +120,7 @@
                     http.start_next_cycle()
                 else:
                     return
-        except ConnectionClosed:
+        except ConnectionClosedError:
             pass
         finally:
             stream.close()
@@ -226,7 +226,7 @@
     def _run(self, path, until):
         try:
             self.body = orjson.loads((yield from self.client.get(path, until)))
-        except ConnectionClosed as ended:
+        except ConnectionClosedError as ended:
             self.ended = ended
         self.at = self.loop.now
 
@@ -253,7 +253,7 @@
         try:
             while self.reads and (part := (yield from self.stream.read_available(self.loop.now + 1.0))):
                 self.data += bytes(part)
-        except ConnectionClosed:
+        except ConnectionClosedError:
             pass
         self.over = True
         if self.reads:
