--- a/oatcart/net/acceptor.py
+++ b/oatcart/net/acceptor.py
@@ -5,6 +5,7 @@
 from collections.abc import Generator
 
 from oatcart.errors import CloseReason, ConnectionClosedError, InvalidMessageError
+from oatcart.events import ProxyJoined
 from oatcart.net import collector, sidecar
 from oatcart.net.codec import Codec
 from oatcart.net.conductor import Rounds
@@ -92,13 +93,13 @@
                 self.collectors[stream] = told[1]
                 self._keep_newest(told[1])
                 yield from collector.live(stream, self.codec, self.rounds, self._skipped)
-            elif told[0] == "joined":
-                who = f"proxy {told[1]}"
+            elif isinstance(told, ProxyJoined):
+                who = f"proxy {told.proxy}"
                 del self.strangers[stream]
                 stream.set_limits()
                 yield from sidecar.live(stream, told, self.codec, self.rounds, self._skipped, self._end)
             else:
-                self._refuse(InvalidMessageError(f"{told[0]!r} is no first message"))
+                self._refuse(InvalidMessageError(f"{type(told).__name__} is no first message"))
         except ConnectionClosedError as ended:
             self.log.write("acceptor", f"{who} gone: {ended}")
         finally:
--- a/oatcart/net/collector.py
+++ b/oatcart/net/collector.py
@@ -3,13 +3,14 @@
 from collections.abc import Callable, Generator
 
 from oatcart.errors import InvalidMessageError
+from oatcart.events import EndpointLoadReported, ProxyLoadReported
 from oatcart.net.codec import Codec
 from oatcart.net.conductor import Rounds
 from oatcart.net.loop import Wait
 from oatcart.net.message_reader import read_message
 from oatcart.net.stream import Stream
 
-REPORTS = ("met", "came")
+REPORTS = (EndpointLoadReported, ProxyLoadReported)
 
 
 def live(
@@ -17,7 +18,7 @@
 ) -> Generator[Wait, bool, None]:
     while True:
         told = yield from read_message(stream, codec, skipped)
-        if told[0] in REPORTS:
+        if isinstance(told, REPORTS):
             rounds.arrive(told)
         else:
-            skipped(InvalidMessageError(f"a collector does not say {told[:2]}"))
+            skipped(InvalidMessageError(f"a collector does not say {type(told).__name__}"))
--- a/oatcart/net/probe.py
+++ b/oatcart/net/probe.py
@@ -2,9 +2,10 @@
 
 from collections.abc import Callable, Generator
 
-from oatcart import interface as our
 from oatcart.errors import CloseReason, ConnectionClosedError
+from oatcart.events import HealthCheckCompleted
 from oatcart.handover import load
+from oatcart.model import HealthCheckOutcome, LoadReport
 from oatcart.net.codec import HEALTH_PATH, LOAD_PATH, parsed
 from oatcart.net.http_client import HttpClient
 from oatcart.net.loop import Loop, Wait
@@ -12,17 +13,17 @@
 
 # What a probe that ended so has shown of its node; no room here is not the node's fault
 PROBE_OUTCOMES = {
-    CloseReason.COMPLETED: our.ANSWERED,
-    CloseReason.ERROR_RESPONSE: our.ERRORED,
-    CloseReason.MALFORMED: our.ERRORED,
-    CloseReason.MESSAGE_TOO_LONG: our.ERRORED,
-    CloseReason.CLOSED_BY_PEER: our.UNREACHED,
-    CloseReason.RESET_BY_PEER: our.UNREACHED,
-    CloseReason.REFUSED: our.UNREACHED,
-    CloseReason.UNREACHABLE: our.UNREACHED,
-    CloseReason.TIMED_OUT: our.SILENT,
-    CloseReason.SEND_BUFFER_FULL: our.SILENT,
-    CloseReason.OUT_OF_RESOURCES: our.TURNED_AWAY,
+    CloseReason.COMPLETED: HealthCheckOutcome.PASSED,
+    CloseReason.ERROR_RESPONSE: HealthCheckOutcome.FAILED,
+    CloseReason.MALFORMED: HealthCheckOutcome.FAILED,
+    CloseReason.MESSAGE_TOO_LONG: HealthCheckOutcome.FAILED,
+    CloseReason.CLOSED_BY_PEER: HealthCheckOutcome.UNREACHABLE,
+    CloseReason.RESET_BY_PEER: HealthCheckOutcome.UNREACHABLE,
+    CloseReason.REFUSED: HealthCheckOutcome.UNREACHABLE,
+    CloseReason.UNREACHABLE: HealthCheckOutcome.UNREACHABLE,
+    CloseReason.TIMED_OUT: HealthCheckOutcome.TIMED_OUT,
+    CloseReason.SEND_BUFFER_FULL: HealthCheckOutcome.TIMED_OUT,
+    CloseReason.OUT_OF_RESOURCES: HealthCheckOutcome.REJECTED,
 }
 # at a time, each a descriptor while there are any left; a round asks for one a withdrawn node
 PROBES_MOST = 64
@@ -48,7 +49,7 @@
         """The life of a probe: dial, ask, and tell the module how it ended. Where the node has another
         address by then, or its number is another's, it has shown nothing of who is there now."""
         address = self.addresses.get(node)
-        began, told, reason = self.loop.now, (None, None, None), CloseReason.COMPLETED
+        began, told, reason = self.loop.now, LoadReport(), CloseReason.COMPLETED
         self.under_way += 1
         try:
             if (
@@ -68,4 +69,4 @@
         finally:
             self.under_way -= 1
         if self.addresses.get(node) == address:
-            self.arrive(("probed", node, PROBE_OUTCOMES[reason], self.loop.now - began, told))
+            self.arrive(HealthCheckCompleted(node, PROBE_OUTCOMES[reason], self.loop.now - began, told))
--- a/oatcart/xds/serve.py
+++ b/oatcart/xds/serve.py
@@ -9,6 +9,7 @@
 
 from oatcart.errors import InvalidConfigurationError
 from oatcart.handover import start_records
+from oatcart.model import AdmissionMode
 from oatcart.net.configuration_reload import reload_signal
 from oatcart.net.loop import Loop
 from oatcart.net.start import assemble
@@ -42,13 +43,13 @@
         zones = sorted(codec.zones, key=codec.zones.get)
         self.front = Front(
             self.rounds,
-            list(zip(codec.kind_names, records["kinds"], strict=True)),
+            list(zip(codec.kind_names, records.request_classes, strict=True)),
             zones,
             codec.proxies,
             new_life(time.time_ns(), int(cfg["seed"], 16)),
             Gate(xds.clients, xds.streams, xds.names, xds.pushes),
             Budget(xds.pushes),
-            records["admitting"] == "rate",
+            records.admission_mode == AdmissionMode.RATE,
             xds.home_zone,
             self.rounds.log.write,
         )
--- a/tests/test_short_days.py
+++ b/tests/test_short_days.py
@@ -144,7 +144,7 @@
     one.rounds.streams[0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, NARROW)
     for node in range(WIDE):
         one.codec.place(f"s-{node:08x}")
-        one.play(f"order line 0 {node} {node % 90 + 1}")
+        one.play(f"order set_weight 0 {node} {node % 90 + 1}")
     return one, *ends
 
 
@@ -165,7 +165,11 @@
         while len(stream.unsent) < MAX_UNSENT_BYTES // 2:
             mark += 1
             assert mark < UNREAD_ROUNDS
-            for line in ("order bind 0 0 0", "order bind 0 1 0", f"order ask_ack {mark} true"):
+            for line in (
+                "order assign_table 0 0 0",
+                "order assign_table 0 1 0",
+                f"order request_ack {mark} true",
+            ):
                 one.play(line)
             one.turn()
             read[quick] += taken(quick, 1 << 22)
@@ -188,7 +192,11 @@
         for mark in range(UNREAD_ROUNDS):
             if 0 not in one.rounds.streams:
                 break
-            for line in ("order bind 0 0 0", "order bind 0 1 0", f"order ask_ack {mark} true"):
+            for line in (
+                "order assign_table 0 0 0",
+                "order assign_table 0 1 0",
+                f"order request_ack {mark} true",
+            ):
                 one.play(line)
             one.turn()
             assert len(stream.unsent) <= MAX_UNSENT_BYTES
