--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -49,14 +49,14 @@
     """The order writer of the benchmark: messages are encoded as on sockets, and acknowledged at once."""
 
     def __init__(self, codec: Codec) -> None:
-        super().__init__(len(codec.kind_names))
+        super().__init__(len(codec.request_class_names))
         self.codec, self.bytes, self.marks = codec, 0, []
 
     def tell(self) -> None:
         encoded: dict[tuple, bytes] = {}
         for proxy, parts in self.messages():
             if parts not in encoded:
-                encoded[parts] = self.codec.message(parts)
+                encoded[parts] = self.codec.encode_update(parts)
             self.bytes += len(encoded[parts])
             if parts[-1].mark is not None:
                 self.marks.append(UpdateAcknowledged(proxy, parts[-1].mark, 0.3))
@@ -119,7 +119,7 @@
     )
     module = Controller(settings, seed=1)
     entries = [
-        EndpointEntry(codec.place(f"s-{at:08x}"), at % ZONES, 0.0, EndpointState.READY, 1.0)
+        EndpointEntry(codec.number_of(f"s-{at:08x}"), at % ZONES, 0.0, EndpointState.READY, 1.0)
         for at in range(nodes)
     ]
     leaving = [entry._replace(state=EndpointState.DRAINING) for entry in entries[::3]]
--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -77,7 +77,7 @@
         self.one = Conductor(self.cfg, Xds(listen="127.0.0.1:0", clients=clients + 1, pushes=1e6), ours)
         self.orders, self.revision, self.mark = [], 1, FIRST_MARK
         self.took: list[float] = []
-        call, arrive = self.one.rounds.call, self.one.rounds.arrive
+        call, arrive = self.one.rounds.decide, self.one.rounds.add_event
 
         def scripted(now, arrivals, orders):
             call(now, arrivals, orders)
@@ -90,7 +90,7 @@
                 self.took.append(arrival.duration)
             arrive(arrival)
 
-        self.one.rounds.call, self.one.rounds.arrive = scripted, noted
+        self.one.rounds.decide, self.one.rounds.add_event = scripted, noted
 
     def weights(self, count: int, weight: int) -> None:
         table = self.one.front.maps[0][0]
@@ -98,13 +98,13 @@
         self.orders += [("line", table, place, weight) for place in range(count)] + [
             ("ask_ack", self.mark, False)
         ]
-        self.one.rounds.due = True
+        self.one.rounds.is_due = True
 
     def drain(self, at: int) -> None:
         self.cfg["known"]["members"][at]["phase"] = "DRAINING"
         self.revision += 1
-        self.one.rounds.watcher.take(
-            self.one.rounds.codec.roll(self.cfg["known"] | {"revision": self.revision})
+        self.one.rounds.watcher.receive(
+            self.one.rounds.codec.decode_endpoint_list(self.cfg["known"] | {"revision": self.revision})
         )
 
     def told(self) -> dict:
--- a/oatcart/net/acceptor.py
+++ b/oatcart/net/acceptor.py
@@ -1,4 +1,7 @@
-"""The conductor's address: who connects is a stranger until a first message says who it is."""
+"""The listening socket and the connections that came in by it.
+
+A connection is unidentified until its first message says whether a proxy or a collector is at its other end.
+"""
 
 import errno
 import socket
@@ -6,39 +9,44 @@
 
 from oatcart.errors import CloseReason, ConnectionClosedError, InvalidMessageError
 from oatcart.events import ProxyJoined
-from oatcart.net import collector, sidecar
-from oatcart.net.codec import Codec
-from oatcart.net.conductor import Rounds
+from oatcart.net.codec import Codec, CollectorConnected
+from oatcart.net.collector_stream import serve_collector
 from oatcart.net.log import Log
 from oatcart.net.loop import READABLE, Loop, Task, Wait
 from oatcart.net.message_reader import read_message
+from oatcart.net.proxy_stream import serve_proxy
+from oatcart.net.rounds import Rounds
 from oatcart.net.stream import Address, Stream
 
-# s from its accept until a stranger has said who it is; a proxy does so with its first bytes
-STRANGER_MOST = 1.5
-STRANGER_LINE = 1024  # bytes of its message, and of what it may leave unread: ten times a joining
-REPORTS_ROOM = 16 * 1024  # bytes that are read of a collector at a time, some hundred reports
-COLLECTORS_MOST = 2  # of a zone; one that redials leaves connections behind that nobody sees end
-# descriptors: standard streams, epoll, the listener, the wake pair, two calls to discovery; half spare
-KEPT_BACK = 16
-BACKLOG = 1024  # connections not yet accepted: a whole fleet may dial at once
-ACCEPTS_MOST = 64  # in one turn of the loop, so that those who are in use are read in between
-NO_ROOM_WAIT = 0.2  # s without accepting where there is no room; far within a proxy's redial
+IDENTIFICATION_TIMEOUT_S = 1.5  # from the accept; a proxy identifies itself with its first bytes
+MAX_UNIDENTIFIED_BYTES = 1024  # of its message, and of what it leaves unread: ten times a joining
+COLLECTOR_BUFFER_BYTES = 16 * 1024  # read at a time, some hundred reports
+MAX_COLLECTORS_PER_ZONE = 2  # one that reconnects leaves connections behind whose end nobody notices
+# Descriptors that are not for connections: standard streams, epoll, the listener, the reload signal, two
+# calls to discovery; half of them spare.
+RESERVED_DESCRIPTORS = 16
+BACKLOG = 1024  # connections not yet accepted: a whole fleet may connect at once
+MAX_ACCEPTS_PER_TURN = 64  # so that the connections in use are read in between
+ACCEPT_PAUSE_S = 0.2  # without descriptors or memory; far within the time in which a proxy reconnects
 
 
 class Acceptor:
+    """Accepts connections and runs a task for each. `descriptors`: how many the process may open."""
+
     def __init__(self, loop: Loop, log: Log, codec: Codec, rounds: Rounds, descriptors: int) -> None:
         self.loop, self.log, self.codec, self.rounds = loop, log, codec, rounds
-        self.limit(descriptors)
-        self.lives: dict[Stream, Task] = {}  # of all connections
-        self.strangers: dict[Stream, None] = {}  # those that have not said who they are, oldest first
-        self.collectors: dict[Stream, str] = {}  # their zones, oldest first
-        rounds.ends_by(self._end)
+        self.set_limit(descriptors)
+        self.tasks: dict[Stream, Task] = {}  # of all connections
+        self.unidentified: dict[Stream, None] = {}  # oldest first
+        self.collectors: dict[Stream, str] = {}  # zones by connection, oldest first
+        rounds.close_streams_by(self._close)
 
-    def limit(self, descriptors: int) -> None:
-        self.loop.connection_limit = max(1, descriptors - KEPT_BACK)
+    def set_limit(self, descriptors: int) -> None:
+        """Let the process use so many descriptors from now on; no open connection is closed for it."""
+        self.loop.connection_limit = max(1, descriptors - RESERVED_DESCRIPTORS)
 
     def listen(self, address: Address) -> socket.socket:
+        """Listen at an address and accept from now on; raises OSError."""
         self.listener = sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind(address)
@@ -50,76 +58,87 @@
         while True:
             yield Wait(listener.fileno(), READABLE)
             try:
-                for _ in range(ACCEPTS_MOST):
+                for _ in range(MAX_ACCEPTS_PER_TURN):
                     sock, _ = listener.accept()
                     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                    self._let_in(sock)
+                    self._admit(sock)
             except BlockingIOError:
                 continue
             except OSError as error:
                 if error.errno != errno.ECONNABORTED:
-                    self.log.write("acceptor", f"cannot accept: {ConnectionClosedError.from_os_error(error)}")
-                    yield Wait(deadline=self.loop.now + NO_ROOM_WAIT)
-
-    def _let_in(self, sock: socket.socket) -> None:
-        """Where there is no room the oldest stranger makes way, else this one; never who is in use. What has
-        come already is read first, of this one and of the oldest: in a flood of strangers a proxy is none."""
-        stream = Stream(self.loop, sock, STRANGER_LINE, STRANGER_LINE, STRANGER_LINE)
-        self.strangers[stream] = None
-        life = self.loop.spawn(self._life(stream))
+                    reason = ConnectionClosedError.from_os_error(error)
+                    self.log.write("acceptor", f"cannot accept connections: {reason}")
+                    yield Wait(deadline=self.loop.now + ACCEPT_PAUSE_S)
+
+    def _admit(self, sock: socket.socket) -> None:
+        """Start the task of a connection, and close unidentified ones while there are too many.
+
+        The oldest unidentified connection is closed first, then this one; never one that is in use. What has
+        come already on either is read before, so that a proxy among many others gets in.
+        """
+        stream = Stream(
+            self.loop, sock, MAX_UNIDENTIFIED_BYTES, MAX_UNIDENTIFIED_BYTES, MAX_UNIDENTIFIED_BYTES
+        )
+        self.unidentified[stream] = None
+        task = self.loop.spawn(self._serve(stream))
         if stream.sock.fileno() < 0:
-            return  # it was over at once
-        self.lives[stream] = life
-        while self.loop.connections > self.loop.connection_limit and self.strangers:
-            oldest = next(iter(self.strangers))
+            return  # closed within its first step
+        self.tasks[stream] = task
+        while self.loop.connections > self.loop.connection_limit and self.unidentified:
+            oldest = next(iter(self.unidentified))
             oldest.timeout_reason = CloseReason.OUT_OF_RESOURCES
-            self.loop.expire(self.lives[oldest])
+            self.loop.expire(self.tasks[oldest])
         if self.loop.connections > self.loop.connection_limit:
-            self.log.write(
-                "acceptor", f"a stranger gone: {ConnectionClosedError(CloseReason.OUT_OF_RESOURCES)}"
-            )
-            self._end(stream)
-
-    def _life(self, stream: Stream) -> Generator[Wait, bool, None]:
-        """The life of a connection, whoever is at its other end. Until it has joined it has one deadline,
-        whatever it says, and a small buffer: what strangers cost is theirs alone."""
-        who = "a stranger"
+            self._log_end("unidentified peer", ConnectionClosedError(CloseReason.OUT_OF_RESOURCES))
+            self._close(stream)
+
+    def _serve(self, stream: Stream) -> Generator[Wait, bool, None]:
+        """The task of a connection, from its accept to its end.
+
+        Until it is identified it has one deadline, whatever it sends, and a small buffer, so that it costs
+        the others nothing.
+        """
+        peer = "unidentified peer"
         try:
-            told = yield from read_message(stream, self.codec, self._refuse, self.loop.now + STRANGER_MOST)
-            if told[0] == "collector":
-                who = f"collector of {told[1]}"
-                del self.strangers[stream]
-                stream.set_limits(REPORTS_ROOM)
-                self.collectors[stream] = told[1]
-                self._keep_newest(told[1])
-                yield from collector.live(stream, self.codec, self.rounds, self._skipped)
-            elif isinstance(told, ProxyJoined):
-                who = f"proxy {told.proxy}"
-                del self.strangers[stream]
+            deadline = self.loop.now + IDENTIFICATION_TIMEOUT_S
+            first = yield from read_message(stream, self.codec, self._reject, deadline)
+            if isinstance(first, CollectorConnected):
+                peer = f"collector of zone {first.zone}"
+                self._admit_collector(stream, first.zone)
+                yield from serve_collector(stream, self.codec, self.rounds, self._log_invalid)
+            elif isinstance(first, ProxyJoined):
+                peer = f"proxy {first.proxy}"
+                del self.unidentified[stream]
                 stream.set_limits()
-                yield from sidecar.live(stream, told, self.codec, self.rounds, self._skipped, self._end)
+                yield from serve_proxy(stream, first, self.codec, self.rounds, self._log_invalid, self._close)
             else:
-                self._refuse(InvalidMessageError(f"{type(told).__name__} is no first message"))
-        except ConnectionClosedError as ended:
-            self.log.write("acceptor", f"{who} gone: {ended}")
+                self._reject(InvalidMessageError(f"{first} does not identify the peer"))
+        except ConnectionClosedError as error:
+            self._log_end(peer, error)
         finally:
-            for kept in self.strangers, self.collectors, self.lives:
-                kept.pop(stream, None)
+            for connections in self.unidentified, self.collectors, self.tasks:
+                connections.pop(stream, None)
             stream.close()
 
-    def _keep_newest(self, zone: str) -> None:
-        streams = [stream for stream, its in self.collectors.items() if its == zone]
-        if len(streams) > COLLECTORS_MOST:
-            self._end(streams[0])
+    def _admit_collector(self, stream: Stream, zone: str) -> None:
+        """Register a collector; of too many of its zone the oldest is closed."""
+        del self.unidentified[stream]
+        stream.set_limits(COLLECTOR_BUFFER_BYTES)
+        self.collectors[stream] = zone
+        streams = [other for other, other_zone in self.collectors.items() if other_zone == zone]
+        if len(streams) > MAX_COLLECTORS_PER_ZONE:
+            self._close(streams[0])
+
+    def _close(self, stream: Stream) -> None:
+        if stream in self.tasks:
+            self.loop.cancel(self.tasks[stream])
 
-    def _end(self, stream: Stream) -> None:
-        if stream in self.lives:
-            self.loop.cancel(self.lives[stream])
+    def _reject(self, error: InvalidMessageError) -> None:
+        raise ConnectionClosedError(CloseReason.MALFORMED, str(error))
 
-    def _refuse(self, odd: InvalidMessageError) -> None:
-        """Who does not say who it is has no use here."""
-        raise ConnectionClosedError(CloseReason.MALFORMED, str(odd))
+    def _log_end(self, peer: str, error: ConnectionClosedError) -> None:
+        self.log.write("acceptor", f"connection of {peer} ended: {error}")
 
-    def _skipped(self, odd: InvalidMessageError) -> None:
-        """A stream that we end leaves its proxy without orders until it has dialled again; so it goes on."""
-        self.log.write("odd", str(odd))
+    def _log_invalid(self, error: InvalidMessageError) -> None:
+        """The connection goes on: closed, a proxy would get no updates until it has reconnected."""
+        self.log.write("invalid", str(error))
--- a/oatcart/net/codec.py
+++ b/oatcart/net/codec.py
@@ -1,6 +1,9 @@
-"""The protocol's messages and our arrivals and parts. The wire's names stand here and nowhere else."""
+"""The protocol on sockets: its messages and field names stand here and nowhere else in `oatcart/net`.
 
-from collections.abc import Iterable, Sequence
+Names on the wire become small integers inside; milliseconds become seconds.
+"""
+
+from collections.abc import Iterable, Mapping, Sequence
 from ipaddress import IPv4Address
 from typing import NamedTuple
 
@@ -19,219 +22,299 @@
 from oatcart.net.stream import Address
 from oatcart.tables import Part
 
-_STATES = {"SERVING": EndpointState.READY, "DRAINING": EndpointState.DRAINING, "DELETED": EndpointState.GONE}
-_UNFIT = (KeyError, TypeError, ValueError, AttributeError, OverflowError)  # raised over what does not fit
-PING, PONG = ("ping",), b'{"msg":"pong"}\n'
-COUNT_MOST = 10**7  # reqs of one sum or a second, proxies, marks: more than a fleet meets in any window
-ID_MOST = 256  # letters of a node's id, as kept
-NAME_SHOWN = 80  # letters of what does not fit, in the log
-ENTRY_SHOWN = 300  # letters of a node's entry that does not fit
-SPAN_MOST = 3.6e6  # ms, an hour: no sum covers so much and no req takes so long
-ROLL_PATH, HEALTH_PATH, LOAD_PATH = "/v1/servers", "/healthz", "/load"
+ENDPOINT_LIST_PATH, HEALTH_PATH, LOAD_PATH = "/v1/servers", "/healthz", "/load"
+PONG = b'{"msg":"pong"}\n'
+MAX_COUNT = 10**7  # requests of a report or a second, proxies, nonces: more than a fleet has in any window
+MAX_DURATION_MS = 3.6e6  # an hour: no window covers so much and no request takes so long
+MAX_ID_LENGTH = 256  # characters of an endpoint's id
+MAX_LOGGED_VALUE_LENGTH = 80  # characters of an invalid value in an error
+MAX_LOGGED_ENTRY_LENGTH = 300  # characters of an invalid entry of the endpoint list in the log
+
+_ENDPOINT_STATES = {
+    "SERVING": EndpointState.READY,
+    "DRAINING": EndpointState.DRAINING,
+    "DELETED": EndpointState.GONE,
+}
+# What decoding a parsed object raises where a field is missing, or has another type or an impossible value.
+_DECODING_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
+
+
+class Ping(NamedTuple):
+    """The peer asks for a pong."""
+
+
+class CollectorConnected(NamedTuple):
+    """A collector has said who it is."""
+
+    zone: str
+
+
+Message = (
+    Ping | CollectorConnected | ProxyJoined | UpdateAcknowledged | EndpointLoadReported | ProxyLoadReported
+)
+"""What a peer of the controller can say."""
+
+
+class EndpointList(NamedTuple):
+    """Discovery's list of endpoints, or what changed in it up to a revision."""
+
+    revision: int
+    complete: bool  # endpoints that it leaves out are gone
+    entries: list[EndpointEntry]
+    addresses: list[tuple[int, Address]]  # of the endpoints that have one
+    invalid_entries: list[str]  # what was left out and why, for the log
+
+
+class _InvalidFieldError(ValueError):
+    """A field whose value cannot be used; `expected` says what could be."""
+
+    def __init__(self, field: str, value: object, expected: str) -> None:
+        # A list's or object's text may be long, or nested deeper than `repr` goes.
+        shown = type(value).__name__ if isinstance(value, (list, dict)) else repr(value)
+        super().__init__(f"{field} is {shown[:MAX_LOGGED_VALUE_LENGTH]}, not {expected}")
 
 
 def watch_path(revision: int, wait: float) -> str:
-    """
+    """The path of a call that is answered once the list is newer than `revision`, or after `wait` seconds.
+
     >>> watch_path(41, 2.5)
     '/v1/servers?since=41&timeout_ms=2500'
     """
-    return f"{ROLL_PATH}?since={revision}&timeout_ms={wait * 1000:.0f}"
+    return f"{ENDPOINT_LIST_PATH}?since={revision}&timeout_ms={wait * 1000:.0f}"
 
 
-def address(host_port: str) -> Address:
-    """
-    >>> address("127.0.0.1:5000")
+def parse_address(host_port: str) -> Address:
+    """The IPv4 address and port of `host:port`; raises ValueError. Names are not looked up: that would block.
+
+    >>> parse_address("127.0.0.1:5000")
     ('127.0.0.1', 5000)
     """
     host, _, port = host_port.rpartition(":")
     if not 0 <= int(port) < 65536:
         raise ValueError(f"{host_port!r} is not host:port")
-    # a name would have to be looked up, and all else would wait for that
     return str(IPv4Address(host)), int(port)
 
 
-def parsed(message: memoryview) -> dict:
-    """A message as it stands; whoever sends what cannot be read loses the connection."""
+def parse_object(data: memoryview) -> dict:
+    """A JSON object; raises ConnectionClosedError (MALFORMED) over anything else."""
     try:
-        table = orjson.loads(message)
+        message = orjson.loads(data)
     except orjson.JSONDecodeError as error:
         raise ConnectionClosedError(CloseReason.MALFORMED, str(error)) from None
-    if not isinstance(table, dict):
+    if not isinstance(message, dict):
         raise ConnectionClosedError(CloseReason.MALFORMED, "not an object")
-    return table
+    return message
 
 
-class Roll(NamedTuple):
-    revision: int
-    whole: bool
-    entries: list[tuple]  # as interface.py has them
-    addresses: list[tuple[int, Address]]
-    odd: list[str]  # what was left out, and why
+class Codec:
+    """Decodes and encodes messages; keeps the numbers of endpoints by their ids.
 
+    `request_classes` and `zones` are the names of the settings in their order; proxies are numbered from 0 to
+    `proxy_count` - 1. An endpoint gets a number when a list first names it, until `release`.
+    """
 
-class Codec:
-    """Names on one side, small whole numbers on the other; nodes are numbered as they are met."""
-
-    def __init__(self, kinds: Sequence[str], zones: Sequence[str], proxies: int) -> None:
-        self.kinds = {name: place for place, name in enumerate(kinds)}
-        self.kind_names = list(kinds)
-        self.zones = {name: place for place, name in enumerate(zones)}
-        self.proxies = proxies
-        self.places: dict[str, int] = {}
-        self.nodes: list[str] = []
-        self.freed: list[int] = []  # numbers that are nobody's
-
-    def place(self, node: str) -> int:
-        if not isinstance(node, str) or not 0 < len(node) <= ID_MOST:
-            raise TypeError(f"{str(node)[:NAME_SHOWN]!r} is no node")
-        if node not in self.places:
-            if self.freed:
-                self.places[node] = self.freed.pop()
-                self.nodes[self.places[node]] = node
+    def __init__(self, request_classes: Sequence[str], zones: Sequence[str], proxy_count: int) -> None:
+        self.request_class_names = list(request_classes)
+        self.request_classes = {name: number for number, name in enumerate(request_classes)}
+        self.zones = {name: number for number, name in enumerate(zones)}
+        self.proxy_count = proxy_count
+        self.endpoint_numbers: dict[str, int] = {}
+        self.endpoint_ids: list[str] = []  # by number; one that is released keeps its last id
+        self.released: list[int] = []  # numbers that are to be used again
+
+    def number_of(self, endpoint_id: str) -> int:
+        """The number of an endpoint, a new one if it has none; raises TypeError if that is not an id."""
+        if not isinstance(endpoint_id, str) or not 0 < len(endpoint_id) <= MAX_ID_LENGTH:
+            raise TypeError(f"{str(endpoint_id)[:MAX_LOGGED_VALUE_LENGTH]!r} is not the id of an endpoint")
+        number = self.endpoint_numbers.get(endpoint_id)
+        if number is None:
+            if self.released:
+                number = self.released.pop()
+                self.endpoint_ids[number] = endpoint_id
             else:
-                self.places[node] = len(self.nodes)
-                self.nodes.append(node)
-        return self.places[node]
-
-    def free(self, place: int) -> None:
-        """A node's number may be another's: else memory grows with every node ever listed."""
-        del self.places[self.nodes[place]]
-        self.freed.append(place)
-
-    def arrival(self, line: memoryview) -> tuple:
-        """A message as the module is told of it, PING, or ("collector", its zone). All of it is checked here:
-        one with a spoilt field costs itself alone, and what only such a message names gets no number."""
-        table = parsed(line)
+                number = len(self.endpoint_ids)
+                self.endpoint_ids.append(endpoint_id)
+            self.endpoint_numbers[endpoint_id] = number
+        return number
+
+    def release(self, number: int) -> None:
+        """Let another endpoint have a number; else memory would grow with every endpoint ever listed."""
+        del self.endpoint_numbers[self.endpoint_ids[number]]
+        self.released.append(number)
+
+    def decode_message(self, line: memoryview) -> Message:
+        """A message of a peer; no endpoint gets a number by it.
+
+        Raises InvalidMessageError, with message and field, where it is an object that cannot be used, and
+        ConnectionClosedError (MALFORMED) where it is none.
+        """
+        message = parse_object(line)
         try:
-            return _READERS[table["msg"]](self, table)
-        except _UNFIT as error:
-            raise InvalidMessageError(
-                f"{str(table.get('msg'))[:NAME_SHOWN]}: {str(error)[:NAME_SHOWN]!r} does not fit"
-            ) from None
-
-    def _collector(self, table: dict) -> tuple:
-        self.zones[table["az"]]
-        return ("collector", table["az"])
-
-    def _joined(self, table: dict) -> tuple:
-        blank = table.get("standing", False)
-        if not isinstance(blank, bool):
-            raise TypeError(f"standing {blank!r}")
+            return _DECODERS[message["msg"]](self, message)
+        except _DECODING_ERRORS as error:
+            kind = str(message.get("msg"))[:MAX_LOGGED_VALUE_LENGTH]
+            raise InvalidMessageError(f"{kind}: {_describe(error)}") from None
+
+    def _decode_collector(self, message: dict) -> CollectorConnected:
+        self._zone(message)
+        return CollectorConnected(message["az"])
+
+    def _decode_joined(self, message: dict) -> ProxyJoined:
+        unconfigured = message.get("standing", False)
+        if not isinstance(unconfigured, bool):
+            raise _InvalidFieldError("standing", unconfigured, "true or false")
         return ProxyJoined(
-            self._proxy(table),
-            self.zones[table["az"]],
-            _amount(table.get("share", 0.0), COUNT_MOST),
-            blank,
+            self._proxy(message),
+            self._zone(message),
+            _amount("share", message.get("share", 0.0), MAX_COUNT),
+            unconfigured,
         )
 
-    def _applied(self, table: dict) -> tuple:
-        return UpdateAcknowledged(self._proxy(table), _count(table["version"]), _span(table["lag_ms"]))
+    def _decode_applied(self, message: dict) -> UpdateAcknowledged:
+        return UpdateAcknowledged(
+            self._proxy(message), _count(message, "version"), _milliseconds(message, "lag_ms")
+        )
 
-    def _met(self, table: dict) -> tuple:
-        tried, errored = _count(table["n"]), _count(table["bad"])
-        if errored > tried:
-            raise ValueError(f"bad {errored} of {tried}")
-        took = _span(table["avg"]) if tried > errored else 0.0  # there is no mean of nothing
+    def _decode_heard(self, message: dict) -> EndpointLoadReported:
+        attempts, errors = _count(message, "n"), _count(message, "bad")
+        if errors > attempts:
+            raise _InvalidFieldError("bad", errors, f"up to n, {attempts}")
+        # Where every attempt failed there is no mean, whatever the field says.
+        mean_duration = _milliseconds(message, "avg") if attempts > errors else 0.0
         return EndpointLoadReported(
-            self.places[table["host"]],
-            self.zones[table["az"]],
-            _window(table),
-            took,
-            errored,
-            tried,
-            load(table.get("report")),
+            _number("host", self.endpoint_numbers, message["host"]),
+            self._zone(message),
+            _window(message),
+            mean_duration,
+            errors,
+            attempts,
+            load(message.get("report")),
         )
 
-    def _came(self, table: dict) -> tuple:
+    def _decode_usage(self, message: dict) -> ProxyLoadReported:
+        """Errors may exceed requests: those may have come in an earlier window."""
         return ProxyLoadReported(
-            self._proxy(table),
-            self.kinds[table["kind"]],
-            _count(table["n"]),
-            _count(table["bad"]),
-            _window(table),
-        )  # bad ones may have come in an earlier window
-
-    def _proxy(self, table: dict) -> int:
-        proxy = _count(table["sidecar"])
-        if proxy >= self.proxies:
-            raise ValueError(f"sidecar {proxy} of {self.proxies}")
+            self._proxy(message),
+            _number("kind", self.request_classes, message["kind"]),
+            _count(message, "n"),
+            _count(message, "bad"),
+            _window(message),
+        )
+
+    def _proxy(self, message: dict) -> int:
+        proxy = _count(message, "sidecar")
+        if proxy >= self.proxy_count:
+            raise _InvalidFieldError("sidecar", proxy, f"below {self.proxy_count}")
         return proxy
 
-    def roll(self, table: dict) -> Roll:
-        """A list of nodes, whole or changed entries only; an entry that cannot be used is left out, and as
-        the node it was about may be any, such a list leaves out nobody else: it counts as changes."""
-        if not is_amount(table.get("revision")) or not isinstance(table.get("members"), list):
-            raise ConnectionClosedError(CloseReason.MALFORMED, "no list of nodes")
-        roll = Roll(int(table["revision"]), bool(table.get("complete")), [], [], [])
-        for one in table["members"]:
+    def _zone(self, message: dict) -> int:
+        return _number("az", self.zones, message["az"])
+
+    def decode_endpoint_list(self, message: dict) -> EndpointList:
+        """The endpoint list; raises ConnectionClosedError (MALFORMED) where it is none.
+
+        An entry that cannot be used is left out. As it may be about any endpoint, such a list counts as
+        changes: nobody is gone because it leaves them out.
+        """
+        if not is_amount(message.get("revision")) or not isinstance(message.get("members"), list):
+            raise ConnectionClosedError(CloseReason.MALFORMED, "no list of endpoints")
+        entries, addresses, invalid_entries = [], [], []
+        for member in message["members"]:
             try:
-                zone, started = self.zones[one["locality"]], _amount(one.get("up_since_ms") or 0) / 1000
-                state, nominal = _STATES[one["phase"]], _amount(one.get("size") or 1.0)
-                at = one.get("host_port") and address(one["host_port"])
-                place = self.place(one["id"])  # last: an entry that is left out gets no number
-                roll.addresses.extend([(place, at)] if at else [])
-                roll.entries.append(EndpointEntry(place, zone, started, state, nominal))
-            except _UNFIT as error:
-                roll.odd.append(f"{one}: {error!r}"[:ENTRY_SHOWN])
-        return roll._replace(whole=roll.whole and not roll.odd)
-
-    def message(self, parts: tuple[Part, ...]) -> bytes:
-        """One message to a proxy, a line a part."""
+                entry, address = self._decode_entry(member)
+            except _DECODING_ERRORS as error:
+                problem = f"endpoint entry {member}: {_describe(error)}"
+                invalid_entries.append(problem[:MAX_LOGGED_ENTRY_LENGTH])
+                continue
+            entries.append(entry)
+            if address:
+                addresses.append((entry.endpoint, address))
+        complete = bool(message.get("complete")) and not invalid_entries
+        return EndpointList(int(message["revision"]), complete, entries, addresses, invalid_entries)
+
+    def _decode_entry(self, member: dict) -> tuple[EndpointEntry, Address | None]:
+        zone = _number("locality", self.zones, member["locality"])
+        started_at = _amount("up_since_ms", member.get("up_since_ms") or 0) / 1000
+        state = _number("phase", _ENDPOINT_STATES, member["phase"])
+        nominal_weight = _amount("size", member.get("size") or 1.0)
+        address = member.get("host_port") and parse_address(member["host_port"])
+        endpoint = self.number_of(member["id"])  # last, so that an invalid entry gets no number
+        return EndpointEntry(endpoint, zone, started_at, state, nominal_weight), address or None
+
+    def encode_update(self, parts: tuple[Part, ...]) -> bytes:
+        """One update to a proxy, a line for each part."""
         last = len(parts) - 1
         return b"".join(orjson.dumps(self._update(part, at < last)) + b"\n" for at, part in enumerate(parts))
 
     def _update(self, part: Part, continued: bool) -> dict:
-        table: dict = {"msg": "update"}
+        message: dict = {"msg": "update"}
         if part.kinds:
-            table["routes"] = [self.kind_names[kind] for kind in part.kinds]
+            message["routes"] = [self.request_class_names[kind] for kind in part.kinds]
         if part.whole:
-            table["full"] = True
+            message["full"] = True
         if part.whole or part.lines:
-            table["endpoints"] = [[self.nodes[node], weight] for node, weight in part.lines]
+            message["endpoints"] = [[self.endpoint_ids[number], weight] for number, weight in part.lines]
         if part.level is not None:
-            table |= {"admit": part.level, "policy": part.tries}
+            message |= {"admit": part.level, "policy": part.tries}
         if part.out:
-            table["eject"] = self._ids(part.out)
+            message["eject"] = self._ids(part.out)
         if part.back:
-            table["restore"] = self._ids(part.back)
+            message["restore"] = self._ids(part.back)
         if part.mark is not None:
-            table["nonce_out"] = part.mark
+            message["nonce_out"] = part.mark
         if continued:
-            table["continued"] = True
-        return table
+            message["continued"] = True
+        return message
 
-    def _ids(self, nodes: Iterable[int]) -> list[str]:
-        return [self.nodes[node] for node in nodes]
+    def _ids(self, endpoints: Iterable[int]) -> list[str]:
+        return [self.endpoint_ids[number] for number in endpoints]
 
 
-_READERS = {
-    "ping": lambda codec, table: PING,
-    "collector": Codec._collector,
-    "joined": Codec._joined,
-    "applied": Codec._applied,
-    "heard": Codec._met,
-    "usage": Codec._came,
+_PING = Ping()
+_DECODERS = {
+    "ping": lambda codec, message: _PING,
+    "collector": Codec._decode_collector,
+    "joined": Codec._decode_joined,
+    "applied": Codec._decode_applied,
+    "heard": Codec._decode_heard,
+    "usage": Codec._decode_usage,
 }
 
 
-def _amount(value: object, most: float = AMOUNT_MOST) -> float:
-    if not is_amount(value) or value > most:
-        raise ValueError(f"{value!r} is no amount")
+def _describe(error: Exception) -> str:
+    """What the log says of a decoding error: the field and its value, as far as they are known."""
+    if isinstance(error, KeyError):
+        return f"{str(error)[:MAX_LOGGED_VALUE_LENGTH]} is missing or unknown"
+    return str(error)[: 2 * MAX_LOGGED_VALUE_LENGTH]
+
+
+def _number(field: str, numbers: Mapping[str, int], name: object) -> int:
+    try:
+        return numbers[name]
+    except (KeyError, TypeError):  # TypeError: a list or an object
+        raise _InvalidFieldError(field, name, "a known name") from None
+
+
+def _amount(field: str, value: object, maximum: float = AMOUNT_MOST) -> float:
+    if not is_amount(value) or value > maximum:
+        raise _InvalidFieldError(field, value, f"a number from 0 to {maximum:g}")
     return float(value)
 
 
-def _span(value: object) -> float:
-    """Milliseconds of the wire in seconds."""
-    return _amount(value, SPAN_MOST) / 1000
+def _milliseconds(message: dict, field: str) -> float:
+    """A field in milliseconds, in seconds."""
+    return _amount(field, message[field], MAX_DURATION_MS) / 1000
 
 
-def _window(table: dict) -> float:
-    if span := _span(table["window"]):
-        return span
-    raise ValueError("a window of 0")
+def _window(message: dict) -> float:
+    """The window of a report in seconds."""
+    if window := _milliseconds(message, "window"):
+        return window
+    raise _InvalidFieldError("window", 0, "above 0")
 
 
-def _count(value: object) -> int:
-    if not isinstance(value, int):  # 1.5 would speak for 1
-        raise TypeError(f"{value!r} is no count")
-    return int(_amount(value, COUNT_MOST))
+def _count(message: dict, field: str) -> int:
+    value = message[field]
+    if not isinstance(value, int):  # a fraction would pass for the integer below it
+        raise _InvalidFieldError(field, value, "an integer")
+    return int(_amount(field, value, MAX_COUNT))
--- /dev/null
+++ b/oatcart/net/collector_stream.py
@@ -0,0 +1,25 @@
+"""The stream of a collector: load reports come in, nothing but pongs is written."""
+
+from collections.abc import Callable, Generator
+
+from oatcart.errors import InvalidMessageError
+from oatcart.events import EndpointLoadReported, ProxyLoadReported
+from oatcart.net.codec import Codec
+from oatcart.net.loop import Wait
+from oatcart.net.message_reader import read_message
+from oatcart.net.rounds import Rounds
+from oatcart.net.stream import Stream
+
+COLLECTOR_EVENTS = (EndpointLoadReported, ProxyLoadReported)
+
+
+def serve_collector(
+    stream: Stream, codec: Codec, rounds: Rounds, on_invalid: Callable[[InvalidMessageError], None]
+) -> Generator[Wait, bool, None]:
+    """Pass on the load reports of a collector until its stream ends; raises ConnectionClosedError."""
+    while True:
+        event = yield from read_message(stream, codec, on_invalid)
+        if isinstance(event, COLLECTOR_EVENTS):
+            rounds.add_event(event)
+        else:
+            on_invalid(InvalidMessageError(f"a collector sent {event}, which is no load report"))
--- /dev/null
+++ b/oatcart/net/endpoint_list.py
@@ -0,0 +1,142 @@
+"""The endpoint list: watched and fetched at discovery on behalf of the decisions."""
+
+from collections.abc import Callable, Generator
+from math import inf
+
+from oatcart.errors import CloseReason, ConnectionClosedError
+from oatcart.events import EndpointListFailed, EndpointListReceived
+from oatcart.net.codec import ENDPOINT_LIST_PATH, Codec, EndpointList, parse_object, watch_path
+from oatcart.net.http_client import HttpClient
+from oatcart.net.log import Log
+from oatcart.net.loop import Loop, Task, Wait
+from oatcart.net.stream import Address
+
+# Of a call that is to be answered at once. A busy discovery needs 2 s; 6 s after the last call the protocol
+# counts all changes as known here.
+CALL_TIMEOUT_S = 4.0
+WATCH_TIMEOUT_S = 2.0  # beyond the wait that a watch asks for
+# A watch that brings nothing is answered at the end of its wait; one answered within this part of it would
+# be answered so again and again, as fast as the network goes.
+EARLY_ANSWER_FRACTION = 0.5
+
+
+class EndpointListWatcher:
+    """Brings the endpoint list from discovery and keeps its revision and the endpoints' addresses.
+
+    `wait`: seconds that a watch asks discovery to wait for changes. The decisions ask for a watch or a fetch,
+    and decide what follows on a failure: nothing is retried here.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        codec: Codec,
+        log: Log,
+        discovery: Address,
+        wait: float,
+        add_event: Callable[[EndpointListReceived | EndpointListFailed], None],
+    ) -> None:
+        self.loop, self.codec, self.log, self.discovery = loop, codec, log, discovery
+        self.wait, self.add_event = wait, add_event
+        self.revision = 0
+        # Another address or another incarnation of discovery: revisions seen so far mean nothing there.
+        self.must_start_over = False
+        self.watch_enabled = False  # also while no watch is open, until the decisions ask again
+        self.addresses: dict[int, Address] = {}  # by endpoint
+        self.watch_task: Task | None = None
+        self.fetch_task: Task | None = None
+
+    def set_discovery(self, discovery: Address) -> None:
+        """Call another address from now on. Open calls at the old one are cancelled; a watch is opened anew.
+
+        Streams, tables and the list stay as they are.
+        """
+        if discovery == self.discovery:
+            return
+        self.discovery, self.must_start_over = discovery, True
+        if self.fetch_task is not None:
+            self.loop.cancel(self.fetch_task)
+            self.fetch_task = None
+        if self.watch_enabled:
+            self.set_watch(True)
+
+    def receive(self, received: EndpointList, since: float = 0) -> None:
+        """Take in a list, or the changes since a revision.
+
+        One that is older than what is known came late and says nothing new; one that is older than `since`
+        shows that discovery has started over, and is believed.
+        """
+        for problem in received.invalid_entries:
+            self.log.write("invalid", problem)
+        if received.revision >= self.revision or received.revision < since:
+            self.revision = received.revision
+            self.addresses |= received.addresses
+            self.add_event(EndpointListReceived(received.complete, received.entries))
+        else:
+            self.add_event(EndpointListReceived(False, []))
+
+    def set_watch(self, enabled: bool) -> None:
+        """Open a watch on the list, anew if one is open, or close it."""
+        self.watch_enabled = enabled
+        if self.watch_task is not None:
+            self.loop.cancel(self.watch_task)
+            self.watch_task = None
+        if enabled:
+            task = self.loop.spawn(self._watch())
+            self.watch_task = None if task.done else task  # it may fail before its first wait
+
+    def fetch(self) -> None:
+        """Ask for the complete list, unless that is under way."""
+        if self.fetch_task is None:
+            task = self.loop.spawn(self._fetch())
+            self.fetch_task = None if task.done else task
+
+    def _watch(self) -> Generator[Wait, bool, None]:
+        """Watch until a call fails. The first call is answered at once, each later one as changes come."""
+        client, wait = HttpClient(self.loop, self.discovery), 0.0
+        try:
+            while True:
+                yield from self._watch_once(client, wait)
+                wait = self.wait
+        except ConnectionClosedError as error:
+            self.watch_task = None
+            self._report_failure("watch", error)
+        finally:
+            client.close()
+
+    def _watch_once(self, client: HttpClient, wait: float) -> Generator[Wait, bool, None]:
+        """One call: changes since the revision that is known, or the complete list of one that starts over.
+
+        Changes up to an older revision show that discovery has started over: they don't tell which endpoints
+        are gone, so the next call asks for the complete list.
+        """
+        started_at, since = self.loop.now, self.revision
+        path = ENDPOINT_LIST_PATH if self.must_start_over else watch_path(since, wait)
+        since = inf if self.must_start_over else since
+        deadline = started_at + (wait + WATCH_TIMEOUT_S if wait else CALL_TIMEOUT_S)
+        received = self.codec.decode_endpoint_list(parse_object((yield from client.get(path, deadline))))
+        self.must_start_over = received.revision < since < inf and not received.complete
+        if self.must_start_over:
+            detail = f"changes up to revision {received.revision} since {since}"
+            raise ConnectionClosedError(CloseReason.MALFORMED, detail)
+        if received.revision == since and self.loop.now - started_at < EARLY_ANSWER_FRACTION * wait:
+            raise ConnectionClosedError(CloseReason.MALFORMED, "no changes, before the end of the wait")
+        if not wait or received.complete or received.entries:
+            self.receive(received, since)
+        self.revision = max(self.revision, received.revision)
+
+    def _fetch(self) -> Generator[Wait, bool, None]:
+        client, deadline = HttpClient(self.loop, self.discovery), self.loop.now + CALL_TIMEOUT_S
+        try:
+            body = yield from client.get(ENDPOINT_LIST_PATH, deadline)
+            self.receive(self.codec.decode_endpoint_list(parse_object(body)))
+        except ConnectionClosedError as error:
+            self._report_failure("fetch", error)
+        finally:
+            self.fetch_task = None
+            client.close()
+
+    def _report_failure(self, call: str, error: ConnectionClosedError) -> None:
+        host, port = self.discovery
+        self.log.write("discovery", f"the {call} ended: {error}; discovery is at {host}:{port}")
+        self.add_event(EndpointListFailed())
--- a/oatcart/scale/discovery.py
+++ b/oatcart/scale/discovery.py
@@ -21,7 +21,7 @@
 
 import orjson
 
-from oatcart.net.codec import ROLL_PATH
+from oatcart.net.codec import ENDPOINT_LIST_PATH
 from oatcart.scale.children import Child, answer_commands, ignore_interrupts, own_usage
 
 LOOPBACK = "127.0.0.1"
@@ -134,7 +134,7 @@
 
     def _call(self, target: str) -> None:
         url = urlsplit(target)
-        if url.path != ROLL_PATH:
+        if url.path != ENDPOINT_LIST_PATH:
             self._send(NOT_FOUND)
             return
         query = parse_qs(url.query)
--- a/oatcart/scale/hollow.py
+++ b/oatcart/scale/hollow.py
@@ -1,9 +1,10 @@
 """Hollow conductors: hundreds in one process, with the real decision module, order writer, codec and
 watcher.
 
-Real in a hollow conductor: `policy.Controller`, `net.conductor.Rounds` with its tables, `net.codec.Codec`,
-and `net.roll.Watcher` with its HTTP calls on loopback. Left out: the acceptor and the proxies' sockets; its
-proxies stand in the same process, their lines are read by the real codec and the orders' bytes are counted.
+Real in a hollow conductor: `policy.Controller`, `net.rounds.Rounds` with its tables, `net.codec.Codec`,
+and `net.endpoint_list.EndpointListWatcher` with its HTTP calls on loopback. Left out: the acceptor and the
+proxies' sockets; its proxies stand in the same process, their lines are read by the real codec and the
+orders' bytes are counted.
 
 All share one `net.loop.Loop`. Every task and every round of a conductor runs under its own `Meter`, which
 counts the thread's processor time; what the loop and the hollow proxies need is in no meter. How much less
@@ -22,13 +23,13 @@
 from oatcart.errors import InvalidMessageError
 from oatcart.events import ProxyJoined, UpdateAcknowledged
 from oatcart.handover import seconds, socket_records
+from oatcart.net.assembly import DEFAULT_HEALTH_CHECK_TIMEOUT_S, DEFAULT_POLL_WITHIN_S, WATCH_WAIT_FRACTION
 from oatcart.net.codec import Codec
-from oatcart.net.conductor import Rounds
+from oatcart.net.endpoint_list import EndpointListWatcher
+from oatcart.net.health_checks import HealthChecker
 from oatcart.net.log import Log
 from oatcart.net.loop import READABLE, Coroutine, Loop, Task, Wait
-from oatcart.net.probe import Prober
-from oatcart.net.roll import Watcher
-from oatcart.net.start import PROBE_MOST, UNASKED_MOST, WATCH_PART
+from oatcart.net.rounds import Rounds
 from oatcart.policy import Controller
 from oatcart.scale.children import Child, CommandReader, ignore_interrupts, own_usage
 from oatcart.scale.discovery import LOOPBACK, Usage
@@ -109,16 +110,16 @@
         self.may_be_due = may_be_due
         super().__init__(loop, log, codec, least_gap, unix)
 
-    def arrive(self, arrival: tuple) -> None:
-        super().arrive(arrival)
+    def add_event(self, arrival: tuple) -> None:
+        super().add_event(arrival)
         self.may_be_due()
 
-    def _woken(self) -> None:
-        super()._woken()
+    def _on_scheduled(self) -> None:
+        super()._on_scheduled()
         self.may_be_due()
 
-    def _gap_over(self) -> None:
-        super()._gap_over()
+    def _on_gap_over(self) -> None:
+        super()._on_gap_over()
         self.may_be_due()
 
 
@@ -133,7 +134,7 @@
 
 
 class HollowConductor:
-    """One conductor of the fleet, assembled as `net.start.assemble` does but for the acceptor."""
+    """One conductor of the fleet, assembled as `net.assembly.assemble` does but for the acceptor."""
 
     def __init__(
         self,
@@ -166,25 +167,27 @@
         )
         quantum = seconds(settings, "quantum")
         self.rounds = HollowRounds(loop, log, codec, quantum, time.time(), self.may_be_due)
-        wait = WATCH_PART * seconds(settings.get("rules") or {}, "askWithin", UNASKED_MOST)
-        self.watcher = Watcher(loop, codec, log, (LOOPBACK, discovery_port), wait, self.rounds.arrive)
+        wait = WATCH_WAIT_FRACTION * seconds(settings.get("rules") or {}, "askWithin", DEFAULT_POLL_WITHIN_S)
+        self.watcher = EndpointListWatcher(
+            loop, codec, log, (LOOPBACK, discovery_port), wait, self.rounds.add_event
+        )
         allowed, reports = settings.get("policyLimits") or {}, settings.get("report") or {}
-        prober = Prober(
+        prober = HealthChecker(
             loop,
             reports.get("how", "off") != "off",
-            seconds(allowed, "connectTimeout", PROBE_MOST),
+            seconds(allowed, "connectTimeout", DEFAULT_HEALTH_CHECK_TIMEOUT_S),
             self.watcher.addresses,
-            self.rounds.arrive,
+            self.rounds.add_event,
         )
         module = Controller(socket_records(settings), seed)
         self.rounds.start(module.round, self.watcher, prober)
-        self.rounds.due = True
+        self.rounds.is_due = True
 
     def turn(self) -> None:
         """A round, if one is due."""
         with self.meter:
-            self.rounds.turn()
-        if self.watcher.revision > self.revision and not self.rounds.came:
+            self.rounds.run_if_due()
+        if self.watcher.revision > self.revision and not self.rounds.events:
             self._note_taken(self.rounds.loop.clock())
 
     def _note_taken(self, now: float) -> None:
@@ -203,7 +206,7 @@
         with self.meter:
             for message in messages:
                 try:
-                    arrival = self.rounds.codec.arrival(memoryview(message.line))
+                    arrival = self.rounds.codec.decode_message(memoryview(message.line))
                 except InvalidMessageError:  # a node that is not listed
                     continue
                 if isinstance(arrival, ProxyJoined):
@@ -214,11 +217,11 @@
                     message.proxy, arrival.nonce
                 ):
                     continue
-                self.rounds.arrive(arrival)
+                self.rounds.add_event(arrival)
 
     def known_nodes(self) -> list[str]:
         """The ids of all nodes that have a number at this conductor."""
-        return list(self.rounds.codec.places)
+        return list(self.rounds.codec.endpoint_numbers)
 
 
 class HollowFigures(NamedTuple):
@@ -331,7 +334,7 @@
             conductor.meter.longest_s,
             conductor.ready_after_s,
             conductor.ready_core_s,
-            len(conductor.rounds.codec.places),
+            len(conductor.rounds.codec.endpoint_numbers),
             conductor.watcher.revision,
             traffic.bytes_in,
             traffic.bytes_out,
--- a/oatcart/scale/module_rounds.py
+++ b/oatcart/scale/module_rounds.py
@@ -17,7 +17,7 @@
 
 from oatcart.events import EndpointListReceived, Event, ProxyJoined
 from oatcart.handover import socket_records
-from oatcart.net.codec import Codec, parsed
+from oatcart.net.codec import Codec, parse_object
 from oatcart.policy import Controller
 from oatcart.scale.children import Child, CommandReader, ignore_interrupts, resident_megabytes
 from oatcart.scale.hollow import peer_settings
@@ -31,7 +31,7 @@
     """An order writer that encodes every message and hands its bytes to the hollow proxies."""
 
     def __init__(self, codec: Codec, peers: ConductorPeers) -> None:
-        super().__init__(len(codec.kind_names))
+        super().__init__(len(codec.request_class_names))
         self.codec, self.peers = codec, peers
 
     def tell(self) -> None:
@@ -39,7 +39,7 @@
         encoded: dict[tuple, bytes] = {}
         for proxy, parts in self.messages():
             if parts not in encoded:
-                encoded[parts] = self.codec.message(parts)
+                encoded[parts] = self.codec.encode_update(parts)
             self.peers.take(proxy, encoded[parts])
 
     def check_health(self, node: int) -> None: ...
@@ -76,7 +76,7 @@
 
     def one_round(now: float, messages: list[PeerMessage], first: list[Event]) -> float:
         began = time.process_time()
-        arrivals = [*first, *(codec.arrival(memoryview(message.line)) for message in messages)]
+        arrivals = [*first, *(codec.decode_message(memoryview(message.line)) for message in messages)]
         for arrival in arrivals:
             if isinstance(arrival, ProxyJoined):
                 orders.joined(arrival.proxy, arrival.unconfigured)
@@ -85,7 +85,7 @@
         return time.process_time() - began
 
     began = time.process_time()
-    roll = codec.roll(parsed(memoryview(body)))
+    roll = codec.decode_endpoint_list(parse_object(memoryview(body)))
     ready_core_s = time.process_time() - began
     ready_core_s += one_round(START_S, hollow_peers.joins(), [EndpointListReceived(roll.whole, roll.entries)])
     ticks, settling = round((settle_s + quiet_s) / TICK_S), round(settle_s / TICK_S)
--- a/oatcart/trace/hook.py
+++ b/oatcart/trace/hook.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from oatcart.handover import socket_records
-from oatcart.net.conductor import Rounds
+from oatcart.net.rounds import Rounds
 from oatcart.trace.configuration import Tracing
 from oatcart.trace.tap import Tap, start_record
 from oatcart.trace.writer import Writer
@@ -17,7 +17,7 @@
 def traced(
     make_rounds: Callable[..., Rounds], cfg: dict, tracing: Tracing, made: Callable[[Writer], None]
 ) -> Callable:
-    """A maker of rounds, for `net.start.assemble`, whose module's calls are all noted, the first one too.
+    """A maker of rounds, for `net.assembly.assemble`, whose module's calls are all noted, the first one too.
     `made` gets the writer, which has to be started."""
     instance = "".join(one if one.isalnum() else "-" for one in cfg.get("name") or "conductor")
 
@@ -28,8 +28,8 @@
             tracing.folder,
             instance,
             {"format": "oatcart"},
-            lambda: rounds.loop.clock() + rounds.offset,
-            rounds.log.write,
+            lambda: rounds.loop.clock() + rounds.unix_offset,
+            rounds.logger.write,
             tracing.file_size,
             tracing.file_for,
             tracing.budget,
@@ -39,22 +39,22 @@
         def start(call: Callable, watcher: object, prober: object) -> None:
             writer.starts = [
                 start_record(
-                    rounds.loop.now + rounds.offset,
+                    rounds.loop.now + rounds.unix_offset,
                     instance,
                     int(cfg["seed"], 16),
                     socket_records(settings),
-                    {"kinds": rounds.codec.kind_names, "zones": list(rounds.codec.zones)},
+                    {"kinds": rounds.codec.request_class_names, "zones": list(rounds.codec.zones)},
                 )
             ]
-            tap = Tap(call, writer.put, time.time, lambda rest: rounds.came.extendleft(reversed(rest)))
-            place = rounds.codec.place
+            tap = Tap(call, writer.put, time.time, lambda rest: rounds.events.extendleft(reversed(rest)))
+            place = rounds.codec.number_of
 
             def placed(node: str) -> int:
                 number = place(node)
-                tap.name(rounds.loop.now + rounds.offset, number, node)
+                tap.name(rounds.loop.now + rounds.unix_offset, number, node)
                 return number
 
-            rounds.codec.place = placed
+            rounds.codec.number_of = placed
             begin(tap.round, watcher, prober)
 
         rounds.start = start
--- a/oatcart/trace/run.py
+++ b/oatcart/trace/run.py
@@ -3,13 +3,13 @@
 """
 
 import argparse
-import os
 import sys
 
 from oatcart.errors import InvalidConfigurationError
-from oatcart.net.conductor import Rounds
+from oatcart.net.assembly import assemble
+from oatcart.net.configuration import read_configuration
 from oatcart.net.configuration_reload import reload_signal
-from oatcart.net.start import assemble, configuration, read
+from oatcart.net.rounds import Rounds
 from oatcart.trace.configuration import Wrong
 from oatcart.trace.configuration import read as read_tracing
 from oatcart.trace.hook import end_with, traced
@@ -23,7 +23,7 @@
     told = parser.parse_args(words)
     writers = []
     try:
-        tracing, cfg = read_tracing(told.file), read(os.environ, "EDGE_CONFIG", configuration)
+        tracing, cfg = read_tracing(told.file), read_configuration()
         loop, rounds, _ = assemble(cfg, reload_signal(), traced(Rounds, cfg, tracing, writers.append))
     except (Wrong, InvalidConfigurationError) as error:
         print(error, file=sys.stderr)
@@ -32,7 +32,7 @@
     end_with(writers[0])
     while True:
         loop.turn()
-        rounds.turn()
+        rounds.run_if_due()
 
 
 if __name__ == "__main__":
--- a/oatcart/views/conductors.py
+++ b/oatcart/views/conductors.py
@@ -12,7 +12,7 @@
 import orjson
 from ruamel.yaml.comments import CommentedMap, CommentedSeq
 
-from oatcart.net.codec import address as ipv4_address
+from oatcart.net.codec import parse_address as ipv4_address
 from oatcart.net.stream import Address
 from oatcart.views.records import Viewer
 from oatcart.yaml_files import name, table, whole
--- a/oatcart/views/entries.py
+++ b/oatcart/views/entries.py
@@ -11,7 +11,7 @@
 import orjson
 
 from oatcart.handover import is_amount
-from oatcart.net.codec import ID_MOST, NAME_SHOWN, address
+from oatcart.net.codec import MAX_ID_LENGTH, MAX_LOGGED_VALUE_LENGTH, parse_address
 
 SERVING, DRAINING, DELETED = "SERVING", "DRAINING", "DELETED"
 PHASES = frozenset((SERVING, DRAINING, DELETED))
@@ -86,30 +86,32 @@
 def parse_entry(fields: object) -> Entry:
     """An entry whose fields a conductor can use; raises MalformedEntry."""
     if not isinstance(fields, dict):
-        raise MalformedEntry(f"{str(fields)[:NAME_SHOWN]!r} is no entry")
+        raise MalformedEntry(f"{str(fields)[:MAX_LOGGED_VALUE_LENGTH]!r} is no entry")
     node, phase, zone = fields.get("id"), fields.get("phase"), fields.get("locality")
     if not _is_id(node):
-        raise MalformedEntry(f"id: {str(node)[:NAME_SHOWN]!r} is no id")
+        raise MalformedEntry(f"id: {str(node)[:MAX_LOGGED_VALUE_LENGTH]!r} is no id")
     if phase not in PHASES:
-        raise MalformedEntry(f"{node}: phase: {str(phase)[:NAME_SHOWN]!r} is not known")
+        raise MalformedEntry(f"{node}: phase: {str(phase)[:MAX_LOGGED_VALUE_LENGTH]!r} is not known")
     if not isinstance(zone, str) or not zone:
-        raise MalformedEntry(f"{node}: locality: {str(zone)[:NAME_SHOWN]!r} is no zone")
+        raise MalformedEntry(f"{node}: locality: {str(zone)[:MAX_LOGGED_VALUE_LENGTH]!r} is no zone")
     for name in "size", "up_since_ms":
         if fields.get(name) is not None and not is_amount(fields[name]):
-            raise MalformedEntry(f"{node}: {name}: {str(fields[name])[:NAME_SHOWN]!r} is no amount")
+            raise MalformedEntry(
+                f"{node}: {name}: {str(fields[name])[:MAX_LOGGED_VALUE_LENGTH]!r} is no amount"
+            )
     _check_address(node, fields.get("host_port"))
     return Entry(node, phase, zone, fields)
 
 
 def _is_id(node: object) -> bool:
-    return isinstance(node, str) and 0 < len(node) <= ID_MOST
+    return isinstance(node, str) and 0 < len(node) <= MAX_ID_LENGTH
 
 
 def _check_address(node: str, host_port: object) -> None:
     if not host_port:
         return  # a node without an address is told of all the same
     try:
-        address(host_port)
+        parse_address(host_port)
     except (AttributeError, TypeError, ValueError):
-        shown = str(host_port)[:NAME_SHOWN]
+        shown = str(host_port)[:MAX_LOGGED_VALUE_LENGTH]
         raise MalformedEntry(f"{node}: host_port: {shown!r} is no numeric address and port") from None
--- a/oatcart/views/follower.py
+++ b/oatcart/views/follower.py
@@ -9,7 +9,7 @@
 from math import inf
 
 from oatcart.errors import ConnectionClosedError
-from oatcart.net.codec import ROLL_PATH, watch_path
+from oatcart.net.codec import ENDPOINT_LIST_PATH, watch_path
 from oatcart.net.http_client import HttpClient
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop, Task, Wait
@@ -105,7 +105,7 @@
 
     def _whole(self, client: HttpClient) -> Generator[Wait, bool, None]:
         asked = self.loop.now
-        body = yield from client.get(ROLL_PATH, asked + self.source.answer_within)
+        body = yield from client.get(ENDPOINT_LIST_PATH, asked + self.source.answer_within)
         answer = parse_answer(body)
         self._believe(answer)
         self.log.write(
--- a/oatcart/views/requests.py
+++ b/oatcart/views/requests.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-from oatcart.net.codec import ROLL_PATH
+from oatcart.net.codec import ENDPOINT_LIST_PATH
 
 GET = b"GET"
 VIEWS_PATH = "/v1/views"
@@ -46,9 +46,9 @@
         raise RefusedRequest(METHOD_NOT_ALLOWED, _shown(method), "only GET is served")
     path, _, query = target.decode("ascii", "replace").partition("?")
     if own_view is not None:
-        if path != ROLL_PATH:
+        if path != ENDPOINT_LIST_PATH:
             raise RefusedRequest(
-                NOT_FOUND, _shown(path), f"this is the address of {own_view}; it serves {ROLL_PATH}"
+                NOT_FOUND, _shown(path), f"this is the address of {own_view}; it serves {ENDPOINT_LIST_PATH}"
             )
         return _list_request(own_view, query)
     if path == VIEWS_PATH:
--- a/oatcart/xds/__main__.py
+++ b/oatcart/xds/__main__.py
@@ -14,7 +14,7 @@
 import sys
 
 from oatcart.errors import InvalidConfigurationError
-from oatcart.net.start import configuration, read
+from oatcart.net.configuration import read_configuration
 from oatcart.xds.configuration import Wrong
 from oatcart.xds.configuration import read as read_xds
 from oatcart.xds.serve import UNUSABLE, run
@@ -28,7 +28,7 @@
     told = parser.parse_args(words)
     try:
         xds = read_xds(told.file)
-        cfg = read(os.environ, "EDGE_CONFIG", configuration)
+        cfg = read_configuration()
         if told.trace:
             from oatcart.trace import configuration as tracing
             from oatcart.trace import hook
--- a/oatcart/xds/follow.py
+++ b/oatcart/xds/follow.py
@@ -12,7 +12,7 @@
 
 from oatcart.handover import AMOUNT_MOST
 from oatcart.model import EndpointState
-from oatcart.net.codec import ID_MOST, Codec, address
+from oatcart.net.codec import MAX_ID_LENGTH, Codec, parse_address
 from oatcart.net.stream import Address
 from oatcart.xds.encode import TYPES
 from oatcart.xds.front import ENDPOINTS
@@ -48,7 +48,7 @@
         for place, one in enumerate(part.lb_endpoints):
             field, socket = f"{where}.lb_endpoints[{place}]", one.endpoint.address.socket_address
             try:
-                known = address(f"{socket.address}:{socket.port_value}")
+                known = parse_address(f"{socket.address}:{socket.port_value}")
                 if not known[1]:
                     raise ValueError
             except ValueError:
@@ -57,7 +57,7 @@
                     "address and port"
                 ) from None
             name = one.endpoint.hostname or "{}:{}".format(*known)
-            if len(name) > ID_MOST or not name.isprintable():
+            if len(name) > MAX_ID_LENGTH or not name.isprintable():
                 raise Unfit(f"{field}.endpoint.hostname: {name[:80]!r} is no name")
             if name in found or known in taken:
                 raise Unfit(f"{field}: {name} at {known[0]}:{known[1]} stands there twice")
@@ -206,7 +206,7 @@
         }
         by_address = {at: place for place, at in self.addresses.items()}
         places = {
-            name: by_address.get(at) if at in by_address else self.codec.place(name)
+            name: by_address.get(at) if at in by_address else self.codec.number_of(name)
             for name, at in self.at.items()
         }
         self.addresses |= {places[name]: at for name, at in self.at.items()}
--- a/oatcart/xds/front.py
+++ b/oatcart/xds/front.py
@@ -40,7 +40,7 @@
 
     def left(self, proxy: int) -> None: ...
 
-    def arrive(self, arrival: tuple) -> None: ...
+    def add_event(self, arrival: tuple) -> None: ...
 
 
 class Node(NamedTuple):
@@ -227,7 +227,7 @@
         if not client.joined:
             client.joined = True
             self.host.joined(client.proxy, True)
-            self.host.arrive(ProxyJoined(client.proxy, client.zone, 0.0, True))
+            self.host.add_event(ProxyJoined(client.proxy, client.zone, 0.0, True))
 
     def close(self, now: float, stream: Stream) -> None:
         """A stream is over; with its last one a client has left."""
@@ -247,7 +247,7 @@
             self.known.popitem(last=False)
         if client.joined:
             self.host.left(client.proxy)
-            self.host.arrive(ProxyLeft(client.proxy))
+            self.host.add_event(ProxyLeft(client.proxy))
 
     def written(self, stream: Stream) -> None:
         """The transport has taken all that it was handed."""
@@ -280,7 +280,7 @@
             if isinstance(told, ProxyLoadReported):
                 _, kind, came, _, over = told
                 client.rates[kind] += (came / over - client.rates[kind]) / 2
-            self.host.arrive(told)
+            self.host.add_event(told)
 
     # -- what the module decided
 
@@ -423,7 +423,7 @@
         if done is not None:
             while client.owed and (done.mark - client.owed[0].mark) % NONCE_COUNT < NONCE_COUNT // 2:
                 client.owed.popleft()  # what came later is held, so what came before is
-            self.host.arrive(UpdateAcknowledged(client.proxy, done.mark, now - done.at))
+            self.host.add_event(UpdateAcknowledged(client.proxy, done.mark, now - done.at))
 
     # -- what goes out
 
--- a/oatcart/xds/nested.py
+++ b/oatcart/xds/nested.py
@@ -7,8 +7,8 @@
 import asyncio
 from math import inf
 
-from oatcart.net.conductor import Rounds
 from oatcart.net.loop import Loop
+from oatcart.net.rounds import Rounds
 
 
 class Nested:
@@ -39,7 +39,7 @@
         if self.stopped:
             return
         self.inner.turn(0.0)
-        self.rounds.turn()
+        self.rounds.run_if_due()
         if self.timer is not None:
             self.timer.cancel()
         due = self.inner.seconds_to_next_timer()
--- a/oatcart/xds/rounds.py
+++ b/oatcart/xds/rounds.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from oatcart.events import EndpointListReceived, Event
-from oatcart.net.conductor import Rounds
+from oatcart.net.rounds import Rounds
 from oatcart.tables import Part
 from oatcart.xds.front import Front
 from oatcart.xds.source import ROLL, XDS, Merge
@@ -24,13 +24,13 @@
     def serve(self, front: Front, published: Callable[[], None]) -> None:
         self.front, self.published = front, published
 
-    def arrive(self, arrival: Event) -> None:
+    def add_event(self, arrival: Event) -> None:
         if isinstance(arrival, EndpointListReceived):
             if self.merge is not None:
                 arrival = EndpointListReceived(False, self.merge.take(ROLL, *arrival))
             self._listed(arrival)
         else:
-            super().arrive(arrival)
+            super().add_event(arrival)
 
     def listed_elsewhere(self, entries: list[tuple]) -> None:
         """The whole list of a management server."""
@@ -39,7 +39,7 @@
     def _listed(self, arrival: EndpointListReceived) -> None:
         self.roster.take(*arrival)
         self.touched = True
-        super().arrive(arrival)
+        super().add_event(arrival)
 
     def watch_endpoints(self, on: bool) -> None:
         if self.follows_roll:
@@ -75,16 +75,16 @@
 
     def named(self, place: int) -> tuple[str, str, int] | None:
         at = self.watcher.addresses.get(place)
-        return (self.codec.nodes[place], *at) if at else None
+        return (self.codec.endpoint_ids[place], *at) if at else None
 
-    def _tell_one(self, proxy: int, parts: tuple[Part, ...], encoded: dict[tuple, bytes]) -> None:
+    def _send_update(self, proxy: int, parts: tuple[Part, ...], encoded: dict[tuple, bytes]) -> None:
         if self.front is not None and proxy in self.front.by_proxy:
             self.front.told(proxy, parts)
         else:
-            super()._tell_one(proxy, parts, encoded)
+            super()._send_update(proxy, parts, encoded)
 
-    def _tell(self) -> None:
-        super()._tell()
+    def _send_updates(self) -> None:
+        super()._send_updates()
         if self.front is not None and self.touched:
             self.touched = False
             self.front.publish(self.loop.now, self, self.roster, self.named)
--- a/oatcart/xds/serve.py
+++ b/oatcart/xds/serve.py
@@ -10,9 +10,9 @@
 from oatcart.errors import InvalidConfigurationError
 from oatcart.handover import start_records
 from oatcart.model import AdmissionMode
+from oatcart.net.assembly import assemble
 from oatcart.net.configuration_reload import reload_signal
 from oatcart.net.loop import Loop
-from oatcart.net.start import assemble
 from oatcart.xds.configuration import Xds
 from oatcart.xds.encode import Encoder
 from oatcart.xds.follow import Follower
@@ -43,15 +43,15 @@
         zones = sorted(codec.zones, key=codec.zones.get)
         self.front = Front(
             self.rounds,
-            list(zip(codec.kind_names, records.request_classes, strict=True)),
+            list(zip(codec.request_class_names, records.request_classes, strict=True)),
             zones,
-            codec.proxies,
+            codec.proxy_count,
             new_life(time.time_ns(), int(cfg["seed"], 16)),
             Gate(xds.clients, xds.streams, xds.names, xds.pushes),
             Budget(xds.pushes),
             records.admission_mode == AdmissionMode.RATE,
             xds.home_zone,
-            self.rounds.log.write,
+            self.rounds.logger.write,
         )
         self.nested = Nested(self.loop, self.rounds)
         self.encoder = Encoder()
@@ -63,7 +63,7 @@
             xds.report_every,
             xds.clients * xds.streams,
             self.place,
-            self.rounds.log.write,
+            self.rounds.logger.write,
             self.nested.kick,
         )
 
@@ -74,7 +74,7 @@
                 known = self.rounds.merge.move()
                 believed.begin(
                     {
-                        codec.nodes[at]: Told(zone, state, nominal, started)
+                        codec.endpoint_ids[at]: Told(zone, state, nominal, started)
                         for at, zone, started, state, nominal in known
                     }
                 )
@@ -89,7 +89,7 @@
                 self.loop.clock,
                 time.time,
                 self._listed,
-                self.rounds.log.write,
+                self.rounds.logger.write,
             )
 
     def _rounds(self, *args: object) -> XdsRounds:
@@ -105,14 +105,14 @@
     def place(self, at: object) -> int | None:
         """A node's number by its name or by its host and port."""
         if isinstance(at, str):
-            return self.rounds.codec.places.get(at)
+            return self.rounds.codec.endpoint_numbers.get(at)
         return next((place for place, known in self.rounds.watcher.addresses.items() if known == at), None)
 
     async def start(self) -> int:
         """Serve; hands back the port of the xDS front."""
         self.port = await self.server.start(self.xds.listen)
         self.rounds.serve(self.front, self.server.soon)
-        self.rounds.log.write("start", f"xDS at port {self.port}")
+        self.rounds.logger.write("start", f"xDS at port {self.port}")
         self.nested.start()
         if self.follower is not None:
             self.follower.start()
--- a/tests/net/test_wire_bytes.py
+++ b/tests/net/test_wire_bytes.py
@@ -71,7 +71,7 @@
 
 def test_an_update_has_all_its_fields_in_this_order():
     codec = Codec(["lookup", "order"], ["a", "b"], 64)
-    numbers = [codec.place(name) for name in ("s-1f", "s-2e", "s-3d")]
+    numbers = [codec.number_of(name) for name in ("s-1f", "s-2e", "s-3d")]
     part = Part(
         kinds=(0, 1),
         whole=True,
@@ -82,7 +82,7 @@
         back=(numbers[2], numbers[0]),
         mark=65535,
     )
-    assert codec.message((part, part._replace(mark=None), Part())) == (
+    assert codec.encode_update((part, part._replace(mark=None), Part())) == (
         b'{"msg":"update","routes":["lookup","order"],"full":true,"endpoints":[["s-1f",20.5],["s-2e",0]],'
         b'"admit":0.25,"policy":3,"eject":["s-2e"],"restore":["s-3d","s-1f"],"nonce_out":65535,'
         b'"continued":true}\n'
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -21,13 +21,13 @@
     UpdateAcknowledged,
 )
 from oatcart.net import codec as wire
-from oatcart.net.acceptor import KEPT_BACK, Acceptor
-from oatcart.net.conductor import Rounds
+from oatcart.net.acceptor import RESERVED_DESCRIPTORS, Acceptor
 from oatcart.net.configuration_reload import reload_on_signal
+from oatcart.net.endpoint_list import EndpointListWatcher
+from oatcart.net.health_checks import HealthChecker
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop
-from oatcart.net.probe import Prober
-from oatcart.net.roll import Watcher
+from oatcart.net.rounds import Rounds
 
 TURNS, TURN = 400, 0.005  # turns of the loop until something must have come, s each; a met want ends them
 QUIET = 6  # turns after which nothing more is under way on loopback
@@ -82,11 +82,13 @@
         log = Log(self.loop.clock, self.out, max_lines=int(cfg.get("log_most", 100)))
         self.codec = wire.Codec(["lookup", "order"], ["a", "b"], 64)
         self.rounds = Rounds(self.loop, log, self.codec, cfg.get("gap", 0), 1000.0)
-        watcher = Watcher(self.loop, self.codec, log, desk, 5.0, self.rounds.arrive)
-        prober = Prober(self.loop, bool(cfg.get("reports", 1)), 0.25, watcher.addresses, self.rounds.arrive)
+        watcher = EndpointListWatcher(self.loop, self.codec, log, desk, 5.0, self.rounds.add_event)
+        prober = HealthChecker(
+            self.loop, bool(cfg.get("reports", 1)), 0.25, watcher.addresses, self.rounds.add_event
+        )
         self.rounds.start(self.round, watcher, prober)
         self.acceptor = Acceptor(
-            self.loop, log, self.codec, self.rounds, int(KEPT_BACK + cfg.get("room", 100))
+            self.loop, log, self.codec, self.rounds, int(RESERVED_DESCRIPTORS + cfg.get("room", 100))
         )
         self.listener = self.acceptor.listen(("127.0.0.1", 0))
         self.woken, self.waker = socket.socketpair()
@@ -102,7 +104,7 @@
         """What a new configuration brings here: an address of discovery, or none that can be used."""
         if self.discovery is None:
             raise InvalidConfigurationError.of_field("discovery", "no address")
-        self.rounds.watcher.move(self.discovery)
+        self.rounds.watcher.set_discovery(self.discovery)
         return "taken in"
 
     def failed(self, error):
@@ -110,7 +112,7 @@
 
     def round(self, now, arrivals, orders):
         """The scripted module: notes what comes, writes what the scenario orders."""
-        self.said += [] if self.rounds.came else ["woke"]
+        self.said += [] if self.rounds.events else ["woke"]
         for arrival in arrivals:
             if self.failing and isinstance(arrival, UpdateAcknowledged):
                 raise ArithmeticError("a mistake")
@@ -123,7 +125,7 @@
 
     def turn(self, longest=0.0):
         self.loop.turn(longest)
-        self.rounds.turn()
+        self.rounds.run_if_due()
 
     def until(self, met, what):
         for _ in range(TURNS):
@@ -254,11 +256,11 @@
             )
         elif do == "order":
             self.ordered.append((name, [value(word) for word in rest]))
-            self.rounds.due = True
+            self.rounds.is_due = True
         elif do == "failing":
             self.failing = bool(int(name))
         elif do == "roll":
-            self.rounds.watcher.take(self.codec.roll(self.listed(fields(words[1:]))))
+            self.rounds.watcher.receive(self.codec.decode_endpoint_list(self.listed(fields(words[1:]))))
         elif do == "moved":
             self.closed.append(self.desk)
             self.open_desk()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -11,7 +11,7 @@
 
 from oatcart.errors import CloseReason, ConnectionClosedError
 from oatcart.net import loop
-from oatcart.net.acceptor import STRANGER_MOST
+from oatcart.net.acceptor import IDENTIFICATION_TIMEOUT_S
 from oatcart.net.loop import READABLE, WRITABLE, Loop, Wait
 from oatcart.net.stream import Stream, connect
 
@@ -94,11 +94,12 @@
         stranger, _ = dial_in(stack, one), dial_in(stack, one)
         other.sendall(b'{"msg":"ping"}\n')
         stranger.sendall(JOINED % 2)
-        one.now += STRANGER_MOST
+        one.now += IDENTIFICATION_TIMEOUT_S
         monkeypatch.setattr(loop, "MAX_EVENTS_PER_TURN", 1)
         one.turn()
         assert [*one.rounds.streams] == [1, 2]
-        assert not one.acceptor.strangers and "a stranger gone: timed out" in one.out.getvalue()
+        assert not one.acceptor.unidentified
+        assert "connection of unidentified peer ended: timed out" in one.out.getvalue()
 
 
 def test_who_never_stops_is_late_all_the_same():
@@ -141,7 +142,9 @@
         oldest.sendall(JOINED % 1)  # behind the newest, so the acceptor's turn is first
         next_one.sendall(b'{"msg":"jo')
         one.quiet()
-        assert [*one.rounds.streams] == [1] and one.out.getvalue().count("a stranger gone: no capacity") == 1
+        assert [*one.rounds.streams] == [1]
+        ended = one.out.getvalue().count("connection of unidentified peer ended: no capacity")
+        assert ended == 1
         newest.sendall(JOINED % 2)
         one.quiet()
         assert [*one.rounds.streams] == [1, 2]
@@ -155,7 +158,7 @@
         one, [end, other] = stage_with(stack, [1, 2])
         for order in ("order set_weight 0 1 20", "order assign_table 0 1 0", "order assign_table 0 2 0"):
             one.play(order)
-        one.codec.place("n0"), one.codec.place("n1")
+        one.codec.number_of("n0"), one.codec.number_of("n1")
         stream, sent = one.rounds.streams[1], []
 
         class Short:
@@ -190,9 +193,9 @@
         end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         end.close()
         one.play("order request_ack 3 true")
-        one.rounds.turn()  # the loop has not taken the reset in yet
+        one.rounds.run_if_due()  # the loop has not taken the reset in yet
         assert [*one.rounds.streams] == [*one.rounds.proxies] == [2]
-        one.rounds.turn()
+        one.rounds.run_if_due()
         assert one.said[-1] == "left 1"
 
 
@@ -217,9 +220,9 @@
             most = max(most, one.loop.connections)
         one.quiet()
         assert sorted(one.rounds.streams) == [*range(60)] and most <= one.loop.connection_limit
-        one.now += STRANGER_MOST
+        one.now += IDENTIFICATION_TIMEOUT_S
         one.quiet()
-        assert not one.acceptor.strangers and len(one.acceptor.lives) == 60
+        assert not one.acceptor.unidentified and len(one.acceptor.tasks) == 60
         for at, end in enumerate(strangers):
             one.ends[at] = end
             assert one.has_ended(at) or one.has_ended(at), at  # behind its pongs
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -41,12 +41,12 @@
     RequestClass,
     WarmUpLimits,
 )
-from oatcart.net.acceptor import NO_ROOM_WAIT
+from oatcart.net.acceptor import ACCEPT_PAUSE_S
+from oatcart.net.assembly import assemble
 from oatcart.net.codec import Codec
-from oatcart.net.conductor import Rounds
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop
-from oatcart.net.start import assemble
+from oatcart.net.rounds import Rounds
 from oatcart.net.stream import MAX_UNSENT_BYTES, Stream
 from oatcart.policy import Controller
 
@@ -284,8 +284,8 @@
     log = Log(loop.clock, io.StringIO())
     rounds = Rounds(loop, log, Codec(["lookup"], ["a"], 4), 0.002, 1000.0)
     rounds.start(lambda now, arrivals, orders: came.extend(arrivals), None, None)
-    rounds.arrive(EndpointListReceived(True, []))
-    rounds.turn()
+    rounds.add_event(EndpointListReceived(True, []))
+    rounds.run_if_due()
     assert came == [EndpointListReceived(True, [])] and type(came[0]) is EndpointListReceived
     loop.epoll.close()
 
@@ -327,7 +327,7 @@
         one.until(lambda: "no capacity" in one.out.getvalue(), "a line in the log")
         one.quiet()
         assert full.tries == 1
-        one.now += NO_ROOM_WAIT
+        one.now += ACCEPT_PAUSE_S
         end.sendall(b'{"msg":"ping"}\n')
         one.quiet()
         assert end.recv(100) == b'{"msg":"pong"}\n'
@@ -347,7 +347,7 @@
             one.play(line)
         for line in ("order watch_endpoints true", "told unlisted"):
             one.play(line)
-        assert one.rounds.watcher.watching is None  # Failure: it was noted as standing after it had ended
+        assert one.rounds.watcher.watch_task is None  # Failure: it was noted as standing after it had ended
     for line in ("order fetch_endpoints", "asked /v1/servers"):
         one.play(line)
     one.close()
@@ -451,7 +451,7 @@
             other = CONFIG | {"discovery": "127.0.0.1:2", "limits": {"sockets": 300}}
             for text, found in (
                 (other | {field: "127.0.0.9:9"}, before),
-                (other, (("127.0.0.1", 2), 300 - stage.KEPT_BACK)),
+                (other, (("127.0.0.1", 2), 300 - stage.RESERVED_DESCRIPTORS)),
             ):
                 (tmp_path / "cfg").write_text(json.dumps(text))
                 waker.send(b"\x01")
--- a/tests/test_short_days.py
+++ b/tests/test_short_days.py
@@ -143,7 +143,7 @@
     one.quiet()
     one.rounds.streams[0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, NARROW)
     for node in range(WIDE):
-        one.codec.place(f"s-{node:08x}")
+        one.codec.number_of(f"s-{node:08x}")
         one.play(f"order set_weight 0 {node} {node % 90 + 1}")
     return one, *ends
 
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -42,8 +42,8 @@
     from oatcart import policy
     before(policy.Controller, "look")
 elif point == "telling":
-    from oatcart.net import conductor
-    before(conductor.Rounds, "_tell")
+    from oatcart.net import rounds
+    before(rounds.Rounds, "_send_updates")
 runpy.run_module("oatcart", run_name="__main__")
 """
 POINTS = "an import", "the file", "listening", "a round", "telling"
--- a/tests/trace/test_tools.py
+++ b/tests/trace/test_tools.py
@@ -328,14 +328,14 @@
     async def story():
         async with xds_table.Table(xds_table.nodes(6)) as table:
             client = await subscribed(table, "c", True, "whole")
-            places = table.one.rounds.codec.places
-            table.one.rounds.arrive(
+            places = table.one.rounds.codec.endpoint_numbers
+            table.one.rounds.add_event(
                 ProxyLoadReported(8, "not a kind", 1, 0, 1.0)
             )  # the module raises over it
             for turn in range(8):
                 for name, place in places.items():
                     bad = 20 if name == "n2" else 0
-                    table.one.rounds.arrive(
+                    table.one.rounds.add_event(
                         EndpointLoadReported(
                             place, 0, 1.0, 0.05 + turn / 100, bad, 20, LoadReport(None, 0.3, None)
                         )
--- a/tests/views/test_views_conductor.py
+++ b/tests/views/test_views_conductor.py
@@ -100,7 +100,7 @@
     one.holds("x0", "x2", "x3")
     stage.discovery.put(node("x1", "b", service="x"), node("y2", service="y"))
     one.holds("x0", "x1", "x2", "x3")
-    assert "odd:" not in one.log() and "roll:" not in one.log()
+    assert "invalid:" not in one.log() and "discovery:" not in one.log()
     one.end()
 
 
--- a/tests/xds/sim.py
+++ b/tests/xds/sim.py
@@ -49,7 +49,7 @@
         super().__init__(len(KINDS))
         self.stage, self.came, self.touched = stage, [], True
 
-    def arrive(self, arrival):
+    def add_event(self, arrival):
         self.came.append(arrival)
 
     def check_health(self, node):
@@ -232,7 +232,7 @@
         self.roster, self.picks = view.Roster(), {}
         self.sidecar = {}
         self.host.joined(SIDECAR, True)
-        self.host.arrive(ProxyJoined(SIDECAR, 0, 10.0, True))
+        self.host.add_event(ProxyJoined(SIDECAR, 0, 10.0, True))
         if self.list:
             self.listed()
 
@@ -249,7 +249,7 @@
         ]
         self.roster.take(True, entries)
         self.host.touched = True
-        self.host.arrive(EndpointListReceived(True, entries))
+        self.host.add_event(EndpointListReceived(True, entries))
 
     def name(self, place):
         return f"n{place}", "127.0.0.1", 9000 + place
@@ -286,7 +286,7 @@
             for node in part.back:
                 self.sidecar.setdefault("out", set()).discard(node)
             if part.mark is not None:
-                self.host.arrive(UpdateAcknowledged(SIDECAR, part.mark, 0.0))
+                self.host.add_event(UpdateAcknowledged(SIDECAR, part.mark, 0.0))
 
     def note_outs(self):
         """Each peer owes a look at whoever went out of a list that it was sent."""
--- a/tests/xds/table.py
+++ b/tests/xds/table.py
@@ -63,10 +63,10 @@
         ours.setblocking(False)
         xds = self.xds._replace(listen=f"127.0.0.1:{port}")
         self.one = Conductor(config(self.known, **self.settings), xds, ours)
-        self.one.rounds.log.write = lambda kind, text: self.lines.append(f"{kind}: {text}")
-        self.one.front.say = self.one.server.say = self.one.rounds.log.write
+        self.one.rounds.logger.write = lambda kind, text: self.lines.append(f"{kind}: {text}")
+        self.one.front.say = self.one.server.say = self.one.rounds.logger.write
         if self.one.follower is not None:
-            self.one.follower.say = self.one.rounds.log.write
+            self.one.follower.say = self.one.rounds.logger.write
         self.sidecar_port = self.one.acceptor.listener.getsockname()[1]
         self.port = await self.one.start()
 
@@ -81,8 +81,8 @@
         self.known = {name: one for name, one in self.known.items() if one}
         self.revision += 1
         rounds = self.one.rounds
-        roll = rounds.codec.roll(config(self.known)["known"] | {"revision": self.revision})
-        rounds.watcher.take(roll)
+        roll = rounds.codec.decode_endpoint_list(config(self.known)["known"] | {"revision": self.revision})
+        rounds.watcher.receive(roll)
         self.one.nested.kick()
 
     def client(self, name, zone="a", **more):
--- a/tests/xds/test_both.py
+++ b/tests/xds/test_both.py
@@ -26,7 +26,7 @@
     def __init__(self, table, number):
         self.number, self.lines, self.out = number, {}, set()
         address = table.one.rounds.codec  # names only
-        self.kinds = address.kind_names
+        self.kinds = address.request_class_names
         self.port = table.sidecar_port
 
     async def connect(self):
@@ -88,10 +88,10 @@
             await agree(lambda found: len(found) == 4)
             table.roll(n1=(9001, "b", "DRAINING", 0))
             await agree(lambda found: len(found) == 3)
-            places = table.one.rounds.codec.places
+            places = table.one.rounds.codec.endpoint_numbers
             for _ in range(3):
                 for name, took in ("n0", 0.05), ("n2", 0.4), ("n3", 0.1):
-                    table.one.rounds.arrive(
+                    table.one.rounds.add_event(
                         EndpointLoadReported(places[name], 0, 1.0, took, 0, 50, LoadReport(None, 0.5, None))
                     )
             table.one.nested.kick()
@@ -210,9 +210,15 @@
             for _ in range(3):  # evidence against n2: it is withdrawn
                 for node in standing:
                     bad = 20 if node.name == "n2" else 0
-                    rounds.arrive(
+                    rounds.add_event(
                         EndpointLoadReported(
-                            codec.places[node.name], 0, 1.0, 0.05, bad, 20, LoadReport(None, 0.3, None)
+                            codec.endpoint_numbers[node.name],
+                            0,
+                            1.0,
+                            0.05,
+                            bad,
+                            20,
+                            LoadReport(None, 0.3, None),
                         )
                     )
             table.one.nested.kick()
@@ -241,9 +247,9 @@
             await channel.call("lookup", 20)
             codec, rounds = table.one.rounds.codec, table.one.rounds
             for node, busy in zip(standing, (0.2, 0.5, 0.9), strict=True):
-                rounds.arrive(
+                rounds.add_event(
                     EndpointLoadReported(
-                        codec.places[node.name], 0, 1.0, 0.05, 0, 20, LoadReport(None, busy, None)
+                        codec.endpoint_numbers[node.name], 0, 1.0, 0.05, 0, 20, LoadReport(None, busy, None)
                     )
                 )
             table.one.nested.kick()
@@ -277,7 +283,7 @@
             rounds = table.one.rounds
             for at in sorted(set(table.one.front.maps[0])):  # the module allows another try after anything
                 rounds.set_admission(at, 0, 1.0, RetryPolicy.ON_FAILURE)
-            rounds.due = True
+            rounds.is_due = True
             table.one.nested.kick()
             for node in standing:
                 node.fails = True
--- a/tests/xds/test_decisions.py
+++ b/tests/xds/test_decisions.py
@@ -162,8 +162,8 @@
     turns(stage, 2)
     number = next(iter(stage.front.clients.values())).proxy
     peer.late, told = True, []
-    arrive = stage.host.arrive
-    stage.host.arrive = lambda arrival: (told.append(arrival), arrive(arrival))
+    arrive = stage.host.add_event
+    stage.host.add_event = lambda arrival: (told.append(arrival), arrive(arrival))
     stage.list[7] = (1, stage.now, EndpointState.READY)
     stage.listed()
     turns(stage, 2)
--- a/tests/xds/test_machine.py
+++ b/tests/xds/test_machine.py
@@ -119,7 +119,7 @@
         for place, (zone, _, state) in self.stage.list.items():
             if state == EndpointState.READY:
                 bad = 20 if errs and place == node else 0
-                self.stage.host.arrive(
+                self.stage.host.add_event(
                     EndpointLoadReported(
                         place, zone, 1.0, 0.05, bad, 20, LoadReport(None, 0.3 + place / 20, None)
                     )
