--- a/oatcart/net/codec.py
+++ b/oatcart/net/codec.py
@@ -20,7 +20,7 @@
 from oatcart.handover import AMOUNT_MOST, is_amount, load
 from oatcart.model import EndpointState
 from oatcart.net.stream import Address
-from oatcart.tables import Part
+from oatcart.routing_tables import UpdatePart
 
 ENDPOINT_LIST_PATH, HEALTH_PATH, LOAD_PATH = "/v1/servers", "/healthz", "/load"
 PONG = b'{"msg":"pong"}\n'
@@ -241,27 +241,27 @@
         endpoint = self.number_of(member["id"])  # last, so that an invalid entry gets no number
         return EndpointEntry(endpoint, zone, started_at, state, nominal_weight), address or None
 
-    def encode_update(self, parts: tuple[Part, ...]) -> bytes:
+    def encode_update(self, parts: tuple[UpdatePart, ...]) -> bytes:
         """One update to a proxy, a line for each part."""
         last = len(parts) - 1
         return b"".join(orjson.dumps(self._update(part, at < last)) + b"\n" for at, part in enumerate(parts))
 
-    def _update(self, part: Part, continued: bool) -> dict:
+    def _update(self, part: UpdatePart, continued: bool) -> dict:
         message: dict = {"msg": "update"}
-        if part.kinds:
-            message["routes"] = [self.request_class_names[kind] for kind in part.kinds]
-        if part.whole:
+        if part.classes:
+            message["routes"] = [self.request_class_names[number] for number in part.classes]
+        if part.complete:
             message["full"] = True
-        if part.whole or part.lines:
-            message["endpoints"] = [[self.endpoint_ids[number], weight] for number, weight in part.lines]
-        if part.level is not None:
-            message |= {"admit": part.level, "policy": part.tries}
-        if part.out:
-            message["eject"] = self._ids(part.out)
-        if part.back:
-            message["restore"] = self._ids(part.back)
-        if part.mark is not None:
-            message["nonce_out"] = part.mark
+        if part.complete or part.weights:
+            message["endpoints"] = [[self.endpoint_ids[number], weight] for number, weight in part.weights]
+        if part.quota is not None:
+            message |= {"admit": part.quota, "policy": part.retry_policy}
+        if part.ejected:
+            message["eject"] = self._ids(part.ejected)
+        if part.restored:
+            message["restore"] = self._ids(part.restored)
+        if part.nonce is not None:
+            message["nonce_out"] = part.nonce
         if continued:
             message["continued"] = True
         return message
--- a/oatcart/net/proxy_stream.py
+++ b/oatcart/net/proxy_stream.py
@@ -36,7 +36,7 @@
             event = yield from read_message(stream, codec, on_invalid)
             if not isinstance(event, PROXY_EVENTS) or event.proxy != proxy:
                 on_invalid(InvalidMessageError(f"proxy {proxy} sent {event}, which is not its own"))
-            elif isinstance(event, UpdateAcknowledged) and not rounds.asked(proxy, event.nonce):
+            elif isinstance(event, UpdateAcknowledged) and not rounds.was_sent(proxy, event.nonce):
                 # Taken as an acknowledgement, it would cover updates that the proxy does not have.
                 on_invalid(InvalidMessageError(f"proxy {proxy} was not asked for nonce {event.nonce}"))
             else:
--- a/oatcart/net/rounds.py
+++ b/oatcart/net/rounds.py
@@ -14,7 +14,7 @@
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop
 from oatcart.net.stream import Stream
-from oatcart.tables import Part, Tables
+from oatcart.routing_tables import RoutingTables, UpdatePart
 
 RETRY_AFTER_S = 0.25  # until the round after one that failed and may not have scheduled another
 STATISTICS_PERIOD_S = 30.0  # between two lines on how this process keeps up
@@ -23,8 +23,8 @@
 """A round of the decisions: Unix time in seconds, the events, and where the commands go."""
 
 
-class Rounds(Tables):
-    """Runs rounds and carries out their commands; the state of the routing tables is that of `Tables`.
+class Rounds(RoutingTables):
+    """Runs rounds and carries out their commands; the state of the routing tables is that of `RoutingTables`.
 
     `min_gap`: seconds between the starts of two rounds. `unix_time`: that of `loop.now`; read once, so that a
     step of the system's clock does not move the decisions' time.
@@ -58,14 +58,14 @@
     def join(self, proxy: int, unconfigured: bool, stream: Stream) -> None:
         """Write the updates of a proxy to this stream from now on."""
         self.streams[proxy] = stream
-        self.joined(proxy, unconfigured)
+        self.add_proxy(proxy, unconfigured)
 
     def leave(self, proxy: int, stream: Stream) -> bool:
         """Whether the proxy has left with the end of this stream: not if it has joined on another since."""
         if self.streams.get(proxy) is not stream:
             return False
         del self.streams[proxy]
-        self.left(proxy)
+        self.remove_proxy(proxy)
         return True
 
     def check_health(self, endpoint: int) -> None:
@@ -107,7 +107,7 @@
 
     def _run(self, unix_time: float) -> None:
         self._decide(unix_time)
-        forgotten = self.dropped
+        forgotten = self.changes.forgotten
         try:
             self._send_updates()
         except Exception:
@@ -132,14 +132,14 @@
             yield self.events.popleft()
 
     def _send_updates(self) -> None:
-        encoded: dict[tuple[Part, ...], bytes] = {}
-        for proxy, parts in self.messages():
+        encoded: dict[tuple[UpdatePart, ...], bytes] = {}
+        for proxy, parts in self.updates():
             self._send_update(proxy, parts, encoded)
         while self.failed_streams:  # before the next round, which would count these updates as sent
             self.close_stream(self.failed_streams.pop())
 
     def _send_update(
-        self, proxy: int, parts: tuple[Part, ...], encoded: dict[tuple[Part, ...], bytes]
+        self, proxy: int, parts: tuple[UpdatePart, ...], encoded: dict[tuple[UpdatePart, ...], bytes]
     ) -> None:
         """Write an update to a proxy. `encoded`: updates of this round, as many proxies get the same."""
         if parts not in encoded:
--- a/oatcart/views/publisher.py
+++ b/oatcart/views/publisher.py
@@ -1,166 +1,183 @@
-"""The views in force: entries of nodes, what was decided of each view, and a history of each view asked for.
-Free of I/O.
+"""The views in force: the entries of all endpoints, the view decided for each controller, and the history of
+each view that was requested. Free of I/O.
 
-What is known of a node is told at once to whoever holds it: a drain, a change, its end. Which nodes a view
-has is decided elsewhere (`deciding`) and may come later. A view's history begins when its conductor first
-asks.
+A change of an endpoint's entry (draining, another address, its removal) is published at once to the
+controllers whose view has it. Which endpoints a view has is decided elsewhere (`decisions`) and may follow
+later. A view's history begins with the first request of its controller.
 """
 
 from collections.abc import Callable, Collection, Iterable, Mapping
 
-from oatcart.views.configuration import Conductor, Configuration, NodeFields
-from oatcart.views.deciding import Update, View
-from oatcart.views.entries import SERVING, Entry
-from oatcart.views.history import History
-from oatcart.views.records import Member, UnknownViewer, Viewer, ViewError, ViewLimits
-from oatcart.views.revisions import Revisions
-from oatcart.views.trust import Outcome
+from oatcart.views.configuration import Configuration, EndpointFields, ServedController
+from oatcart.views.decisions import RecordChanges, View
+from oatcart.views.entries import SERVING, EndpointEntry
+from oatcart.views.history import ViewHistory
+from oatcart.views.list_guard import ListChanges
+from oatcart.views.records import Controller, Endpoint, UnknownControllerError, ViewError, ViewLimits
+from oatcart.views.revisions import RevisionSequence
 
 DEFAULT_SERVICE = "default"  # of an entry that names none
+DEFAULT_NOMINAL_WEIGHT = 1.0  # of an entry whose size is missing or 0, as at a controller
 
 
-class NotDecided(ViewError):
-    """Nothing can be told of a view yet: there is no list of nodes, or the decision is under way."""
+class ViewNotDecidedError(ViewError):
+    """A view cannot be served yet: there is no endpoint list, or the decision is under way."""
 
 
 class Publisher:
-    """Takes what has changed of the list of nodes and hands out histories by the names of conductors.
-    `decide` is handed what has to be decided; the views come back to `decided`."""
+    """Applies changes of the endpoint list and of the views, and keeps the history of each view.
+
+    `decide` is called with the records that changed; the views decided from them are handed to `apply_views`.
+    """
 
     def __init__(
-        self, configuration: Configuration, revisions: Revisions, decide: Callable[[Update], None]
+        self,
+        configuration: Configuration,
+        revisions: RevisionSequence,
+        decide: Callable[[RecordChanges], None],
     ) -> None:
         self.configuration, self.revisions, self.decide = configuration, revisions, decide
-        self.entries: dict[str, Entry] = {}
-        self.views: dict[str, View] = {}  # as decided last; there may be nodes in them that are gone
-        self.histories: dict[str, History] = {}
-        self.changed: set[str] = set()  # views that may be different from their histories
-        self.viewers = _viewers(configuration.conductors)
-        self.silent: set[str] = set()  # conductors that do not count as alive: nothing is decided for them
+        self.entries: dict[str, EndpointEntry] = {}
+        self.views: dict[str, View] = {}  # as last decided; they may have endpoints that are gone since
+        self.histories: dict[str, ViewHistory] = {}
+        self.unpublished: set[str] = set()  # views that may differ from their histories
+        self.controllers = _records_by_name(configuration.controllers)
+        self.expired: set[str] = set()  # controllers without a lease: no view is decided for them
 
     def configure(self, configuration: Configuration) -> None:
-        """Another configuration. Views that stay the same get no new revision."""
+        """Takes over another configuration. Views that stay the same get no new revision."""
         old, self.configuration = self.configuration, configuration
-        viewers = _viewers(configuration.conductors)
-        gone = self.viewers.keys() - viewers.keys()
-        self.viewers = viewers
-        self.silent &= viewers.keys()
-        self._forget(gone)
-        if _bases(configuration) != _bases(old):
-            self._decide_anew()
+        controllers = _records_by_name(configuration.controllers)
+        gone = self.controllers.keys() - controllers.keys()
+        self.controllers = controllers
+        self.expired &= controllers.keys()
+        self._drop_views(gone)
+        if _decision_inputs(configuration) != _decision_inputs(old):
+            self._decide_all()
         elif self.entries:
-            self.decide(Update(viewers=self._alive(), gone=gone))
+            self.decide(RecordChanges(controllers=self._live_controllers(), removed_controllers=gone))
 
-    def leave(self, names: Collection[str]) -> None:
-        """These conductors no longer count as alive: their shares of the nodes go to others."""
-        self.silent.update(names)
-        self._forget(names)
+    def expire(self, names: Collection[str]) -> None:
+        """The leases of these controllers have expired: the others' views are decided without them."""
+        self.expired.update(names)
+        self._drop_views(names)
         if self.entries:
-            self.decide(Update(gone=names))
+            self.decide(RecordChanges(removed_controllers=names))
 
-    def come_back(self, name: str) -> None:
-        """A conductor counts as alive again; its view is decided anew."""
-        self.silent.discard(name)
+    def restore(self, name: str) -> None:
+        """An expired controller has a lease again: its view is decided anew."""
+        self.expired.discard(name)
         if self.entries:
-            self.decide(Update(viewers=[self.viewers[name]]))
+            self.decide(RecordChanges(controllers=[self.controllers[name]]))
+
+    def apply_list_changes(self, changes: ListChanges) -> None:
+        """Applies changes of the endpoint list; `publish` makes them known.
 
-    def take(self, outcome: Outcome) -> None:
-        """What has changed of the list; `publish` makes it known. Nothing is decided before the first list: a
-        view of it would be empty, and a conductor that is told so loses its list."""
+        Nothing is decided before the first list: the views would be empty, and a controller that receives an
+        empty list drops the one it has.
+        """
         if not self.entries:
-            self.entries.update(outcome.changed)
-            self._decide_anew()
+            self.entries.update(changes.changed)
+            self._decide_all()
             return
-        self.entries.update(outcome.changed)
-        for node in outcome.removed:
-            self.entries.pop(node, None)
-        touched = outcome.changed.keys() | outcome.removed
-        self.changed.update(
-            name for name, history in self.histories.items() if not touched.isdisjoint(history.members)
+        self.entries.update(changes.changed)
+        for endpoint_id in changes.removed:
+            self.entries.pop(endpoint_id, None)
+        touched = changes.changed.keys() | changes.removed
+        self.unpublished.update(
+            name for name, history in self.histories.items() if not touched.isdisjoint(history.entries)
         )
-        members = [member(entry, self.configuration.nodes) for entry in outcome.changed.values()]
-        self.decide(Update(members=members, removed=outcome.removed))
+        fields = self.configuration.endpoint_fields
+        endpoints = [endpoint_record(entry, fields) for entry in changes.changed.values()]
+        self.decide(RecordChanges(endpoints=endpoints, removed_endpoints=changes.removed))
 
-    def decided(self, views: Mapping[str, View]) -> None:
-        """Views as decided from now on; `publish` makes them known."""
+    def apply_views(self, views: Mapping[str, View]) -> None:
+        """Takes over views as decided; `publish` makes them known."""
         for name, view in views.items():
-            if name in self.viewers and name not in self.silent:
+            if name in self.controllers and name not in self.expired:
                 self.views[name] = view
-                self.changed.add(name)
+                self.unpublished.add(name)
 
     def publish(self, names: Iterable[str]) -> list[str]:
-        """Bring the histories of these views up to date; hands back those that have changed. A view that
-        cannot be decided stays as it was told last. No two views share a revision, so that a conductor which
-        comes with another view's is told the whole list."""
+        """Brings the histories of these views up to date and returns the names of those that changed.
+
+        A view that cannot be decided stays as it was last published. No two views share a revision, so a
+        controller that asks with the revision of another view gets the complete list.
+        """
         published = []
         for name in names:
-            self.changed.discard(name)
+            self.unpublished.discard(name)
             history, view = self.histories.get(name), self.views.get(name)
             if history is None or not isinstance(view, tuple):
                 continue
-            if history.replace(self._members(view), self.revisions.next()):
+            if history.replace(self._entries_of(view), self.revisions.next()):
                 published.append(name)
         return published
 
-    def history(self, name: str) -> History:
-        """The history of a conductor's view; raises UnknownViewer or what else ViewError stands for."""
-        if name not in self.viewers:
-            raise UnknownViewer(name)
+    def history(self, name: str) -> ViewHistory:
+        """The history of a controller's view, which begins with the first call.
+
+        Raises UnknownControllerError, ViewNotDecidedError, or the ViewError for which the view cannot be
+        decided.
+        """
+        if name not in self.controllers:
+            raise UnknownControllerError(name)
         if name not in self.histories:
             view = self.views.get(name)
             if not self.entries or view is None:
-                raise NotDecided("no list of nodes is known yet, or the view is not decided yet")
+                raise ViewNotDecidedError("no list of nodes is known yet, or the view is not decided yet")
             if isinstance(view, ViewError):
                 raise view
-            self.histories[name] = History(self.revisions.next(), self._members(view))
-            self.changed.discard(name)
+            self.histories[name] = ViewHistory(self.revisions.next(), self._entries_of(view))
+            self.unpublished.discard(name)
         return self.histories[name]
 
     def failures(self) -> dict[str, str]:
-        """The views that cannot be decided, and why."""
+        """The reasons for which views cannot be decided, by the names of controllers."""
         return {name: str(view) for name, view in self.views.items() if isinstance(view, ViewError)}
 
-    def _alive(self) -> list[Viewer]:
-        return [viewer for name, viewer in self.viewers.items() if name not in self.silent]
+    def _live_controllers(self) -> list[Controller]:
+        return [controller for name, controller in self.controllers.items() if name not in self.expired]
 
-    def _forget(self, names: Iterable[str]) -> None:
+    def _drop_views(self, names: Iterable[str]) -> None:
         for name in names:
             self.views.pop(name, None)
             self.histories.pop(name, None)
 
-    def _members(self, view: tuple[str, ...]) -> dict[str, Entry]:
-        return {node: self.entries[node] for node in view if node in self.entries}
+    def _entries_of(self, view: tuple[str, ...]) -> dict[str, EndpointEntry]:
+        return {endpoint_id: self.entries[endpoint_id] for endpoint_id in view if endpoint_id in self.entries}
 
-    def _decide_anew(self) -> None:
+    def _decide_all(self) -> None:
         if not self.entries:
             return
+        fields = self.configuration.endpoint_fields
         self.decide(
-            Update(
-                members=[member(entry, self.configuration.nodes) for entry in self.entries.values()],
-                viewers=self._alive(),
+            RecordChanges(
+                endpoints=[endpoint_record(entry, fields) for entry in self.entries.values()],
+                controllers=self._live_controllers(),
                 limits=self.configuration.limits,
                 seed=self.configuration.seed,
             )
         )
 
 
-def member(entry: Entry, nodes: NodeFields) -> Member:
-    """The entry as the decisions see it; a size of 0 or none stands for 1, as at a conductor."""
-    service, region = entry.fields.get(nodes.service_field), entry.fields.get(nodes.region_field)
-    return Member(
+def endpoint_record(entry: EndpointEntry, fields: EndpointFields) -> Endpoint:
+    """The record of an entry, from which views are decided; `fields` names those of service and region."""
+    service, region = entry.fields.get(fields.service_field), entry.fields.get(fields.region_field)
+    return Endpoint(
         entry.id,
-        region if isinstance(region, str) and region else nodes.region(entry.zone),
+        region if isinstance(region, str) and region else fields.region(entry.zone),
         entry.zone,
         service if isinstance(service, str) and service else DEFAULT_SERVICE,
-        float(entry.fields.get("size") or 1.0),
+        float(entry.fields.get("size") or DEFAULT_NOMINAL_WEIGHT),
         entry.phase == SERVING,
     )
 
 
-def _bases(configuration: Configuration) -> tuple[ViewLimits, int, NodeFields]:
-    """What all decisions depend on beside nodes and conductors."""
-    return configuration.limits, configuration.seed, configuration.nodes
+def _decision_inputs(configuration: Configuration) -> tuple[ViewLimits, int, EndpointFields]:
+    """What all decisions depend on, apart from endpoints and controllers."""
+    return configuration.limits, configuration.seed, configuration.endpoint_fields
 
 
-def _viewers(conductors: Iterable[Conductor]) -> dict[str, Viewer]:
-    return {conductor.viewer.name: conductor.viewer for conductor in conductors}
+def _records_by_name(served: Iterable[ServedController]) -> dict[str, Controller]:
+    return {one.record.name: one.record for one in served}
--- /dev/null
+++ b/oatcart/views/service_pool.py
@@ -0,0 +1,230 @@
+"""One service: its endpoints, the controllers that need it, and which of the endpoints are in each one's
+view.
+
+A controller whose quota allows all endpoints is a complete holder. The others share the endpoints by the
+matching.
+"""
+
+from collections import Counter
+from typing import NamedTuple
+
+from oatcart.views.coverage import (
+    CoverageNeeds,
+    Swap,
+    Zone,
+    coverage_needs,
+    swaps_for_unheld,
+    with_replacements,
+    zone_of,
+)
+from oatcart.views.matching import Matching
+from oatcart.views.quotas import Quota
+from oatcart.views.records import Endpoint
+
+# The matching is repaired after at most this many changes, and one more for so many records; after more it is
+# cheaper to recompute it.
+_MIN_REPAIRED_CHANGES = 4
+_RECORDS_PER_CHANGE = 50
+
+
+class AffectedControllers(NamedTuple):
+    """The names of controllers that changes concern.
+
+    `reassigned` may have other endpoints than before, `updated` have an endpoint that stays with another
+    record.
+    """
+
+    reassigned: set[str]
+    updated: set[str]
+
+
+class ServicePool:
+    """The records of one service. Changes are noted at once and worked out together by `settle`.
+
+    `overload`: see `Matching`.
+    """
+
+    def __init__(self, overload: float, seed: int) -> None:
+        self.endpoints: dict[str, Endpoint] = {}
+        self.quotas: dict[str, Quota] = {}
+        self._ready_endpoints: dict[str, Endpoint] = {}
+        self._ready_by_zone: Counter[Zone] = Counter()
+        self._matching = Matching(overload, seed)
+        self._complete_holders: set[str] = set()
+        self._swaps: dict[str, list[Swap]] = {}
+        # By controller: its endpoints, if they are not those of the matching.
+        self._overrides: dict[str, list[str]] = {}
+        self._needs = CoverageNeeds(0, 0)
+        self._endpoints_before: dict[str, Endpoint | None] = {}
+        self._controllers_changed: set[str] = set()
+
+    def put_endpoint(self, endpoint: Endpoint) -> None:
+        """Adds an endpoint, or replaces its record."""
+        self._endpoints_before.setdefault(endpoint.id, self.endpoints.get(endpoint.id))
+        self.endpoints[endpoint.id] = endpoint
+        self._forget_ready(endpoint.id)
+        if endpoint.ready:
+            self._ready_endpoints[endpoint.id] = endpoint
+            self._ready_by_zone[zone_of(endpoint)] += 1
+
+    def remove_endpoint(self, endpoint_id: str) -> None:
+        """Removes an endpoint. Raises KeyError if it is not known."""
+        self._endpoints_before.setdefault(endpoint_id, self.endpoints.get(endpoint_id))
+        del self.endpoints[endpoint_id]
+        self._forget_ready(endpoint_id)
+
+    def set_quota(self, name: str, quota: Quota) -> None:
+        """Gives a controller its quota of the service, the first or another one."""
+        self.quotas[name] = quota
+        self._controllers_changed.add(name)
+
+    def remove_controller(self, name: str) -> None:
+        """Removes a controller that needs the service no longer, if it did."""
+        if self.quotas.pop(name, None) is not None:
+            self._controllers_changed.add(name)
+
+    def endpoints_of(self, name: str) -> list[str]:
+        """The endpoints in a controller's view, once settled; none if it does not need the service."""
+        if name in self._complete_holders:
+            return list(self.endpoints)
+        if name in self._overrides:
+            return self._overrides[name]
+        return self._matching.endpoints_of(name) if self._matching.has_controller(name) else []
+
+    def holders_of(self, endpoint_id: str) -> set[str]:
+        """The controllers whose views have an endpoint, once settled."""
+        holders = set(self._complete_holders)
+        if self._matching.has_endpoint(endpoint_id):
+            holders.update(self._matching.holders_of(endpoint_id))
+        for name, endpoint_ids in self._overrides.items():
+            if endpoint_id in endpoint_ids:
+                holders.add(name)
+            else:
+                holders.discard(name)
+        return holders
+
+    def settle(self) -> AffectedControllers:
+        """Works the noted changes out."""
+        if not self._endpoints_before and not self._controllers_changed:
+            return AffectedControllers(set(), set())
+        updated_endpoints = self._change_endpoints()
+        reassigned = self._change_controllers()
+        if len(self._endpoints_before) + len(self._controllers_changed) > self._max_repaired():
+            self._matching.recompute()
+        else:
+            self._matching.repair()
+        reassigned |= self._matching.pop_changed()
+        if any(self._was_added_or_removed(endpoint_id) for endpoint_id in self._endpoints_before):
+            reassigned |= self._complete_holders
+        updated = self._update_overrides(reassigned, updated_endpoints)
+        self._endpoints_before.clear()
+        self._controllers_changed.clear()
+        return AffectedControllers(reassigned, updated)
+
+    def _forget_ready(self, endpoint_id: str) -> None:
+        endpoint = self._ready_endpoints.pop(endpoint_id, None)
+        if endpoint is not None:
+            self._ready_by_zone[zone_of(endpoint)] -= 1
+
+    def _max_repaired(self) -> int:
+        return _MIN_REPAIRED_CHANGES + (len(self.endpoints) + len(self.quotas)) // _RECORDS_PER_CHANGE
+
+    def _was_added_or_removed(self, endpoint_id: str) -> bool:
+        return (self._endpoints_before[endpoint_id] is None) != (endpoint_id not in self.endpoints)
+
+    def _change_endpoints(self) -> list[str]:
+        """Brings the endpoints of the matching up to date; returns those that stay with another record."""
+        updated = []
+        for endpoint_id, before in self._endpoints_before.items():
+            endpoint = self.endpoints.get(endpoint_id)
+            if before == endpoint:
+                continue
+            if before is not None and endpoint is not None:
+                updated.append(endpoint_id)
+                if _differ_in_readiness_only(before, endpoint):
+                    self._matching.set_ready(endpoint_id, endpoint.ready)
+                    continue
+            if before is not None:
+                self._matching.remove_endpoint(endpoint_id)
+            if endpoint is not None:
+                self._matching.add_endpoint(endpoint)
+        return updated
+
+    def _change_controllers(self) -> set[str]:
+        """Brings the controllers of the matching up to date; returns those that this concerns."""
+        count = len(self.endpoints)
+        self._controllers_changed.update(
+            name
+            for name, quota in self.quotas.items()
+            if (quota.matched >= count) != (name in self._complete_holders)
+        )
+        for name in self._controllers_changed:
+            self._change_controller(name, count)
+        return set(self._controllers_changed)
+
+    def _change_controller(self, name: str, count: int) -> None:
+        """Moves a controller in or out of the matching, whose service has `count` endpoints."""
+        quota = self.quotas.get(name)
+        self._complete_holders.discard(name)
+        is_partial = quota is not None and quota.matched < count
+        was_partial = self._matching.has_controller(name)
+        if is_partial and was_partial:
+            self._matching.resize_controller(name, quota.matched)
+        elif is_partial:
+            self._matching.add_controller(name, quota.matched)
+        else:
+            if was_partial:
+                self._matching.remove_controller(name)
+            if quota is not None:
+                self._complete_holders.add(name)
+
+    def _update_overrides(self, reassigned: set[str], updated_endpoints: list[str]) -> set[str]:
+        """Works out swaps and replacements where they may have changed, and adds to `reassigned`. Returns the
+        controllers that have one of the updated endpoints."""
+        swaps = swaps_for_unheld(self._matching, self.endpoints)
+        for name in swaps.keys() | self._swaps.keys():
+            if swaps.get(name) != self._swaps.get(name):
+                reassigned.add(name)
+        self._swaps = swaps
+        holders = set().union(*(self.holders_of(endpoint_id) for endpoint_id in updated_endpoints))
+        affected = reassigned | holders | self._overrides.keys()
+        needs = coverage_needs(self._ready_by_zone)
+        if needs != self._needs:
+            affected |= self._matching.controllers()
+        self._needs = needs
+        for name in affected:
+            if self._update_override(name):
+                reassigned.add(name)
+        return holders.union(*(self.holders_of(endpoint_id) for endpoint_id in updated_endpoints))
+
+    def _update_override(self, name: str) -> bool:
+        """Works out whether a controller has other endpoints than by the matching; returns whether that
+        changed."""
+        before = self._overrides.pop(name, None)
+        if not self._matching.has_controller(name):
+            return before is not None
+        swaps = self._swaps.get(name, [])
+        if not swaps and self._suffices(name):
+            return before is not None
+        endpoint_ids = with_replacements(
+            self._matching,
+            name,
+            self.quotas[name],
+            swaps,
+            self.endpoints,
+            self._ready_endpoints,
+            self._needs,
+        )
+        if set(endpoint_ids) != set(self._matching.endpoints_of(name)):
+            self._overrides[name] = endpoint_ids
+        return before != self._overrides.get(name)
+
+    def _suffices(self, name: str) -> bool:
+        """Whether the matching alone gives a controller all that it needs."""
+        spread = self._matching.spread_of(name)
+        return spread.ready >= self._needs.endpoints and spread.zones >= self._needs.zones
+
+
+def _differ_in_readiness_only(one: Endpoint, other: Endpoint) -> bool:
+    """Whether two records of an endpoint lead to the same matching."""
+    return one._replace(ready=other.ready) == other
--- a/tests/views/test_views_leases.py
+++ b/tests/views/test_views_leases.py
@@ -5,24 +5,30 @@
 
 import orjson
 import pytest
-from views_stage import BOUNDS, Stage, conductor, ids, node
+from views_stage import BOUNDS, Stage, controller, ids, node
 
+from oatcart.errors import InvalidConfigurationError
 from oatcart.net.http_client import HttpClient
-from oatcart.views.alive import AliveSettings
-from oatcart.views.configuration import Configuration, Wrong, read
-from oatcart.views.deciding import Decider, Update
-from oatcart.views.leases import Leases
-from oatcart.views.publisher import member
+from oatcart.views.configuration import Configuration
+from oatcart.views.configuration_file import read
+from oatcart.views.decisions import RecordChanges, ViewDecider
+from oatcart.views.leases import LeaseTable
+from oatcart.views.liveness import LivenessSettings
+from oatcart.views.publisher import endpoint_record
 from oatcart.views.records import ViewLimits
-from oatcart.views.role import SLICE
+from oatcart.views.role import VIEWS_PER_TURN
 
 SHIPPED = Path(__file__).parents[2] / "deploy" / "views.yaml"
 NAMES = [f"c{number}" for number in range(8)]
-LIMITS = ViewLimits(most_members=10)
-QUICK = AliveSettings(lease=0.1, grace=0.2, hold=60.0, doubt_share=0.2, doubt_least=1)
-OVERDUE = QUICK.lease + QUICK.grace
+LIMITS = ViewLimits(max_endpoints=10)
+QUICK = LivenessSettings(
+    lease_duration=0.1, grace_period=0.2, retention=60.0, mass_expiry_share=0.2, mass_expiry_count=1
+)
+OVERDUE = QUICK.lease_duration + QUICK.grace_period
 TURNS_MOST = 30  # of the loop, until all views are told
-PATIENT = AliveSettings(lease=0.1, grace=30.0, hold=60.0, doubt_share=0.2, doubt_least=1)
+PATIENT = LivenessSettings(
+    lease_duration=0.1, grace_period=30.0, retention=60.0, mass_expiry_share=0.2, mass_expiry_count=1
+)
 
 
 def fleet():
@@ -30,7 +36,7 @@
 
 
 def staged(leases, names=NAMES, bounds=BOUNDS):
-    return Stage([conductor(name, ["x"]) for name in names], bounds, limits=LIMITS, leases=leases)
+    return Stage([controller(name, ["x"]) for name in names], bounds, limits=LIMITS, leases=leases)
 
 
 @pytest.fixture
@@ -85,12 +91,12 @@
 def decided_for(stage, names):
     """The views of these conductors as a fresh start decides them."""
     publisher = stage.role.publisher
-    nodes = publisher.configuration.nodes
-    return Decider().decide(
+    nodes = publisher.configuration.endpoint_fields
+    return ViewDecider().decide(
         [
-            Update(
-                members=[member(entry, nodes) for entry in publisher.entries.values()],
-                viewers=[publisher.viewers[name] for name in names],
+            RecordChanges(
+                endpoints=[endpoint_record(entry, nodes) for entry in publisher.entries.values()],
+                controllers=[publisher.controllers[name] for name in names],
                 limits=publisher.configuration.limits,
             )
         ]
@@ -133,7 +139,7 @@
     moved = max(len(pairs(before) - pairs(after)), len(pairs(after) - pairs(before)))
     assert moved <= 2 * len(before["c3"])  # 17 holders and fewer of a node: its share again, at the most
     assert lease_status(stage) == {"silent": ["c3"], "doubted": 0}
-    assert stage.logged("leases: 1 conductors (c3) silent")
+    assert stage.logged("leases: 1 controllers (c3) expired")
 
 
 def test_a_watch_that_stands_renews_the_lease(stages):
@@ -150,7 +156,7 @@
     stage.for_(0.2)
     began = stage.loop.clock()
     calls()
-    return set(stage.role.leases.check(began + PATIENT.lease + PATIENT.grace - 0.05).doubted)
+    return set(stage.role.leases.check(began + PATIENT.lease_duration + PATIENT.grace_period - 0.05).retained)
 
 
 def test_a_call_that_is_no_watch_renews_the_lease(stages):
@@ -178,9 +184,9 @@
     callers = [Caller(stage, name) for name in NAMES]
     before, revision = views(stage), callers[3].told["revision"]
     callers[3].stop()
-    stage.for_(3 * PATIENT.lease)
+    stage.for_(3 * PATIENT.lease_duration)
     back = Caller(stage, "c3")
-    stage.for_(2 * PATIENT.lease)
+    stage.for_(2 * PATIENT.lease_duration)
     assert views(stage) == before and back.told["revision"] == revision
     assert not stage.logged("leases:")
 
@@ -191,17 +197,17 @@
     before = views(stage)
     for caller in callers[:4]:
         caller.stop()
-    stage.until(lambda: stage.logged("leases: 4 conductors (c0, c1, c2, c3) silent"), "the doubt")
+    stage.until(lambda: stage.logged("leases: 4 controllers (c0, c1, c2, c3) overdue"), "the doubt")
     stage.for_(1.5 * OVERDUE)
     assert views(stage) == before
     assert lease_status(stage) == {"silent": [], "doubted": 4}
-    assert stage.out.getvalue().count("they stay for the hold") == 1
+    assert stage.out.getvalue().count("a mass expiry, they stay") == 1
 
 
 def test_a_role_just_started_that_nobody_has_called_yet_drops_nobody(stages):
     stage = stages(PATIENT)
     before = views(stage)
-    stage.for_(4 * PATIENT.lease)
+    stage.for_(4 * PATIENT.lease_duration)
     assert len(before) == len(NAMES) and views(stage) == before
     assert ids(stage.get("c5")) == sorted(before["c5"])
 
@@ -223,7 +229,9 @@
     back = Caller(stage, "c3")
     assert ids(back.told) == sorted(before["c3"])
     stage.until(lambda: views(stage) == before, "the views as before")
-    assert lease_status(stage)["silent"] == [] and stage.logged("leases: c3 is back")
+    assert lease_status(stage)["silent"] == [] and stage.logged(
+        "leases: c3 called after its lease had expired"
+    )
     assert undecided_status(stage) == {"held": 0, "answered": 1, "refused": 0}
 
 
@@ -246,8 +254,8 @@
     """Failure: a decision under way while a conductor leaves brings its view back for good."""
     stage = stages(PATIENT)
     view = views(stage)["c3"]
-    stage.role.publisher.leave(["c3"])
-    stage.role.publisher.decided({"c3": view})
+    stage.role.publisher.expire(["c3"])
+    stage.role.publisher.apply_views({"c3": view})
     assert "c3" not in views(stage)
 
 
@@ -266,9 +274,9 @@
     callers[3].stop()
     gone(stage, "c3")
     callers[7].stop()
-    listed = [one for one in stage.configuration.conductors if one.viewer.name != "c7"]
-    listed.append(conductor("new", ["x"]))
-    new = stage.configuration._replace(conductors=tuple(listed), leases=PATIENT, limits=ViewLimits(9))
+    listed = [one for one in stage.configuration.controllers if one.record.name != "c7"]
+    listed.append(controller("new", ["x"]))
+    new = stage.configuration._replace(controllers=tuple(listed), leases=PATIENT, limits=ViewLimits(9))
     assert "only a restart changes leases" in stage.role.reconfigure(new)
     alive = {*NAMES, "new"} - {"c3", "c7"}
     new_caller = Caller(stage, "new")
@@ -282,7 +290,7 @@
 
 
 def test_a_call_before_the_first_list_is_held_open_and_answered_with_the_view():
-    stage = staged(None, bounds=BOUNDS._replace(undecided_wait=3.0))
+    stage = staged(None, bounds=BOUNDS._replace(undecided_timeout=3.0))
     try:
         early = [call_whole(stage, name) for name in NAMES]
         stage.for_(0.1)
@@ -306,14 +314,14 @@
         refused = call_whole(stage, "c0")
         stage.until(lambda: refused.over, "an answer")
         assert "status 503" in str(refused.ended)
-        assert BOUNDS.undecided_wait <= refused.at - began < BOUNDS.undecided_wait + 1.0
+        assert BOUNDS.undecided_timeout <= refused.at - began < BOUNDS.undecided_timeout + 1.0
         assert undecided_status(stage) == {"held": 0, "answered": 0, "refused": 1}
     finally:
         stage.close()
 
 
 def test_held_calls_of_one_conductor_are_bounded_and_end_with_their_connections():
-    stage = staged(None, bounds=BOUNDS._replace(undecided_wait=3.0, connections_each=2))
+    stage = staged(None, bounds=BOUNDS._replace(undecided_timeout=3.0, max_connections_per_view=2))
     try:
         calls = [call_whole(stage, "c0") for _ in range(5)]
         stage.until(lambda: sum(call.over for call in calls) == 3, "the oldest made way")
@@ -326,12 +334,12 @@
 
 
 def test_a_held_call_for_a_conductor_that_leaves_the_file_is_refused_at_once():
-    stage = staged(None, bounds=BOUNDS._replace(undecided_wait=3.0))
+    stage = staged(None, bounds=BOUNDS._replace(undecided_timeout=3.0))
     try:
         call = stage.call(stage.role.main.address, "/v1/views/c7/servers")
         stage.for_(0.1)
         began = stage.loop.clock()
-        stage.role.reconfigure(stage.configuration._replace(conductors=stage.configuration.conductors[:7]))
+        stage.role.reconfigure(stage.configuration._replace(controllers=stage.configuration.controllers[:7]))
         stage.until(lambda: call.over, "an answer")
         assert "status 404" in str(call.ended) and call.at - began < 1.5
     finally:
@@ -351,63 +359,65 @@
 def test_held_calls_are_answered_over_several_turns_of_the_loop(stages):
     """Failure: what waits until `loop.now` runs in the same turn, so all views are told in one long turn."""
     stage, told = stages(None), []
-    names = [f"view-{number}" for number in range(3 * SLICE)]
+    names = [f"view-{number}" for number in range(3 * VIEWS_PER_TURN)]
     stage.role.server.wake_undecided = told.extend
     stage.loop.spawn(stage.role._answer_undecided(names))
-    assert most_of_one_turn(stage, told, len(names)) == SLICE and told == names
+    assert most_of_one_turn(stage, told, len(names)) == VIEWS_PER_TURN and told == names
 
 
 def test_views_are_published_over_several_turns_of_the_loop(stages):
     """Failure: as above."""
     stage, told = stages(None), []
-    stage.until(lambda: not stage.role.publishing, "all published")
-    publisher, names = stage.role.publisher, [f"view-{number}" for number in range(3 * SLICE)]
+    stage.until(lambda: not stage.role.is_publishing, "all published")
+    publisher, names = stage.role.publisher, [f"view-{number}" for number in range(3 * VIEWS_PER_TURN)]
 
     def publish(part):
         told.extend(part)
-        publisher.changed.difference_update(part)
+        publisher.unpublished.difference_update(part)
         return []
 
     publisher.publish = publish
-    publisher.changed.update(names)
-    stage.role._publish_soon()
-    assert most_of_one_turn(stage, told, len(names)) == SLICE and sorted(told) == sorted(names)
+    publisher.unpublished.update(names)
+    stage.role._schedule_publication()
+    assert most_of_one_turn(stage, told, len(names)) == VIEWS_PER_TURN and sorted(told) == sorted(names)
 
 
 # Free of I/O.
 
-SLOW = AliveSettings(lease=30.0, grace=300.0, hold=3600.0, doubt_share=0.1, doubt_least=2)
-VIEWERS = {name: conductor(name).viewer for name in NAMES}
+SLOW = LivenessSettings(
+    lease_duration=30.0, grace_period=300.0, retention=3600.0, mass_expiry_share=0.1, mass_expiry_count=2
+)
+CONTROLLERS = {name: controller(name).record for name in NAMES}
 
 
 def test_all_that_never_call_stay_through_the_grace_and_while_they_are_many():
-    leases = Leases(SLOW, VIEWERS, 0.0)
+    leases = LeaseTable(SLOW, CONTROLLERS, 0.0)
     assert leases.check(329.0) == ((), (), False)
-    left, doubted, is_new_doubt = leases.check(330.0)
-    assert left == () and len(doubted) == 8 and is_new_doubt
-    assert not leases.check(345.0).is_new_doubt and not leases.silent
+    expired, retained, is_retention_new = leases.check(330.0)
+    assert expired == () and len(retained) == 8 and is_retention_new
+    assert not leases.check(345.0).is_retention_new and not leases.expired
 
 
 def test_one_leaves_once_and_comes_back_once():
-    leases = Leases(SLOW, VIEWERS, 0.0)
+    leases = LeaseTable(SLOW, CONTROLLERS, 0.0)
     for name in NAMES[1:]:
         leases.renew(name, 320.0)
-    assert leases.check(330.0).left == ("c0",) and leases.silent == {"c0"}
-    assert leases.check(331.0).left == ()
-    assert leases.renew("c0", 400.0) and not leases.renew("c0", 401.0) and not leases.silent
+    assert leases.check(330.0).expired == ("c0",) and leases.expired == {"c0"}
+    assert leases.check(331.0).expired == ()
+    assert leases.renew("c0", 400.0) and not leases.renew("c0", 401.0) and not leases.expired
     assert not leases.renew("nobody", 402.0)
 
 
 def test_other_conductors_in_the_file():
-    leases = Leases(SLOW, VIEWERS, 0.0)
-    kept = {name: viewer for name, viewer in VIEWERS.items() if name != "c0"}
-    leases.configure(kept | {"new": conductor("new").viewer}, 200.0)
+    leases = LeaseTable(SLOW, CONTROLLERS, 0.0)
+    kept = {name: controller for name, controller in CONTROLLERS.items() if name != "c0"}
+    leases.configure(kept | {"new": controller("new").record}, 200.0)
     for name in kept:
         leases.renew(name, 200.0)
     assert leases.check(529.0) == ((), (), False)
     for name in kept:
         leases.renew(name, 529.0)
-    assert leases.check(530.0).left == ("new",)
+    assert leases.check(530.0).expired == ("new",)
 
 
 # The file.
@@ -417,7 +427,7 @@
     text = SHIPPED.read_text().replace("enabled: false", "enabled: true")
     path = tmp_path / "views.yaml"
     path.write_text(text.replace("only_control_role: false", "only_control_role: true"))
-    assert read(path).leases == AliveSettings()
+    assert read(path).leases == LivenessSettings()
 
 
 def test_leases_are_read(tmp_path):
@@ -426,7 +436,7 @@
         "leases: {enabled: true, only_control_role: true, lease: 20s, grace: 2m, hold: 10m, doubt_share: 5%, "
         "doubt_least: 7}"
     )
-    assert read(path).leases == AliveSettings(20.0, 120.0, 600.0, 0.05, 7)
+    assert read(path).leases == LivenessSettings(20.0, 120.0, 600.0, 0.05, 7)
     path.write_text("leases: {lease: 20s}")
     assert read(path).leases is None
 
@@ -452,6 +462,6 @@
 def test_bad_values_are_refused_with_file_line_and_field(tmp_path, text, said):
     path = tmp_path / "views.yaml"
     path.write_text(text)
-    with pytest.raises(Wrong) as wrong:
+    with pytest.raises(InvalidConfigurationError) as wrong:
         read(path)
     assert f"{path}:" in str(wrong.value) and said in str(wrong.value)
