--- a/oatcart/views/connection.py
+++ b/oatcart/views/connection.py
@@ -8,7 +8,7 @@
 
 import h11
 
-from oatcart.net.ending import Ended, Ending
+from oatcart.errors import CloseReason, ConnectionClosedError
 from oatcart.net.loop import Loop, Wait
 from oatcart.net.stream import Stream
 from oatcart.views.requests import UNAVAILABLE
@@ -19,7 +19,7 @@
 
 
 class HttpConnection:
-    """The server's side of one connection. All methods raise `Ended` if it ends.
+    """The server's side of one connection. All methods raise `ConnectionClosedError` if it ends.
 
     `write_timeout`: s that an answer may stay unread without progress.
     """
@@ -47,20 +47,20 @@
         while True:
             event = self.http.next_event()
             if event is h11.NEED_DATA:
-                data = yield from self.stream.some(until)
+                data = yield from self.stream.read_available(until)
                 if not data:
-                    raise Ended(Ending.CLOSED)
+                    raise ConnectionClosedError(CloseReason.CLOSED_BY_PEER)
                 self.http.receive_data(data)
             elif isinstance(event, h11.Request):
                 request = event
             elif isinstance(event, h11.Data):
                 body_bytes += len(event.data)
                 if body_bytes > MAX_HEAD_BYTES:
-                    raise Ended(Ending.TOO_LONG)
+                    raise ConnectionClosedError(CloseReason.MESSAGE_TOO_LONG)
             elif isinstance(event, h11.EndOfMessage):
                 return request
             else:
-                raise Ended(Ending.CLOSED)
+                raise ConnectionClosedError(CloseReason.CLOSED_BY_PEER)
 
     def write_answer(self, status: int, body: bytes) -> Generator[Wait, bool, None]:
         """Writes an answer and waits until it has gone out, as long as the other side reads any of it."""
@@ -72,26 +72,26 @@
         self.stream.write(b"".join(parts) + self.http.send(h11.EndOfMessage()))
         unsent, deadline = len(self.stream.unsent), self.loop.now + self.write_timeout
         while self.stream.unsent:
-            yield Wait(until=self.loop.now + UNSENT_CHECK_INTERVAL)
+            yield Wait(deadline=self.loop.now + UNSENT_CHECK_INTERVAL)
             if len(self.stream.unsent) < unsent:
                 unsent, deadline = len(self.stream.unsent), self.loop.now + self.write_timeout
             elif self.loop.now >= deadline:
-                raise Ended(Ending.UNREAD)
+                raise ConnectionClosedError(CloseReason.SEND_BUFFER_FULL)
 
     def wait(self, waiting: dict[Stream, None], until: float) -> Generator[Wait, bool, None]:
         """Waits until the task is woken, the time is over, or the other side sends something. Meanwhile the
         stream is in `waiting`."""
         waiting[self.stream] = None
         try:
-            data = yield from self.stream.some(until)
-        except Ended as ended:
-            if ended.ending is not Ending.SILENT or self.stream.broken:
+            data = yield from self.stream.read_available(until)
+        except ConnectionClosedError as ended:
+            if ended.reason is not CloseReason.TIMED_OUT or self.stream.write_failure:
                 raise
             return
         finally:
             waiting.pop(self.stream)
         if not data:
-            raise Ended(Ending.CLOSED)
+            raise ConnectionClosedError(CloseReason.CLOSED_BY_PEER)
         self.http.receive_data(data)  # a further request, sent ahead
         if len(self.http.trailing_data[0]) > MAX_HEAD_BYTES:
-            raise Ended(Ending.TOO_LONG)
+            raise ConnectionClosedError(CloseReason.MESSAGE_TOO_LONG)
--- a/oatcart/views/entries.py
+++ b/oatcart/views/entries.py
@@ -11,7 +11,7 @@
 import orjson
 
 from oatcart.load_reports import is_amount
-from oatcart.net.codec import ID_MOST, NAME_SHOWN, address
+from oatcart.net.codec import MAX_ID_LENGTH, MAX_LOGGED_VALUE_LENGTH, parse_address
 
 SERVING, DRAINING, DELETED = "SERVING", "DRAINING", "DELETED"
 PHASES = frozenset((SERVING, DRAINING, DELETED))
@@ -99,34 +99,38 @@
 def parse_entry(fields: object) -> EndpointEntry:
     """Checks that a controller can use the fields of an entry; raises MalformedEntryError."""
     if not isinstance(fields, dict):
-        raise MalformedEntryError(f"{str(fields)[:NAME_SHOWN]!r} is not an entry")
+        raise MalformedEntryError(f"{str(fields)[:MAX_LOGGED_VALUE_LENGTH]!r} is not an entry")
     endpoint_id, phase, zone = fields.get("id"), fields.get("phase"), fields.get("locality")
     if not _is_id(endpoint_id):
-        raise MalformedEntryError(f"id: {str(endpoint_id)[:NAME_SHOWN]!r} is not an id")
+        raise MalformedEntryError(f"id: {str(endpoint_id)[:MAX_LOGGED_VALUE_LENGTH]!r} is not an id")
     if phase not in PHASES:
-        raise MalformedEntryError(f"{endpoint_id}: phase: {str(phase)[:NAME_SHOWN]!r} is not known")
+        raise MalformedEntryError(
+            f"{endpoint_id}: phase: {str(phase)[:MAX_LOGGED_VALUE_LENGTH]!r} is not known"
+        )
     if not isinstance(zone, str) or not zone:
-        raise MalformedEntryError(f"{endpoint_id}: locality: {str(zone)[:NAME_SHOWN]!r} is not a zone")
+        raise MalformedEntryError(
+            f"{endpoint_id}: locality: {str(zone)[:MAX_LOGGED_VALUE_LENGTH]!r} is not a zone"
+        )
     for name in "size", "up_since_ms":
         if fields.get(name) is not None and not is_amount(fields[name]):
             raise MalformedEntryError(
-                f"{endpoint_id}: {name}: {str(fields[name])[:NAME_SHOWN]!r} is not an amount"
+                f"{endpoint_id}: {name}: {str(fields[name])[:MAX_LOGGED_VALUE_LENGTH]!r} is not an amount"
             )
     _check_address(endpoint_id, fields.get("host_port"))
     return EndpointEntry(endpoint_id, phase, zone, fields)
 
 
 def _is_id(endpoint_id: object) -> bool:
-    return isinstance(endpoint_id, str) and 0 < len(endpoint_id) <= ID_MOST
+    return isinstance(endpoint_id, str) and 0 < len(endpoint_id) <= MAX_ID_LENGTH
 
 
 def _check_address(endpoint_id: str, host_port: object) -> None:
     if not host_port:
         return  # an endpoint without an address is listed all the same
     try:
-        address(host_port)
+        parse_address(host_port)
     except (AttributeError, TypeError, ValueError):
-        shown = str(host_port)[:NAME_SHOWN]
+        shown = str(host_port)[:MAX_LOGGED_VALUE_LENGTH]
         raise MalformedEntryError(
             f"{endpoint_id}: host_port: {shown!r} is not a numeric address and port"
         ) from None
--- a/oatcart/views/list_watcher.py
+++ b/oatcart/views/list_watcher.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable, Generator
 from math import inf
 
-from oatcart.net.codec import ROLL_PATH, watch_path
-from oatcart.net.ending import Ended
-from oatcart.net.http import Client
+from oatcart.errors import ConnectionClosedError
+from oatcart.net.codec import ENDPOINT_LIST_PATH, watch_path
+from oatcart.net.http_client import HttpClient
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop, Task, Wait
 from oatcart.views.configuration import DiscoverySettings
@@ -54,7 +54,7 @@
     @property
     def failed(self) -> bool:
         """Whether its task has ended by an unexpected error."""
-        return self.task is not None and self.task.over
+        return self.task is not None and self.task.done
 
     def start(self) -> None:
         """Begins to watch, with the complete list."""
@@ -62,8 +62,8 @@
 
     def stop(self) -> None:
         """Stops watching; the list stays."""
-        if self.task is not None and not self.task.over:
-            self.loop.end(self.task)
+        if self.task is not None and not self.task.done:
+            self.loop.cancel(self.task)
         self.task = None
 
     def move(self, source: DiscoverySettings) -> None:
@@ -78,24 +78,29 @@
         while True:
             try:
                 yield from self._watch_connection(backoff)
-            except (Ended, MalformedAnswerError, RejectedAnswerError, DiscoveryRestartedError) as error:
+            except (
+                ConnectionClosedError,
+                MalformedAnswerError,
+                RejectedAnswerError,
+                DiscoveryRestartedError,
+            ) as error:
                 wait = backoff.next()
-                self.log.say(
+                self.log.write(
                     "source",
                     f"{self._peer()}: {error}; the last list stays in force, next try in {wait:.2f} s",
                 )
-                yield Wait(until=self.loop.now + wait)
+                yield Wait(deadline=self.loop.now + wait)
 
     def _watch_connection(self, backoff: Backoff) -> Generator[Wait, bool, None]:
         """Calls on one connection, from the complete list to the first failure."""
-        client = Client(self.loop, self.source.address, self.source.max_list_bytes)
+        client = HttpClient(self.loop, self.source.address, self.source.max_list_bytes)
         try:
             while True:
                 due = self._complete_list_due()
                 if self.loop.now >= due:
                     yield from self._fetch_complete_list(client)
                 elif self.loop.now + MIN_WATCH >= due:
-                    yield Wait(until=due)
+                    yield Wait(deadline=due)
                 else:
                     yield from self._watch(client)
                     backoff.answered()
@@ -110,18 +115,18 @@
         confirmation_due = max(self.accepted.refetch_at(), earliest)
         return min(confirmation_due, self.last_complete_at + self.source.refetch_interval)
 
-    def _fetch_complete_list(self, client: Client) -> Generator[Wait, bool, None]:
+    def _fetch_complete_list(self, client: HttpClient) -> Generator[Wait, bool, None]:
         requested_at = self.loop.now
-        body = yield from client.get(ROLL_PATH, requested_at + self.source.fetch_timeout)
+        body = yield from client.get(ENDPOINT_LIST_PATH, requested_at + self.source.fetch_timeout)
         answer = parse_answer(body)
         self._accept(answer)
-        self.log.say(
+        self.log.write(
             "source",
             f"{self._peer()}: complete list of {len(answer.entries)} endpoints at revision {answer.revision}",
         )
         self.last_complete_at = requested_at
 
-    def _watch(self, client: Client) -> Generator[Wait, bool, None]:
+    def _watch(self, client: HttpClient) -> Generator[Wait, bool, None]:
         requested_at, since = self.loop.now, self.revision
         wait = min(self.source.watch_timeout, self._complete_list_due() - requested_at)
         connection = client.stream
@@ -146,11 +151,11 @@
         changes = self.accepted.accept(self.loop.now, answer)
         self.revision, self.last_answer_at = answer.revision, self.loop.now
         for problem in answer.invalid_entries:
-            self.log.say("invalid entry", problem)
+            self.log.write("invalid entry", problem)
         if changes.unconfirmed:
             delay = self.accepted.guard.confirmation_delay
             known = len(self.accepted.entries)
-            self.log.say(
+            self.log.write(
                 "mass removal",
                 f"{self._peer()}: an answer removes {changes.unconfirmed} of {known} endpoints at once; they "
                 f"stay, the complete list is fetched again in {delay:g} s",
--- a/oatcart/views/listener.py
+++ b/oatcart/views/listener.py
@@ -4,9 +4,9 @@
 import socket
 from collections.abc import Callable, Generator
 
-from oatcart.net.ending import ended_by
+from oatcart.errors import ConnectionClosedError
 from oatcart.net.log import Log
-from oatcart.net.loop import IN, Loop, Task, Wait
+from oatcart.net.loop import READABLE, Loop, Task, Wait
 from oatcart.net.stream import Address, Stream
 
 BACKLOG = 64  # connections that wait to be accepted, of one address
@@ -47,7 +47,7 @@
 ) -> Generator[Wait, bool, None]:
     """A task that accepts the connections of a listener, until it is ended."""
     while True:
-        yield Wait(listener.sock.fileno(), IN)
+        yield Wait(listener.sock.fileno(), READABLE)
         try:
             for _ in range(MAX_ACCEPTS):
                 sock, _ = listener.sock.accept()
@@ -57,5 +57,5 @@
             continue
         except OSError as error:
             if error.errno != errno.ECONNABORTED:
-                log.say("connection", f"cannot accept: {ended_by(error)}")
-                yield Wait(until=loop.now + ACCEPT_BACKOFF)
+                log.write("connection", f"cannot accept: {ConnectionClosedError.from_os_error(error)}")
+                yield Wait(deadline=loop.now + ACCEPT_BACKOFF)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -17,6 +17,7 @@
 import pytest
 import stage
 
+from oatcart.errors import CloseReason, ConnectionClosedError
 from oatcart.events import (
     EndpointEntry,
     EndpointListFailed,
@@ -40,14 +41,13 @@
     RequestClass,
     WarmUpLimits,
 )
-from oatcart.net.acceptor import NO_ROOM_WAIT
+from oatcart.net.acceptor import ACCEPT_PAUSE_S
+from oatcart.net.assembly import assemble
 from oatcart.net.codec import Codec
-from oatcart.net.conductor import Rounds
-from oatcart.net.ending import Ended, Ending
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop
-from oatcart.net.start import assemble
-from oatcart.net.stream import UNSENT_MOST, Stream
+from oatcart.net.rounds import Rounds
+from oatcart.net.stream import MAX_UNSENT_BYTES, Stream
 from oatcart.policy import Controller
 
 HERE = Path(__file__).parent
@@ -284,21 +284,23 @@
     log = Log(loop.clock, io.StringIO())
     rounds = Rounds(loop, log, Codec(["lookup"], ["a"], 4), 0.002, 1000.0)
     rounds.start(lambda now, arrivals, orders: came.extend(arrivals), None, None)
-    rounds.arrive(EndpointListReceived(True, []))
-    rounds.turn()
+    rounds.add_event(EndpointListReceived(True, []))
+    rounds.run_if_due()
     assert came == [EndpointListReceived(True, [])] and type(came[0]) is EndpointListReceived
-    loop.poll.close()
+    loop.epoll.close()
 
 
 def test_what_is_left_unread_is_bounded():
     ours, theirs = socket.socketpair()
     loop = Loop(lambda: 0.0, lambda error: None)
     stream, sent = Stream(loop, ours), 0
-    with theirs, pytest.raises(Ended) as ended:
-        while sent < 100 * UNSENT_MOST:
+    with theirs, pytest.raises(ConnectionClosedError) as ended:
+        while sent < 100 * MAX_UNSENT_BYTES:
             stream.write(b"x" * 4096)
             sent += 4096
-    assert ended.value.ending is Ending.UNREAD and len(stream.unsent) <= UNSENT_MOST + 4096
+    assert (
+        ended.value.reason is CloseReason.SEND_BUFFER_FULL and len(stream.unsent) <= MAX_UNSENT_BYTES + 4096
+    )
     stream.close()
 
 
@@ -322,10 +324,10 @@
     listener.setblocking(False)
     one.loop.spawn(one.acceptor._accept(full))
     with listener, socket.create_connection(listener.getsockname()) as end:
-        one.until(lambda: "no room" in one.out.getvalue(), "a line in the log")
+        one.until(lambda: "no capacity" in one.out.getvalue(), "a line in the log")
         one.quiet()
         assert full.tries == 1
-        one.now += NO_ROOM_WAIT
+        one.now += ACCEPT_PAUSE_S
         end.sendall(b'{"msg":"ping"}\n')
         one.quiet()
         assert end.recv(100) == b'{"msg":"pong"}\n'
@@ -345,7 +347,7 @@
             one.play(line)
         for line in ("order watch_endpoints true", "told unlisted"):
             one.play(line)
-        assert one.rounds.watcher.watching is None  # Failure: it was noted as standing after it had ended
+        assert one.rounds.watcher.watch_task is None  # Failure: it was noted as standing after it had ended
     for line in ("order fetch_endpoints", "asked /v1/servers"):
         one.play(line)
     one.close()
@@ -411,8 +413,8 @@
                 json.dumps(CONFIG | {"discovery": "127.0.0.1:2", "settings": other}),
                 "discovery at 127.0.0.1:2, 256 descriptors; only a restart changes settings",
             ),
-            ('{"discovery": ', "EDGE_CONFIG cannot be used"),
-            (json.dumps(CONFIG | {"listen": "127.0.0.1:1"}), "listen cannot be used: '127.0.0.1:1' is not"),
+            ('{"discovery": ', "EDGE_CONFIG is invalid"),
+            (json.dumps(CONFIG | {"listen": "127.0.0.1:1"}), "listen is invalid: '127.0.0.1:1' is not"),
             (json.dumps(CONFIG), "discovery at 127.0.0.1:1, 256 descriptors\n"),
         ):
             assert said in reloaded(one, tmp_path, text)
@@ -428,7 +430,7 @@
     """
     with start(tmp_path) as one:
         assert "start: n0 listens" in one.stderr.readline()
-        assert "EDGE_CONFIG cannot be used" in reloaded(one, tmp_path, text)
+        assert "EDGE_CONFIG is invalid" in reloaded(one, tmp_path, text)
         assert "256 descriptors" in reloaded(one, tmp_path, json.dumps(CONFIG))
         one.send_signal(signal.SIGTERM)
         assert one.wait(10) == 0
@@ -445,17 +447,17 @@
     with woken, waker:
         loop, rounds, acceptor = assemble(CONFIG, woken)
         with acceptor.listener:
-            before = rounds.watcher.discovery, loop.open_most
+            before = rounds.watcher.discovery, loop.connection_limit
             other = CONFIG | {"discovery": "127.0.0.1:2", "limits": {"sockets": 300}}
             for text, found in (
                 (other | {field: "127.0.0.9:9"}, before),
-                (other, (("127.0.0.1", 2), 300 - stage.KEPT_BACK)),
+                (other, (("127.0.0.1", 2), 300 - stage.RESERVED_DESCRIPTORS)),
             ):
                 (tmp_path / "cfg").write_text(json.dumps(text))
                 waker.send(b"\x01")
                 for _ in range(stage.QUIET):
                     loop.turn(stage.TURN)
-                assert (rounds.watcher.discovery, loop.open_most) == found
+                assert (rounds.watcher.discovery, loop.connection_limit) == found
 
 
 def test_with_no_list_at_hand_discovery_is_asked_for_one():
--- a/tests/trace/test_trace_recorder.py
+++ b/tests/trace/test_trace_recorder.py
@@ -46,14 +46,14 @@
     async def run():
         async with xds_table.Table(xds_table.nodes(6)) as table:
             client = await subscribed(table, "c", True, "whole")
-            places = table.one.rounds.codec.places
-            table.one.rounds.arrive(ProxyLoadReported(8, "not a class", 1, 0, 1.0))
+            places = table.one.rounds.codec.endpoint_numbers
+            table.one.rounds.add_event(ProxyLoadReported(8, "not a class", 1, 0, 1.0))
             for turn in range(8):
                 for name, place in places.items():
                     errors = 20 if name == "n2" else 0
                     load = LoadReport(None, 0.3, None)
                     report = EndpointLoadReported(place, 0, 1.0, 0.05 + turn / 100, errors, 20, load)
-                    table.one.rounds.arrive(report)
+                    table.one.rounds.add_event(report)
                 table.one.nested.kick()
                 await asyncio.sleep(0.05)
             await client.until(lambda: client.endpoints("lookup")["n2"][1] == "UNHEALTHY")
--- a/tests/views/test_views_controller.py
+++ b/tests/views/test_views_controller.py
@@ -10,8 +10,8 @@
 import pytest
 from views_stage import Stage, controller, endpoint_entry
 
-from oatcart.net.ending import Ended
-from oatcart.net.stream import dial
+from oatcart.errors import ConnectionClosedError
+from oatcart.net.stream import connect
 
 ROOT = Path(__file__).parents[2]
 SETTINGS = {
@@ -52,12 +52,12 @@
         return self.said
 
     def _stream(self, address):
-        stream = yield from dial(self.stage.loop, address, self.stage.loop.clock() + 5.0)
+        stream = yield from connect(self.stage.loop, address, self.stage.loop.clock() + 5.0)
         stream.write(b'{"msg":"joined","sidecar":0,"az":"a","share":10,"standing":true}\n')
         try:
             while True:
-                self._order(json.loads(bytes((yield from stream.line()))))
-        except Ended:
+                self._order(json.loads(bytes((yield from stream.read_line()))))
+        except ConnectionClosedError:
             stream.close()
 
     def _order(self, told):
@@ -102,7 +102,7 @@
     one.holds("x0", "x2", "x3")
     stage.discovery.put(endpoint_entry("x1", "b", service="x"), endpoint_entry("y2", service="y"))
     one.holds("x0", "x1", "x2", "x3")
-    assert "odd:" not in one.log() and "roll:" not in one.log()
+    assert "invalid:" not in one.log() and "discovery:" not in one.log()
     one.end()
 
 
--- a/tests/views/views_stage.py
+++ b/tests/views/views_stage.py
@@ -7,11 +7,11 @@
 import h11
 import orjson
 
-from oatcart.net.ending import Ended
-from oatcart.net.http import Client
+from oatcart.errors import ConnectionClosedError
+from oatcart.net.http_client import HttpClient
 from oatcart.net.log import Log
-from oatcart.net.loop import IN, Loop, Wait
-from oatcart.net.stream import Stream, dial
+from oatcart.net.loop import READABLE, Loop, Wait
+from oatcart.net.stream import Stream, connect
 from oatcart.views.configuration import Configuration, DiscoverySettings, ServedController, ServerBounds
 from oatcart.views.list_guard import ListGuard
 from oatcart.views.records import Controller
@@ -53,12 +53,12 @@
 
     def die(self):
         """Its connections are reset, new ones are rejected."""
-        self.loop.end(self.listener.accepting)
-        self.loop.close(self.listener.sock.fileno())
+        self.loop.cancel(self.listener.accepting)
+        self.loop.unregister(self.listener.sock.fileno())
         self.listener.sock.close()
         for task, stream in self.streams:
-            if not task.over:
-                self.loop.end(task)
+            if not task.done:
+                self.loop.cancel(task)
             stream.close()
         self.streams = []
 
@@ -87,7 +87,7 @@
 
     def wake(self):
         for task, _ in self.streams:
-            if not task.over and task.wait.fd == -1:
+            if not task.done and task.wait.fd == -1:
                 self.loop.expire(task)
 
     def _admit(self, sock, listener):
@@ -100,7 +100,7 @@
             while True:
                 event = http.next_event()
                 if event is h11.NEED_DATA:
-                    part = yield from stream.some()
+                    part = yield from stream.read_available()
                     if not part:
                         return
                     http.receive_data(part)
@@ -120,7 +120,7 @@
                     http.start_next_cycle()
                 else:
                     return
-        except Ended:
+        except ConnectionClosedError:
             pass
         finally:
             stream.close()
@@ -130,7 +130,7 @@
         since = int(query["since"][0]) if "since" in query else None
         until = self.loop.now + int(query.get("timeout_ms", ["0"])[0]) / 1000
         while since == self.revision and self.loop.now < until and self.spoil is None and self.status == 200:
-            yield Wait(until=until)
+            yield Wait(deadline=until)
         if self.spoil is not None:
             return self.spoil
         if since is None:
@@ -159,7 +159,7 @@
 
     def start(self, configuration):
         """One more control role, on the same loop and before the same discovery."""
-        role = ControlRole(configuration, self.loop, Log(lambda: 0.0, self.out, most=1000))
+        role = ControlRole(configuration, self.loop, Log(lambda: 0.0, self.out, max_lines=1000))
         role.start()
         return role
 
@@ -167,9 +167,9 @@
         """Whatever still waits ends, and what it holds is closed."""
         self.role.stop()
         for task in set(self.loop.waiting.values()):
-            self.loop.end(task)
+            self.loop.cancel(task)
         self.discovery.die()
-        self.loop.poll.close()
+        self.loop.epoll.close()
 
     def until(self, met, what="that"):
         """Turn the loop until `met` hands back something true; hands it back."""
@@ -216,7 +216,7 @@
 
     def __init__(self, loop, address, path, within=5.0, client=None):
         self.loop, self.body, self.ended, self.at = loop, None, None, None
-        self.client = client or Client(loop, address)
+        self.client = client or HttpClient(loop, address)
         loop.spawn(self._run(path, loop.clock() + within))
 
     @property
@@ -226,7 +226,7 @@
     def _run(self, path, until):
         try:
             self.body = orjson.loads((yield from self.client.get(path, until)))
-        except Ended as ended:
+        except ConnectionClosedError as ended:
             self.ended = ended
         self.at = self.loop.now
 
@@ -248,18 +248,18 @@
         loop.spawn(self._run(address, request))
 
     def _run(self, address, request):
-        self.stream = yield from dial(self.loop, address, self.loop.clock() + 5.0)
+        self.stream = yield from connect(self.loop, address, self.loop.clock() + 5.0)
         self.stream.write(request)
         try:
-            while self.reads and (part := (yield from self.stream.some(self.loop.now + 1.0))):
+            while self.reads and (part := (yield from self.stream.read_available(self.loop.now + 1.0))):
                 self.data += bytes(part)
-        except Ended:
+        except ConnectionClosedError:
             pass
         self.over = True
         if self.reads:
             self.stream.close()
         else:
-            yield Wait(self.stream.fd, IN)
+            yield Wait(self.stream.fd, READABLE)
 
 
 def ids(answer):
