--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Plays the scenarios: `tests/scenarios` on the decision module, `tests/sockets` on the net code round it.
+"""Plays the scenarios: `tests/policy/scenarios` on the decisions, `tests/sockets` on the net code round them.
 
 The notation is in `tests/README.md`.
 """
@@ -51,7 +51,7 @@
 from oatcart.policy import Controller
 
 HERE = Path(__file__).parent
-SCENARIOS = sorted((HERE / "scenarios").glob("*.txt")) + sorted((HERE / "sockets").glob("*.txt"))
+SCENARIOS = sorted((HERE / "policy" / "scenarios").glob("*.txt")) + sorted((HERE / "sockets").glob("*.txt"))
 REPEATS = {
     "replayable": Idempotency.IDEMPOTENT,
     "uniqued": Idempotency.KEYED,
