--- a/tests/trace/test_trace_recorder.py
+++ b/tests/trace/test_trace_recorder.py
@@ -105,7 +105,9 @@
     fields = dict(zip((name for name, _ in FIELDS[Kind.START]), start[1:], strict=True))
     assert fields["seed"] == 2**63 + 5
     assert decode_settings(fields["records"]) == settings
-    new_controller(fields).round(0.0, iter(()), DiscardedCommands())
+    controller = new_controller(fields)
+    assert controller.settings == settings
+    controller.round(0.0, iter(()), DiscardedCommands())
 
 
 def test_a_clock_that_is_stepped_is_recorded():
