--- /dev/null
+++ b/oatcart/simhost/adapter.py
@@ -0,0 +1,82 @@
+"""The adapter: runs any number of controllers side by side, each on its own records of a batch."""
+
+import json
+from collections.abc import Iterable
+
+from oatcart.events import Event
+from oatcart.policy import Controller
+from oatcart.settings import read_controller_settings
+from oatcart.simhost.command_encoding import CommandEncoder, encode_fault
+from oatcart.simhost.event_decoding import EventDecoder
+from oatcart.simhost.frames import MS_PER_SECOND, Batch, Record, RecordCode, Reply
+
+
+class ControllerInstance:
+    """One controller with the decoder of its records.
+
+    `settings_json` is the settings object of the protocol. Raises LookupError, TypeError or ValueError where
+    it cannot be used.
+    """
+
+    def __init__(self, number: int, seed: int, settings_json: bytes) -> None:
+        settings = json.loads(settings_json)
+        self._number = number
+        self._controller = Controller(read_controller_settings(settings), seed)
+        self._decoder = EventDecoder(list((settings.get("report") or {}).get("fields") or []))
+
+    def decode(self, record: Record) -> Event | None:
+        """Return the event of a record; None where the decisions have no use for it."""
+        return self._decoder.decode(record)
+
+    def decide(self, now: float, events: Iterable[Event]) -> list[bytes]:
+        """Play one round at `now` (s); return its packed commands, with a fault after them if it failed."""
+        records: list[bytes] = []
+        encoder = CommandEncoder(self._number, self._decoder.endpoint_ids, records)
+        try:
+            self._controller.round(now, events, encoder)
+        except Exception as error:  # the protocol has the adapter report a failure and go on
+            records.append(encode_fault(self._number, f"{type(error).__name__}: {error}"))
+        return records
+
+
+class Adapter:
+    """All controllers of one adapter process; they share nothing."""
+
+    def __init__(self) -> None:
+        self._instances: dict[int, ControllerInstance] = {}
+
+    def answer(self, batch: Batch) -> Reply:
+        """Start, stop and play the instances that a batch concerns; return their commands."""
+        records: list[bytes] = []
+        for number, events in self._collect_events(batch.records, records).items():
+            instance = self._instances.get(number)
+            if instance is not None:
+                records += instance.decide(batch.clock_ms / MS_PER_SECOND, events)
+        return Reply(len(records), b"".join(records))
+
+    def _collect_events(self, batch: Iterable[Record], replies: list[bytes]) -> dict[int, list[Event]]:
+        """The events by instance, in the order of instances' first records; an instance with records that
+        are no events has a round without any."""
+        events: dict[int, list[Event]] = {}
+        for record in batch:
+            number = record.instance
+            if record.code == RecordCode.START:
+                events[number] = []
+                self._start(record, replies)
+            elif record.code == RecordCode.STOP:
+                self._instances.pop(number, None)
+                events.pop(number, None)
+            elif number in self._instances:
+                event = self._instances[number].decode(record)
+                its_events = events.setdefault(number, [])
+                if event is not None:
+                    its_events.append(event)
+        return events
+
+    def _start(self, record: Record, replies: list[bytes]) -> None:
+        """Start an instance, in place of one of its number; a fault in the reply says that it failed."""
+        try:
+            self._instances[record.instance] = ControllerInstance(record.instance, *record.fields)
+        except Exception as error:  # the protocol has the adapter report a failure and go on
+            self._instances.pop(record.instance, None)
+            replies.append(encode_fault(record.instance, f"start: {error!r}"))
--- a/tests/views/test_views_history.py
+++ b/tests/views/test_views_history.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oatcart.handover import AMOUNT_MOST
+from oatcart.load_reports import MAX_AMOUNT
 from oatcart.views.entries import DELETED, parse_entry
 from oatcart.views.history import MAX_LOGGED_IDS, ViewHistory
 from oatcart.views.revisions import FIRST_REVISION_RANGE, RevisionSequence
@@ -145,9 +145,9 @@
     monkeypatch.setattr("time.time", lambda: next(times))
     revisions = RevisionSequence(Random(1))
     issued = [revisions.next() for _ in range(4)]
-    assert issued == sorted(set(issued)) and issued[0] > 0 and issued[-1] < AMOUNT_MOST
+    assert issued == sorted(set(issued)) and issued[0] > 0 and issued[-1] < MAX_AMOUNT
     highest = RevisionSequence(first_draw(FIRST_REVISION_RANGE)).next()
-    assert highest + BUSY_DECADE < AMOUNT_MOST
+    assert highest + BUSY_DECADE < MAX_AMOUNT
     assert RevisionSequence(first_draw(0)).next() > 0
 
 
--- a/tests/xds/sim.py
+++ b/tests/xds/sim.py
@@ -66,6 +66,7 @@
         self.stage, self.id, self.zone, self.delta, self.shape = stage, id, zone, delta, shape
         self.held = {kind: {} for kind in (CLUSTER, ENDPOINTS, MEMBER, ROUTE)}
         self.names = {kind: {} for kind in self.held}
+        self.versions = {}  # by type: of the last push that was accepted, on whichever stream
         self.late = self.stalled = False
         self.refused = False  # on this stream
         self.refuses = None  # a node whose lists it does not want
@@ -96,7 +97,7 @@
         told = names if self.delta else tuple(self.names[kind])
         if not self.delta and not nonce:
             nonce = self.nonces.get(kind, "")
-            self.unanswered.pop(nonce, None)  # names asked for bear the last nonce, which answers it
+            self.answered_up_to(kind, nonce)  # names asked for bear the last nonce, which answers it
         self.stage.front.ask(
             self.stage.now,
             self.stream,
@@ -108,9 +109,17 @@
                 nonce,
                 refusal,
                 Node(self.id, ZONES[self.zone], self.shape),
+                "" if self.delta else self.versions.get(kind, ""),
             ),
         )
 
+    def answered_up_to(self, kind, nonce):
+        """Answers come in order: that to a push answers those of its type that were sent before it."""
+        if nonce in self.unanswered:
+            before = [one for one, (other, _) in self.unanswered.items() if other == kind]
+            for one in before[: before.index(nonce) + 1]:
+                del self.unanswered[one]
+
     def drop(self):
         if self.stream is not None:
             self.stage.front.close(self.stage.now, self.stream)
@@ -149,6 +158,7 @@
         for name, content in push.items:
             self.check(kind, name, content)
         if not refusal:
+            self.versions[kind] = push.version
             assert all(name in self.held[CLUSTER] for name, _ in push.items if kind in (ENDPOINTS, ROUTE)), (
                 "what builds on a cluster came before it"
             )
