--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -29,7 +29,8 @@
 
 from oatcart.scale.agreement import compare
 from oatcart.scale.children import ChildError
-from oatcart.scale.configuration import RunSettings, Settings, read
+from oatcart.scale.configuration import RunSettings, Settings
+from oatcart.scale.configuration_file import read
 from oatcart.scale.figures import CONTROL_ROLE, REAL_ROLE, play
 from oatcart.scale.measurement import Measurement
 from oatcart.scale.real import NotReady
--- a/oatcart/scale/__init__.py
+++ b/oatcart/scale/__init__.py
@@ -6,7 +6,8 @@
 
 The modules, in the order of their use:
 
-* :mod:`oatcart.scale.configuration` reads and checks the operator's file,
+* :mod:`oatcart.scale.configuration` holds what the operators' file sets,
+* :mod:`oatcart.scale.configuration_file` reads and checks that file,
 * :mod:`oatcart.scale.fleet` draws nodes and conductors,
 * :mod:`oatcart.scale.troubles` draws a day of failures, restarts, partitions and changes,
 * :mod:`oatcart.scale.runs` starts the roles and measures them,
--- a/oatcart/scale/__main__.py
+++ b/oatcart/scale/__main__.py
@@ -6,7 +6,9 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from oatcart.scale.configuration import RunSettings, Settings, Wrong, read
+from oatcart.errors import InvalidConfigurationError
+from oatcart.scale.configuration import RunSettings, Settings
+from oatcart.scale.configuration_file import read
 from oatcart.scale.fleet import FleetPlan, plan_fleet
 from oatcart.scale.measurement import DIMENSIONS, Measurement
 from oatcart.scale.report import json_report, text_report
@@ -28,7 +30,7 @@
     parsed = _parser().parse_args(arguments)
     try:
         settings = read(parsed.file)
-    except Wrong as error:
+    except InvalidConfigurationError as error:
         print(error, file=sys.stderr)
         return UNUSABLE
     return parsed.command(settings, parsed)
--- a/oatcart/scale/fleet.py
+++ b/oatcart/scale/fleet.py
@@ -20,7 +20,7 @@
 import numpy
 from numpy.typing import NDArray
 
-from oatcart.scale.configuration import NODES_PER_SERVICE_LEAST, FleetSettings
+from oatcart.scale.configuration import MIN_ENDPOINTS_PER_SERVICE, FleetSettings
 
 NODE_SIZES = (1, 2, 4)
 """Sizes that machines come in, as multiples of the smallest."""
@@ -99,7 +99,7 @@
 
 
 def plan_fleet(settings: FleetSettings, seed: int) -> FleetPlan:
-    """Draws the fleet. The settings are taken as checked by :func:`oatcart.scale.configuration.read`."""
+    """Draws the fleet. The settings are taken as checked by :func:`oatcart.scale.configuration_file.read`."""
     node_stream, conductor_stream = numpy.random.SeedSequence(seed).spawn(2)
     zone_regions = _zone_regions(settings)
     nodes = _draw_nodes(settings, zone_regions, numpy.random.default_rng(node_stream))
@@ -123,8 +123,8 @@
 def service_sizes(settings: FleetSettings) -> Integers:
     """The nodes of each service, the largest service first."""
     ranks = numpy.arange(1, settings.services + 1, dtype=float)
-    spare = settings.nodes - NODES_PER_SERVICE_LEAST * settings.services
-    return NODES_PER_SERVICE_LEAST + apportion(spare, ranks**-settings.service_skew)
+    spare = settings.nodes - MIN_ENDPOINTS_PER_SERVICE * settings.services
+    return MIN_ENDPOINTS_PER_SERVICE + apportion(spare, ranks**-settings.service_skew)
 
 
 def _zone_regions(settings: FleetSettings) -> dict[str, str]:
--- a/tests/scale/test_scale_configuration.py
+++ b/tests/scale/test_scale_configuration.py
@@ -5,15 +5,10 @@
 
 import pytest
 
-from oatcart.scale.configuration import (
-    DIMENSIONS,
-    Budgets,
-    DaySettings,
-    FleetSettings,
-    Settings,
-    Wrong,
-    read,
-)
+from oatcart.errors import InvalidConfigurationError
+from oatcart.scale.configuration import Budgets, DaySettings, FleetSettings, Settings
+from oatcart.scale.configuration_file import read
+from oatcart.scale.measurement import DIMENSIONS
 
 ROOT = Path(__file__).parents[2]
 
@@ -22,9 +17,9 @@
     """The errors of a file `s.yaml` with this text, without the folder."""
     path = folder / "s.yaml"
     path.write_text(text)
-    with pytest.raises(Wrong) as wrong:
+    with pytest.raises(InvalidConfigurationError) as raised:
         read(path)
-    return str(wrong.value).replace(f"{folder}/", "").splitlines()
+    return str(raised.value).replace(f"{folder}/", "").splitlines()
 
 
 def test_the_file_that_is_shipped_holds_the_defaults():
@@ -193,5 +188,5 @@
 
 
 def test_a_missing_file_is_refused(tmp_path):
-    with pytest.raises(Wrong, match="No such file"):
+    with pytest.raises(InvalidConfigurationError, match="No such file"):
         read(tmp_path / "absent.yaml")
