--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,14 +1,14 @@
-"""What a conductor would cost at the operators' plan, before and with bounded views.
+"""What a controller would cost at the operators' plan, before and with bounded views.
 
 `python -m benchmarks.capacity --quick` ends within a minute; without `--quick` the full sizes and times of
 `deploy/scale.yaml` are measured. Trials run beside each other, each with processes of its own:
 
-* *Before*, a conductor knows all nodes of the fleet. It is measured at the sizes of the dimension `nodes`
+* *Before*, a controller knows all nodes of the fleet. It is measured at the sizes of the dimension `nodes`
   that fit, over a whole period of its list fetches; slopes are fitted, proved on the largest size and read at
   the plan. A list of the plan's size is over the protocol's limit, so the plan itself can only be foretold.
-* *With* the mechanism, a conductor is told of a bounded view of the fleet by `python -m oatcart.views`. It is
+* *With* the mechanism, a controller follows a bounded view that `python -m oatcart.views` serves. It is
   measured at the plan's number of nodes.
-* Hollow and real conductors are compared as in `oatcart/scale/agreement.py`.
+* Hollow and real controllers are compared as in `oatcart/scale/agreement.py`.
 
 The last line is one JSON object; figures with `_before` are foretold, the others measured. `core_per_node` is
 the core share at the plan divided by its nodes. `predicted_off` is the largest share by which a slope that is
@@ -43,7 +43,7 @@
 SETTINGS_FILE = Path(__file__).parents[1] / "deploy" / "scale.yaml"
 QUICK_WITHIN_S = 55.0
 FULL_WITHIN_S = 1_200.0
-PROCESSES_OF_JOB = 4  # the least a trial takes: its worker, discovery, peers and a conductor
+PROCESSES_OF_JOB = 4  # the least a trial takes: its worker, discovery, peers and a controller
 BYTES = ("bytes_in_s", "bytes_out_s")
 FIGURES = {
     "core_at_plan": ("core_share",),
@@ -71,7 +71,7 @@
 
 
 def whole_list_trial(settings: Settings, run: RunSettings, nodes: int) -> TrialSettings:
-    """A real conductor that knows so many nodes."""
+    """A real controller that knows so many nodes."""
     return TrialSettings(
         fleet=settings.fleet.with_nodes(nodes),
         seed=settings.seed,
@@ -87,17 +87,17 @@
 
 
 def viewed_trial(settings: Settings, run: RunSettings) -> TrialSettings:
-    """A real conductor with a view of the whole planned fleet."""
+    """A real controller with a view of the whole planned fleet."""
     return replace(whole_list_trial(settings, run, settings.fleet.nodes), view=settings.view)
 
 
 def agreement_trial(settings: Settings, run: RunSettings) -> TrialSettings:
-    """A hollow and a real conductor with the same small list."""
+    """A hollow and a real controller with the same small list."""
     return replace(whole_list_trial(settings, run, BASE_NODES), hollow=1)
 
 
 def hollow_agrees(trial: TrialSettings) -> bool:
-    """Whether hollow and real conductors agree; tells what they differ in."""
+    """Whether hollow and real controllers agree; tells what they differ in."""
     agreement = compare(trial)
     for figure in agreement.figures:
         if not figure.agrees:
@@ -143,7 +143,7 @@
 
 
 def foretold(slopes: Sequence[QuantitySlope], quantities: Sequence[str], nodes: int) -> float | None:
-    """The sum of some quantities of a conductor that knows so many nodes; None where one has no slope."""
+    """The sum of some quantities of a controller that knows so many nodes; None where one has no slope."""
     found = {one.quantity.field: one.slope for one in slopes if one.role == REAL_ROLE}
     costs = [slope.predict(nodes) if (slope := found.get(field)) else None for field in quantities]
     return None if None in costs else sum(costs)
--- a/benchmarks/views_measures.py
+++ b/benchmarks/views_measures.py
@@ -72,7 +72,7 @@
         for node in plan.nodes
     }
     controllers = {
-        one.name: Controller(one.name, one.region, one.zone, one.services) for one in plan.conductors
+        one.name: Controller(one.name, one.region, one.zone, one.services) for one in plan.controllers
     }
     return Fleet(endpoints, controllers)
 
--- a/oatcart/scale/__main__.py
+++ b/oatcart/scale/__main__.py
@@ -115,7 +115,7 @@
             f"{len(fleet.nodes_by_rack()):,} racks and {len(fleet.regions):,} regions",
             f"largest services: {largest}; median {services[len(services) // 2][0]:,}",
             f"nodes of a zone: {zones[0]:,} to {zones[-1]:,}, median {zones[len(zones) // 2]:,}",
-            f"conductors: {len(fleet.conductors):,}, for {fleet.settings.services_per_conductor} services",
+            f"conductors: {len(fleet.controllers):,}, for {fleet.settings.services_per_conductor} services",
         ]
     )
 
--- a/oatcart/scale/agreement.py
+++ b/oatcart/scale/agreement.py
@@ -1,4 +1,4 @@
-"""Do hollow conductors agree with real ones? The same list, changes and arrivals are played at both and
+"""Do hollow controllers agree with real ones? The same list, changes and arrivals are played at both and
 compared.
 
 Compared are: bytes and messages exchanged with discovery and with the peers, which may differ by a tenth;
@@ -10,7 +10,7 @@
 With more nodes than the channel to the proxies carries, each table gets a part of them; which part is a
 draw that depends on the moment, so agreement in tables is to be asked for with fewer.
 
-Processor time is not equal and need not be: its ratio is measured, and a hollow conductor's time is to be
+Processor time is not equal and need not be: its ratio is measured, and a hollow controller's time is to be
 multiplied by it.
 """
 
@@ -24,7 +24,7 @@
 from oatcart.scale.peers import PeerTraffic
 from oatcart.scale.trial import Reading, Trial, TrialSettings, make_changes, running
 
-DIFFERENCE_MOST = 0.1  # of bytes and messages, as a part of the real conductor's
+DIFFERENCE_MOST = 0.1  # of bytes and messages, as a part of the real controller's
 COMMON_WEIGHT_LEAST = 0.9  # of a table's weight on the same nodes
 ORDERS_AFTER_WARM_S = 4.0  # from when a node restarted last is warm until the same orders stand
 LOOK_EVERY_S = 0.5  # at the orders that stand
@@ -32,7 +32,7 @@
 
 
 class Compared(NamedTuple):
-    """One figure of a hollow and a real conductor, both means over all conductors of the kind."""
+    """One figure of a hollow and a real controller, both means over all controllers of the kind."""
 
     name: str
     hollow: float
@@ -41,21 +41,21 @@
 
     @property
     def ratio(self) -> float:
-        """The hollow conductor's figure as a part of the real one's; 1 where both are 0."""
+        """The hollow controller's figure as a part of the real one's; 1 where both are 0."""
         if self.real:
             return self.hollow / self.real
         return 1.0 if not self.hollow else float("inf")
 
 
 class Agreement(NamedTuple):
-    """The outcome; `core_ratio` is the processor time of a real conductor divided by a hollow one's."""
+    """The outcome; `core_ratio` is the processor time of a real controller divided by a hollow one's."""
 
     figures: list[Compared]
     core_ratio: float
 
     @property
     def agrees(self) -> bool:
-        """Whether hollow conductors count."""
+        """Whether hollow controllers count."""
         return all(figure.agrees for figure in self.figures)
 
     def text(self) -> str:
@@ -68,7 +68,7 @@
 
 
 def compare(settings: TrialSettings, failing: int = 1) -> Agreement:
-    """Plays one trial with as many hollow conductors as real ones, and so many failing nodes."""
+    """Plays one trial with as many hollow controllers as real ones, and so many failing nodes."""
     if not settings.hollow == settings.real > 0:
         raise ValueError(f"{settings.hollow} hollow and {settings.real} real conductors cannot be paired")
     with running(settings) as trial:
@@ -87,7 +87,7 @@
 
 
 def fail_nodes(trial: Trial, failing: int) -> None:
-    """Lets some nodes fail every request, until some node is shut out at every real conductor's proxies."""
+    """Lets some nodes fail every request, until some node is shut out at every real controller's proxies."""
     if failing:
         nodes = [node.id for node in trial.plan.nodes[:failing]]
         trial.hollows.fail(nodes)
@@ -98,10 +98,10 @@
 
 
 def core_ratio(before: Reading, after: Reading) -> float:
-    """Processor time of the mean real conductor divided by the mean hollow one's, in a quiet span."""
+    """Processor time of the mean real controller divided by the mean hollow one's, in a quiet span."""
     hollow = [
         now.core_s - then.core_s
-        for then, now in zip(before.hollow.conductors, after.hollow.conductors, strict=True)
+        for then, now in zip(before.hollow.controllers, after.hollow.controllers, strict=True)
     ]
     real = [now.core_s - then.core_s for then, now in zip(before.real, after.real, strict=True)]
     return fmean(real) / fmean(hollow)
@@ -121,7 +121,7 @@
     _, real = trial.peers.figures()
     hollow = [
         PeerTraffic(one.peer_bytes_in, one.peer_bytes_out, one.peer_messages_in, one.peer_messages_out)
-        for one in reading.hollow.conductors
+        for one in reading.hollow.controllers
     ]
     for field in "bytes_in", "bytes_out", "messages_in", "messages_out":
         yield within(
@@ -140,7 +140,7 @@
 def settled_orders(trial: Trial) -> list[Compared]:
     """The orders compared once they agree, or as they stand after the time that they are given.
 
-    A node that was restarted gets its lines back as it warms up, at each conductor in a round of its own.
+    A node that was restarted gets its lines back as it warms up, at each controller in a round of its own.
     """
     until = time.monotonic() + trial.settings.warm_after_s + ORDERS_AFTER_WARM_S
     while True:
@@ -151,9 +151,9 @@
 
 
 def compare_orders(trial: Trial) -> Iterator[Compared]:
-    """What stands at the proxies of each pair of conductors, summed up over all pairs.
+    """What stands at the proxies of each pair of controllers, summed up over all pairs.
 
-    Which nodes a real conductor knows cannot be read from outside: those that its orders name can.
+    Which nodes a real controller knows cannot be read from outside: those that its orders name can.
     """
     pairs = list(zip(trial.hollows.orders(), trial.peers.orders(), strict=True))
     ordered = [named_nodes(one) for one, _ in pairs]
@@ -201,7 +201,7 @@
 
 
 def named_nodes(held: HeldTables) -> set[str]:
-    """All nodes that some table of a conductor's proxies names."""
+    """All nodes that some table of a controller's proxies names."""
     return {node for _, _, node in table_lines(held)}
 
 
--- a/oatcart/scale/configuration.py
+++ b/oatcart/scale/configuration.py
@@ -1,7 +1,7 @@
 """What `deploy/scale.yaml` holds: the planned fleet, its day, the budgets and the measured sizes.
 
 Fields have the names of the file's keys; `configuration_file.py` reads them. Times are in seconds, memory in
-bytes, traffic in bytes/s. A node of the file is an endpoint, a conductor a controller.
+bytes, traffic in bytes/s. A node of the file is an endpoint, a controller a controller.
 """
 
 import math
--- a/oatcart/scale/conductor_settings.py
+++ b/oatcart/scale/controller_settings.py
@@ -1,10 +1,10 @@
-"""The settings and the entries that conductors of a measured fleet are given, and the changes made to the
+"""The settings and the entries that controllers of a measured fleet are given, and the changes made to the
 list.
 
-How the operators' words are read today: a *route* is one of a conductor's request classes (`grades`), which
-are bound to tables and of which a conductor has at most 16; a *tenant* has no state in a conductor, so
+How the operators' words are read today: a *route* is one of a controller's request classes (`grades`), which
+are bound to tables and of which a controller has at most 16; a *tenant* has no state in a controller, so
 tenants stand in the settings as one more object that it reads at its start and keeps; a *service* is a
-field of an entry that a conductor ignores.
+field of an entry that a controller ignores.
 """
 
 from collections.abc import Collection, Mapping
@@ -12,7 +12,7 @@
 
 from oatcart.scale.fleet import PlannedNode
 
-ROUTES_MOST = 16  # request classes of a conductor: they are bits of one number, by the protocol's messages
+ROUTES_MOST = 16  # request classes of a controller: they are bits of one number, by the protocol's messages
 SERVING, DRAINING = "SERVING", "DRAINING"
 MACHINE_FLAVOR = "m2"
 MILLISECONDS = 1000.0
@@ -24,13 +24,13 @@
     return tuple(f"route-{number:02}" for number in range(routes))
 
 
-def conductor_settings(
+def controller_settings(
     zones: Collection[str], routes: int, proxies: int, tenants: int = 0, warm_after_s: float = WARM_AFTER_S
 ) -> dict:
-    """The settings of a conductor with so many request classes, proxies and tenants.
+    """The settings of a controller with so many request classes, proxies and tenants.
 
     Every second request class keeps to its proxy's zone, so that there is more than one table. Probes are
-    off: hollow nodes do not listen. Raises ValueError for more routes than a conductor can have.
+    off: hollow nodes do not listen. Raises ValueError for more routes than a controller can have.
     """
     if not 1 <= routes <= ROUTES_MOST:
         raise ValueError(f"{routes} routes are not 1 to {ROUTES_MOST}, the request classes of one conductor")
@@ -74,7 +74,7 @@
 
 
 def list_entry(node: PlannedNode, phase: str = SERVING, up_since_ms: int = 0) -> dict:
-    """A node's entry at discovery; `service` and `region` are extra fields that conductors ignore."""
+    """A node's entry at discovery; `service` and `region` are extra fields that controllers ignore."""
     return {
         "id": node.id,
         "host_port": node.address,
--- a/oatcart/scale/day.py
+++ b/oatcart/scale/day.py
@@ -1,12 +1,12 @@
 """The ordinary day of a fleet, played on one machine: every event becomes a change of the list of nodes.
 
-What is scaled: the fleet and the counts of events, to so many nodes; the conductors, to what the machine
+What is scaled: the fleet and the counts of events, to so many nodes; the controllers, to what the machine
 bears; and the gaps between events, which are compressed. Not scaled are the delays of changes, which are
 measured in real time against the budget, and what `day_schedule.py` keeps long. A rack or a zone is lost as
-one revision of the list. What a cut between regions means here tells `day_trial.py`; which conductors a
+one revision of the list. What a cut between regions means here tells `day_trial.py`; which controllers a
 change concerns tells `day_deliveries.py`.
 
-Processor time of a hollow conductor in a single second is that of the process of all of them, its hollow
+Processor time of a hollow controller in a single second is that of the process of all of them, its hollow
 proxies too, divided by their number; that of the whole day is also read by its own meter. As the day is
 compressed, a second of it has many times the changes of a real one.
 """
@@ -33,8 +33,8 @@
 LEAST_CUT_S = 5.0  # of a cut between regions, in real time
 KEPT_MOST_S = (
     2 * FORGET_AFTER_S + 2.0
-)  # that a conductor keeps a gone node, and as long as it takes to be told
-KNOWN_WITHIN_S = 10.0  # after the last change, until conductors know exactly their views
+)  # that a controller keeps a gone node, and as long as it takes to be told
+KNOWN_WITHIN_S = 10.0  # after the last change, until controllers know exactly their views
 Progress = Callable[[str], None]
 
 
@@ -51,11 +51,11 @@
 
 QUICK = DayScale(nodes=1_000, hollow=10, real=1, time_compression=4_320.0)
 FULL = DayScale(nodes=2_000, hollow=24, real=2, time_compression=480.0, settle_s=3.0)
-WHOLE_LIST_MOST = 4  # hollow conductors that follow the whole list: each of them takes far more
+WHOLE_LIST_MOST = 4  # hollow controllers that follow the whole list: each of them takes far more
 
 
 class Rates(NamedTuple):
-    """What a role takes in a span: share of a core, bytes and messages a second; of a conductor the mean."""
+    """What a role takes in a span: share of a core, bytes and messages a second; of a controller the mean."""
 
     core_share: float
     bytes_in_s: float
@@ -74,12 +74,12 @@
 
 
 class EndState(NamedTuple):
-    """How conductors stand at the end of the day, of `conductors` in all.
+    """How controllers stand at the end of the day, of `conductors` in all.
 
     `told`: were told exactly the list they ought to have. `known`: of `hollow` ones those that know all nodes
-    of it and no others but such as have left it lately, of which there are `kept` in all: a conductor keeps
-    the number of a gone node for up to a minute. `tables`: conductors whose proxies hold nodes of the list
-    alone. `unusable`: services of conductors with ready nodes in too few zones.
+    of it and no others but such as have left it lately, of which there are `kept` in all: a controller keeps
+    the number of a gone node for up to a minute. `tables`: controllers whose proxies hold nodes of the list
+    alone. `unusable`: services of controllers with ready nodes in too few zones.
     """
 
     conductors: int
@@ -95,7 +95,7 @@
 class DayResult:
     """One played day; times in seconds. `late_s`: the most by which a change was made late.
 
-    `hollow_late_s`: the most by which the process of hollow conductors was late with their reports;
+    `hollow_late_s`: the most by which the process of hollow controllers was late with their reports;
     `hollow_was_late` tells that this is more than their own longest round, so that delays are the machine's.
     """
 
@@ -181,7 +181,7 @@
 
 
 def trial_settings(settings: Settings, scale: DayScale) -> TrialSettings:
-    """The conductors and the fleet of a played day."""
+    """The controllers and the fleet of a played day."""
     return TrialSettings(
         fleet=replace(settings.fleet.scaled_to(scale.nodes), conductors=scale.hollow + scale.real),
         seed=settings.seed,
@@ -194,7 +194,7 @@
 
 
 def end_state(player: DayPlayer) -> EndState:
-    """How conductors stand once no more changes are made; they get some time to come to it."""
+    """How controllers stand once no more changes are made; they get some time to come to it."""
     trial = player.trial
     player.wait_settled(trial.names)
     until = time.monotonic() + KNOWN_WITHIN_S
@@ -223,7 +223,7 @@
 
 
 def nodes_left_since(trial: DayTrial, since: float) -> dict[str, set[str]]:
-    """By conductor the nodes that it was told have left its list, since a moment."""
+    """By controller the nodes that it was told have left its list, since a moment."""
     return {
         name: {word.node for word in words if word.state is None and word.at >= since}
         for name, words in trial.relay.words().items()
@@ -231,12 +231,12 @@
 
 
 def is_known(held: HeldTables, view: frozenset[str], left: set[str]) -> bool:
-    """Whether a hollow conductor knows all nodes of its view and no others but those that left it lately."""
+    """Whether a hollow controller knows all nodes of its view and no others but those that left it lately."""
     return view <= set(held.known) <= view | left
 
 
 def table_nodes(held: HeldTables) -> set[str]:
-    """The nodes that a conductor's proxies may send to."""
+    """The nodes that a controller's proxies may send to."""
     return {
         node
         for table in held.tables.values()
@@ -281,10 +281,10 @@
 
 
 def metered_core_share(before: Reading, after: Reading) -> float:
-    """Of the mean hollow conductor by its own meter, without its proxies; 0 where there are none."""
+    """Of the mean hollow controller by its own meter, without its proxies; 0 where there are none."""
     if not before.hollow or not after.hollow:
         return 0.0
-    pairs = zip(before.hollow.conductors, after.hollow.conductors, strict=True)
+    pairs = zip(before.hollow.controllers, after.hollow.controllers, strict=True)
     return fmean(now.core_s - then.core_s for then, now in pairs) / (after.at - before.at)
 
 
@@ -295,11 +295,11 @@
     if trial.control:
         readers[CONTROL_ROLE] = control_rates
     if trial.hollow_names:
-        readers[HOLLOW_ROLE] = lambda then, now: conductor_rates(
+        readers[HOLLOW_ROLE] = lambda then, now: controller_rates(
             then, now, trial.hollow_names, now.hollow_core_s - then.hollow_core_s
         )
     if trial.real_names:
-        readers[REAL_ROLE] = lambda then, now: conductor_rates(
+        readers[REAL_ROLE] = lambda then, now: controller_rates(
             then, now, trial.real_names, sum(now.real_core_s) - sum(then.real_core_s)
         )
     zone_losses = [change.at for change in player.changes if change.kind is Kind.ZONE_LOSS]
@@ -332,8 +332,8 @@
     return Rates(*(max(figures) for figures in zip(*rates, strict=True)))
 
 
-def conductor_rates(then: Sample, now: Sample, names: Sequence[str], core_s: float) -> Rates:
-    """The mean conductor of some, which took so many core seconds together."""
+def controller_rates(then: Sample, now: Sample, names: Sequence[str], core_s: float) -> Rates:
+    """The mean controller of some, which took so many core seconds together."""
     shared = (now.at - then.at) * len(names)
     traffic = summed(*({name: one.clients[name] for name in names} for one in (then, now)))
     return Rates(
@@ -346,7 +346,7 @@
 
 
 def control_rates(then: Sample, now: Sample) -> Rates:
-    """The control role, with discovery and all conductors together."""
+    """The control role, with discovery and all controllers together."""
     span_s = now.at - then.at
     served, followed = summed(then.clients, now.clients), summed(then.source, now.source)
     return Rates(
--- a/oatcart/scale/day_deliveries.py
+++ b/oatcart/scale/day_deliveries.py
@@ -1,8 +1,8 @@
-"""Which conductors had which change when: the changes of a day held against the words that conductors were
+"""Which controllers had which change when: the changes of a day held against the words that controllers were
 told.
 
-A change concerns the conductors that held the node when it was made; a node that is back concerns those
-whose view ought to have it then. A conductor has the change once it has the state that it set, a newer one,
+A change concerns the controllers that held the node when it was made; a node that is back concerns those
+whose view ought to have it then. A controller has the change once it has the state that it set, a newer one,
 or word that the node has left its list. Times are real; the day compresses only the gaps between changes.
 """
 
@@ -18,25 +18,25 @@
 
 
 class Cut(NamedTuple):
-    """Conductors that were told nothing from one moment to another (monotonic seconds)."""
+    """Controllers that were told nothing from one moment to another (monotonic seconds)."""
 
-    conductors: frozenset[str]
+    controllers: frozenset[str]
     since: float
     until: float
 
     def hides(self, name: str, first: float, last: float) -> bool:
-        """Whether a conductor was cut off at any time between two moments."""
-        return name in self.conductors and first <= self.until and last >= self.since
+        """Whether a controller was cut off at any time between two moments."""
+        return name in self.controllers and first <= self.until and last >= self.since
 
 
 @dataclass
 class Deliveries:
-    """What became of the changes of one kind, in pairs of a node changed and a conductor concerned.
+    """What became of the changes of one kind, in pairs of a node changed and a controller concerned.
 
-    `delays` are seconds until a conductor had the change, `last_delays` of each changed node until the last
+    `delays` are seconds until a controller had the change, `last_delays` of each changed node until the last
     one had it. `late` pairs came after the budget, `missed` ones never; of `overtaken` ones a later change
     took the node from the view before it was told, within the budget; `cut_off` ones were made while the
-    conductor was cut off. `unheld` nodes concerned nobody.
+    controller was cut off. `unheld` nodes concerned nobody.
     """
 
     events: int = 0
@@ -53,9 +53,9 @@
 
 @dataclass
 class Drains:
-    """Drained nodes that were deleted, in pairs with the conductors that held them.
+    """Drained nodes that were deleted, in pairs with the controllers that held them.
 
-    A pair is `reached` where the conductor had the drain, or had the node no more, before the deletion.
+    A pair is `reached` where the controller had the drain, or had the node no more, before the deletion.
     """
 
     nodes: int = 0
@@ -65,7 +65,7 @@
 
 
 class History:
-    """The states of all nodes and what each conductor was told of them, by node."""
+    """The states of all nodes and what each controller was told of them, by node."""
 
     def __init__(
         self, first: Iterable[dict], changes: Sequence[Change], words: Mapping[str, Sequence[Word]]
@@ -87,13 +87,13 @@
         return self._change_of[word.node, word.state]
 
     def last_word(self, name: str, node: str, at: float) -> Word | None:
-        """What a conductor was told last of a node by a moment; None where it did not hold the node then."""
+        """What a controller was told last of a node by a moment; None where it did not hold the node then."""
         words = self.words[name].get(node, [])
         place = bisect_right(words, at, key=lambda word: word.at)
         return words[place - 1] if place and words[place - 1].state else None
 
     def had_at(self, name: str, node: str, number: int) -> float | None:
-        """When a conductor had a change of a node; None where it never had."""
+        """When a controller had a change of a node; None where it never had."""
         made_at = self.changes[number].at
         return next(
             (
@@ -151,7 +151,7 @@
 
 
 def _concerned(history: History, expected: ExpectedViews, number: int, node: str) -> Iterator[str]:
-    """The conductors that a change of a node concerns."""
+    """The controllers that a change of a node concerns."""
     change = history.changes[number]
     if change.kind is Kind.RETURN:
         yield from expected.returned[number, node]
@@ -182,7 +182,7 @@
 
 
 def drains(history: History, cuts: Collection[Cut]) -> Drains:
-    """Whether each drained node reached every conductor that held it before it was deleted."""
+    """Whether each drained node reached every controller that held it before it was deleted."""
     found = Drains()
     drained: dict[str, int] = {}  # by node, the number of its last drain
     for number, change in enumerate(history.changes):
--- a/oatcart/scale/day_relay.py
+++ b/oatcart/scale/day_relay.py
@@ -1,9 +1,9 @@
-"""The counting relay of a played day: it also notes the content of what each conductor was told, and cuts
-conductors off.
+"""The counting relay of a played day: it also notes the content of what each controller was told, and cuts
+controllers off.
 
 Unlike the relay of a trial it notes every node, and of every node the fields that a change of the day
-changes, so that each word to a conductor can be matched to the one change that it tells of. A conductor that
-is cut off has its connections reset, and every new one too, until it is joined again.
+changes, so that each word to a controller can be matched to the one change that it tells of. A controller
+that is cut off has its connections reset, and every new one too, until it is joined again.
 
 The process (`python -m oatcart.scale.day_relay`) takes commands as in `children.py`.
 """
@@ -17,7 +17,7 @@
 
 from oatcart.scale.children import Child, answer_commands, ignore_interrupts
 from oatcart.scale.discovery import DELETED
-from oatcart.scale.view_relay import ConductorSide, RelayedClient, RelayService, ViewRelay
+from oatcart.scale.view_relay import ControllerSide, RelayedClient, RelayService, ViewRelay
 
 
 class EntryState(NamedTuple):
@@ -30,7 +30,7 @@
 
 
 class Word(NamedTuple):
-    """At a moment (monotonic seconds) a conductor had this state of a node; None: the node left its list."""
+    """At a moment (monotonic seconds) a controller had this state of a node; None: the node left its list."""
 
     at: float
     node: str
@@ -45,7 +45,7 @@
 
 
 class DayClient(RelayedClient):
-    """One conductor and the states of the nodes in its list."""
+    """One controller and the states of the nodes in its list."""
 
     def __init__(self, target_port: int) -> None:
         super().__init__(target_port)
@@ -56,7 +56,7 @@
         """The nodes whose state is another than told before, and their states; every node counts as tracked.
 
         An answer that is older than the last one, as two connections overtake each other, tells nothing; a
-        conductor takes it so too.
+        controller takes it so too.
         """
         try:
             answer = orjson.loads(body)
@@ -79,23 +79,23 @@
 
 
 class DayRelayService(RelayService):
-    """All conductors behind the relay; `cut`, `join` and `views` are commands too."""
+    """All controllers behind the relay; `cut`, `join` and `views` are commands too."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
-        self.sides: WeakSet[ConductorSide] = WeakSet()
+        self.sides: WeakSet[ControllerSide] = WeakSet()
         self.cut_off: set[str] = set()
 
-    def begin(self, conductor: ConductorSide) -> None:
-        """Connects to what stands behind, unless the conductor is cut off."""
-        if any(self.clients[name] is conductor.client for name in self.cut_off):
-            conductor.transport.abort()
+    def begin(self, controller: ControllerSide) -> None:
+        """Connects to what stands behind, unless the controller is cut off."""
+        if any(self.clients[name] is controller.client for name in self.cut_off):
+            controller.transport.abort()
             return
-        self.sides.add(conductor)
-        super().begin(conductor)
+        self.sides.add(controller)
+        super().begin(controller)
 
     def cut(self, names: list[str]) -> dict:
-        """Resets the connections of these conductors, and from now on every new one."""
+        """Resets the connections of these controllers, and from now on every new one."""
         self.cut_off.update(names)
         clients = {id(self.clients[name]) for name in names}
         for side in [*self.sides]:
@@ -104,12 +104,12 @@
         return {}
 
     def join(self, names: list[str]) -> dict:
-        """Lets these conductors connect again."""
+        """Lets these controllers connect again."""
         self.cut_off.difference_update(names)
         return {}
 
     def views(self) -> dict:
-        """The list that each conductor was told, and how many words were not yet asked on from."""
+        """The list that each controller was told, and how many words were not yet asked on from."""
         pending = sum(len(side.news) for side in self.sides)
         return {"views": {name: one.states for name, one in self.clients.items()}, "pending": pending}
 
@@ -119,7 +119,7 @@
 
 
 class ToldViews(NamedTuple):
-    """The list that each conductor was told, by its name; `pending` words were not yet asked on from."""
+    """The list that each controller was told, by its name; `pending` words were not yet asked on from."""
 
     views: dict[str, dict[str, EntryState]]
     pending: int
@@ -132,7 +132,7 @@
         Child.__init__(self, "oatcart.scale.day_relay")
 
     def cut(self, names: Collection[str]) -> None:
-        """Cuts these conductors off from their list."""
+        """Cuts these controllers off from their list."""
         self.ask("cut", names=list(names))
 
     def join(self, names: Collection[str]) -> None:
@@ -140,7 +140,7 @@
         self.ask("join", names=list(names))
 
     def views(self) -> ToldViews:
-        """The list that each conductor was told."""
+        """The list that each controller was told."""
         answer = self.ask("views")
         views = {
             name: {node: EntryState(*state) for node, state in states.items()}
@@ -149,7 +149,7 @@
         return ToldViews(views, answer["pending"])
 
     def words(self) -> dict[str, list[Word]]:
-        """All that each conductor was told since its start, in order of time."""
+        """All that each controller was told since its start, in order of time."""
         told = self.ask("held")["told"]
         return {
             name: [Word(at, node, state and EntryState(*state)) for at, (node, state) in some]
--- a/oatcart/scale/day_report.py
+++ b/oatcart/scale/day_report.py
@@ -70,7 +70,7 @@
 
 
 def _kinds_text(result: DayResult) -> str:
-    """Counts of each kind, then the times until the last conductor had a node's change, over all nodes."""
+    """Counts of each kind, then the times until the last controller had a node's change, over all nodes."""
     rows = [
         ["kind of change", "", "revisions", "nodes", "unheld", "pairs", "overtaken", "cut off", "missed"]
         + ["median s", "p99 s", "last s", "median of pairs s"]
@@ -119,7 +119,7 @@
         caught_up = "NOT ALL CAUGHT UP" if one.caught_up_s is None else f"{one.caught_up_s:.2f} s"
         lines.append(
             f"{one.first} and {one.second} cut for {one.cut.until - one.cut.since:.1f} s: "
-            f"{len(one.cut.conductors)} conductors of {one.region} without answers during {one.changes} "
+            f"{len(one.cut.controllers)} conductors of {one.region} without answers during {one.changes} "
             f"changes; caught up {caught_up} after the joining with {one.bytes_received:,} bytes; moved "
             f"{one.moved} nodes of their views, {one.had_to_move} had to, {one.moved_needlessly} without need"
         )
@@ -162,4 +162,4 @@
 def _healing_object(healing: object) -> dict[str, object]:
     told = healing._asdict()
     cut = told.pop("cut")
-    return told | {"conductors": sorted(cut.conductors), "cut_for_s": cut.until - cut.since}
+    return told | {"conductors": sorted(cut.controllers), "cut_for_s": cut.until - cut.since}
--- a/oatcart/scale/day_schedule.py
+++ b/oatcart/scale/day_schedule.py
@@ -11,7 +11,7 @@
 from itertools import groupby
 from typing import NamedTuple
 
-from oatcart.scale.conductor_settings import DRAINING, MILLISECONDS, SERVING, list_entry
+from oatcart.scale.controller_settings import DRAINING, MILLISECONDS, SERVING, list_entry
 from oatcart.scale.discovery import DELETED
 from oatcart.scale.fleet import FleetPlan, PlannedNode
 from oatcart.scale.troubles import (
--- a/oatcart/scale/day_trial.py
+++ b/oatcart/scale/day_trial.py
@@ -1,13 +1,13 @@
 """The processes that a day is played on, and the player that makes its changes.
 
-The stand-ins are those of a trial behind the control role; the relay notes all that conductors are told. As a
-second way conductors follow the whole list, through the same relay and without a control role.
+The stand-ins are those of a trial behind the control role; the relay records all that controllers are sent.
+As a second way controllers follow the whole list, through the same relay and without a control role.
 
 Two regions cut from each other, with one discovery and one control role: the control role is taken to be in
-the one region, and the conductors of the other get no answers from it until the regions are joined. They keep
-their last list and go on. Which of the two regions it is: the one with more conductors. The control role
-itself reaches discovery all the time, so that the list goes on changing. Before a cut and after it the day
-waits until all conductors have their views, so that what moved meanwhile can be counted exactly.
+the one region, and the controllers of the other get no answers from it until the regions are joined. They
+keep their last list and go on. Which of the two regions it is: the one with more controllers. The control
+role itself reaches discovery all the time, so that the list goes on changing. Before a cut and after it the
+day waits until all controllers have their views, so that what moved meanwhile can be counted exactly.
 """
 
 import time
@@ -35,11 +35,11 @@
 from oatcart.views.records import Controller
 
 SAMPLE_EVERY_S = 1.0
-SETTLED_WITHIN_S = 15.0  # until all conductors have their views, when no changes are made
+SETTLED_WITHIN_S = 15.0  # until all controllers have their views, when no changes are made
 
 
 class Sample(NamedTuple):
-    """Counters at a moment (monotonic seconds); processor seconds of processes, traffic of conductors."""
+    """Counters at a moment (monotonic seconds); processor seconds of processes, traffic of controllers."""
 
     at: float
     control_core_s: float
@@ -52,9 +52,10 @@
 class Healing(NamedTuple):
     """A cut between regions as it was played.
 
-    `caught_up_s`: real seconds from the joining until the last conductor had its view; None: it never had.
-    `bytes_received` by all conductors that were cut off until then. `moved`: nodes that came to or left their
-    views, `had_to_move`: those that the changes made meanwhile account for, `moved_needlessly` all others.
+    `caught_up_s`: real seconds from the joining until the last controller had its view; None: never.
+    `bytes_received` by all controllers that were cut off until then. `moved`: nodes that came to or left
+    their views, `had_to_move`: those that the changes made meanwhile account for, `moved_needlessly` all
+    others.
     """
 
     first: str
@@ -70,7 +71,7 @@
 
 
 class CutBegun(NamedTuple):
-    """A cut that has not ended: by conductor the nodes it was told of and ought to have had, its traffic."""
+    """A cut that has not ended: by controller the nodes it was told of and ought to have had, its traffic."""
 
     cut: Cut
     region: str
@@ -117,26 +118,26 @@
             self.discovery.figures().clients,
         )
 
-    def conductors_of(self, region: str) -> frozenset[str]:
-        """The conductors that run in a region."""
+    def controllers_of(self, region: str) -> frozenset[str]:
+        """The controllers that run in a region."""
         return frozenset(name for name in self.names if self.planned(name).region == region)
 
     def told_as_expected(self, names: Sequence[str]) -> list[str]:
-        """Those of the conductors that were told exactly the list that they ought to have, and asked on."""
+        """Those of the controllers that were told exactly the list that they ought to have, and asked on."""
         told = self.relay.views()
         if told.pending:
             return []
         return [name for name in names if told.views[name] == self.expected.states(name)]
 
     def held_tables(self) -> dict[str, HeldTables]:
-        """Of each conductor what its proxies hold and, of a hollow one, which nodes it knows."""
+        """Of each controller what its proxies hold and, of a hollow one, which nodes it knows."""
         hollow = self.hollows.orders() if self.hollows else []
         real = self.peers.orders() if self.peers else []
         return dict(zip(self.names, [*hollow, *real], strict=True))
 
 
 class WholeListTrial(DayTrial):
-    """A day of conductors that follow the whole list, at discovery."""
+    """A day of controllers that follow the whole list, at discovery."""
 
     def check_fits(self) -> None:
         Trial.check_fits(self)
@@ -151,7 +152,7 @@
         return None
 
     def expected_views(self) -> ExpectedViews:
-        """Every conductor's view is the whole list."""
+        """Every controller's view is the whole list."""
         viewers = [
             Controller(name, self.planned(name).region, self.planned(name).zone, ()) for name in self.names
         ]
@@ -175,7 +176,7 @@
         self.samples: list[Sample] = []
         self.healings: list[Healing] = []
         self.late_s = 0.0  # the most by which a step was made late
-        self.paused_s = 0.0  # that the day waited for conductors, before and after cuts
+        self.paused_s = 0.0  # that the day waited for controllers, before and after cuts
         self._first = self._next_sample = 0.0
         self._cut: CutBegun | None = None
 
@@ -201,7 +202,7 @@
             self.trial.discovery.change(entries)
 
     def wait_settled(self, names: Sequence[str]) -> float | None:
-        """Seconds until these conductors have their views, while no change is made; None: not all came to."""
+        """Seconds until these controllers have their views, while no change is made; None: not all have."""
         started = time.monotonic()
         self.trial.expected.take(self.changes)
         while time.monotonic() < started + SETTLED_WITHIN_S:
@@ -240,8 +241,8 @@
         if self._cut:
             raise NotReady("two cuts at once are not played")
         trial = self.trial
-        region = max(event.second, event.first, key=lambda name: len(trial.conductors_of(name)))
-        names = trial.conductors_of(region)
+        region = max(event.second, event.first, key=lambda name: len(trial.controllers_of(name)))
+        names = trial.controllers_of(region)
         self.wait_settled(trial.names)
         told, cut = trial.relay.views().views, Cut(names, time.monotonic(), float("inf"))
         trial.relay.cut(names)
@@ -258,16 +259,16 @@
         trial, begun = self.trial, self._cut
         self._cut = None
         cut = begun.cut._replace(until=time.monotonic())
-        trial.relay.join(cut.conductors)
-        caught_up_s = self.wait_settled(sorted(cut.conductors))
+        trial.relay.join(cut.controllers)
+        caught_up_s = self.wait_settled(sorted(cut.controllers))
         told, traffic = trial.relay.views().views, trial.relay.clients()
-        moved = {(name, node) for name in cut.conductors for node in begun.told[name] ^ told[name].keys()}
+        moved = {(name, node) for name in cut.controllers for node in begun.told[name] ^ told[name].keys()}
         had_to_move = {
             (name, node)
-            for name in cut.conductors
+            for name in cut.controllers
             for node in begun.expected[name] ^ trial.expected.view(name)
         }
-        received = [traffic[name].bytes_in - begun.traffic[name].bytes_in for name in cut.conductors]
+        received = [traffic[name].bytes_in - begun.traffic[name].bytes_in for name in cut.controllers]
         self.healings.append(
             Healing(
                 event.first,
--- a/oatcart/scale/day_views.py
+++ b/oatcart/scale/day_views.py
@@ -1,7 +1,7 @@
-"""Which views conductors ought to have, worked out from the changes made, beside the control role.
+"""Which views controllers ought to have, worked out from the changes made, beside the control role.
 
 Views are a function of the list alone, so a second `FleetViews` that is told the same changes has the same
-views as the control role. Where conductors follow the whole list, their views have no bound.
+views as the control role. Where controllers follow the whole list, their views have no bound.
 """
 
 from collections.abc import Collection, Iterable, Sequence
@@ -21,7 +21,7 @@
 
 
 class ViewAt(NamedTuple):
-    """The view that a conductor ought to have after a change, by the change's number."""
+    """The view that a controller ought to have after a change, by the change's number."""
 
     change: int
     nodes: frozenset[str]
@@ -60,21 +60,21 @@
         self.taken = len(changes)
 
     def view(self, name: str) -> frozenset[str]:
-        """The nodes that a conductor ought to hold now."""
+        """The nodes that a controller ought to hold now."""
         return self._history[name][-1].nodes
 
     def states(self, name: str) -> dict[str, EntryState]:
-        """The list that a conductor ought to have been told."""
+        """The list that a controller ought to have been told."""
         return {node: entry_state(self.entries[node]) for node in self.view(name)}
 
     def is_dropped_after(self, name: str, node: str, change: int) -> int | None:
-        """The number of the first later change by which a node left a conductor's view; None: it did not."""
+        """The number of the first later change by which a node left a controller's view; None: it did not."""
         return next(
             (one.change for one in self._history[name] if one.change > change and node not in one.nodes), None
         )
 
     def unusable(self, name: str, held: Collection[str]) -> list[str]:
-        """The services for which a conductor holds ready nodes in too few zones."""
+        """The services for which a controller holds ready nodes in too few zones."""
         there, here = self._ready_zones(self.entries), self._ready_zones(held)
         needed = self.viewers[name].services or there.keys()
         return [
--- a/oatcart/scale/discovery.py
+++ b/oatcart/scale/discovery.py
@@ -4,7 +4,7 @@
 client is given a port of its own, so bytes and messages are counted by client and no client needs to say
 who it is. Each entry is encoded once, and each answer once for all watchers of the same revision.
 
-A client *has* a change once it asks on from its revision: a conductor does so right after it has read the
+A client *has* a change once it asks on from its revision: a controller does so right after it has read the
 change. The process runs by itself (`python -m oatcart.scale.discovery`), so that its processor time is its
 own role's, and takes commands as in `children.py`. Several named lists may be served: one of all services,
 or one a service.
--- a/oatcart/scale/figures.py
+++ b/oatcart/scale/figures.py
@@ -19,13 +19,15 @@
 
 HOLLOW_ROLE, REAL_ROLE = "hollow_conductor", "conductor"
 DISCOVERY_ROLE, CONTROL_ROLE = "discovery", "control"
-LATE_MOST_S = TICK_S  # beside a conductor's own longest stretch: later, a process has no time for all of them
+LATE_MOST_S = (
+    TICK_S  # beside a controller's own longest stretch: later, a process has no time for all of them
+)
 MICROSECONDS = 1e6
 DELAY_MOST_US, DELAY_DIGITS = 120_000_000, 3  # of the histogram of delays
 
 
 class Delays(NamedTuple):
-    """Seconds from changes to conductors that have them."""
+    """Seconds from changes to controllers that have them."""
 
     median_s: float
     p99_s: float
@@ -35,7 +37,7 @@
 class Observed(NamedTuple):
     """What a trial has shown: readings before and after the measured span, and how late changes came.
 
-    `delays` has, by conductor, the seconds from each change until it had it.
+    `delays` has, by controller, the seconds from each change until it had it.
     """
 
     before: Reading
@@ -61,7 +63,7 @@
 
 
 class Traffic(NamedTuple):
-    """Bytes and messages a second, the mean over some conductors, as they see them."""
+    """Bytes and messages a second, the mean over some controllers, as they see them."""
 
     bytes_in_s: float
     bytes_out_s: float
@@ -118,7 +120,7 @@
 
 
 def left_out(one: Specification, dimension: str, size: float, why: str) -> list[Measurement]:
-    """The roles of conductors of a trial that did not fit."""
+    """The roles of controllers of a trial that did not fit."""
     settings = one.settings
     roles = [role for role, count in ((REAL_ROLE, settings.real), (HOLLOW_ROLE, settings.hollow)) if count]
     return [one.named(Measurement(dimension, size, role, left_out=why)) for role in roles]
@@ -142,11 +144,11 @@
 def measured(trial: Trial, observed: Observed, dimension: str, size: float) -> list[Measurement]:
     """The measurement of each role that the trial had; a role that did not fit is left out and said so.
 
-    Raises NotReady where a change never came to some conductor.
+    Raises NotReady where a change never came to some controller.
     """
     delays = trial.wait_for_changes()
     if trial.hollows and is_late(trial.hollows.figures()):
-        delays |= dict.fromkeys(trial.hollow_names, [])  # they would be the process's, not a conductor's
+        delays |= dict.fromkeys(trial.hollow_names, [])  # they would be the process's, not a controller's
     observed = observed._replace(delays=delays)
     readers = {DISCOVERY_ROLE: discovery_measurement}
     if trial.real:
@@ -165,31 +167,33 @@
 
 
 def is_late(reading: HollowReading) -> bool:
-    """Whether the process of hollow conductors had no time for all of them since the reading before."""
-    return reading.late_s > LATE_MOST_S + max(one.longest_s for one in reading.conductors)
+    """Whether the process of hollow controllers had no time for all of them since the reading before."""
+    return reading.late_s > LATE_MOST_S + max(one.longest_s for one in reading.controllers)
 
 
 def hollow_measurement(trial: Trial, observed: Observed, dimension: str, size: float) -> Measurement:
-    """The mean hollow conductor; raises DoesNotFit where their process was late."""
+    """The mean hollow controller; raises DoesNotFit where their process was late."""
     before, after = observed.before.hollow, observed.after.hollow
     if is_late(after):
         raise DoesNotFit(
             f"the process of {trial.settings.hollow} hollow conductors was {after.late_s:.2f} s late"
         )
-    spent = [now.core_s - then.core_s for then, now in zip(before.conductors, after.conductors, strict=True)]
+    spent = [
+        now.core_s - then.core_s for then, now in zip(before.controllers, after.controllers, strict=True)
+    ]
     empty = Measurement(
         dimension,
         size,
         HOLLOW_ROLE,
         core_share=fmean(spent) / observed.span_s,
-        longest_round_s=max(one.longest_s for one in after.conductors),
+        longest_round_s=max(one.longest_s for one in after.controllers),
         resident_mb=(after.usage.resident_mb - trial.hollow_before_mb) / trial.settings.hollow,
     )
     return with_common(empty, trial.hollow_names, trial.ready, observed)
 
 
 def real_measurement(trial: Trial, observed: Observed, dimension: str, size: float) -> Measurement:
-    """The mean real conductor; its longest round cannot be read from outside."""
+    """The mean real controller; its longest round cannot be read from outside."""
     spent = [
         now.core_s - then.core_s for then, now in zip(observed.before.real, observed.after.real, strict=True)
     ]
@@ -206,7 +210,7 @@
 def with_common(
     measurement: Measurement, names: Sequence[str], ready: dict[str, Ready], observed: Observed
 ) -> Measurement:
-    """Adds what is read alike for hollow and real conductors: traffic, delays, readiness."""
+    """Adds what is read alike for hollow and real controllers: traffic, delays, readiness."""
     traffic = mean_traffic(observed, names)
     summary = summarised([delay for name in names for delay in observed.delays[name]])
     starts = [ready[name] for name in names]
@@ -240,7 +244,7 @@
 
 
 def control_measurement(trial: Trial, observed: Observed, dimension: str, size: float) -> Measurement:
-    """The control role: its process, and its traffic with discovery and all conductors together."""
+    """The control role: its process, and its traffic with discovery and all controllers together."""
     before, after = observed.before, observed.after
     served = summed(before.clients, after.clients)
     followed = summed(before.discovery.clients, after.discovery.clients)
@@ -271,7 +275,7 @@
 
 
 def mean_traffic(observed: Observed, names: Iterable[str]) -> Traffic:
-    """The mean control traffic of some conductors in the measured span."""
+    """The mean control traffic of some controllers in the measured span."""
     before, after = observed.before.clients, observed.after.clients
     means = {
         field: fmean(getattr(after[name], field) - getattr(before[name], field) for name in names)
--- a/oatcart/scale/fleet.py
+++ b/oatcart/scale/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet drawn from one seed: nodes over regions, zones, racks and services, and conductors by zone.
+"""A fleet drawn from one seed: nodes over regions, zones, racks and services, and controllers by zone.
 
 How the operators' counts are read:
 
@@ -6,7 +6,7 @@
   that every service has, a part of the nodes that falls as ``1 / r ** service_skew`` (Zipf's law).
 * A small service lives in a few zones, a large one in many: one zone for every `NODES_PER_ZONE_OF_SERVICE`
   nodes, never fewer than two where there are two.
-* A conductor orders for `proxies_per_conductor` proxies, which call `services_per_conductor` services: the
+* A controller orders for `proxies_per_conductor` proxies, which call `services_per_conductor` services: the
   first is dealt in turn, so that every service is called by someone, the others by the nodes they hold.
 
 The same settings and seed give the same fleet. :meth:`FleetSettings.scaled_to` gives the settings of a
@@ -56,8 +56,8 @@
     size: int
 
 
-class PlannedConductor(NamedTuple):
-    """A conductor, where it runs and the services that its proxies call."""
+class PlannedController(NamedTuple):
+    """A controller, where it runs and the services that its proxies call."""
 
     name: str
     region: str
@@ -72,7 +72,7 @@
     settings: FleetSettings
     seed: int
     nodes: tuple[PlannedNode, ...]
-    conductors: tuple[PlannedConductor, ...]
+    controllers: tuple[PlannedController, ...]
     zone_regions: dict[str, str]
 
     @property
@@ -100,11 +100,13 @@
 
 def plan_fleet(settings: FleetSettings, seed: int) -> FleetPlan:
     """Draws the fleet. The settings are taken as checked by :func:`oatcart.scale.configuration_file.read`."""
-    node_stream, conductor_stream = numpy.random.SeedSequence(seed).spawn(2)
+    node_stream, controller_stream = numpy.random.SeedSequence(seed).spawn(2)
     zone_regions = _zone_regions(settings)
     nodes = _draw_nodes(settings, zone_regions, numpy.random.default_rng(node_stream))
-    conductors = _draw_conductors(settings, nodes, zone_regions, numpy.random.default_rng(conductor_stream))
-    return FleetPlan(settings, seed, nodes, conductors, zone_regions)
+    controllers = _draw_controllers(
+        settings, nodes, zone_regions, numpy.random.default_rng(controller_stream)
+    )
+    return FleetPlan(settings, seed, nodes, controllers, zone_regions)
 
 
 def apportion(total: int, weights: Floats) -> Integers:
@@ -213,17 +215,17 @@
     return positions
 
 
-def _draw_conductors(
+def _draw_controllers(
     settings: FleetSettings,
     nodes: tuple[PlannedNode, ...],
     zone_regions: dict[str, str],
     generator: numpy.random.Generator,
-) -> tuple[PlannedConductor, ...]:
+) -> tuple[PlannedController, ...]:
     zone_names = list(zone_regions)
-    zones = _conductor_zones(settings, nodes, zone_names, generator)
+    zones = _controller_zones(settings, nodes, zone_names, generator)
     called = _called_services(settings, generator)
     return tuple(
-        PlannedConductor(
+        PlannedController(
             name=f"conductor-{number:05}",
             region=zone_regions[zone_names[zone]],
             zone=zone_names[zone],
@@ -233,13 +235,13 @@
     )
 
 
-def _conductor_zones(
+def _controller_zones(
     settings: FleetSettings,
     nodes: tuple[PlannedNode, ...],
     zone_names: list[str],
     generator: numpy.random.Generator,
 ) -> Integers:
-    """The zone of each conductor: as many conductors in a zone as its nodes make up of the fleet."""
+    """The zone of each controller: as many controllers in a zone as its nodes make up of the fleet."""
     counts = dict.fromkeys(zone_names, 0)
     for node in nodes:
         counts[node.zone] += 1
@@ -248,7 +250,7 @@
 
 
 def _called_services(settings: FleetSettings, generator: numpy.random.Generator) -> Integers:
-    """A row of distinct services for each conductor, in the order of their numbers.
+    """A row of distinct services for each controller, in the order of their numbers.
 
     The weighted draw without replacement takes the largest keys ``log(weight) + Gumbel noise``; the service
     dealt in turn has an infinite key.
--- a/oatcart/scale/hollow.py
+++ b/oatcart/scale/hollow.py
@@ -1,14 +1,14 @@
-"""Hollow conductors: hundreds in one process, with the real decision module, order writer, codec and
+"""Hollow controllers: hundreds in one process, with the real decision module, order writer, codec and
 watcher.
 
-Real in a hollow conductor: `policy.Controller`, `net.rounds.Rounds` with its tables, `net.codec.Codec`,
+Real in a hollow controller: `policy.Controller`, `net.rounds.Rounds` with its tables, `net.codec.Codec`,
 and `net.endpoint_list.EndpointListWatcher` with its HTTP calls on loopback. Left out: the acceptor and the
 proxies' sockets; its proxies stand in the same process, their lines are read by the real codec and the
 orders' bytes are counted.
 
-All share one `net.loop.Loop`. Every task and every round of a conductor runs under its own `Meter`, which
+All share one `net.loop.Loop`. Every task and every round of a controller runs under its own `Meter`, which
 counts the thread's processor time; what the loop and the hollow proxies need is in no meter. How much less
-that is than the processor time of a real conductor is measured in `agreement.py`.
+that is than the processor time of a real controller is measured in `agreement.py`.
 
 The process (`python -m oatcart.scale.hollow`) takes commands as in `children.py`.
 """
@@ -32,16 +32,16 @@
 from oatcart.policy import Controller
 from oatcart.scale.children import Child, CommandReader, ignore_interrupts, own_usage
 from oatcart.scale.discovery import LOOPBACK, Usage
-from oatcart.scale.peers import TICK_S, ConductorPeers, PeerMessage, PeerSettings, PeerTraffic
+from oatcart.scale.peers import TICK_S, ControllerPeers, PeerMessage, PeerSettings, PeerTraffic
 from oatcart.settings import read_seconds, read_socket_controller_settings
 
 START_SPREAD_S = (
-    0.25  # conductors start spread over the module's time between two looks, as a real fleet has them
+    0.25  # controllers start spread over the module's time between two looks, as a real fleet has them
 )
 
 
 class Meter:
-    """Processor seconds of one conductor and the longest single stretch of them; calls may nest."""
+    """Processor seconds of one controller and the longest single stretch of them; calls may nest."""
 
     __slots__ = ("_began", "_depth", "core_s", "longest_s")
 
@@ -77,8 +77,8 @@
         coroutine.close()
 
 
-class ConductorLoop:
-    """What one conductor sees of the shared loop: its tasks are metered, its connections are its own."""
+class ControllerLoop:
+    """What one controller sees of the shared loop: its tasks are metered, its connections are its own."""
 
     def __init__(self, shared: Loop, meter: Meter) -> None:
         self._shared, self._meter = shared, meter
@@ -96,11 +96,11 @@
 
 
 class HollowRounds(Rounds):
-    """Rounds that tell the fleet when one may be due, so that no turn of the loop asks every conductor."""
+    """Rounds that tell the fleet when one may be due, so that no turn of the loop asks every controller."""
 
     def __init__(
         self,
-        loop: ConductorLoop,
+        loop: ControllerLoop,
         log: Log,
         codec: Codec,
         least_gap: float,
@@ -126,15 +126,15 @@
 class HollowStream:
     """A proxy's stream inside the process: hands the bytes of orders to the proxies and never breaks."""
 
-    def __init__(self, peers: ConductorPeers, proxy: int) -> None:
+    def __init__(self, peers: ControllerPeers, proxy: int) -> None:
         self.peers, self.proxy = peers, proxy
 
     def write(self, data: bytes) -> None:
         self.peers.take(self.proxy, data)
 
 
-class HollowConductor:
-    """One conductor of the fleet, assembled as `net.assembly.assemble` does but for the acceptor."""
+class HollowController:
+    """One controller of the fleet, assembled as `net.assembly.assemble` does but for the acceptor."""
 
     def __init__(
         self,
@@ -143,21 +143,21 @@
         seed: int,
         discovery_port: int,
         log_to: TextIO,
-        may_be_due: Callable[["HollowConductor"], None],
+        may_be_due: Callable[["HollowController"], None],
     ) -> None:
         self.started_at = shared.clock()
         self.meter = Meter()
         self.may_be_due = lambda: may_be_due(self)
         with self.meter:
-            self._assemble(ConductorLoop(shared, self.meter), settings, seed, discovery_port, log_to)
-        self.peers: ConductorPeers | None = None
+            self._assemble(ControllerLoop(shared, self.meter), settings, seed, discovery_port, log_to)
+        self.peers: ControllerPeers | None = None
         self.taken: list[tuple[float, int]] = []  # when a round had run on each newer revision
         self.revision = 0  # the last of them
         self.ready_after_s = self.ready_core_s = 0.0
         self.may_be_due()
 
     def _assemble(
-        self, loop: ConductorLoop, settings: Mapping, seed: int, discovery_port: int, log_to: TextIO
+        self, loop: ControllerLoop, settings: Mapping, seed: int, discovery_port: int, log_to: TextIO
     ) -> None:
         log = Log(loop.clock, log_to)
         codec = Codec(
@@ -197,7 +197,7 @@
         self.revision = self.watcher.revision
         self.taken.append((now, self.revision))
 
-    def join(self, peers: ConductorPeers) -> None:
+    def join(self, peers: ControllerPeers) -> None:
         """All its proxies join at once."""
         self.peers = peers
         self.hear(peers.joins())
@@ -221,12 +221,12 @@
                 self.rounds.add_event(arrival)
 
     def known_nodes(self) -> list[str]:
-        """The ids of all nodes that have a number at this conductor."""
+        """The ids of all nodes that have a number at this controller."""
         return list(self.rounds.codec.endpoint_numbers)
 
 
 class HollowFigures(NamedTuple):
-    """One hollow conductor's figures since its start; `taken` tells when rounds had run on which revision."""
+    """One hollow controller's figures since its start; `taken`: when a round had run on which revision."""
 
     core_s: float
     longest_s: float
@@ -242,12 +242,12 @@
 
 
 class HollowFleet:
-    """All hollow conductors of the process on one loop; methods without an underscore are commands."""
+    """All hollow controllers of the process on one loop; methods without an underscore are commands."""
 
     def __init__(self, log_to: TextIO) -> None:
         self.loop = Loop(time.monotonic, self._failed)
-        self.conductors: list[HollowConductor] = []
-        self.due: dict[HollowConductor, None] = {}  # conductors that may have a round due
+        self.controllers: list[HollowController] = []
+        self.due: dict[HollowController, None] = {}  # controllers that may have a round due
         self.log_to = log_to
         self.failures: list[str] = []
         self.failing: list[str] = []
@@ -257,7 +257,7 @@
     def start(
         self, settings: dict, ports: list[int], seeds: list[int], spread_s: float = START_SPREAD_S
     ) -> dict:
-        """Starts a conductor for each of discovery's ports, spread over some seconds."""
+        """Starts a controller for each of discovery's ports, spread over some seconds."""
         for place, (port, seed) in enumerate(zip(ports, seeds, strict=True)):
             after = spread_s * place / len(ports)
             self.loop.call_at(
@@ -266,35 +266,35 @@
         return {}
 
     def join(self, peers: list[dict], keep_orders: bool) -> dict:
-        """Lets the proxies of every conductor join; from then on they report at every tick."""
-        for place, (conductor, told) in enumerate(zip(self.conductors, peers, strict=True)):
-            one = ConductorPeers(peer_settings(told), keep_orders)
+        """Lets the proxies of every controller join; from then on they report at every tick."""
+        for place, (controller, told) in enumerate(zip(self.controllers, peers, strict=True)):
+            one = ControllerPeers(peer_settings(told), keep_orders)
             first = self.loop.clock() + TICK_S * place / len(peers)
-            self.loop.call_at(first, lambda conductor=conductor, one=one: self._join(conductor, one))
+            self.loop.call_at(first, lambda controller=controller, one=one: self._join(controller, one))
         return {}
 
     def fail(self, nodes: list[str]) -> dict:
-        """From now on these nodes fail every request of all conductors' proxies."""
+        """From now on these nodes fail every request of all controllers' proxies."""
         self.failing = nodes
-        for conductor in self.conductors:
-            if conductor.peers is not None:
-                conductor.peers.fail(nodes)
+        for controller in self.controllers:
+            if controller.peers is not None:
+                controller.peers.fail(nodes)
         return {}
 
     def figures(self) -> dict:
-        """Of every conductor its figures; the longest stretch and the lateness start anew."""
-        told = [self._figures(conductor) for conductor in self.conductors]
-        for conductor in self.conductors:
-            conductor.meter.longest_s = 0.0
+        """Of every controller its figures; the longest stretch and the lateness start anew."""
+        told = [self._figures(controller) for controller in self.controllers]
+        for controller in self.controllers:
+            controller.meter.longest_s = 0.0
         late_s, self.late_s = self.late_s, 0.0
         return {"usage": own_usage(), "conductors": told, "failures": self.failures, "late_s": late_s}
 
     def orders(self) -> dict:
-        """Of every conductor its known nodes and what its proxies hold."""
+        """Of every controller its known nodes and what its proxies hold."""
         return {
             "conductors": [
-                {"known": conductor.known_nodes(), "tables": held_tables(conductor.peers)}
-                for conductor in self.conductors
+                {"known": controller.known_nodes(), "tables": held_tables(controller.peers)}
+                for controller in self.controllers
             ]
         }
 
@@ -304,44 +304,44 @@
         while self.reading:
             self.loop.turn()
             due, self.due = self.due, {}
-            for conductor in due:
-                conductor.turn()
+            for controller in due:
+                controller.turn()
 
     def _start(self, settings: dict, seed: int, port: int) -> None:
-        self.conductors.append(
-            HollowConductor(self.loop, settings, seed, port, self.log_to, self._may_be_due)
+        self.controllers.append(
+            HollowController(self.loop, settings, seed, port, self.log_to, self._may_be_due)
         )
 
-    def _may_be_due(self, conductor: HollowConductor) -> None:
-        self.due[conductor] = None
+    def _may_be_due(self, controller: HollowController) -> None:
+        self.due[controller] = None
 
-    def _join(self, conductor: HollowConductor, peers: ConductorPeers) -> None:
+    def _join(self, controller: HollowController, peers: ControllerPeers) -> None:
         peers.fail(self.failing)
-        conductor.join(peers)
-        self._tick_after(conductor, self.loop.clock() + TICK_S)
+        controller.join(peers)
+        self._tick_after(controller, self.loop.clock() + TICK_S)
 
-    def _tick_after(self, conductor: HollowConductor, when: float) -> None:
-        self.loop.call_at(when, lambda: self._tick(conductor, when))
+    def _tick_after(self, controller: HollowController, when: float) -> None:
+        self.loop.call_at(when, lambda: self._tick(controller, when))
 
-    def _tick(self, conductor: HollowConductor, when: float) -> None:
+    def _tick(self, controller: HollowController, when: float) -> None:
         self.late_s = max(self.late_s, self.loop.clock() - when)
-        conductor.hear(conductor.peers.tick())
-        self._tick_after(conductor, when + TICK_S)
+        controller.hear(controller.peers.tick())
+        self._tick_after(controller, when + TICK_S)
 
-    def _figures(self, conductor: HollowConductor) -> HollowFigures:
-        traffic = conductor.peers.traffic if conductor.peers else PeerTraffic()
+    def _figures(self, controller: HollowController) -> HollowFigures:
+        traffic = controller.peers.traffic if controller.peers else PeerTraffic()
         return HollowFigures(
-            conductor.meter.core_s,
-            conductor.meter.longest_s,
-            conductor.ready_after_s,
-            conductor.ready_core_s,
-            len(conductor.rounds.codec.endpoint_numbers),
-            conductor.watcher.revision,
+            controller.meter.core_s,
+            controller.meter.longest_s,
+            controller.ready_after_s,
+            controller.ready_core_s,
+            len(controller.rounds.codec.endpoint_numbers),
+            controller.watcher.revision,
             traffic.bytes_in,
             traffic.bytes_out,
             traffic.messages_in,
             traffic.messages_out,
-            [list(one) for one in conductor.taken],
+            [list(one) for one in controller.taken],
         )
 
     def _failed(self, error: BaseException) -> None:
@@ -367,8 +367,8 @@
     return PeerSettings(**{**told, "routes": tuple(told["routes"]), "nodes": tuple(told["nodes"])})
 
 
-def held_tables(peers: ConductorPeers | None) -> dict:
-    """What each proxy of a conductor holds, by its number as text; nothing before they join."""
+def held_tables(peers: ControllerPeers | None) -> dict:
+    """What each proxy of a controller holds, by its number as text; nothing before they join."""
     if peers is None:
         return {}
     return {
@@ -378,39 +378,39 @@
 
 
 class HeldTables(NamedTuple):
-    """What the proxies of one conductor hold, by number as text, and the nodes that the conductor knows."""
+    """What the proxies of one controller hold, by number as text, and the nodes that the controller knows."""
 
     tables: dict[str, dict]
     known: list[str] | None
 
 
 class HollowReading(NamedTuple):
-    """One reading of a hollow fleet: the process's usage and the figures of each conductor.
+    """One reading of a hollow fleet: the process's usage and the figures of each controller.
 
-    `late_s` is the most by which a conductor's peers were late with their reports since the last reading:
-    where the process has no time for all its conductors, their rounds are late too.
+    `late_s` is the most by which a controller's peers were late with their reports since the last reading:
+    where the process has no time for all its controllers, their rounds are late too.
     """
 
     usage: Usage
-    conductors: list[HollowFigures]
+    controllers: list[HollowFigures]
     failures: list[str]
     late_s: float
 
 
 class Hollows(Child):
-    """The parent's side of a process of hollow conductors."""
+    """The parent's side of a process of hollow controllers."""
 
     def __init__(self) -> None:
         super().__init__("oatcart.scale.hollow")
 
-    def start_conductors(
+    def start_controllers(
         self, settings: Mapping, ports: list[int], seeds: list[int], spread_s: float = START_SPREAD_S
     ) -> None:
-        """Starts a conductor for each port of discovery, spread over some seconds."""
+        """Starts a controller for each port of discovery, spread over some seconds."""
         self.ask("start", settings=settings, ports=ports, seeds=seeds, spread_s=spread_s)
 
     def join_peers(self, peers: list[PeerSettings], keep_orders: bool = False) -> None:
-        """Lets the proxies of every conductor join and report from then on."""
+        """Lets the proxies of every controller join and report from then on."""
         self.ask("join", peers=[asdict(one) for one in peers], keep_orders=keep_orders)
 
     def fail(self, nodes: list[str]) -> None:
@@ -419,12 +419,12 @@
 
     def figures(self) -> HollowReading:
         told = self.ask("figures")
-        conductors = [HollowFigures(*one) for one in told["conductors"]]
+        controllers = [HollowFigures(*one) for one in told["conductors"]]
         usage = Usage(**told["usage"])
-        return HollowReading(usage, conductors, told["failures"], told["late_s"])
+        return HollowReading(usage, controllers, told["failures"], told["late_s"])
 
     def orders(self) -> list[HeldTables]:
-        """Of each conductor what its proxies hold; its peers must have joined with `keep_orders`."""
+        """Of each controller what its proxies hold; its peers must have joined with `keep_orders`."""
         return [HeldTables(**one) for one in self.ask("orders")["conductors"]]
 
 
--- a/oatcart/scale/module_rounds.py
+++ b/oatcart/scale/module_rounds.py
@@ -1,6 +1,6 @@
 """What rounds cost by themselves: the decision module, its tables and the codec, with no socket.
 
-For lists that exceed the protocol's 1 MiB, which conductors on sockets refuse. Time is virtual: the module
+For lists that exceed the protocol's 1 MiB, which controllers on sockets refuse. Time is virtual: the module
 is handed ticks of its fleet's time as fast as it takes them, so a fleet that would need more than a core
 can be measured. The process (`python -m oatcart.scale.module_rounds`) takes one command as in
 `children.py`.
@@ -21,7 +21,7 @@
 from oatcart.routing_tables import RoutingTables
 from oatcart.scale.children import Child, CommandReader, ignore_interrupts, resident_megabytes
 from oatcart.scale.hollow import peer_settings
-from oatcart.scale.peers import TICK_S, ConductorPeers, PeerMessage, PeerSettings
+from oatcart.scale.peers import TICK_S, ControllerPeers, PeerMessage, PeerSettings
 from oatcart.settings import read_socket_controller_settings
 
 START_S = 100.0  # virtual time at the start
@@ -30,7 +30,7 @@
 class CountingOrders(RoutingTables):
     """An order writer that encodes every message and hands its bytes to the hollow proxies."""
 
-    def __init__(self, codec: Codec, peers: ConductorPeers) -> None:
+    def __init__(self, codec: Codec, peers: ControllerPeers) -> None:
         super().__init__(len(codec.request_class_names))
         self.codec, self.peers = codec, peers
 
@@ -69,7 +69,7 @@
     """Reads a whole list, lets all proxies join, settles, measures quiet rounds; virtual seconds."""
     body = orjson.dumps({"revision": 1, "complete": True, "members": entries})
     before_mb = resident_megabytes(os.getpid())
-    hollow_peers = ConductorPeers(peers)
+    hollow_peers = ControllerPeers(peers)
     codec = Codec(peers.routes, settings["zones"], settings["specifics"]["proxyCount"])
     orders = CountingOrders(codec, hollow_peers)
     module = Controller(read_socket_controller_settings(settings), seed)
--- a/oatcart/scale/peer_sockets.py
+++ b/oatcart/scale/peer_sockets.py
@@ -1,7 +1,7 @@
-"""The peers of real conductors over sockets: streams of hollow proxies and a collector's connection each.
+"""The peers of real controllers over sockets: streams of hollow proxies and a collector's connection each.
 
 The process (`python -m oatcart.scale.peer_sockets`) takes commands as in `children.py` and plays the same
-`peers.ConductorPeers` that hollow conductors meet in their own process.
+`peers.ControllerPeers` that hollow controllers meet in their own process.
 """
 
 import asyncio
@@ -11,23 +11,30 @@
 from oatcart.scale.children import Child, answer_commands, ignore_interrupts, own_usage
 from oatcart.scale.discovery import LOOPBACK, Usage
 from oatcart.scale.hollow import HeldTables, held_tables, peer_settings
-from oatcart.scale.peers import TICK_S, ConductorPeers, PeerMessage, PeerSettings, PeerTraffic, collector_line
+from oatcart.scale.peers import (
+    TICK_S,
+    ControllerPeers,
+    PeerMessage,
+    PeerSettings,
+    PeerTraffic,
+    collector_line,
+)
 
 
 class ProxyStream(asyncio.Protocol):
     """A proxy's stream: hands what it receives to the peers."""
 
-    def __init__(self, peers: ConductorPeers, proxy: int) -> None:
+    def __init__(self, peers: ControllerPeers, proxy: int) -> None:
         self.peers, self.proxy = peers, proxy
 
     def data_received(self, data: bytes) -> None:
         self.peers.take(self.proxy, data)
 
 
-class ConductorConnections:
-    """All connections of one conductor's peers; when the conductor ends they are not dialled again."""
+class ControllerConnections:
+    """All connections of one controller's peers; when the controller ends they are not dialled again."""
 
-    def __init__(self, peers: ConductorPeers, port: int) -> None:
+    def __init__(self, peers: ControllerPeers, port: int) -> None:
         self.peers, self.port = peers, port
         self.streams: dict[int, asyncio.WriteTransport] = {}
         self.collector: asyncio.WriteTransport | None = None
@@ -60,30 +67,30 @@
 
 
 class PeerService:
-    """The peers of all real conductors; methods without an underscore are commands."""
+    """The peers of all real controllers; methods without an underscore are commands."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.connections: list[ConductorConnections] = []
+        self.connections: list[ControllerConnections] = []
         self.lives: list[asyncio.Task] = []
         self.failures: list[str] = []
 
     def join(self, ports: list[int], peers: list[dict], keep_orders: bool) -> dict:
-        """Lets the proxies of every conductor join, spread over a tick; from then on they report."""
+        """Lets the proxies of every controller join, spread over a tick; from then on they report."""
         for place, (port, told) in enumerate(zip(ports, peers, strict=True)):
-            one = ConductorConnections(ConductorPeers(peer_settings(told), keep_orders), port)
+            one = ControllerConnections(ControllerPeers(peer_settings(told), keep_orders), port)
             self.connections.append(one)
             self.lives.append(self.loop.create_task(self._live(one.live(TICK_S * place / len(ports)))))
         return {}
 
     def fail(self, nodes: list[str]) -> dict:
-        """From now on these nodes fail every request of all conductors' proxies."""
+        """From now on these nodes fail every request of all controllers' proxies."""
         for one in self.connections:
             one.peers.fail(nodes)
         return {}
 
     def figures(self) -> dict:
-        """The process's usage, and each conductor's traffic with its peers."""
+        """The process's usage, and each controller's traffic with its peers."""
         return {
             "usage": own_usage(),
             "failures": self.failures,
@@ -91,7 +98,7 @@
         }
 
     def orders(self) -> dict:
-        """What the proxies of each conductor hold."""
+        """What the proxies of each controller hold."""
         return {"conductors": [held_tables(one.peers) for one in self.connections]}
 
     async def _live(self, life: Coroutine) -> None:
@@ -108,7 +115,7 @@
         super().__init__("oatcart.scale.peer_sockets")
 
     def join(self, ports: list[int], peers: list[PeerSettings], keep_orders: bool = False) -> None:
-        """Lets the proxies of the conductors at these ports join and report from then on."""
+        """Lets the proxies of the controllers at these ports join and report from then on."""
         self.ask("join", ports=ports, peers=[asdict(one) for one in peers], keep_orders=keep_orders)
 
     def fail(self, nodes: list[str]) -> None:
@@ -116,12 +123,12 @@
         self.ask("fail", nodes=nodes)
 
     def figures(self) -> tuple[Usage, list[PeerTraffic]]:
-        """The process's usage, and each conductor's traffic with its peers."""
+        """The process's usage, and each controller's traffic with its peers."""
         told = self.ask("figures")
         return Usage(**told["usage"]), [PeerTraffic(*one) for one in told["conductors"]]
 
     def orders(self) -> list[HeldTables]:
-        """What the proxies of each conductor hold; which nodes a real conductor knows cannot be read."""
+        """What the proxies of each controller hold; which nodes a real controller knows cannot be read."""
         return [HeldTables(tables, None) for tables in self.ask("orders")["conductors"]]
 
 
--- a/oatcart/scale/peers.py
+++ b/oatcart/scale/peers.py
@@ -1,7 +1,7 @@
-"""Hollow proxies, collectors and nodes of one conductor: what they would say, and what they were ordered.
+"""Hollow proxies, collectors and nodes of one controller: what they would say, and what they were ordered.
 
-Nothing here owns a connection or a clock: `ConductorPeers` yields encoded lines of the protocol, tick by
-tick, and takes the bytes of orders. In-process hollow conductors and real ones over sockets are driven by
+Nothing here owns a connection or a clock: `ControllerPeers` yields encoded lines of the protocol, tick by
+tick, and takes the bytes of orders. In-process hollow controllers and real ones over sockets are driven by
 the same object, so that both meet the same arrivals. What a tick brings is a function of seed and tick
 alone; acknowledgements depend on the orders that came.
 
@@ -30,7 +30,7 @@
 
 
 class PeerMessage(NamedTuple):
-    """A line to a conductor: on a proxy's stream, or on the collector's where `proxy` is None."""
+    """A line to a controller: on a proxy's stream, or on the collector's where `proxy` is None."""
 
     proxy: int | None
     zone: str
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class PeerSettings:
-    """The peers of one conductor. `requests_per_proxy` is a rate a second, told at joining and in usage."""
+    """The peers of one controller. `requests_per_proxy` is a rate a second, told at joining and in usage."""
 
     seed: int
     proxies: int
@@ -77,7 +77,7 @@
 
 @dataclass
 class PeerTraffic:
-    """Bytes and messages between one conductor and its peers, as the conductor sees them."""
+    """Bytes and messages between one controller and its peers, as the controller sees them."""
 
     bytes_in: int = 0
     bytes_out: int = 0
@@ -85,8 +85,8 @@
     messages_out: int = 0
 
 
-class ConductorPeers:
-    """All peers of one conductor. `keep_orders` applies orders to tables; else only marks are looked for."""
+class ControllerPeers:
+    """All peers of one controller. `keep_orders` applies orders to tables; else only marks are looked for."""
 
     def __init__(self, settings: PeerSettings, keep_orders: bool = False) -> None:
         self.settings, self.keep_orders = settings, keep_orders
--- a/oatcart/scale/real.py
+++ b/oatcart/scale/real.py
@@ -1,4 +1,4 @@
-"""Real conductors: processes of `python -m oatcart`, started as `run` in deploy/balancer.toml starts them.
+"""Real controllers: processes of `python -m oatcart`, started as `run` in deploy/balancer.toml starts them.
 
 Each is given a configuration file of its own and ends by SIGTERM. It counts as started once it has answered
 `pong`. Its processor time and memory are read from /proc; its bytes and messages are counted at the stand-
@@ -21,7 +21,7 @@
 
 RUN = sys.executable, "-m", "oatcart"  # what `run` of deploy/balancer.toml executes
 CONFIG_VARIABLE = "EDGE_CONFIG"
-DESCRIPTORS = 256  # a conductor's `limits.sockets`
+DESCRIPTORS = 256  # a controller's `limits.sockets`
 READY_WITHIN_S = 30.0  # from a start to the pong; the slowest reads a configuration of tens of megabytes
 LOOK_EVERY_S = 0.005
 PONG_WITHIN_S = 5.0
@@ -29,11 +29,11 @@
 
 
 class NotReady(RuntimeError):
-    """A conductor ended, or did not answer `pong`, within the time allowed."""
+    """A controller ended, or did not answer `pong`, within the time allowed."""
 
 
 def write_configuration(path: Path, name: str, settings: Mapping, discovery_port: int, seed: int) -> None:
-    """A conductor's configuration file; the conductor chooses its port."""
+    """A controller's configuration file; the controller chooses its port."""
     path.write_text(
         json.dumps(
             {
@@ -48,8 +48,8 @@
     )
 
 
-class RealConductor(ChildProcess):
-    """One conductor process; `port` and `ready_after_s` are known once `wait_ready` has returned."""
+class RealController(ChildProcess):
+    """One controller process; `port` and `ready_after_s` are known once `wait_ready` has returned."""
 
     def __init__(self, configuration: Path) -> None:
         super().__init__(RUN, {CONFIG_VARIABLE: str(configuration)})
@@ -79,16 +79,16 @@
 
 
 @contextmanager
-def real_conductors(
+def real_controllers(
     settings: Mapping, ports: Sequence[int], seeds: Sequence[int]
-) -> Iterator[list[RealConductor]]:
-    """A conductor for each of discovery's ports, all answering; all are ended when the block is left."""
+) -> Iterator[list[RealController]]:
+    """A controller for each of discovery's ports, all answering; all are ended when the block is left."""
     with TemporaryDirectory() as directory, ExitStack() as running:
-        conductors = []
+        controllers = []
         for place, (port, seed) in enumerate(zip(ports, seeds, strict=True)):
             path = Path(directory, f"conductor-{place}.json")
             write_configuration(path, f"conductor-{place}", settings, port, seed)
-            conductors.append(running.enter_context(RealConductor(path)))
-        for conductor in conductors:
-            conductor.wait_ready()
-        yield conductors
+            controllers.append(running.enter_context(RealController(path)))
+        for controller in controllers:
+            controller.wait_ready()
+        yield controllers
--- a/oatcart/scale/report.py
+++ b/oatcart/scale/report.py
@@ -13,7 +13,7 @@
 """What stands in a table where a quantity was not measured."""
 
 OVER_BUDGET = "!"
-"""What follows a figure of a conductor that is over its budget."""
+"""What follows a figure of a controller that is over its budget."""
 
 BUDGETED_ROLES = ("conductor", "hollow_conductor")
 """The roles that the operators' budgets are for."""
@@ -25,7 +25,7 @@
 
 
 def budget_of(quantity: str, budgets: Budgets) -> float | None:
-    """The budget for a quantity of a conductor, in the quantity's unit; None where there is none."""
+    """The budget for a quantity of a controller, in the quantity's unit; None where there is none."""
     return {
         "core_share": budgets.core_share,
         "resident_mb": budgets.memory / MEGABYTE,
--- a/oatcart/scale/runs.py
+++ b/oatcart/scale/runs.py
@@ -3,21 +3,22 @@
 How each dimension is grown, all others staying as they are:
 
 * `conductors`: hollow ones, all in one process, and a few real ones beside them, with a small list.
-* `nodes`: one list of all nodes, which is what conductors follow today. Where the list exceeds the protocol's
-  1 MiB real and hollow conductors refuse it and are left out; the decision module alone, with no socket, is
-  measured at every size of a full run as the role `module`, in a quick one only where others are left out.
+* `nodes`: one list of all nodes, which controllers follow without the control role. Where it exceeds the
+  protocol's 1 MiB real and hollow controllers refuse it and are left out; the decision module alone, with no
+  socket, is measured at every size of a full run as the role `module`, in a quick one only where others are
+  left out.
 * `services`: so many services with the same nodes, as one list of all services, and as one list a service,
-  where each conductor follows one service (roles that end in `_of_service`). Conductors follow one list, so
+  where each controller follows one service (roles that end in `_of_service`). Controllers follow one list, so
   one that calls several services has no way to do so with a list a service.
-* `routes`: request classes of a conductor, of which there are at most 16; larger sizes are left out.
-* `tenants`: entries in a conductor's settings, read at its start and kept; it has no other state of a tenant.
-* `proxies`: proxies of one conductor, each with its usage reports and its stream.
+* `routes`: request classes of a controller, of which there are at most 16; larger sizes are left out.
+* `tenants`: entries in a controller's settings, read at its start and kept; it has no other state of them.
+* `proxies`: proxies of one controller, each with its usage reports and its stream.
 * `changes`: changes of the list, told as changes a day, measured while they are made.
 
-Conductors and nodes are also grown behind the control role, where each conductor follows a bounded view: the
-roles `viewed_conductor`, `viewed_hollow_conductor`, `control` and `discovery_of_control`.
+Controllers and nodes are also grown behind the control role, where each controller follows a bounded
+view: the roles `viewed_conductor`, `viewed_hollow_conductor`, `control` and `discovery_of_control`.
 
-A conductor fetches the whole list every 20 s. A full run measures for a multiple of that, whatever the file
+A controller fetches the whole list every 20 s. A full run measures for a multiple of that, whatever the file
 tells; a quick run does not: its bytes and processor time leave these fetches out.
 """
 
@@ -26,8 +27,8 @@
 from math import ceil
 
 from oatcart.policy.discovery import REFRESH_S
-from oatcart.scale.conductor_settings import ROUTES_MOST, conductor_settings, list_entry, route_names
 from oatcart.scale.configuration import DAY_S, FleetSettings, RunSettings, Settings
+from oatcart.scale.controller_settings import ROUTES_MOST, controller_settings, list_entry, route_names
 from oatcart.scale.figures import (
     CONTROL_ROLE,
     DISCOVERY_ROLE,
@@ -54,13 +55,13 @@
 }
 ROUTES_MEASURED = 1, 2, 4, 8, 12, 16  # request classes, beside what the file asks for
 BASE_NODES = 200  # where nodes are not what grows
-CONDUCTORS_NODES = 50  # a list small enough for many conductors in one process
+CONTROLLERS_NODES = 50  # a list small enough for many controllers in one process
 VIEWS_NODES = 2_000  # behind the control role: more than the bound of a view
-VIEWED, VIEWED_QUICK = 24, 6  # hollow conductors behind the control role where nodes grow
+VIEWED, VIEWED_QUICK = 24, 6  # hollow controllers behind the control role where nodes grow
 SERVICES_NODES = 2_000  # enough for two nodes in each of 720 services, few enough for one list
-HOLLOW_BESIDE, REAL_BESIDE = 4, 2  # conductors where they are not what grows
+HOLLOW_BESIDE, REAL_BESIDE = 4, 2  # controllers where they are not what grows
 HOLLOW_OF_LARGE_LIST, REAL_OF_LARGE_LIST = 1, 1  # each may take up a good part of a core
-REAL_MOST, REAL_MOST_QUICK = 8, 2  # in the dimension of conductors
+REAL_MOST, REAL_MOST_QUICK = 8, 2  # in the dimension of controllers
 CHANGES_PER_S, CHANGES_PER_S_QUICK = 10.0, 40.0  # where changes are not what grows
 MODULE_SPAN_MOST_S = 4.0  # virtual; at 27,000 nodes a second of it takes more than one of a core
 
@@ -102,17 +103,17 @@
         )
 
     def conductors(self, size: int) -> list[Measurement]:
-        """So many hollow conductors, with a few real ones beside them."""
+        """So many hollow controllers, with a few real ones beside them."""
         real = min(size, REAL_MOST_QUICK if self.quick else REAL_MOST)
-        fleet = self.settings.fleet.scaled_to(CONDUCTORS_NODES)
+        fleet = self.settings.fleet.scaled_to(CONTROLLERS_NODES)
         trial = replace(self.base, fleet=fleet, hollow=size, real=real)
         behind = replace(trial, fleet=self._fleet_with(VIEWS_NODES, size))
-        if self.quick:  # what grows with conductors is the control role
+        if self.quick:  # what grows with controllers is the control role
             return play_beside([viewed(behind)], "conductors", size)
         return play_beside([Specification(trial), viewed(behind)], "conductors", size)
 
     def nodes(self, size: int) -> list[Measurement]:
-        """One list of so many nodes; conductors with views of it and the module alone beside it."""
+        """One list of so many nodes; controllers with views of it and the module alone beside it."""
         trial = replace(
             self.base,
             fleet=self.settings.fleet.scaled_to(size),
@@ -123,7 +124,7 @@
         behind = replace(trial, fleet=self._fleet_with(size, hollow), hollow=hollow)
         found = play_beside([Specification(trial), viewed(behind)], "nodes", size)
         if self.quick and not any(one.left_out for one in found):
-            return found  # the module has been measured in its conductors
+            return found  # the module has been measured in its controllers
         return [*found, self._module(size, trial)]
 
     def services(self, size: int) -> list[Measurement]:
@@ -139,18 +140,18 @@
         return play_beside([one_list, lists], "services", size)
 
     def routes(self, size: int) -> list[Measurement]:
-        """A conductor with so many request classes."""
+        """A controller with so many request classes."""
         if size > ROUTES_MOST:
             text = f"a conductor of today has at most {ROUTES_MOST} request classes"
             return [Measurement("routes", size, role, left_out=text) for role in (REAL_ROLE, HOLLOW_ROLE)]
         return self._play("routes", size, replace(self.base, routes=size))
 
     def tenants(self, size: int) -> list[Measurement]:
-        """Real conductors with so many tenants in their settings."""
+        """Real controllers with so many tenants in their settings."""
         return self._play("tenants", size, replace(self.base, hollow=0, tenants=size))
 
     def proxies(self, size: int) -> list[Measurement]:
-        """Conductors with so many proxies each."""
+        """Controllers with so many proxies each."""
         return self._play("proxies", size, replace(self.base, proxies=size))
 
     def changes(self, size: int) -> list[Measurement]:
@@ -182,7 +183,7 @@
             tuple(node.id for node in plan.nodes),
         )
         figures = module_figures(
-            conductor_settings(zones, trial.routes, trial.proxies),
+            controller_settings(zones, trial.routes, trial.proxies),
             [list_entry(node) for node in plan.nodes],
             peers,
             trial.settle_s,
@@ -225,7 +226,7 @@
 
 
 def sizes_of(run: RunSettings, dimensions: Collection[str] | None) -> Mapping[str, list[int]]:
-    """The sizes of each dimension asked for; routes also at sizes that a conductor of today can have."""
+    """The sizes of each dimension asked for; routes also at sizes that a controller of today can have."""
     sizes = {
         dimension: list(told)
         for dimension, told in run.sizes.items()
--- a/oatcart/scale/trial.py
+++ b/oatcart/scale/trial.py
@@ -1,23 +1,23 @@
-"""One trial: a fleet of hollow and real conductors under one stand-in discovery, measured quiet and under
+"""One trial: a fleet of hollow and real controllers under one stand-in discovery, measured quiet and under
 changes.
 
-The order of a trial: discovery is given its lists; conductors start and are *ready* once they hold the list
+The order of a trial: discovery is given its lists; controllers start and are *ready* once they hold the list
 (a real one must also have answered `pong`); their proxies join; after a time to settle come a quiet span,
 whose processor time, bytes and messages are measured, and a span of changes at a fixed rate.
 
 How the quantities of a `Measurement` are read here:
 
-* Processor time is the kernel's count of a process, and for a hollow conductor the time under its meter.
-* Bytes and messages of a conductor are those of its control connections, to discovery; those from and to
+* Processor time is the kernel's count of a process, and for a hollow controller the time under its meter.
+* Bytes and messages of a controller are those of its control connections, to discovery; those from and to
   its proxies and collectors are proportional to what the harness reports and are compared in
   `agreement.py`.
-* Resident memory of a hollow conductor is the growth of its process divided by the number of conductors.
-* Hollow conductors whose process had no time for all of them are left out; where it had none while changes
+* Resident memory of a hollow controller is the growth of its process divided by the number of controllers.
+* Hollow controllers whose process had no time for all of them are left out; where it had none while changes
   were made, their delays are.
-* A change is in force at a hollow conductor once a round has run on it, at a real one once it asks
+* A change is in force at a hollow controller once a round has run on it, at a real one once it asks
   discovery on from it. `change_last_s` is the largest delay; one that never came within the trial makes it
   a failed trial.
-* A conductor fetches the whole list every 20 s; a quiet span that is shorter may leave that out, and what a
+* A controller fetches the whole list every 20 s; a quiet span that is shorter may leave that out, and what a
   trial tells of bytes and processor time is then without it.
 """
 
@@ -32,15 +32,15 @@
 
 from oatcart.net.stream import MAX_MESSAGE_BYTES
 from oatcart.scale.children import MEGABYTE, ChildProcess
-from oatcart.scale.conductor_settings import (
+from oatcart.scale.configuration import FleetSettings, LimitSettings, ViewSettings
+from oatcart.scale.controller_settings import (
     WARM_AFTER_S,
     NodeChanges,
-    conductor_settings,
+    controller_settings,
     list_entry,
     nodes_of_lists,
     route_names,
 )
-from oatcart.scale.configuration import FleetSettings, LimitSettings, ViewSettings
 from oatcart.scale.discovery import (
     MAIN_LIST,
     ClientFigures,
@@ -53,13 +53,13 @@
 from oatcart.scale.hollow import HollowReading, Hollows
 from oatcart.scale.peer_sockets import PeerSockets
 from oatcart.scale.peers import PeerSettings
-from oatcart.scale.real import NotReady, RealConductor, real_conductors
+from oatcart.scale.real import NotReady, RealController, real_controllers
 
 READY_WITHIN_S = 60.0
-LOOK_EVERY_S = 0.05  # at what conductors have, while waiting
-LAST_CHANGE_WITHIN_S = 5.0  # after the last change, for all conductors to have it
-STAND_INS = 3  # processes beside conductors: discovery, the hollow fleet, the peers' sockets
-DESCRIPTORS_OF_CONDUCTOR = 4  # at discovery: a port, a watch, a fetch, a spare
+LOOK_EVERY_S = 0.05  # at what controllers have, while waiting
+LAST_CHANGE_WITHIN_S = 5.0  # after the last change, for all controllers to have it
+STAND_INS = 3  # processes beside controllers: discovery, the hollow fleet, the peers' sockets
+DESCRIPTORS_OF_CONTROLLER = 4  # at discovery: a port, a watch, a fetch, a spare
 DESCRIPTORS_SPARE = 64
 
 
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True)
 class TrialSettings:
-    """One trial; times in seconds. `tenants` go into the settings of conductors."""
+    """One trial; times in seconds. `tenants` go into the settings of controllers."""
 
     fleet: FleetSettings
     seed: int
@@ -90,7 +90,7 @@
 
 
 class Ready(NamedTuple):
-    """What a conductor took from its start to ready; seconds, core seconds, bytes received."""
+    """What a controller took from its start to ready; seconds, core seconds, bytes received."""
 
     after_s: float
     core_s: float
@@ -107,7 +107,7 @@
 
 
 class Reading(NamedTuple):
-    """All counters at one moment of a trial; `clients` is the control traffic of each conductor."""
+    """All counters at one moment of a trial; `clients` is the control traffic of each controller."""
 
     at: float
     discovery: DiscoveryFigures
@@ -131,7 +131,7 @@
         raise DoesNotFit(f"{processes} processes are over the limit of {settings.limits.processes}")
     if list_bytes > MAX_MESSAGE_BYTES:
         raise DoesNotFit(f"a list of {list_bytes} bytes is over the protocol's {MAX_MESSAGE_BYTES}: refused")
-    descriptors = DESCRIPTORS_OF_CONDUCTOR * (settings.hollow + settings.real) + DESCRIPTORS_SPARE
+    descriptors = DESCRIPTORS_OF_CONTROLLER * (settings.hollow + settings.real) + DESCRIPTORS_SPARE
     if descriptors > (most := raise_descriptor_limit()):
         raise DoesNotFit(f"{descriptors} descriptors are over the limit of {most}")
 
@@ -143,7 +143,7 @@
         self.settings, self.plan, self._processes = settings, plan, processes
         self.lists = nodes_of_lists(plan.nodes, settings.lists_by_service, MAIN_LIST)
         self.check_fits()
-        self.conductor_settings = conductor_settings(
+        self.controller_settings = controller_settings(
             list(plan.zone_regions),
             settings.routes,
             settings.proxies,
@@ -156,7 +156,7 @@
         self.discovery: Discovery = processes.enter_context(Discovery())
         self.hollows = processes.enter_context(Hollows()) if settings.hollow else None
         self.peers = processes.enter_context(PeerSockets()) if settings.real else None
-        self.real: list[RealConductor] = []
+        self.real: list[RealController] = []
         self.hollow_before_mb = 0.0
         self.ready: dict[str, Ready] = {}
         self.control_ready: Ready | None = None
@@ -168,11 +168,11 @@
 
     @property
     def names(self) -> list[str]:
-        """All conductors' names, at discovery."""
+        """All controllers' names, at discovery."""
         return self.hollow_names + self.real_names
 
     def list_of(self, name: str) -> str:
-        """The list that a conductor follows."""
+        """The list that a controller follows."""
         names = list(self.lists)
         return names[int(name.rpartition("-")[2]) % len(names)]
 
@@ -184,25 +184,25 @@
         if self.hollows:
             self.hollow_before_mb = self.hollows.figures().usage.resident_mb
             seeds = [self.settings.seed + number for number in range(self.settings.hollow)]
-            self.hollows.start_conductors(
-                self.conductor_settings, [ports[name] for name in self.hollow_names], seeds
+            self.hollows.start_controllers(
+                self.controller_settings, [ports[name] for name in self.hollow_names], seeds
             )
         if self.real_names:
             seeds = [self.settings.seed + number for number in range(self.settings.real)]
             self.real = self._processes.enter_context(
-                real_conductors(self.conductor_settings, [ports[name] for name in self.real_names], seeds)
+                real_controllers(self.controller_settings, [ports[name] for name in self.real_names], seeds)
             )
         self._wait_ready()
 
     def open_ports(self) -> dict[str, int]:
-        """Where each conductor is to ask for its list."""
+        """Where each controller is to ask for its list."""
         ports = {}
         for name in self.names:
             ports |= self.discovery.open([name], self.list_of(name))
         return ports
 
     def client_figures(self, discovery: DiscoveryFigures) -> dict[str, ClientFigures]:
-        """The control traffic of each conductor."""
+        """The control traffic of each controller."""
         return discovery.clients
 
     def control_usage(self) -> Usage | None:
@@ -210,11 +210,11 @@
         return None
 
     def held_revisions(self) -> dict[str, list[HeldRevision]]:
-        """Which revisions of its list each conductor had when."""
+        """Which revisions of its list each controller had when."""
         return self.discovery.held()
 
     def join_peers(self, keep_orders: bool = False) -> None:
-        """Lets the proxies of all conductors join; from then on they report."""
+        """Lets the proxies of all controllers join; from then on they report."""
         if self.hollows:
             self.hollows.join_peers([self.peer_settings(name) for name in self.hollow_names], keep_orders)
         if self.peers:
@@ -225,7 +225,7 @@
             )
 
     def peer_settings(self, name: str) -> PeerSettings:
-        """The peers of a conductor; a hollow and a real one of the same number have the same."""
+        """The peers of a controller; a hollow and a real one of the same number have the same."""
         number = int(name.rpartition("-")[2])
         zones = list(self.plan.zone_regions)
         return PeerSettings(
@@ -260,7 +260,7 @@
         self.made.append(MadeChange(at, name, self.discovery.change([entry], name), entry["id"]))
 
     def wait_for_changes(self) -> dict[str, list[float]]:
-        """Seconds from each change to each conductor's having it; raises NotReady where one never had it."""
+        """Seconds from each change to each controller's having it; raises NotReady where one never had it."""
         until = time.monotonic() + LAST_CHANGE_WITHIN_S
         while True:
             delays, missing = self.change_delays()
@@ -271,13 +271,13 @@
             time.sleep(LOOK_EVERY_S)
 
     def change_delays(self) -> tuple[dict[str, list[float]], int]:
-        """Of each conductor the delays of the changes made, and how many it does not have yet, of all.
+        """Of each controller the delays of the changes made, and how many it does not have yet, of all.
 
-        A hollow conductor has a change once a round has run on it, a real one once it asks on from it.
+        A hollow controller has a change once a round has run on it, a real one once it asks on from it.
         """
         held = self.held_revisions()
         if self.hollows:
-            for name, one in zip(self.hollow_names, self.hollows.figures().conductors, strict=True):
+            for name, one in zip(self.hollow_names, self.hollows.figures().controllers, strict=True):
                 held[name] = [HeldRevision(at, revision, 0) for at, revision in one.taken]
         delays, missing = {}, 0
         for name in self.names:
@@ -308,12 +308,12 @@
             time.sleep(LOOK_EVERY_S)
             self._note_ready(self.held_revisions())
             self._check_memory()
-        hollow = self.hollows.figures().conductors if self.hollows else []
+        hollow = self.hollows.figures().controllers if self.hollows else []
         for name, one in zip(self.hollow_names, hollow, strict=True):
             self.ready[name] = Ready(one.ready_after_s, one.ready_core_s, self.ready[name].bytes_received)
 
     def _note_ready(self, revisions: dict[str, list[HeldRevision]]) -> None:
-        """Conductors that have asked on from a revision by now. Hollow ones tell the rest themselves."""
+        """Controllers that have asked on from a revision by now. Hollow ones tell the rest themselves."""
         real = dict(zip(self.real_names, self.real, strict=True))
         for name in self.names:
             held = next((one for one in revisions[name] if one.revision), None)
@@ -323,7 +323,7 @@
                 self.ready[name] = Ready(after_s, one.core_seconds() if one else 0.0, held.bytes_sent)
 
     def errors(self) -> str:
-        """What real conductors have written to their logs."""
+        """What real controllers have written to their logs."""
         return "\n".join(one.error_text() for one in self.real)
 
 
--- a/oatcart/scale/view_relay.py
+++ b/oatcart/scale/view_relay.py
@@ -1,8 +1,8 @@
-"""A counting relay on loopback between many conductors and the control role, which counts nothing itself.
+"""A counting relay on loopback between many controllers and the control role, which counts nothing itself.
 
-Every conductor is given a port of its own, behind which stands its address at the control role. Bytes pass as
-they come; beside that requests and answers are read, so that it is known which nodes a conductor was told of
-and when. A conductor *has* what an answer told once it asks on, or ends the connection, on the same one.
+Every controller is given a port of its own, behind which stands its address at the control role. Bytes pass
+unchanged; beside that requests and answers are read, so that it is known which nodes a controller was told of
+and when. A controller *has* what an answer told once it asks on, or ends the connection, on the same one.
 
 The process (`python -m oatcart.scale.view_relay`) takes commands as in `children.py`; its processor time is
 nobody's role.
@@ -63,7 +63,7 @@
 
 
 class RelayedClient:
-    """One conductor: its traffic, the nodes of its list, and when it had word of nodes that are tracked."""
+    """One controller: its traffic, the nodes of its list, and when it had word of nodes that are tracked."""
 
     def __init__(self, target_port: int) -> None:
         self.target_port = target_port
@@ -84,8 +84,8 @@
         return sorted(tracked & (entries.keys() | gone))
 
 
-class ConductorSide(asyncio.Protocol):
-    """A connection that a conductor has made."""
+class ControllerSide(asyncio.Protocol):
+    """A connection that a controller has made."""
 
     def __init__(self, service: "RelayService", client: RelayedClient) -> None:
         self.service, self.client = service, client
@@ -134,31 +134,31 @@
 
 
 class ControlSide(asyncio.Protocol):
-    """The connection to the control role that belongs to a conductor's."""
+    """The connection to the control role that belongs to a controller's."""
 
-    def __init__(self, service: "RelayService", conductor: ConductorSide) -> None:
-        self.service, self.conductor = service, conductor
+    def __init__(self, service: "RelayService", controller: ControllerSide) -> None:
+        self.service, self.controller = service, controller
         self.answers = AnswerReader(self._answer)
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
-        self.conductor.up(self)
+        self.controller.up(self)
 
     def data_received(self, data: bytes) -> None:
-        self.conductor.client.account.bytes_sent += len(data)
-        self.conductor.transport.write(data)
+        self.controller.client.account.bytes_sent += len(data)
+        self.controller.transport.write(data)
         self.answers.read(data)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.conductor.transport.close()
+        self.controller.transport.close()
 
     def _answer(self, body: bytes) -> None:
-        self.conductor.client.account.messages_sent += 1
-        self.conductor.news += self.conductor.client.take(body, self.service.tracked)
+        self.controller.client.account.messages_sent += 1
+        self.controller.news += self.controller.client.take(body, self.service.tracked)
 
 
 class RelayService:
-    """All conductors behind the relay; methods without an underscore but `begin` are commands."""
+    """All controllers behind the relay; methods without an underscore but `begin` are commands."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -167,20 +167,20 @@
         self.tasks: set[asyncio.Task] = set()
 
     def open(self, targets: dict[str, int]) -> dict:
-        """A port for each conductor; `targets` are the ports that stand behind them."""
+        """A port for each controller; `targets` are the ports that stand behind them."""
         return {"ports": {name: self._open(name, port) for name, port in targets.items()}}
 
     def track(self, node: str) -> dict:
-        """From now on word of this node is noted; the conductors whose list has it now."""
+        """From now on word of this node is noted; the controllers whose list has it now."""
         self.tracked.add(node)
         return {"holders": [name for name, one in self.clients.items() if node in one.members]}
 
     def members(self, name: str) -> dict:
-        """The nodes that a conductor's list has now."""
+        """The nodes that a controller's list has now."""
         return {"nodes": sorted(self.clients[name].members)}
 
     def figures(self) -> dict:
-        """The process's usage, and of every conductor its bytes and messages."""
+        """The process's usage, and of every controller its bytes and messages."""
         return {
             "usage": own_usage(),
             "clients": {
@@ -195,29 +195,29 @@
         }
 
     def held(self) -> dict:
-        """Of every conductor the revisions that it had, and when it had word of tracked nodes."""
+        """Of every controller the revisions that it had, and when it had word of tracked nodes."""
         return {
             "held": {name: one.account.held for name, one in self.clients.items()},
             "told": {name: one.told for name, one in self.clients.items()},
         }
 
-    def begin(self, conductor: ConductorSide) -> None:
-        """Connects to the control role for a conductor; where that fails its connection is reset."""
-        self._keep(self._connect(conductor))
+    def begin(self, controller: ControllerSide) -> None:
+        """Connects to the control role for a controller; where that fails its connection is reset."""
+        self._keep(self._connect(controller))
 
     def _open(self, name: str, target_port: int) -> int:
         client = self.clients.setdefault(name, RelayedClient(target_port))
         listener = socket.create_server((LOOPBACK, 0), backlog=BACKLOG)
-        self._keep(self.loop.create_server(lambda: ConductorSide(self, client), sock=listener))
+        self._keep(self.loop.create_server(lambda: ControllerSide(self, client), sock=listener))
         return listener.getsockname()[1]
 
-    async def _connect(self, conductor: ConductorSide) -> None:
+    async def _connect(self, controller: ControllerSide) -> None:
         try:
             await self.loop.create_connection(
-                lambda: ControlSide(self, conductor), LOOPBACK, conductor.client.target_port
+                lambda: ControlSide(self, controller), LOOPBACK, controller.client.target_port
             )
         except OSError:
-            conductor.transport.abort()
+            controller.transport.abort()
 
     def _keep(self, steps: Coroutine) -> None:
         """Starts a task and keeps it, as the loop holds tasks weakly."""
@@ -225,7 +225,7 @@
 
 
 class RelayHeld(NamedTuple):
-    """Of every conductor the revisions that it had, and when it had word of tracked nodes."""
+    """Of every controller the revisions that it had, and when it had word of tracked nodes."""
 
     held: dict[str, list[HeldRevision]]
     told: dict[str, list[tuple[float, str]]]
@@ -238,23 +238,23 @@
         super().__init__("oatcart.scale.view_relay")
 
     def open(self, targets: dict[str, int]) -> dict[str, int]:
-        """A port for each conductor in front of the control role's port for it."""
+        """A port for each controller in front of the control role's port for it."""
         return self.ask("open", targets=targets)["ports"]
 
     def track(self, node: str) -> list[str]:
-        """From now on word of this node is noted; the conductors whose list has it now."""
+        """From now on word of this node is noted; the controllers whose list has it now."""
         return self.ask("track", node=node)["holders"]
 
     def members(self, name: str) -> list[str]:
-        """The nodes that a conductor's list has now."""
+        """The nodes that a controller's list has now."""
         return self.ask("members", name=name)["nodes"]
 
     def clients(self) -> dict[str, ClientFigures]:
-        """The traffic of each conductor."""
+        """The traffic of each controller."""
         return {name: ClientFigures(*figures) for name, figures in self.ask("figures")["clients"].items()}
 
     def held(self) -> RelayHeld:
-        """What conductors had when."""
+        """What controllers had when."""
         answer = self.ask("held")
         held = {name: [HeldRevision(*one) for one in some] for name, some in answer["held"].items()}
         told = {name: [(at, node) for at, node in some] for name, some in answer["told"].items()}
--- a/oatcart/scale/view_trial.py
+++ b/oatcart/scale/view_trial.py
@@ -1,10 +1,10 @@
-"""A trial whose conductors follow bounded views of the list, served by the control role `python -m
+"""A trial whose controllers follow bounded views of the list, served by the control role `python -m
 oatcart.views`.
 
-Only the control role follows discovery. Between it and the conductors stands a counting relay
-(`view_relay.py`), whose ports the conductors are given as their discovery. Changes are of nodes that
-some view holds. A change counts for the conductors whose view held the node when it was made, and is had
-once the relay sees the conductor go on after the answer that told of the node.
+Only the control role follows discovery. Between it and the controllers stands a counting relay
+(`view_relay.py`), whose ports the controllers are given as their discovery. Changes are of nodes that
+some view holds. A change counts for the controllers whose view held the node when it was made, and is had
+once the relay sees the controller go on after the answer that told of the node.
 """
 
 import json
@@ -18,7 +18,7 @@
 import orjson
 
 from oatcart.scale.children import ChildProcess
-from oatcart.scale.conductor_settings import list_entry
+from oatcart.scale.controller_settings import list_entry
 from oatcart.scale.discovery import (
     LOOPBACK,
     ClientFigures,
@@ -26,7 +26,7 @@
     HeldRevision,
     Usage,
 )
-from oatcart.scale.fleet import FleetPlan, PlannedConductor, PlannedNode
+from oatcart.scale.fleet import FleetPlan, PlannedController, PlannedNode
 from oatcart.scale.peers import PeerSettings
 from oatcart.scale.ports import free_ports
 from oatcart.scale.real import RUN, NotReady
@@ -42,7 +42,7 @@
 
 
 class ViewTrial(Trial):
-    """Hollow and real conductors behind the control role."""
+    """Hollow and real controllers behind the control role."""
 
     def __init__(self, settings: TrialSettings, plan: FleetPlan, processes: ExitStack) -> None:
         super().__init__(settings, plan, processes)
@@ -51,7 +51,7 @@
         self.holders: list[list[str]] = []  # of each change made: whose view held the node
 
     def check_fits(self) -> None:
-        """As for any trial, but for the whole list, which no conductor is sent."""
+        """As for any trial, but for the whole list, which no controller is sent."""
         check_fits(self.settings, 0)
 
     def open_ports(self) -> dict[str, int]:
@@ -89,10 +89,10 @@
             ],
         }
 
-    def planned(self, name: str) -> PlannedConductor:
-        """Where a conductor runs and what it needs; the same for a hollow and a real one of a number."""
+    def planned(self, name: str) -> PlannedController:
+        """Where a controller runs and what it needs; the same for a hollow and a real one of a number."""
         number = int(name.rpartition("-")[2])
-        return self.plan.conductors[number % len(self.plan.conductors)]
+        return self.plan.controllers[number % len(self.plan.controllers)]
 
     def client_figures(self, discovery: DiscoveryFigures) -> dict[str, ClientFigures]:
         return self.relay.clients()
@@ -104,7 +104,7 @@
         return self.relay.held().held
 
     def peer_settings(self, name: str) -> PeerSettings:
-        """Peers that meet the nodes of the conductor's view."""
+        """Peers that meet the nodes of the controller's view."""
         return PeerSettings(
             seed=self.settings.seed + int(name.rpartition("-")[2]),
             proxies=self.settings.proxies,
@@ -114,7 +114,7 @@
         )
 
     def changed_nodes(self) -> list[PlannedNode]:
-        """Nodes that some conductor's view holds: others are told to nobody."""
+        """Nodes that some controller's view holds: others are told to nobody."""
         held = {node for name in self.names for node in self.relay.members(name)}
         return [node for node in self.plan.nodes if node.id in held]
 
@@ -123,7 +123,7 @@
         super().make_change(entry)
 
     def change_delays(self) -> tuple[dict[str, list[float]], int]:
-        """Of each conductor the delays of the changes to nodes that its view held, and how many are missing.
+        """Of each controller the delays of the changes to nodes that its view held, and how many are missing.
 
         Word of the node after the change counts, be it of that change or of a newer one that overtook it.
         """
@@ -154,7 +154,7 @@
             time.sleep(LOOK_EVERY_S)
 
     def _wait_ready(self) -> None:
-        """Waits until every conductor has its view; then the control role is ready too."""
+        """Waits until every controller has its view; then the control role is ready too."""
         super()._wait_ready()
         received = self.discovery.figures().clients[CONTROL_CLIENT].bytes_in
         after_s = time.monotonic() - self.control.started_at
@@ -170,5 +170,5 @@
 
 
 def first_word(told: list[tuple[float, str]], change: MadeChange) -> float | None:
-    """When a conductor first had word of a changed node after the change; None where it had none."""
+    """When a controller first had word of a changed node after the change; None where it had none."""
     return next((at for at, node in told if node == change.node and at >= change.at), None)
--- a/tests/scale/test_scale_agreement.py
+++ b/tests/scale/test_scale_agreement.py
@@ -1,4 +1,4 @@
-"""Hollow conductors count only where they agree with real ones: both are compared, differences are seen."""
+"""Hollow controllers count only where they agree with real ones: both are compared, differences are seen."""
 
 from dataclasses import replace
 
@@ -30,7 +30,7 @@
     return next(one for one in found.figures if one.name == name)
 
 
-def test_hollow_conductors_agree_with_real_ones() -> None:
+def test_hollow_controllers_agree_with_real_ones() -> None:
     found = compare(SETTINGS)
     assert found.agrees, found.text()
     assert CORE_RATIO[0] < found.core_ratio < CORE_RATIO[1]
@@ -41,7 +41,7 @@
     )
 
 
-def test_a_conductor_under_another_list_does_not_agree(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_controller_under_another_list_does_not_agree(monkeypatch: pytest.MonkeyPatch) -> None:
     """The real ones follow a list that lacks a node, and the comparison says so."""
     whole = Trial.list_of
     monkeypatch.setattr(
@@ -61,7 +61,7 @@
     assert not figure(found, "lines of tables at one of a pair only").agrees
 
 
-def test_unpaired_conductors_cannot_be_compared() -> None:
+def test_unpaired_controllers_cannot_be_compared() -> None:
     with pytest.raises(ValueError, match="paired"):
         compare(replace(SETTINGS, real=3))
 
--- a/tests/scale/test_scale_capacity.py
+++ b/tests/scale/test_scale_capacity.py
@@ -27,8 +27,8 @@
 
 
 def whole_lists(last_change_s: float = 0.51) -> list[Measurement]:
-    """A conductor whose costs grow straight with its nodes, and discovery beside it."""
-    conductors = [
+    """A controller whose costs grow straight with its nodes, and discovery beside it."""
+    controllers = [
         Measurement(
             "nodes",
             size,
@@ -42,11 +42,11 @@
         )
         for size in SIZES
     ]
-    return [*conductors, *(Measurement("nodes", size, "discovery", core_share=9.0) for size in SIZES)]
+    return [*controllers, *(Measurement("nodes", size, "discovery", core_share=9.0) for size in SIZES)]
 
 
 def viewed() -> Measurement:
-    """A conductor with a view, at the plan."""
+    """A controller with a view, at the plan."""
     return Measurement(
         "nodes",
         27_000,
--- a/tests/scale/test_scale_day.py
+++ b/tests/scale/test_scale_day.py
@@ -1,4 +1,4 @@
-"""A played day: what is scheduled, which conductors had what, cuts, an interrupt; and days of few nodes."""
+"""A played day: what is scheduled, which controllers had what, cuts, an interrupt; and days of few nodes."""
 
 import os
 import signal
@@ -144,7 +144,7 @@
 
 
 def day_of(*words: Word, others: dict[str, list[Word]] | None = None) -> tuple[History, ExpectedViews]:
-    """One conductor that held `x` from the start and was told these words, and perhaps others."""
+    """One controller that held `x` from the start and was told these words, and perhaps others."""
     told = {"c": [Word(1.0, "x", FIRST), *words]} | (others or {})
     expected = ExpectedViews([Controller(name, "r", "z1", ()) for name in told], UNBOUNDED, 1, ENTRIES)
     expected.take(DRAIN_CHANGES)
@@ -159,7 +159,7 @@
     assert drains(history, []).reached == 1 and drains(history, []).missed == []
 
 
-def test_a_conductor_that_is_told_nothing_of_a_drain_is_missed() -> None:
+def test_a_controller_that_is_told_nothing_of_a_drain_is_missed() -> None:
     deaf = {"deaf": [Word(1.0, "x", FIRST), Word(15.1, "x", None), Word(20.1, "x", BACK)]}
     history, expected = day_of(
         Word(10.5, "x", DRAINING), Word(15.25, "x", None), Word(21.0, "x", BACK), others=deaf
@@ -202,14 +202,14 @@
     assert overtaken_return(dropped_at=26.0) == (0, ["node back: x: c: 10.00 s"])
 
 
-def test_changes_to_a_conductor_that_is_cut_off_are_counted_apart() -> None:
+def test_changes_to_a_controller_that_is_cut_off_are_counted_apart() -> None:
     history, expected = day_of(Word(17.0, "x", None), Word(20.5, "x", BACK))
     cut = Cut(frozenset("c"), 9.0, 16.0)
     found = deliveries(history, expected, [cut], 5.0)
     assert (found[Kind.DRAIN].cut_off, found[Kind.DELETE].cut_off, found[Kind.RETURN].cut_off) == (1, 1, 0)
     told = drains(history, [cut])
     assert (told.reached, told.cut_off, told.missed) == (0, 1, [])
-    assert drains(history, [cut._replace(conductors=frozenset("d"))]).missed == ["c: x"]
+    assert drains(history, [cut._replace(controllers=frozenset("d"))]).missed == ["c: x"]
 
 
 def test_a_node_that_nobody_holds_concerns_nobody() -> None:
@@ -266,14 +266,14 @@
     assert orjson.loads(day_json(result))["drains"]["nodes"] == SMALL_DAY.restarts
     (healing,) = result.healings
     assert healing.cut.until - healing.cut.since >= LEAST_CUT_S
-    assert 0 < len(healing.cut.conductors) <= SMALL.hollow
+    assert 0 < len(healing.cut.controllers) <= SMALL.hollow
     assert healing.changes > 0 and healing.caught_up_s is not None and healing.bytes_received > 0
     assert healing.moved == healing.had_to_move and healing.moved_needlessly == 0
     assert sum(kind.cut_off for kind in result.kinds.values()) > 0
 
 
 class OneDeaf(DayPlayer):
-    """Cuts one conductor off from the first change on, which the day knows nothing of."""
+    """Cuts one controller off from the first change on, which the day knows nothing of."""
 
     def make(self, events: tuple) -> None:
         if not self.changes:
@@ -282,7 +282,7 @@
 
 
 @pytest.mark.parametrize("whole_list", [False, True])
-def test_a_conductor_that_is_told_nothing_is_reported(
+def test_a_controller_that_is_told_nothing_is_reported(
     monkeypatch: pytest.MonkeyPatch, whole_list: bool
 ) -> None:
     monkeypatch.setattr("oatcart.scale.day_trial.SETTLED_WITHIN_S", 0.5)
--- a/tests/scale/test_scale_fleet.py
+++ b/tests/scale/test_scale_fleet.py
@@ -23,7 +23,7 @@
 
 def test_the_operators_counts_are_met_exactly(planned):
     assert len(planned.nodes) == 27_000
-    assert len(planned.conductors) == 5_800
+    assert len(planned.controllers) == 5_800
     assert len(planned.nodes_by_service()) == 720
     assert len(planned.nodes_by_zone()) == 53
     assert len(planned.regions) == 14
@@ -32,7 +32,7 @@
 def test_ids_and_addresses_are_unique(planned):
     assert len({node.id for node in planned.nodes}) == len(planned.nodes)
     assert len({node.address for node in planned.nodes}) == len(planned.nodes)
-    assert len({conductor.name for conductor in planned.conductors}) == len(planned.conductors)
+    assert len({controller.name for controller in planned.controllers}) == len(planned.controllers)
 
 
 def test_a_few_services_hold_thousands_and_most_a_handful(planned):
@@ -65,20 +65,20 @@
     assert counts[1] > counts[2] > counts[4]
 
 
-def test_conductors_stand_where_nodes_are(planned):
-    conductors = Counter(conductor.zone for conductor in planned.conductors)
+def test_controllers_stand_where_nodes_are(planned):
+    controllers = Counter(controller.zone for controller in planned.controllers)
     for zone, nodes in planned.nodes_by_zone().items():
-        assert abs(conductors[zone] - 5_800 * len(nodes) / 27_000) <= 1
+        assert abs(controllers[zone] - 5_800 * len(nodes) / 27_000) <= 1
 
 
-def test_a_conductor_calls_its_number_of_services_and_every_service_is_called(planned):
-    assert {len(set(conductor.services)) for conductor in planned.conductors} == {6}
-    called = {service for conductor in planned.conductors for service in conductor.services}
+def test_a_controller_calls_its_number_of_services_and_every_service_is_called(planned):
+    assert {len(set(controller.services)) for controller in planned.controllers} == {6}
+    called = {service for controller in planned.controllers for service in controller.services}
     assert called == set(planned.services)
 
 
-def test_large_services_are_called_by_more_conductors(planned):
-    callers = Counter(service for conductor in planned.conductors for service in conductor.services)
+def test_large_services_are_called_by_more_controllers(planned):
+    callers = Counter(service for controller in planned.controllers for service in controller.services)
     largest = [callers[service] for service in planned.services[:10]]
     smallest = [callers[service] for service in planned.services[-10:]]
     assert min(largest) > max(smallest)
@@ -89,7 +89,7 @@
     assert plan_fleet(FleetSettings(), SEED + 1).nodes != planned.nodes
 
 
-def test_more_conductors_leave_the_nodes_as_they_are():
+def test_more_controllers_leave_the_nodes_as_they_are():
     few = plan_fleet(FleetSettings(nodes=500, services=20, conductors=5), SEED)
     many = plan_fleet(FleetSettings(nodes=500, services=20, conductors=50), SEED)
     assert few.nodes == many.nodes
@@ -100,7 +100,7 @@
     share = len(small.nodes_by_service()[small.services[0]]) / len(small.nodes)
     share_planned = len(planned.nodes_by_service()[planned.services[0]]) / len(planned.nodes)
     assert len(small.services) == 72
-    assert len(small.conductors) == 580
+    assert len(small.controllers) == 580
     assert share_planned < share < 2 * share_planned  # fewer ranks share the same skew
 
 
--- a/tests/scale/test_scale_hollow.py
+++ b/tests/scale/test_scale_hollow.py
@@ -1,4 +1,4 @@
-"""Hollow conductors: what they follow, order, count, and how they meet failures."""
+"""Hollow controllers: what they follow, order, count, and how they meet failures."""
 
 import time
 from collections.abc import Callable, Iterator
@@ -7,14 +7,14 @@
 import pytest
 
 from oatcart.net.loop import Loop, Wait
-from oatcart.scale.conductor_settings import conductor_settings, route_names
+from oatcart.scale.controller_settings import controller_settings, route_names
 from oatcart.scale.discovery import Discovery
-from oatcart.scale.hollow import ConductorLoop, Hollows, Meter, metered
-from oatcart.scale.peers import ConductorPeers, PeerSettings, ProxyTables, last_mark
+from oatcart.scale.hollow import ControllerLoop, Hollows, Meter, metered
+from oatcart.scale.peers import ControllerPeers, PeerSettings, ProxyTables, last_mark
 
 ROUTES = 2
 PROXIES = 3
-SETTINGS = conductor_settings(["a", "b"], ROUTES, PROXIES)
+SETTINGS = controller_settings(["a", "b"], ROUTES, PROXIES)
 NODES = tuple(f"node-{number:02}" for number in range(12))
 WITHIN_S = 10.0
 
@@ -49,9 +49,9 @@
 
 def start(discovery: Discovery, hollows: Hollows, count: int) -> None:
     ports = discovery.open([f"hollow-{number}" for number in range(count)])
-    hollows.start_conductors(SETTINGS, list(ports.values()), list(range(count)))
+    hollows.start_controllers(SETTINGS, list(ports.values()), list(range(count)))
     wait_until(
-        lambda: [one.known_nodes for one in hollows.figures().conductors] == [len(NODES)] * count, "no list"
+        lambda: [one.known_nodes for one in hollows.figures().controllers] == [len(NODES)] * count, "no list"
     )
 
 
@@ -69,9 +69,11 @@
 def test_many_follow_one_list_and_each_change_comes_to_all(discovery: Discovery, hollows: Hollows) -> None:
     start(discovery, hollows, 40)
     revision = discovery.change([entry(NODES[0], "DRAINING")])
-    wait_until(lambda: all(one.taken[-1][1] == revision for one in hollows.figures().conductors), "no change")
+    wait_until(
+        lambda: all(one.taken[-1][1] == revision for one in hollows.figures().controllers), "no change"
+    )
     figures = hollows.figures()
-    assert all(0 < one.ready_core_s <= one.core_s and one.ready_after_s > 0 for one in figures.conductors)
+    assert all(0 < one.ready_core_s <= one.core_s and one.ready_after_s > 0 for one in figures.controllers)
     assert not figures.failures
 
 
@@ -83,7 +85,7 @@
     wait_until(lambda: tables_name(hollows, set(NODES)), "no tables")
     discovery.change([entry(NODES[3], "DRAINING")])
     wait_until(lambda: tables_name(hollows, set(NODES) - {NODES[3]}), "still ordered")
-    figures = hollows.figures().conductors
+    figures = hollows.figures().controllers
     assert all(one.peer_bytes_in > 0 and one.peer_bytes_out > 0 for one in figures)
     assert all(one.peer_messages_out >= PROXIES for one in figures)
 
@@ -105,16 +107,16 @@
     discovery.outage(True)
     revision = discovery.change([entry(NODES[0], "DRAINING")])
     time.sleep(0.3)
-    assert all(one.revision < revision for one in hollows.figures().conductors)
+    assert all(one.revision < revision for one in hollows.figures().controllers)
     discovery.outage(False)
     wait_until(
-        lambda: all(one.revision == revision for one in hollows.figures().conductors), "not followed anew"
+        lambda: all(one.revision == revision for one in hollows.figures().controllers), "not followed anew"
     )
     assert not hollows.figures().failures
 
 
 def test_a_tick_is_a_function_of_seed_and_tick() -> None:
-    one, same, other = ConductorPeers(peers()), ConductorPeers(peers()), ConductorPeers(peers(2))
+    one, same, other = ControllerPeers(peers()), ControllerPeers(peers()), ControllerPeers(peers(2))
     assert one.joins() == same.joins()
     ticks = [one.tick() for _ in range(4)]
     assert ticks == [same.tick() for _ in range(4)]
@@ -122,7 +124,7 @@
 
 
 def test_every_proxy_and_every_node_is_reported_once_a_period() -> None:
-    one = ConductorPeers(peers())
+    one = ControllerPeers(peers())
     told = [orjson.loads(message.line) for _ in range(4) for message in one.tick()]
     assert sorted(line["host"] for line in told if line["msg"] == "heard") == sorted(NODES)
     usage = sorted((line["sidecar"], line["kind"]) for line in told if line["msg"] == "usage")
@@ -131,7 +133,7 @@
 
 
 def test_failing_nodes_fail_every_request_and_no_others() -> None:
-    one = ConductorPeers(peers())
+    one = ControllerPeers(peers())
     one.fail([NODES[0]])
     told = [orjson.loads(message.line) for _ in range(4) for message in one.tick()]
     failed = {line["host"]: line["bad"] / line["n"] for line in told if line["msg"] == "heard"}
@@ -140,7 +142,7 @@
 
 @pytest.mark.parametrize("keep_orders", [False, True])
 def test_a_mark_is_acknowledged_once_its_line_is_whole(keep_orders: bool) -> None:
-    one = ConductorPeers(peers(), keep_orders)
+    one = ControllerPeers(peers(), keep_orders)
     line = b'{"msg":"update","endpoints":[["node-01",1.5]],"nonce_out":905}\n'
     one.take(1, line[:20])
     assert b"applied" not in b"".join(message.line for message in one.tick())
@@ -186,7 +188,7 @@
 
     now = [0.0]
     loop = Loop(lambda: now[0], ended.append)
-    task = ConductorLoop(loop, Meter()).spawn(steps())
+    task = ControllerLoop(loop, Meter()).spawn(steps())
     now[0] = 1.0
     loop.turn(0.0)
     assert ended == [False] and not task.done
--- a/tests/scale/test_scale_real.py
+++ b/tests/scale/test_scale_real.py
@@ -1,4 +1,4 @@
-"""Real conductor processes: their start, their end, and what happens when one dies or cannot start."""
+"""Real controller processes: their start, their end, and what happens when one dies or cannot start."""
 
 import os
 import signal
@@ -12,11 +12,11 @@
 import pytest
 
 from oatcart.scale.children import Child, ChildProcess, core_seconds, resident_megabytes
-from oatcart.scale.conductor_settings import ROUTES_MOST, conductor_settings
+from oatcart.scale.controller_settings import ROUTES_MOST, controller_settings
 from oatcart.scale.discovery import Discovery
-from oatcart.scale.real import RUN, NotReady, RealConductor, real_conductors
+from oatcart.scale.real import RUN, NotReady, RealController, real_controllers
 
-SETTINGS = conductor_settings(["a", "b"], routes=2, proxies=2)
+SETTINGS = controller_settings(["a", "b"], routes=2, proxies=2)
 ENTRY = {"id": "node-1", "host_port": "127.0.0.1:1", "locality": "a", "phase": "SERVING"}
 ENDED_WITHIN_S = 5.0
 
@@ -36,49 +36,49 @@
         time.sleep(0.02)
 
 
-def test_conductors_are_started_as_the_platform_starts_them() -> None:
+def test_controllers_are_started_as_the_platform_starts_them() -> None:
     run = tomllib.loads(Path("deploy/balancer.toml").read_text())["run"].split()
     assert run[0] == "exec" and run[2:] == list(RUN[1:])
 
 
-def test_conductors_answer_follow_the_list_and_end_with_the_block() -> None:
+def test_controllers_answer_follow_the_list_and_end_with_the_block() -> None:
     with Discovery() as discovery:
         discovery.change([ENTRY])
         ports = discovery.open(["one", "two"])
-        with real_conductors(SETTINGS, list(ports.values()), [1, 2]) as conductors:
+        with real_controllers(SETTINGS, list(ports.values()), [1, 2]) as controllers:
             wait_until(lambda: all(discovery.held().values()), "no watch")
-            assert all(one.ready_after_s > 0 for one in conductors)
-            assert all(one.core_seconds() > 0 and one.resident_megabytes() > 5 for one in conductors)
-            pids = [one.pid for one in conductors]
+            assert all(one.ready_after_s > 0 for one in controllers)
+            assert all(one.core_seconds() > 0 and one.resident_megabytes() > 5 for one in controllers)
+            pids = [one.pid for one in controllers]
     assert not any(map(alive, pids))
 
 
-def test_conductors_end_when_the_block_is_left_by_an_error() -> None:
+def test_controllers_end_when_the_block_is_left_by_an_error() -> None:
     pids = []
     with Discovery() as discovery, pytest.raises(ZeroDivisionError):
         discovery.change([ENTRY])
-        with real_conductors(SETTINGS, list(discovery.open(["one"]).values()), [1]) as conductors:
-            pids += [one.pid for one in conductors]
+        with real_controllers(SETTINGS, list(discovery.open(["one"]).values()), [1]) as controllers:
+            pids += [one.pid for one in controllers]
             raise ZeroDivisionError
     assert pids and not any(map(alive, pids))
 
 
-def test_a_conductor_that_cannot_use_its_configuration_is_not_ready(tmp_path: Path) -> None:
+def test_a_controller_that_cannot_use_its_configuration_is_not_ready(tmp_path: Path) -> None:
     path = tmp_path / "configuration.json"
     path.write_text("{}")
-    with RealConductor(path) as conductor, pytest.raises(NotReady, match="settings"):
-        conductor.wait_ready()
+    with RealController(path) as controller, pytest.raises(NotReady, match="settings"):
+        controller.wait_ready()
 
 
-def test_a_conductor_that_died_shows_no_figures_and_ending_it_again_does_nothing() -> None:
+def test_a_controller_that_died_shows_no_figures_and_ending_it_again_does_nothing() -> None:
     with Discovery() as discovery:
         discovery.change([ENTRY])
-        with real_conductors(SETTINGS, list(discovery.open(["one"]).values()), [1]) as (conductor,):
-            conductor.process.kill()
-            conductor.process.wait()
+        with real_controllers(SETTINGS, list(discovery.open(["one"]).values()), [1]) as (controller,):
+            controller.process.kill()
+            controller.process.wait()
             with pytest.raises(OSError):
-                conductor.core_seconds()
-            assert not conductor.running
+                controller.core_seconds()
+            assert not controller.running
 
 
 def test_a_process_that_ignores_sigterm_is_killed() -> None:
@@ -131,6 +131,6 @@
 
 
 @pytest.mark.parametrize("routes", [0, ROUTES_MOST + 1])
-def test_a_conductor_has_no_more_routes_than_request_classes(routes: int) -> None:
+def test_a_controller_has_no_more_routes_than_request_classes(routes: int) -> None:
     with pytest.raises(ValueError, match="routes"):
-        conductor_settings(["a"], routes, 2)
+        controller_settings(["a"], routes, 2)
--- a/tests/scale/test_scale_report.py
+++ b/tests/scale/test_scale_report.py
@@ -32,14 +32,14 @@
 
 
 def measured() -> list[Measurement]:
-    """A conductor whose costs grow straight, one size left out, and a role of another dimension."""
-    conductor = [
+    """A controller whose costs grow straight, one size left out, and a role of another dimension."""
+    controller = [
         Measurement("nodes", size, "conductor", core_share=1e-4 + 2e-6 * size, resident_mb=30.0 + 0.01 * size)
         for size in SIZES
     ]
     left_out = Measurement("nodes", 50_000, "conductor", left_out="needs 9 GiB of 8 GiB")
     control = Measurement("routes", 10, "control", core_share=0.5)
-    return [*conductor, left_out, control]
+    return [*controller, left_out, control]
 
 
 @given(
@@ -117,7 +117,7 @@
     assert core.endswith("0.00110 / 0.500!  0.00310")
 
 
-def test_only_conductors_have_budgets():
+def test_only_controllers_have_budgets():
     text = text_report(measured(), [], Budgets())
     (control,) = [line for line in text.splitlines() if line.startswith("control")]
     assert control.split()[-1] == "0.500"
--- a/tests/scale/test_scale_runs.py
+++ b/tests/scale/test_scale_runs.py
@@ -70,7 +70,7 @@
     assert all("16 request classes" in one.left_out for one in found)
 
 
-def test_routes_are_also_measured_at_what_conductors_can_have() -> None:
+def test_routes_are_also_measured_at_what_controllers_can_have() -> None:
     run = RunSettings(sizes={"routes": (2_300, 4_600)})
     assert sizes_of(run, None) == {"routes": [1, 2, 4, 8, 12, 16, 2_300, 4_600]}
     assert sizes_of(run, ["nodes"]) == {}
@@ -93,7 +93,7 @@
         play(replace(SMALL, limits=LimitSettings(memory=20 << 20)), "nodes", 40)
 
 
-def test_hollow_conductors_in_a_full_process_are_left_out(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_hollow_controllers_in_a_full_process_are_left_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("oatcart.scale.figures.LATE_MOST_S", -10.0)
     found = by_role(play(SMALL, "nodes", 40))
     assert "late" in found["hollow_conductor"].left_out and found["conductor"].left_out is None
--- a/tests/scale/test_scale_views.py
+++ b/tests/scale/test_scale_views.py
@@ -1,4 +1,4 @@
-"""Conductors behind the control role: what the relay counts, whom a change concerns, what is measured."""
+"""Controllers behind the control role: what the relay counts, whom a change concerns, what is measured."""
 
 from contextlib import ExitStack
 from dataclasses import replace
@@ -29,11 +29,11 @@
 )
 
 
-def test_conductors_behind_the_control_role_are_measured_and_know_a_part_only() -> None:
+def test_controllers_behind_the_control_role_are_measured_and_know_a_part_only() -> None:
     with running(SMALL, ViewTrial) as trial:
         trial.start()
         assert all(0 < len(trial.relay.members(name)) <= SMALL.view.nodes for name in trial.names)
-        assert all(one.known_nodes <= SMALL.view.nodes for one in trial.hollows.figures().conductors)
+        assert all(one.known_nodes <= SMALL.view.nodes for one in trial.hollows.figures().controllers)
         trial.join_peers()
         pids = [one.process for one in trial.running_processes()]
     assert all(process.returncode is not None for process in pids)
@@ -49,7 +49,7 @@
     assert found["control"].resident_mb > 5 and found["control"].ready_s > 0
 
 
-def test_changes_of_nodes_are_had_by_the_conductors_whose_views_hold_them() -> None:
+def test_changes_of_nodes_are_had_by_the_controllers_whose_views_hold_them() -> None:
     with running(SMALL, ViewTrial) as trial:
         trial.start()
         name = trial.hollow_names[0]
@@ -82,7 +82,7 @@
     assert all(process.returncode is not None for process in processes)
 
 
-def test_the_control_role_is_told_where_each_conductor_runs_and_what_it_needs() -> None:
+def test_the_control_role_is_told_where_each_controller_runs_and_what_it_needs() -> None:
     with ExitStack() as processes:
         trial = ViewTrial(SMALL, plan_fleet(SMALL.fleet, SMALL.seed), processes)
         told = trial.control_configuration(1, 2, {"hollow-0": 3, "real-0": 4})
