--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -33,11 +33,11 @@
 from oatcart.scale.configuration_file import read
 from oatcart.scale.figures import CONTROL_ROLE, REAL_ROLE, play
 from oatcart.scale.measurement import Measurement
-from oatcart.scale.real import NotReady
+from oatcart.scale.real import NotReadyError
 from oatcart.scale.report import text_report
 from oatcart.scale.runs import BASE_NODES, CHANGES_PER_S, whole_fetches
 from oatcart.scale.slopes import QuantitySlope, analyse
-from oatcart.scale.trial import DoesNotFit, TrialSettings
+from oatcart.scale.trial import SizeLimitError, TrialSettings
 from oatcart.scale.view_trial import ViewTrial
 
 SETTINGS_FILE = Path(__file__).parents[1] / "deploy" / "scale.yaml"
@@ -134,7 +134,7 @@
         result = job.get(max(0.0, until - time.monotonic()))
     except multiprocessing.TimeoutError:
         tell(f"{title}: not measured: no result in time")
-    except (ChildError, DoesNotFit, NotReady, OSError) as error:
+    except (ChildError, SizeLimitError, NotReadyError, OSError) as error:
         tell(f"{title}: not measured: {error}")
     else:
         tell(f"{title}: measured")
--- a/oatcart/scale/__main__.py
+++ b/oatcart/scale/__main__.py
@@ -9,11 +9,11 @@
 from oatcart.errors import InvalidConfigurationError
 from oatcart.scale.configuration import RunSettings, Settings
 from oatcart.scale.configuration_file import read
+from oatcart.scale.fault_plan import DayPlan, FaultPlanError, plan_day
 from oatcart.scale.fleet import FleetPlan, plan_fleet
 from oatcart.scale.measurement import DIMENSIONS, Measurement
 from oatcart.scale.report import json_report, text_report
 from oatcart.scale.slopes import QuantitySlope, analyse
-from oatcart.scale.troubles import DayPlan, TroublesError, plan_day
 
 FAILED = 1
 """Exit code where a run has failed, of which nothing is kept, or where something of a day did not hold."""
@@ -66,7 +66,7 @@
     fleet = plan_fleet(settings.fleet, settings.seed)
     try:
         day = plan_day(fleet, settings.day, settings.seed)
-    except TroublesError as error:
+    except FaultPlanError as error:
         print(f"{parsed.file}: day: {error}", file=sys.stderr)
         return UNUSABLE
     print(fleet_summary(fleet))
@@ -82,15 +82,15 @@
     from oatcart.scale.children import ChildError
     from oatcart.scale.day import FULL, QUICK, play_day
     from oatcart.scale.day_report import day_json, day_text
-    from oatcart.scale.real import NotReady
-    from oatcart.scale.trial import DoesNotFit
+    from oatcart.scale.real import NotReadyError
+    from oatcart.scale.trial import SizeLimitError
 
     try:
         result = play_day(settings, QUICK if parsed.quick else FULL, parsed.whole_list, report_progress)
-    except TroublesError as error:
+    except FaultPlanError as error:
         print(f"{parsed.file}: day: {error}", file=sys.stderr)
         return UNUSABLE
-    except (ChildError, NotReady, DoesNotFit) as error:
+    except (ChildError, NotReadyError, SizeLimitError) as error:
         print(f"the day has failed: {error}", file=sys.stderr)
         return FAILED
     print(day_text(result))
--- a/oatcart/scale/day.py
+++ b/oatcart/scale/day.py
@@ -23,12 +23,12 @@
 from oatcart.scale.day_deliveries import Deliveries, Drains, History, deliveries, drains
 from oatcart.scale.day_schedule import Kind, schedule
 from oatcart.scale.day_trial import DayPlayer, DayTrial, Healing, Sample, WholeListTrial
+from oatcart.scale.fault_plan import plan_day
 from oatcart.scale.figures import CONTROL_ROLE, HOLLOW_ROLE, REAL_ROLE, is_late, summed
 from oatcart.scale.fleet import FleetPlan
 from oatcart.scale.hollow import HeldTables
 from oatcart.scale.interrupts import noted_interrupts
 from oatcart.scale.trial import LOOK_EVERY_S, Reading, TrialSettings, running
-from oatcart.scale.troubles import plan_day
 
 LEAST_CUT_S = 5.0  # of a cut between regions, in real time
 KEPT_MOST_S = (
@@ -151,7 +151,8 @@
 ) -> DayResult:
     """Plays the day of a file's fleet at a scale; all processes are ended when it returns or raises.
 
-    Raises TroublesError where so small a fleet has no room for the day, DoesNotFit, NotReady, ChildError.
+    Raises FaultPlanError where the day does not fit into so small a fleet, SizeLimitError, NotReadyError,
+    ChildError.
     """
     if whole_list:
         scale = replace(scale, hollow=min(scale.hollow, WHOLE_LIST_MOST))
--- a/oatcart/scale/day_schedule.py
+++ b/oatcart/scale/day_schedule.py
@@ -13,8 +13,7 @@
 
 from oatcart.scale.controller_settings import DRAINING, MILLISECONDS, SERVING, list_entry
 from oatcart.scale.discovery import DELETED
-from oatcart.scale.fleet import FleetPlan, PlannedNode
-from oatcart.scale.troubles import (
+from oatcart.scale.fault_plan import (
     Cause,
     ConfigurationChanged,
     Event,
@@ -25,6 +24,7 @@
     RegionsCut,
     RegionsRejoined,
 )
+from oatcart.scale.fleet import FleetPlan, PlannedNode
 
 SIZE_STEP = 0.01  # by which a change of configuration makes a node's size larger
 ADDRESS_EVERY = (
--- a/oatcart/scale/day_trial.py
+++ b/oatcart/scale/day_trial.py
@@ -24,11 +24,11 @@
 from oatcart.scale.day_schedule import Change, ListedNodes, Step, is_cut, kind_of
 from oatcart.scale.day_views import UNBOUNDED, ExpectedViews
 from oatcart.scale.discovery import ClientFigures
+from oatcart.scale.fault_plan import Event, RegionsCut
 from oatcart.scale.fleet import FleetPlan
 from oatcart.scale.hollow import HeldTables
-from oatcart.scale.real import NotReady
+from oatcart.scale.real import NotReadyError
 from oatcart.scale.trial import LOOK_EVERY_S, Trial, TrialSettings
-from oatcart.scale.troubles import Event, RegionsCut
 from oatcart.scale.view_trial import ViewTrial
 from oatcart.views.configuration import Configuration
 from oatcart.views.configuration_file import read as read_views
@@ -239,7 +239,7 @@
 
     def _cut_off(self, event: RegionsCut) -> None:
         if self._cut:
-            raise NotReady("two cuts at once are not played")
+            raise NotReadyError("two cuts at once are not played")
         trial = self.trial
         region = max(event.second, event.first, key=lambda name: len(trial.controllers_of(name)))
         names = trial.controllers_of(region)
--- a/oatcart/scale/troubles.py
+++ b/oatcart/scale/fault_plan.py
@@ -23,8 +23,8 @@
 """Nodes tried for one outage, before it is given up."""
 
 
-class TroublesError(ValueError):
-    """A day that this fleet has no room for, such as more restarts than its nodes can go through."""
+class FaultPlanError(ValueError):
+    """A day that does not fit into this fleet, such as more restarts than its endpoints can go through."""
 
 
 class Cause(Enum):
@@ -112,7 +112,7 @@
 
 
 def plan_day(fleet: FleetPlan, settings: DaySettings, seed: int) -> DayPlan:
-    """Draws the day of a fleet; raises TroublesError where the fleet has no room for it."""
+    """Draws the day of a fleet; raises FaultPlanError where it does not fit into the fleet."""
     streams = numpy.random.SeedSequence(seed).spawn(3)
     outages, partitions, changes = (numpy.random.default_rng(stream) for stream in streams)
     events = [
@@ -154,13 +154,13 @@
 
     def _lose_groups(self, groups: dict[str, list], count: int, cause: Cause) -> None:
         if count > len(groups):
-            raise TroublesError(f"{count} times {cause.value}, of only {len(groups)}")
+            raise FaultPlanError(f"{count} times {cause.value}, of only {len(groups)}")
         names = list(groups)
         for chosen in self.generator.permutation(len(names))[:count].tolist():
             nodes = [node.id for node in groups[names[chosen]]]
             outage = self._free_time(nodes, self.settings.lost_for)
             if outage is None:
-                raise TroublesError(f"{cause.value} of {names[chosen]} finds no time without another outage")
+                raise FaultPlanError(f"{cause.value} of {names[chosen]} finds no time without another outage")
             for node in nodes:
                 self._lose(node, outage, cause)
 
@@ -176,7 +176,7 @@
                     break
                 node = self.node_ids[int(self.generator.integers(len(self.node_ids)))]
             if outage is None:
-                raise TroublesError(f"{count} {title} find no room on {len(self.node_ids)} nodes")
+                raise FaultPlanError(f"{count} {title} find no room on {len(self.node_ids)} nodes")
             take_out(node, outage)
 
     def _drawn_nodes(self, count: int) -> list[int]:
@@ -224,7 +224,7 @@
     regions = fleet.regions
     pairs = [(first, second) for place, first in enumerate(regions) for second in regions[place + 1 :]]
     if settings.partitions > len(pairs):
-        raise TroublesError(f"{settings.partitions} partitions, of only {len(pairs)} pairs of regions")
+        raise FaultPlanError(f"{settings.partitions} partitions, of only {len(pairs)} pairs of regions")
     events: list[Event] = []
     for chosen in generator.permutation(len(pairs))[: settings.partitions].tolist():
         start = float(generator.uniform(0.0, DAY_S - settings.partition_for))
--- a/oatcart/scale/figures.py
+++ b/oatcart/scale/figures.py
@@ -14,8 +14,8 @@
 from oatcart.scale.hollow import HollowReading
 from oatcart.scale.measurement import Measurement
 from oatcart.scale.peers import TICK_S
-from oatcart.scale.real import NotReady
-from oatcart.scale.trial import DoesNotFit, Reading, Ready, Trial, TrialSettings, make_changes, running
+from oatcart.scale.real import NotReadyError
+from oatcart.scale.trial import Reading, Ready, SizeLimitError, Trial, TrialSettings, make_changes, running
 
 HOLLOW_ROLE, REAL_ROLE = "hollow_conductor", "conductor"
 DISCOVERY_ROLE, CONTROL_ROLE = "discovery", "control"
@@ -74,7 +74,7 @@
 def play(
     settings: TrialSettings, dimension: str, size: float, kind: type[Trial] = Trial
 ) -> list[Measurement]:
-    """The measurements of one trial; raises DoesNotFit, NotReady, ChildError."""
+    """The measurements of one trial; raises SizeLimitError, NotReadyError, ChildError."""
     with running(settings, kind) as trial:
         trial.start()
         trial.join_peers()
@@ -95,26 +95,26 @@
         for one in specifications:
             try:
                 made.append((one, processes.enter_context(running(one.settings, one.kind))))
-            except DoesNotFit as error:
+            except SizeLimitError as error:
                 found += left_out(one, dimension, size, str(error))
         for one, trial in made:  # all processes are on their way by now
             try:
                 trial.start()
                 trial.join_peers()
                 started.append((one, trial))
-            except (DoesNotFit, NotReady) as error:
+            except (SizeLimitError, NotReadyError) as error:
                 found += left_out(one, dimension, size, str(error))
         first = specifications[0].settings
         if started:
             time.sleep(first.settle_s)
         try:
             observations = observe([trial for _, trial in started], first)
-        except DoesNotFit as error:
+        except SizeLimitError as error:
             return found + [gone for one, _ in started for gone in left_out(one, dimension, size, str(error))]
         for (one, trial), observed in zip(started, observations, strict=True):
             try:
                 found += [one.named(role) for role in measured(trial, observed, dimension, size)]
-            except NotReady as error:
+            except NotReadyError as error:
                 found += left_out(one, dimension, size, str(error))
     return found
 
@@ -127,7 +127,7 @@
 
 
 def observe(trials: Sequence[Trial], settings: TrialSettings) -> list[Observed]:
-    """A quiet span, then a span of changes; or one span in which changes are made. Raises DoesNotFit."""
+    """A quiet span, then a span of changes; or one span in which changes are made. Raises SizeLimitError."""
     if not trials:
         return []
     before = [trial.read() for trial in trials]
@@ -144,7 +144,7 @@
 def measured(trial: Trial, observed: Observed, dimension: str, size: float) -> list[Measurement]:
     """The measurement of each role that the trial had; a role that did not fit is left out and said so.
 
-    Raises NotReady where a change never came to some controller.
+    Raises NotReadyError where a change never came to some controller.
     """
     delays = trial.wait_for_changes()
     if trial.hollows and is_late(trial.hollows.figures()):
@@ -161,7 +161,7 @@
     for role, reader in readers.items():
         try:
             measurements.append(reader(trial, observed, dimension, size))
-        except DoesNotFit as error:
+        except SizeLimitError as error:
             measurements.append(Measurement(dimension, size, role, left_out=str(error)))
     return measurements
 
@@ -172,10 +172,10 @@
 
 
 def hollow_measurement(trial: Trial, observed: Observed, dimension: str, size: float) -> Measurement:
-    """The mean hollow controller; raises DoesNotFit where their process was late."""
+    """The mean hollow controller; raises SizeLimitError where their process was late."""
     before, after = observed.before.hollow, observed.after.hollow
     if is_late(after):
-        raise DoesNotFit(
+        raise SizeLimitError(
             f"the process of {trial.settings.hollow} hollow conductors was {after.late_s:.2f} s late"
         )
     spent = [
--- a/oatcart/scale/real.py
+++ b/oatcart/scale/real.py
@@ -28,7 +28,7 @@
 _LISTENS = re.compile(rf"listens at {re.escape(LOOPBACK)}:(\d+)")
 
 
-class NotReady(RuntimeError):
+class NotReadyError(RuntimeError):
     """A controller ended, or did not answer `pong`, within the time allowed."""
 
 
@@ -57,11 +57,11 @@
         self.ready_after_s = 0.0
 
     def wait_ready(self) -> None:
-        """Waits for the first `pong`; raises NotReady."""
+        """Waits for the first `pong`; raises NotReadyError."""
         until = self.started_at + READY_WITHIN_S
         while not (listening := _LISTENS.search(self.error_text())):
             if not self.running or time.monotonic() > until:
-                raise NotReady(f"exit code {self.process.poll()}: {self.error_text()}")
+                raise NotReadyError(f"exit code {self.process.poll()}: {self.error_text()}")
             time.sleep(LOOK_EVERY_S)
         self.port = int(listening[1])
         self._ping()
@@ -73,9 +73,9 @@
                 connection.sendall(b'{"msg":"ping"}\n')
                 readable, _, _ = select.select([connection], [], [], PONG_WITHIN_S)
                 if not readable or b"pong" not in connection.recv(64):
-                    raise NotReady("no pong")
+                    raise NotReadyError("no pong")
         except OSError as error:
-            raise NotReady(f"no pong: {error}") from None
+            raise NotReadyError(f"no pong: {error}") from None
 
 
 @contextmanager
--- a/oatcart/scale/trial.py
+++ b/oatcart/scale/trial.py
@@ -53,7 +53,7 @@
 from oatcart.scale.hollow import HollowReading, Hollows
 from oatcart.scale.peer_sockets import PeerSockets
 from oatcart.scale.peers import PeerSettings
-from oatcart.scale.real import NotReady, RealController, real_controllers
+from oatcart.scale.real import NotReadyError, RealController, real_controllers
 
 READY_WITHIN_S = 60.0
 LOOK_EVERY_S = 0.05  # at what controllers have, while waiting
@@ -63,8 +63,8 @@
 DESCRIPTORS_SPARE = 64
 
 
-class DoesNotFit(RuntimeError):
-    """A size for which this machine or today's protocol has no room; the text says why."""
+class SizeLimitError(RuntimeError):
+    """A size that exceeds a limit of this machine or of the protocol; the message says which."""
 
 
 @dataclass(frozen=True)
@@ -125,15 +125,17 @@
 
 
 def check_fits(settings: TrialSettings, list_bytes: int) -> None:
-    """Raises DoesNotFit where a limit is known to be exceeded before anything is started."""
+    """Raises SizeLimitError where a limit is known to be exceeded before anything is started."""
     processes = settings.real + STAND_INS
     if processes > settings.limits.processes:
-        raise DoesNotFit(f"{processes} processes are over the limit of {settings.limits.processes}")
+        raise SizeLimitError(f"{processes} processes are over the limit of {settings.limits.processes}")
     if list_bytes > MAX_MESSAGE_BYTES:
-        raise DoesNotFit(f"a list of {list_bytes} bytes is over the protocol's {MAX_MESSAGE_BYTES}: refused")
+        raise SizeLimitError(
+            f"a list of {list_bytes} bytes is over the protocol's {MAX_MESSAGE_BYTES}: refused"
+        )
     descriptors = DESCRIPTORS_OF_CONTROLLER * (settings.hollow + settings.real) + DESCRIPTORS_SPARE
     if descriptors > (most := raise_descriptor_limit()):
-        raise DoesNotFit(f"{descriptors} descriptors are over the limit of {most}")
+        raise SizeLimitError(f"{descriptors} descriptors are over the limit of {most}")
 
 
 class Trial:
@@ -163,7 +165,7 @@
         self.made: list[MadeChange] = []
 
     def check_fits(self) -> None:
-        """Raises DoesNotFit where a limit is known to be exceeded before anything is started."""
+        """Raises SizeLimitError where a limit is known to be exceeded before anything is started."""
         check_fits(self.settings, max(list_size(nodes) for nodes in self.lists.values()))
 
     @property
@@ -177,7 +179,7 @@
         return names[int(name.rpartition("-")[2]) % len(names)]
 
     def start(self) -> None:
-        """Starts everything, waits until all are ready; raises DoesNotFit, NotReady, ChildError."""
+        """Starts everything, waits until all are ready; raises SizeLimitError, NotReadyError, ChildError."""
         for name, nodes in self.lists.items():
             self.discovery.change([list_entry(node) for node in nodes], name)
         ports = self.open_ports()
@@ -237,7 +239,7 @@
         )
 
     def read(self) -> Reading:
-        """All counters now; raises DoesNotFit where memory is over the limit."""
+        """All counters now; raises SizeLimitError where memory is over the limit."""
         reading = Reading(
             time.monotonic(),
             discovery := self.discovery.figures(),
@@ -260,14 +262,14 @@
         self.made.append(MadeChange(at, name, self.discovery.change([entry], name), entry["id"]))
 
     def wait_for_changes(self) -> dict[str, list[float]]:
-        """Seconds from each change to each controller's having it; raises NotReady where one never had it."""
+        """Delays (s) of each change at each controller; raises NotReadyError where one never had it."""
         until = time.monotonic() + LAST_CHANGE_WITHIN_S
         while True:
             delays, missing = self.change_delays()
             if not missing:
                 return delays
             if time.monotonic() > until:
-                raise NotReady(f"{missing} changes lack a conductor after {LAST_CHANGE_WITHIN_S:.0f} s")
+                raise NotReadyError(f"{missing} changes lack a conductor after {LAST_CHANGE_WITHIN_S:.0f} s")
             time.sleep(LOOK_EVERY_S)
 
     def change_delays(self) -> tuple[dict[str, list[float]], int]:
@@ -294,7 +296,7 @@
     def _check_memory(self) -> None:
         resident = sum(one.resident_megabytes() for one in self.running_processes()) * MEGABYTE
         if resident > self.settings.limits.memory:
-            raise DoesNotFit(
+            raise SizeLimitError(
                 f"{resident:.0f} bytes of memory are over the limit of {self.settings.limits.memory}"
             )
 
@@ -302,7 +304,7 @@
         until = time.monotonic() + READY_WITHIN_S
         while len(self.ready) < len(self.names):
             if time.monotonic() > until:
-                raise NotReady(
+                raise NotReadyError(
                     f"{len(self.names) - len(self.ready)} conductors hold no list: {self.errors()}"
                 )
             time.sleep(LOOK_EVERY_S)
--- a/oatcart/scale/view_trial.py
+++ b/oatcart/scale/view_trial.py
@@ -29,7 +29,7 @@
 from oatcart.scale.fleet import FleetPlan, PlannedController, PlannedNode
 from oatcart.scale.peers import PeerSettings
 from oatcart.scale.ports import free_ports
-from oatcart.scale.real import RUN, NotReady
+from oatcart.scale.real import RUN, NotReadyError
 from oatcart.scale.trial import LOOK_EVERY_S, MadeChange, Ready, Trial, TrialSettings, check_fits
 from oatcart.scale.view_relay import ViewRelay
 
@@ -150,7 +150,7 @@
         until = time.monotonic() + CONTROL_READY_WITHIN_S
         while self._nodes_at_control(main_port) < len(self.plan.nodes):
             if not self.control.running or time.monotonic() > until:
-                raise NotReady(f"the control role does not hold the list: {self.control.error_text()}")
+                raise NotReadyError(f"the control role does not hold the list: {self.control.error_text()}")
             time.sleep(LOOK_EVERY_S)
 
     def _wait_ready(self) -> None:
--- a/tests/scale/test_scale_capacity.py
+++ b/tests/scale/test_scale_capacity.py
@@ -8,7 +8,7 @@
 from benchmarks.capacity import Outcome, result, result_of
 from oatcart.scale.configuration import Settings
 from oatcart.scale.measurement import Measurement
-from oatcart.scale.real import NotReady
+from oatcart.scale.real import NotReadyError
 
 SIZES = (1_000, 2_000, 3_000, 4_000, 5_000)
 
@@ -105,7 +105,7 @@
     ("outcome", "expected", "line"),
     [
         (7, 7, "a trial: measured"),
-        (NotReady("no pong"), None, "a trial: not measured: no pong"),
+        (NotReadyError("no pong"), None, "a trial: not measured: no pong"),
         (multiprocessing.TimeoutError(), None, "a trial: not measured: no result in time"),
     ],
 )
--- a/tests/scale/test_scale_day.py
+++ b/tests/scale/test_scale_day.py
@@ -22,10 +22,7 @@
 from oatcart.scale.day_schedule import Change, Kind, ListedNodes, schedule
 from oatcart.scale.day_trial import DayPlayer
 from oatcart.scale.day_views import UNBOUNDED, ExpectedViews
-from oatcart.scale.fleet import plan_fleet
-from oatcart.scale.hollow import HeldTables
-from oatcart.scale.interrupts import noted_interrupts
-from oatcart.scale.troubles import (
+from oatcart.scale.fault_plan import (
     Cause,
     ConfigurationChanged,
     NodeDeleted,
@@ -36,6 +33,9 @@
     RegionsRejoined,
     plan_day,
 )
+from oatcart.scale.fleet import plan_fleet
+from oatcart.scale.hollow import HeldTables
+from oatcart.scale.interrupts import noted_interrupts
 from oatcart.views.records import Controller
 
 NODES = 60
--- a/tests/scale/test_scale_troubles.py
+++ b/tests/scale/test_scale_fault_plan.py
@@ -8,20 +8,20 @@
 from hypothesis import strategies as st
 
 from oatcart.scale.configuration import DaySettings, FleetSettings
-from oatcart.scale.fleet import FleetPlan, plan_fleet
-from oatcart.scale.troubles import (
+from oatcart.scale.fault_plan import (
     Cause,
     ConfigurationChanged,
     DayPlan,
+    FaultPlanError,
     NodeDeleted,
     NodeDraining,
     NodeLost,
     NodeReturned,
     RegionsCut,
     RegionsRejoined,
-    TroublesError,
     plan_day,
 )
+from oatcart.scale.fleet import FleetPlan, plan_fleet
 
 SEED = 7
 
@@ -180,7 +180,7 @@
         SEED,
     )
     nothing = DaySettings(failures=0, restarts=0, rack_losses=0, zone_losses=0, partitions=0, changes=0)
-    with pytest.raises(TroublesError, match=message):
+    with pytest.raises(FaultPlanError, match=message):
         plan_day(small, replace(nothing, **counts), SEED)
 
 
--- a/tests/scale/test_scale_real.py
+++ b/tests/scale/test_scale_real.py
@@ -14,7 +14,7 @@
 from oatcart.scale.children import Child, ChildProcess, core_seconds, resident_megabytes
 from oatcart.scale.controller_settings import ROUTES_MOST, controller_settings
 from oatcart.scale.discovery import Discovery
-from oatcart.scale.real import RUN, NotReady, RealController, real_controllers
+from oatcart.scale.real import RUN, NotReadyError, RealController, real_controllers
 
 SETTINGS = controller_settings(["a", "b"], routes=2, proxies=2)
 ENTRY = {"id": "node-1", "host_port": "127.0.0.1:1", "locality": "a", "phase": "SERVING"}
@@ -66,7 +66,7 @@
 def test_a_controller_that_cannot_use_its_configuration_is_not_ready(tmp_path: Path) -> None:
     path = tmp_path / "configuration.json"
     path.write_text("{}")
-    with RealController(path) as controller, pytest.raises(NotReady, match="settings"):
+    with RealController(path) as controller, pytest.raises(NotReadyError, match="settings"):
         controller.wait_ready()
 
 
--- a/tests/scale/test_scale_runs.py
+++ b/tests/scale/test_scale_runs.py
@@ -19,7 +19,7 @@
 from oatcart.scale.interrupts import noted_interrupts
 from oatcart.scale.measurement import Measurement
 from oatcart.scale.runs import measure, sizes_of
-from oatcart.scale.trial import DoesNotFit, TrialSettings, check_fits, make_changes, running
+from oatcart.scale.trial import SizeLimitError, TrialSettings, check_fits, make_changes, running
 
 SMALL = TrialSettings(
     FleetSettings().scaled_to(40), seed=1, hollow=2, real=1, settle_s=0.1, quiet_s=0.3, changes=3
@@ -84,12 +84,12 @@
     ],
 )
 def test_what_is_over_a_limit_does_not_fit(settings: TrialSettings, why: str) -> None:
-    with pytest.raises(DoesNotFit, match=why):
+    with pytest.raises(SizeLimitError, match=why):
         check_fits(settings, 1_000)
 
 
 def test_memory_over_the_limit_does_not_fit_and_ends_the_trial() -> None:
-    with pytest.raises(DoesNotFit, match="memory"):
+    with pytest.raises(SizeLimitError, match="memory"):
         play(replace(SMALL, limits=LimitSettings(memory=20 << 20)), "nodes", 40)
 
 
--- a/tests/scale/test_scale_views.py
+++ b/tests/scale/test_scale_views.py
@@ -11,7 +11,7 @@
 from oatcart.scale.figures import play
 from oatcart.scale.fleet import plan_fleet
 from oatcart.scale.ports import free_ports
-from oatcart.scale.real import NotReady
+from oatcart.scale.real import NotReadyError
 from oatcart.scale.trial import MadeChange, TrialSettings, running
 from oatcart.scale.view_relay import AnswerReader, RelayedClient
 from oatcart.scale.view_trial import ViewTrial, first_word
@@ -73,7 +73,7 @@
 
 
 def test_a_control_role_that_died_is_an_error_and_all_else_is_ended() -> None:
-    with pytest.raises((NotReady, ChildError, OSError)), running(SMALL, ViewTrial) as trial:
+    with pytest.raises((NotReadyError, ChildError, OSError)), running(SMALL, ViewTrial) as trial:
         trial.start()
         processes = [one.process for one in trial.running_processes()]
         trial.control.process.kill()
