--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -3,16 +3,17 @@
 `python -m benchmarks.capacity --quick` ends within a minute; without `--quick` the full sizes and times of
 `deploy/scale.yaml` are measured. Trials run beside each other, each with processes of its own:
 
-* *Before*, a controller knows all nodes of the fleet. It is measured at the sizes of the dimension `nodes`
-  that fit, over a whole period of its list fetches; slopes are fitted, proved on the largest size and read at
-  the plan. A list of the plan's size is over the protocol's limit, so the plan itself can only be foretold.
+* *Before*, a controller knows all endpoints of the fleet. It is measured at the sizes of the dimension
+  `nodes` that fit, over a whole period of its list fetches; slopes are fitted, proved on the largest size and
+  read at the plan. A list of the plan's size is over the protocol's limit, so the plan itself can only be
+  foretold.
 * *With* the mechanism, a controller follows a bounded view that `python -m oatcart.views` serves. It is
-  measured at the plan's number of nodes.
+  measured at the plan's number of endpoints.
 * Hollow and real controllers are compared as in `oatcart/scale/agreement.py`.
 
 The last line is one JSON object; figures with `_before` are foretold, the others measured. `core_per_node` is
-the core share at the plan divided by its nodes. `predicted_off` is the largest share by which a slope that is
-proved was off at its largest size; slopes that are not proved are listed in `not_proved`, and
+the core share at the plan divided by its endpoints. `predicted_off` is the largest share by which a slope
+that is proved was off at its largest size; slopes that are not proved are listed in `not_proved`, and
 `predicted_off_all` counts them too. A figure that could not be had is null, and standard error tells why.
 """
 
@@ -35,7 +36,7 @@
 from oatcart.scale.measurement import Measurement
 from oatcart.scale.real import NotReadyError
 from oatcart.scale.report import text_report
-from oatcart.scale.runs import BASE_NODES, CHANGES_PER_S, whole_fetches
+from oatcart.scale.runs import BASE_ENDPOINTS, CHANGES_PER_S, whole_fetches
 from oatcart.scale.slopes import QuantitySlope, analyse
 from oatcart.scale.trial import SizeLimitError, TrialSettings
 from oatcart.scale.view_trial import ViewTrial
@@ -71,9 +72,9 @@
 
 
 def whole_list_trial(settings: Settings, run: RunSettings, nodes: int) -> TrialSettings:
-    """A real controller that knows so many nodes."""
+    """A real controller that knows so many endpoints."""
     return TrialSettings(
-        fleet=settings.fleet.with_nodes(nodes),
+        fleet=settings.fleet.with_endpoints(nodes),
         seed=settings.seed,
         hollow=0,
         real=1,
@@ -93,7 +94,7 @@
 
 def agreement_trial(settings: Settings, run: RunSettings) -> TrialSettings:
     """A hollow and a real controller with the same small list."""
-    return replace(whole_list_trial(settings, run, BASE_NODES), hollow=1)
+    return replace(whole_list_trial(settings, run, BASE_ENDPOINTS), hollow=1)
 
 
 def hollow_agrees(trial: TrialSettings) -> bool:
@@ -143,7 +144,7 @@
 
 
 def foretold(slopes: Sequence[QuantitySlope], quantities: Sequence[str], nodes: int) -> float | None:
-    """The sum of some quantities of a controller that knows so many nodes; None where one has no slope."""
+    """The sum of some quantities of a controller with so many endpoints; None where one has no slope."""
     found = {one.quantity.field: one.slope for one in slopes if one.role == REAL_ROLE}
     costs = [slope.predict(nodes) if (slope := found.get(field)) else None for field in quantities]
     return None if None in costs else sum(costs)
--- a/benchmarks/views_measures.py
+++ b/benchmarks/views_measures.py
@@ -68,8 +68,10 @@
     """A drawn fleet as the records that views are decided from."""
     plan = plan_fleet(settings, seed)
     endpoints = {
-        node.id: Endpoint(node.id, node.region, node.zone, node.service, float(node.size), True)
-        for node in plan.nodes
+        endpoint.id: Endpoint(
+            endpoint.id, endpoint.region, endpoint.zone, endpoint.service, float(endpoint.size), True
+        )
+        for endpoint in plan.endpoints
     }
     controllers = {
         one.name: Controller(one.name, one.region, one.zone, one.services) for one in plan.controllers
--- a/oatcart/scale/__init__.py
+++ b/oatcart/scale/__init__.py
@@ -8,7 +8,7 @@
 
 * :mod:`oatcart.scale.configuration` holds what the operators' file sets,
 * :mod:`oatcart.scale.configuration_file` reads and checks that file,
-* :mod:`oatcart.scale.fleet` draws nodes and controllers,
+* :mod:`oatcart.scale.fleet` draws endpoints and controllers,
 * :mod:`oatcart.scale.fault_plan` draws a day of failures, restarts, partitions and changes,
 * :mod:`oatcart.scale.runs` starts the roles and measures them,
 * :mod:`oatcart.scale.measurement` is what a run yields,
--- a/oatcart/scale/__main__.py
+++ b/oatcart/scale/__main__.py
@@ -105,14 +105,14 @@
 
 
 def fleet_summary(fleet: FleetPlan) -> str:
-    """How the nodes of a fleet are spread."""
-    services = sorted((len(nodes), name) for name, nodes in fleet.nodes_by_service().items())
-    zones = sorted(len(nodes) for nodes in fleet.nodes_by_zone().values())
+    """How the endpoints of a fleet are spread."""
+    services = sorted((len(endpoints), name) for name, endpoints in fleet.endpoints_by_service().items())
+    zones = sorted(len(endpoints) for endpoints in fleet.endpoints_by_zone().values())
     largest = ", ".join(f"{name} {count:,}" for count, name in services[: -LARGEST_SHOWN - 1 : -1])
     return "\n".join(
         [
-            f"nodes: {len(fleet.nodes):,} in {len(services):,} services, {len(zones):,} zones, "
-            f"{len(fleet.nodes_by_rack()):,} racks and {len(fleet.regions):,} regions",
+            f"nodes: {len(fleet.endpoints):,} in {len(services):,} services, {len(zones):,} zones, "
+            f"{len(fleet.endpoints_by_rack()):,} racks and {len(fleet.regions):,} regions",
             f"largest services: {largest}; median {services[len(services) // 2][0]:,}",
             f"nodes of a zone: {zones[0]:,} to {zones[-1]:,}, median {zones[len(zones) // 2]:,}",
             f"conductors: {len(fleet.controllers):,}, for {fleet.settings.services_per_conductor} services",
--- a/oatcart/scale/agreement.py
+++ b/oatcart/scale/agreement.py
@@ -1,13 +1,13 @@
 """Do hollow controllers agree with real ones? The same list, changes and arrivals are played at both and
 compared.
 
-Compared are: bytes and messages exchanged with discovery and with the peers, which may differ by a tenth;
-the revisions held; the nodes known; and what stands at the proxies. Tables must name the same nodes, route
-by route, and the same nodes must be shut out. Weights follow from reports, which the two fold in at other
-moments; so nine tenths of a table's weight must lie on the same nodes, and they get some seconds to come to
-this.
+Compared are: bytes and messages exchanged with discovery and with the peers, which may differ by a tenth; the
+revisions held; the endpoints known; and what stands at the proxies. Tables must name the same endpoints,
+route by route, and the same endpoints must be shut out. Weights follow from reports, which the two fold in at
+other moments; so nine tenths of a table's weight must lie on the same endpoints, and they get some seconds to
+come to this.
 
-With more nodes than the channel to the proxies carries, each table gets a part of them; which part is a
+With more endpoints than the channel to the proxies carries, each table gets a part of them; which part is a
 draw that depends on the moment, so agreement in tables is to be asked for with fewer.
 
 Processor time is not equal and need not be: its ratio is measured, and a hollow controller's time is to be
@@ -25,10 +25,12 @@
 from oatcart.scale.trial import Reading, Trial, TrialSettings, make_changes, running
 
 DIFFERENCE_MOST = 0.1  # of bytes and messages, as a part of the real controller's
-COMMON_WEIGHT_LEAST = 0.9  # of a table's weight on the same nodes
-ORDERS_AFTER_WARM_S = 4.0  # from when a node restarted last is warm until the same orders stand
+COMMON_WEIGHT_LEAST = 0.9  # of a table's weight on the same endpoints
+ORDERS_AFTER_WARM_S = 4.0  # from when an endpoint restarted last is warm until the same orders stand
 LOOK_EVERY_S = 0.5  # at the orders that stand
-WITHDRAWN_WITHIN_S = 10.0  # from failing nodes until the module has withdrawn them: several sums must show it
+WITHDRAWN_WITHIN_S = (
+    10.0  # from failing endpoints until the module has withdrawn them: several sums must show it
+)
 
 
 class Compared(NamedTuple):
@@ -68,7 +70,7 @@
 
 
 def compare(settings: TrialSettings, failing: int = 1) -> Agreement:
-    """Plays one trial with as many hollow controllers as real ones, and so many failing nodes."""
+    """Plays one trial with as many hollow controllers as real ones, and so many failing endpoints."""
     if not settings.hollow == settings.real > 0:
         raise ValueError(f"{settings.hollow} hollow and {settings.real} real conductors cannot be paired")
     with running(settings) as trial:
@@ -80,18 +82,18 @@
         quiet_until = trial.read()
         make_changes([trial], settings.changes, settings.changes_per_s)
         trial.wait_for_changes()
-        fail_nodes(trial, failing)
+        fail_endpoints(trial, failing)
         orders = settled_orders(trial)
         figures = [*compare_traffic(trial, trial.read()), *orders]
         return Agreement(figures, core_ratio(quiet_from, quiet_until))
 
 
-def fail_nodes(trial: Trial, failing: int) -> None:
-    """Lets some nodes fail every request, until some node is shut out at every real controller's proxies."""
+def fail_endpoints(trial: Trial, failing: int) -> None:
+    """Lets some endpoints fail every request, until every real controller's proxies have ejected one."""
     if failing:
-        nodes = [node.id for node in trial.plan.nodes[:failing]]
-        trial.hollows.fail(nodes)
-        trial.peers.fail(nodes)
+        endpoints = [endpoint.id for endpoint in trial.plan.endpoints[:failing]]
+        trial.hollows.fail(endpoints)
+        trial.peers.fail(endpoints)
         until = time.monotonic() + WITHDRAWN_WITHIN_S
         while not all(map(shut_out, trial.peers.orders())) and time.monotonic() < until:
             time.sleep(LOOK_EVERY_S)
@@ -140,7 +142,8 @@
 def settled_orders(trial: Trial) -> list[Compared]:
     """The orders compared once they agree, or as they stand after the time that they are given.
 
-    A node that was restarted gets its lines back as it warms up, at each controller in a round of its own.
+    An endpoint that was restarted gets its lines back as it warms up, at each controller in a round of its
+    own.
     """
     until = time.monotonic() + trial.settings.warm_after_s + ORDERS_AFTER_WARM_S
     while True:
@@ -153,18 +156,23 @@
 def compare_orders(trial: Trial) -> Iterator[Compared]:
     """What stands at the proxies of each pair of controllers, summed up over all pairs.
 
-    Which nodes a real controller knows cannot be read from outside: those that its orders name can.
+    Which endpoints a real controller knows cannot be read from outside: those that its orders name can.
     """
     pairs = list(zip(trial.hollows.orders(), trial.peers.orders(), strict=True))
-    ordered = [named_nodes(one) for one, _ in pairs]
-    yield same("nodes ordered", sum(map(len, ordered)), sum(len(named_nodes(other)) for _, other in pairs))
+    ordered = [named_endpoints(one) for one, _ in pairs]
+    yield same(
+        "nodes ordered", sum(map(len, ordered)), sum(len(named_endpoints(other)) for _, other in pairs)
+    )
     yield none(
         "nodes ordered by one of a pair only",
-        sum(len(nodes ^ named_nodes(other)) for nodes, (_, other) in zip(ordered, pairs, strict=True)),
+        sum(
+            len(endpoints ^ named_endpoints(other))
+            for endpoints, (_, other) in zip(ordered, pairs, strict=True)
+        ),
     )
     yield none(
         "nodes ordered that a hollow one does not know",
-        sum(len(named_nodes(other) - set(one.known)) for one, other in pairs),
+        sum(len(named_endpoints(other) - set(one.known)) for one, other in pairs),
     )
     yield none(
         "lines of tables at one of a pair only",
@@ -200,28 +208,28 @@
     return Compared(name, differing, 0, differing == 0)
 
 
-def named_nodes(held: HeldTables) -> set[str]:
-    """All nodes that some table of a controller's proxies names."""
-    return {node for _, _, node in table_lines(held)}
+def named_endpoints(held: HeldTables) -> set[str]:
+    """All endpoints that some table of a controller's proxies names."""
+    return {endpoint for _, _, endpoint in table_lines(held)}
 
 
 def table_lines(held: HeldTables) -> set[tuple[str, str, str]]:
-    """Proxy, route and node of each line with a weight."""
+    """Proxy, route and endpoint of each line with a weight."""
     return {
-        (proxy, route, node)
+        (proxy, route, endpoint)
         for proxy, one in held.tables.items()
         for route, table in one["weights"].items()
-        for node in table
+        for endpoint in table
     }
 
 
 def shut_out(held: HeldTables) -> set[tuple[str, str]]:
-    """Proxy and node of each withdrawal that stands."""
-    return {(proxy, node) for proxy, one in held.tables.items() for node in one["shut_out"]}
+    """Proxy and endpoint of each withdrawal that stands."""
+    return {(proxy, endpoint) for proxy, one in held.tables.items() for endpoint in one["shut_out"]}
 
 
 def common_weight(one: Mapping[str, float], other: Mapping[str, float]) -> float:
-    """The part of two tables' weight that lies on the same nodes, from 0 to 1.
+    """The part of two tables' weight that lies on the same endpoints, from 0 to 1.
 
     >>> common_weight({"a": 1.0, "b": 1.0}, {"a": 3.0, "b": 1.0})
     0.75
@@ -229,4 +237,6 @@
     whole, other_whole = sum(one.values()), sum(other.values())
     if not whole or not other_whole:
         return float(whole == other_whole)
-    return sum(min(weight / whole, other.get(node, 0.0) / other_whole) for node, weight in one.items())
+    return sum(
+        min(weight / whole, other.get(endpoint, 0.0) / other_whole) for endpoint, weight in one.items()
+    )
--- a/oatcart/scale/children.py
+++ b/oatcart/scale/children.py
@@ -21,7 +21,7 @@
 
 import orjson
 
-ANSWER_WITHIN_S = 60.0  # for one command; the longest sets up thousands of nodes
+ANSWER_WITHIN_S = 60.0  # for one command; the longest sets up thousands of endpoints
 END_WITHIN_S = 3.0  # from SIGTERM to SIGKILL
 SHOWN_OF_ERRORS = 2000  # letters of a child's standard error in an error message
 MEGABYTE = 1e6
--- a/oatcart/scale/configuration.py
+++ b/oatcart/scale/configuration.py
@@ -1,7 +1,7 @@
 """What `deploy/scale.yaml` holds: the planned fleet, its day, the budgets and the measured sizes.
 
 Fields have the names of the file's keys; `configuration_file.py` reads them. Times are in seconds, memory in
-bytes, traffic in bytes/s. A node of the file is an endpoint, a controller a controller.
+bytes, traffic in bytes/s. An endpoint of the file is an endpoint, a controller a controller.
 """
 
 import math
@@ -38,12 +38,12 @@
     services_per_conductor: int = 6
     proxies_per_conductor: int = 8
 
-    def with_nodes(self, nodes: int) -> "FleetSettings":
+    def with_endpoints(self, nodes: int) -> "FleetSettings":
         """This fleet with so many endpoints; the rest stays, except what so few endpoints do not allow.
 
         Raises ValueError for fewer than two endpoints.
         """
-        _check_nodes(nodes)
+        _check_endpoints(nodes)
         services = min(self.services, nodes // MIN_ENDPOINTS_PER_SERVICE)
         zones = min(self.zones, nodes)
         return replace(
@@ -61,7 +61,7 @@
         Counts are rounded and stay possible: every service has two endpoints and every zone one, and there
         are no fewer zones than regions. Raises ValueError for fewer than two endpoints.
         """
-        _check_nodes(nodes)
+        _check_endpoints(nodes)
         ratio = nodes / self.nodes
         services = _scaled(self.services, ratio, nodes // MIN_ENDPOINTS_PER_SERVICE)
         zones = _scaled(self.zones, math.sqrt(ratio), min(nodes, self.zones))
@@ -186,7 +186,7 @@
     quick: RunSettings = field(default_factory=quick_run_settings)
 
 
-def _check_nodes(nodes: int) -> None:
+def _check_endpoints(nodes: int) -> None:
     if nodes < MIN_ENDPOINTS_PER_SERVICE:
         raise ValueError(f"{nodes} nodes are fewer than the {MIN_ENDPOINTS_PER_SERVICE} of one service")
 
--- a/oatcart/scale/controller_settings.py
+++ b/oatcart/scale/controller_settings.py
@@ -10,13 +10,13 @@
 from collections.abc import Collection, Mapping
 from random import Random
 
-from oatcart.scale.fleet import PlannedNode
+from oatcart.scale.fleet import PlannedEndpoint
 
 ROUTES_MOST = 16  # request classes of a controller: they are bits of one number, by the protocol's messages
 SERVING, DRAINING = "SERVING", "DRAINING"
 MACHINE_FLAVOR = "m2"
 MILLISECONDS = 1000.0
-WARM_AFTER_S = 10.0  # that a node needs after its start until it can be loaded fully
+WARM_AFTER_S = 10.0  # that an endpoint needs after its start until it can be loaded fully
 
 
 def route_names(routes: int) -> tuple[str, ...]:
@@ -30,7 +30,7 @@
     """The settings of a controller with so many request classes, proxies and tenants.
 
     Every second request class keeps to its proxy's zone, so that there is more than one table. Probes are
-    off: hollow nodes do not listen. Raises ValueError for more routes than a controller can have.
+    off: hollow endpoints do not listen. Raises ValueError for more routes than a controller can have.
     """
     if not 1 <= routes <= ROUTES_MOST:
         raise ValueError(f"{routes} routes are not 1 to {ROUTES_MOST}, the request classes of one conductor")
@@ -73,45 +73,45 @@
     ]
 
 
-def list_entry(node: PlannedNode, phase: str = SERVING, up_since_ms: int = 0) -> dict:
-    """A node's entry at discovery; `service` and `region` are extra fields that controllers ignore."""
+def list_entry(endpoint: PlannedEndpoint, phase: str = SERVING, up_since_ms: int = 0) -> dict:
+    """An endpoint's entry at discovery; `service` and `region` are extra fields that controllers ignore."""
     return {
-        "id": node.id,
-        "host_port": node.address,
-        "locality": node.zone,
+        "id": endpoint.id,
+        "host_port": endpoint.address,
+        "locality": endpoint.zone,
         "flavor": MACHINE_FLAVOR,
         "cell": 0,
         "phase": phase,
-        "size": float(node.size),
+        "size": float(endpoint.size),
         "up_since_ms": up_since_ms,
-        "service": node.service,
-        "region": node.region,
+        "service": endpoint.service,
+        "region": endpoint.region,
     }
 
 
-class NodeChanges:
-    """A sequence of changes of the list, one node each: a node drains; the next change restarts it, cold."""
+class EndpointChanges:
+    """Changes of the list, one endpoint each: an endpoint drains, and the next change restarts it."""
 
-    def __init__(self, nodes: Collection[PlannedNode], seed: int) -> None:
-        self._nodes, self._random = list(nodes), Random(seed)
-        self._draining: PlannedNode | None = None
+    def __init__(self, endpoints: Collection[PlannedEndpoint], seed: int) -> None:
+        self._endpoints, self._random = list(endpoints), Random(seed)
+        self._draining: PlannedEndpoint | None = None
 
     def next_entry(self, unix_s: float) -> dict:
         """The changed entry of the next change, made at a Unix time in seconds."""
         if self._draining is None:
-            self._draining = self._random.choice(self._nodes)
+            self._draining = self._random.choice(self._endpoints)
             return list_entry(self._draining, DRAINING)
         restarted, self._draining = self._draining, None
         return list_entry(restarted, SERVING, round(unix_s * MILLISECONDS))
 
 
-def nodes_of_lists(
-    nodes: Collection[PlannedNode], by_service: bool, whole: str
-) -> Mapping[str, list[PlannedNode]]:
-    """The nodes of each list: one that is named `whole`, or one for each service."""
+def endpoints_of_lists(
+    endpoints: Collection[PlannedEndpoint], by_service: bool, whole: str
+) -> Mapping[str, list[PlannedEndpoint]]:
+    """The endpoints of each list: one that is named `whole`, or one for each service."""
     if not by_service:
-        return {whole: list(nodes)}
-    lists: dict[str, list[PlannedNode]] = {}
-    for node in nodes:
-        lists.setdefault(node.service, []).append(node)
+        return {whole: list(endpoints)}
+    lists: dict[str, list[PlannedEndpoint]] = {}
+    for endpoint in endpoints:
+        lists.setdefault(endpoint.service, []).append(endpoint)
     return lists
--- a/oatcart/scale/day.py
+++ b/oatcart/scale/day.py
@@ -1,6 +1,6 @@
-"""The ordinary day of a fleet, played on one machine: every event becomes a change of the list of nodes.
+"""The ordinary day of a fleet, played on one machine: every event becomes a change of the list of endpoints.
 
-What is scaled: the fleet and the counts of events, to so many nodes; the controllers, to what the machine
+What is scaled: the fleet and the counts of events, to so many endpoints; the controllers, to what the machine
 bears; and the gaps between events, which are compressed. Not scaled are the delays of changes, which are
 measured in real time against the budget, and what `day_schedule.py` keeps long. A rack or a zone is lost as
 one revision of the list. What a cut between regions means here tells `day_trial.py`; which controllers a
@@ -33,7 +33,7 @@
 LEAST_CUT_S = 5.0  # of a cut between regions, in real time
 KEPT_MOST_S = (
     2 * FORGET_AFTER_S + 2.0
-)  # that a controller keeps a gone node, and as long as it takes to be told
+)  # that a controller keeps a gone endpoint, and as long as it takes to be told
 KNOWN_WITHIN_S = 10.0  # after the last change, until controllers know exactly their views
 Progress = Callable[[str], None]
 
@@ -76,10 +76,11 @@
 class EndState(NamedTuple):
     """How controllers stand at the end of the day, of `conductors` in all.
 
-    `told`: were told exactly the list they ought to have. `known`: of `hollow` ones those that know all nodes
-    of it and no others but such as have left it lately, of which there are `kept` in all: a controller keeps
-    the number of a gone node for up to a minute. `tables`: controllers whose proxies hold nodes of the list
-    alone. `unusable`: services of controllers with ready nodes in too few zones.
+    `told`: were told exactly the list they ought to have. `known`: of `hollow` ones those that know all
+    endpoints of it and no others but such as have left it lately, of which there are `kept` in all: a
+    controller keeps the number of a gone endpoint for up to a minute. `tables`: controllers whose proxies
+    hold endpoints of the list alone. `unusable`: services of controllers with ready endpoints in too few
+    zones.
     """
 
     conductors: int
@@ -200,10 +201,10 @@
     player.wait_settled(trial.names)
     until = time.monotonic() + KNOWN_WITHIN_S
     while True:
-        held, left = trial.held_tables(), nodes_left_since(trial, time.monotonic() - KEPT_MOST_S)
+        held, left = trial.held_tables(), endpoints_left_since(trial, time.monotonic() - KEPT_MOST_S)
         views = {name: trial.expected.view(name) for name in trial.names}
         known = [name for name in trial.hollow_names if is_known(held[name], views[name], left[name])]
-        tables = [name for name in trial.names if table_nodes(held[name]) <= views[name]]
+        tables = [name for name in trial.names if table_endpoints(held[name]) <= views[name]]
         if (known, tables) == (trial.hollow_names, trial.names) or time.monotonic() > until:
             break
         time.sleep(LOOK_EVERY_S)
@@ -223,26 +224,26 @@
     )
 
 
-def nodes_left_since(trial: DayTrial, since: float) -> dict[str, set[str]]:
-    """By controller the nodes that it was told have left its list, since a moment."""
+def endpoints_left_since(trial: DayTrial, since: float) -> dict[str, set[str]]:
+    """By controller the endpoints that it was told have left its list, since a moment."""
     return {
-        name: {word.node for word in words if word.state is None and word.at >= since}
+        name: {word.endpoint for word in words if word.state is None and word.at >= since}
         for name, words in trial.relay.words().items()
     }
 
 
 def is_known(held: HeldTables, view: frozenset[str], left: set[str]) -> bool:
-    """Whether a hollow controller knows all nodes of its view and no others but those that left it lately."""
+    """Whether a hollow controller knows its whole view, and no other endpoints but those that left lately."""
     return view <= set(held.known) <= view | left
 
 
-def table_nodes(held: HeldTables) -> set[str]:
-    """The nodes that a controller's proxies may send to."""
+def table_endpoints(held: HeldTables) -> set[str]:
+    """The endpoints that a controller's proxies may send to."""
     return {
-        node
+        endpoint
         for table in held.tables.values()
         for weights in table["weights"].values()
-        for node, weight in weights.items()
+        for endpoint, weight in weights.items()
         if weight > 0
     }
 
@@ -362,7 +363,7 @@
 def fleet_counts(plan: FleetPlan) -> dict[str, int]:
     """The counts of the fleet as played."""
     return {
-        "nodes": len(plan.nodes),
+        "nodes": len(plan.endpoints),
         "services": len(plan.services),
         "zones": len(plan.zone_regions),
         "regions": len(plan.regions),
--- a/oatcart/scale/day_deliveries.py
+++ b/oatcart/scale/day_deliveries.py
@@ -1,9 +1,10 @@
 """Which controllers had which change when: the changes of a day held against the words that controllers were
 told.
 
-A change concerns the controllers that held the node when it was made; a node that is back concerns those
-whose view ought to have it then. A controller has the change once it has the state that it set, a newer one,
-or word that the node has left its list. Times are real; the day compresses only the gaps between changes.
+A change concerns the controllers that held the endpoint when it was made; an endpoint that is back concerns
+those whose view ought to have it then. A controller has the change once it has the state that it set, a newer
+one, or word that the endpoint has left its list. Times are real; the day compresses only the gaps between
+changes.
 """
 
 from bisect import bisect_right
@@ -31,12 +32,12 @@
 
 @dataclass
 class Deliveries:
-    """What became of the changes of one kind, in pairs of a node changed and a controller concerned.
+    """What became of the changes of one kind, in pairs of an endpoint changed and a controller concerned.
 
-    `delays` are seconds until a controller had the change, `last_delays` of each changed node until the last
-    one had it. `late` pairs came after the budget, `missed` ones never; of `overtaken` ones a later change
-    took the node from the view before it was told, within the budget; `cut_off` ones were made while the
-    controller was cut off. `unheld` nodes concerned nobody.
+    `delays` are seconds until a controller had the change, `last_delays` of each changed endpoint until the
+    last one had it. `late` pairs came after the budget, `missed` ones never; of `overtaken` ones a later
+    change took the endpoint from the view before it was told, within the budget; `cut_off` ones were made
+    while the controller was cut off. `unheld` endpoints concerned nobody.
     """
 
     events: int = 0
@@ -53,9 +54,9 @@
 
 @dataclass
 class Drains:
-    """Drained nodes that were deleted, in pairs with the controllers that held them.
+    """Drained endpoints that were deleted, in pairs with the controllers that held them.
 
-    A pair is `reached` where the controller had the drain, or had the node no more, before the deletion.
+    A pair is `reached` where the controller had the drain, or had the endpoint no more, before the deletion.
     """
 
     nodes: int = 0
@@ -65,7 +66,7 @@
 
 
 class History:
-    """The states of all nodes and what each controller was told of them, by node."""
+    """The states of all endpoints and what each controller was told of them, by endpoint."""
 
     def __init__(
         self, first: Iterable[dict], changes: Sequence[Change], words: Mapping[str, Sequence[Word]]
@@ -78,27 +79,27 @@
                     self._change_of[entry["id"], entry_state(entry)] = number
         self.words: dict[str, dict[str, list[Word]]] = {}
         for name, told in words.items():
-            by_node = self.words.setdefault(name, {})
+            by_endpoint = self.words.setdefault(name, {})
             for word in told:
-                by_node.setdefault(word.node, []).append(word)
+                by_endpoint.setdefault(word.endpoint, []).append(word)
 
     def change_told(self, word: Word) -> int:
         """The number of the change that set the state told; -1 for the state before the day."""
-        return self._change_of[word.node, word.state]
+        return self._change_of[word.endpoint, word.state]
 
-    def last_word(self, name: str, node: str, at: float) -> Word | None:
-        """What a controller was told last of a node by a moment; None where it did not hold the node then."""
-        words = self.words[name].get(node, [])
+    def last_word(self, name: str, endpoint: str, at: float) -> Word | None:
+        """The last state of an endpoint that a controller was sent by a moment; None where it held none."""
+        words = self.words[name].get(endpoint, [])
         place = bisect_right(words, at, key=lambda word: word.at)
         return words[place - 1] if place and words[place - 1].state else None
 
-    def had_at(self, name: str, node: str, number: int) -> float | None:
-        """When a controller had a change of a node; None where it never had."""
+    def had_at(self, name: str, endpoint: str, number: int) -> float | None:
+        """When a controller had a change of an endpoint; None where it never had."""
         made_at = self.changes[number].at
         return next(
             (
                 word.at
-                for word in self.words[name].get(node, [])
+                for word in self.words[name].get(endpoint, [])
                 if word.at > made_at and (word.state is None or self.change_told(word) >= number)
             ),
             None,
@@ -126,38 +127,38 @@
     cuts: Collection[Cut],
     budget_s: float,
     number: int,
-    node: str,
+    endpoint: str,
 ) -> None:
     change = history.changes[number]
     delays = []
-    concerned = list(_concerned(history, expected, number, node))
+    concerned = list(_concerned(history, expected, number, endpoint))
     kind.unheld += not concerned
     for name in concerned:
         kind.pairs += 1
-        had_at = history.had_at(name, node, number)
+        had_at = history.had_at(name, endpoint, number)
         if any(cut.hides(name, change.at, change.at if had_at is None else had_at) for cut in cuts):
             kind.cut_off += 1
-        elif _is_overtaken(history, expected, budget_s, number, name, node, had_at):
+        elif _is_overtaken(history, expected, budget_s, number, name, endpoint, had_at):
             kind.overtaken += 1
         elif had_at is None:
-            kind.missed.append(f"{change.kind.value}: {node}: {name}")
+            kind.missed.append(f"{change.kind.value}: {endpoint}: {name}")
         else:
             delays.append(had_at - change.at)
             if delays[-1] > budget_s:
-                kind.late.append(f"{change.kind.value}: {node}: {name}: {delays[-1]:.2f} s")
+                kind.late.append(f"{change.kind.value}: {endpoint}: {name}: {delays[-1]:.2f} s")
     kind.delays += delays
     if delays:
         kind.last_delays.append(max(delays))
 
 
-def _concerned(history: History, expected: ExpectedViews, number: int, node: str) -> Iterator[str]:
-    """The controllers that a change of a node concerns."""
+def _concerned(history: History, expected: ExpectedViews, number: int, endpoint: str) -> Iterator[str]:
+    """The controllers that a change of an endpoint concerns."""
     change = history.changes[number]
     if change.kind is Kind.RETURN:
-        yield from expected.returned[number, node]
+        yield from expected.returned[number, endpoint]
         return
     for name in history.words:
-        if history.last_word(name, node, change.at):
+        if history.last_word(name, endpoint, change.at):
             yield name
 
 
@@ -167,13 +168,13 @@
     budget_s: float,
     number: int,
     name: str,
-    node: str,
+    endpoint: str,
     had_at: float | None,
 ) -> bool:
-    """Whether a node that came back left the view again before it was told, and before it had to be."""
+    """Whether an endpoint that came back left the view again before it was told, and before it had to be."""
     if history.changes[number].kind is not Kind.RETURN:
         return False
-    dropped = expected.is_dropped_after(name, node, number)
+    dropped = expected.is_dropped_after(name, endpoint, number)
     if dropped is None:
         return False
     dropped_at = history.changes[dropped].at
@@ -182,9 +183,9 @@
 
 
 def drains(history: History, cuts: Collection[Cut]) -> Drains:
-    """Whether each drained node reached every controller that held it before it was deleted."""
+    """Whether each drained endpoint reached every controller that held it before it was deleted."""
     found = Drains()
-    drained: dict[str, int] = {}  # by node, the number of its last drain
+    drained: dict[str, int] = {}  # by endpoint, the number of its last drain
     for number, change in enumerate(history.changes):
         for entry in change.entries:
             if change.kind is Kind.DRAIN:
@@ -196,17 +197,17 @@
 
 
 def _check_drain(
-    found: Drains, history: History, cuts: Collection[Cut], node: str, drain: int, deletion: int
+    found: Drains, history: History, cuts: Collection[Cut], endpoint: str, drain: int, deletion: int
 ) -> None:
     drained_at, deleted_at = history.changes[drain].at, history.changes[deletion].at
     for name in history.words:
-        last = history.last_word(name, node, deleted_at)
+        last = history.last_word(name, endpoint, deleted_at)
         knows = last is None or history.change_told(last) >= drain
-        if last is None and not history.last_word(name, node, drained_at):
-            continue  # it did not hold the node
+        if last is None and not history.last_word(name, endpoint, drained_at):
+            continue  # it did not hold the endpoint
         if not knows and any(cut.hides(name, drained_at, deleted_at) for cut in cuts):
             found.cut_off += 1
         elif knows:
             found.reached += 1
         else:
-            found.missed.append(f"{name}: {node}")
+            found.missed.append(f"{name}: {endpoint}")
--- a/oatcart/scale/day_relay.py
+++ b/oatcart/scale/day_relay.py
@@ -1,7 +1,7 @@
 """The counting relay of a played day: it also notes the content of what each controller was told, and cuts
 controllers off.
 
-Unlike the relay of a trial it notes every node, and of every node the fields that a change of the day
+Unlike the relay of a trial it notes every endpoint, and of every endpoint the fields that a change of the day
 changes, so that each word to a controller can be matched to the one change that it tells of. A controller
 that is cut off has its connections reset, and every new one too, until it is joined again.
 
@@ -21,7 +21,7 @@
 
 
 class EntryState(NamedTuple):
-    """The fields of a node's entry that the day changes."""
+    """The fields of an endpoint's entry that the day changes."""
 
     phase: str
     address: str
@@ -30,10 +30,10 @@
 
 
 class Word(NamedTuple):
-    """At a moment (monotonic seconds) a controller had this state of a node; None: the node left its list."""
+    """At a moment (monotonic seconds) a controller had this state of an endpoint; None: it left the list."""
 
     at: float
-    node: str
+    endpoint: str
     state: EntryState | None
 
 
@@ -45,7 +45,7 @@
 
 
 class DayClient(RelayedClient):
-    """One controller and the states of the nodes in its list."""
+    """One controller and the states of the endpoints in its list."""
 
     def __init__(self, target_port: int) -> None:
         super().__init__(target_port)
@@ -53,7 +53,7 @@
         self.states: dict[str, EntryState] = {}
 
     def take(self, body: bytes, tracked: Collection[str]) -> list[tuple[str, EntryState | None]]:
-        """The nodes whose state is another than told before, and their states; every node counts as tracked.
+        """The endpoints whose state differs from the last one sent, with it; all endpoints count as tracked.
 
         An answer that is older than the last one, as two connections overtake each other, tells nothing; a
         controller takes it so too.
@@ -68,14 +68,14 @@
             return []
         self.revision = revision
         gone = self.states.keys() - states.keys() if complete else set()
-        gone |= {node for node, state in states.items() if state.phase == DELETED}
-        told = {node: state for node, state in states.items() if state.phase != DELETED}
-        news = [(node, state) for node, state in told.items() if self.states.get(node) != state]
+        gone |= {endpoint for endpoint, state in states.items() if state.phase == DELETED}
+        told = {endpoint: state for endpoint, state in states.items() if state.phase != DELETED}
+        news = [(endpoint, state) for endpoint, state in told.items() if self.states.get(endpoint) != state]
         self.states.update(told)
-        for node in gone:  # some may be told gone that were never told: they came and went meanwhile
-            self.states.pop(node, None)
+        for endpoint in gone:  # some may be told gone that were never told: they came and went meanwhile
+            self.states.pop(endpoint, None)
         self.members = set(self.states)
-        return [*news, *((node, None) for node in sorted(gone))]
+        return [*news, *((endpoint, None) for endpoint in sorted(gone))]
 
 
 class DayRelayService(RelayService):
@@ -143,7 +143,7 @@
         """The list that each controller was told."""
         answer = self.ask("views")
         views = {
-            name: {node: EntryState(*state) for node, state in states.items()}
+            name: {endpoint: EntryState(*state) for endpoint, state in states.items()}
             for name, states in answer["views"].items()
         }
         return ToldViews(views, answer["pending"])
@@ -152,7 +152,7 @@
         """All that each controller was told since its start, in order of time."""
         told = self.ask("held")["told"]
         return {
-            name: [Word(at, node, state and EntryState(*state)) for at, (node, state) in some]
+            name: [Word(at, endpoint, state and EntryState(*state)) for at, (endpoint, state) in some]
             for name, some in told.items()
         }
 
--- a/oatcart/scale/day_report.py
+++ b/oatcart/scale/day_report.py
@@ -70,7 +70,7 @@
 
 
 def _kinds_text(result: DayResult) -> str:
-    """Counts of each kind, then the times until the last controller had a node's change, over all nodes."""
+    """Counts of each kind, then the times until the last controller had an endpoint's change."""
     rows = [
         ["kind of change", "", "revisions", "nodes", "unheld", "pairs", "overtaken", "cut off", "missed"]
         + ["median s", "p99 s", "last s", "median of pairs s"]
--- a/oatcart/scale/day_schedule.py
+++ b/oatcart/scale/day_schedule.py
@@ -1,8 +1,8 @@
-"""From the events of a drawn day to the changes of the list of nodes that play them.
+"""From the events of a drawn day to the changes of the list of endpoints that play them.
 
-Only the gaps between events are compressed. Two spans are not: a drained node stays on the list for at
+Only the gaps between events are compressed. Two spans are not: a drained endpoint stays on the list for at
 least `least_drain_s` real seconds, and a cut between regions lasts at least `least_cut_s`. Where that moves
-an event of a node behind its next one, the later ones of that node are moved too.
+an event of an endpoint behind its next one, the later ones of that endpoint are moved too.
 """
 
 from collections.abc import Iterable, Mapping
@@ -24,11 +24,11 @@
     RegionsCut,
     RegionsRejoined,
 )
-from oatcart.scale.fleet import FleetPlan, PlannedNode
+from oatcart.scale.fleet import FleetPlan, PlannedEndpoint
 
-SIZE_STEP = 0.01  # by which a change of configuration makes a node's size larger
+SIZE_STEP = 0.01  # by which a change of configuration makes an endpoint's size larger
 ADDRESS_EVERY = (
-    2  # of so many changes of a node's configuration one is of its address, the others of its size
+    2  # of so many changes of an endpoint's configuration one is of its address, the others of its size
 )
 
 
@@ -82,12 +82,12 @@
 def _placed(
     events: Iterable[Event], least_drain_s: float, least_cut_s: float
 ) -> Iterable[tuple[float, Event]]:
-    last: dict[str, float] = {}  # by node or pair of regions, when its last event is played
+    last: dict[str, float] = {}  # by endpoint or pair of regions, when its last event is played
     moved: dict[str, float] = {}  # and how much later than drawn
     for event in events:
         at_s = event.at_s
         if not isinstance(event, ConfigurationChanged):
-            subject = getattr(event, "node", None) or f"{event.first} {event.second}"
+            subject = getattr(event, "endpoint", None) or f"{event.first} {event.second}"
             least = {NodeDeleted: least_drain_s, RegionsRejoined: least_cut_s}.get(type(event), 0.0)
             if isinstance(event, NodeDeleted | NodeReturned):
                 at_s += moved.get(subject, 0.0)
@@ -98,31 +98,31 @@
 
 
 @dataclass
-class NodeState:
-    """A node as the list has it; `configured` counts the changes of its configuration."""
+class EndpointState:
+    """An endpoint as the list has it; `configured` counts the changes of its configuration."""
 
-    node: PlannedNode
+    endpoint: PlannedEndpoint
     phase: str = SERVING
     up_since_ms: int = 0
     configured: int = 0
 
     def entry(self) -> dict:
-        """The entry; no two changes of a node have the same, so that each can be told apart."""
-        host, _, port = self.node.address.rpartition(":")
+        """The entry; no two changes of an endpoint have the same, so that each can be told apart."""
+        host, _, port = self.endpoint.address.rpartition(":")
         readdressed = self.configured // ADDRESS_EVERY
         resized = self.configured - readdressed
-        return list_entry(self.node, self.phase, self.up_since_ms) | {
+        return list_entry(self.endpoint, self.phase, self.up_since_ms) | {
             "host_port": f"{host}:{int(port) + readdressed}",
-            "size": round(self.node.size + SIZE_STEP * resized, 2),
+            "size": round(self.endpoint.size + SIZE_STEP * resized, 2),
         }
 
 
-class ListedNodes:
-    """All nodes of a fleet as the list has them, changed by events."""
+class ListedEndpoints:
+    """All endpoints of a fleet as the list has them, changed by events."""
 
     def __init__(self, plan: FleetPlan) -> None:
-        self.states = {node.id: NodeState(node) for node in plan.nodes}
-        self.by_service: Mapping[str, list[PlannedNode]] = plan.nodes_by_service()
+        self.states = {endpoint.id: EndpointState(endpoint) for endpoint in plan.endpoints}
+        self.by_service: Mapping[str, list[PlannedEndpoint]] = plan.endpoints_by_service()
         self.service_count = len(plan.services)
 
     def entries(self) -> list[dict]:
@@ -136,7 +136,7 @@
     def _change(self, event: Event, unix_s: float) -> list[dict]:
         if isinstance(event, ConfigurationChanged):
             return self._configure(event)
-        state = self.states[event.node]
+        state = self.states[event.endpoint]
         if isinstance(event, NodeDraining):
             state.phase = DRAINING
         elif isinstance(event, NodeReturned):
@@ -146,11 +146,15 @@
         return [state.entry()]
 
     def _configure(self, event: ConfigurationChanged) -> list[dict]:
-        """A change to a route is one to a node of its service; none where all nodes of it are away."""
-        nodes = [node for node in self.by_service[event.service] if self.states[node.id].phase != DELETED]
-        if not nodes:
+        """A change to a route is one to an endpoint of its service; none where all of them are away."""
+        endpoints = [
+            endpoint
+            for endpoint in self.by_service[event.service]
+            if self.states[endpoint.id].phase != DELETED
+        ]
+        if not endpoints:
             return []
-        state = self.states[nodes[event.route // self.service_count % len(nodes)].id]
+        state = self.states[endpoints[event.route // self.service_count % len(endpoints)].id]
         state.configured += 1
         return [state.entry()]
 
@@ -168,5 +172,5 @@
 
 
 def is_cut(event: Event) -> bool:
-    """Whether an event is of regions and not of nodes."""
+    """Whether an event is of regions and not of endpoints."""
     return isinstance(event, RegionsCut | RegionsRejoined)
--- a/oatcart/scale/day_trial.py
+++ b/oatcart/scale/day_trial.py
@@ -21,7 +21,7 @@
 
 from oatcart.scale.day_deliveries import Cut
 from oatcart.scale.day_relay import DayRelay
-from oatcart.scale.day_schedule import Change, ListedNodes, Step, is_cut, kind_of
+from oatcart.scale.day_schedule import Change, ListedEndpoints, Step, is_cut, kind_of
 from oatcart.scale.day_views import UNBOUNDED, ExpectedViews
 from oatcart.scale.discovery import ClientFigures
 from oatcart.scale.fault_plan import Event, RegionsCut
@@ -53,7 +53,7 @@
     """A cut between regions as it was played.
 
     `caught_up_s`: real seconds from the joining until the last controller had its view; None: never.
-    `bytes_received` by all controllers that were cut off until then. `moved`: nodes that came to or left
+    `bytes_received` by all controllers that were cut off until then. `moved`: endpoints that came to or left
     their views, `had_to_move`: those that the changes made meanwhile account for, `moved_needlessly` all
     others.
     """
@@ -71,7 +71,7 @@
 
 
 class CutBegun(NamedTuple):
-    """A cut that has not ended: by controller the nodes it was told of and ought to have had, its traffic."""
+    """A cut that has not ended: by controller the endpoints sent and expected, and its traffic."""
 
     cut: Cut
     region: str
@@ -88,7 +88,7 @@
         super().__init__(settings, plan, processes)
         self.relay.end()  # that of a trial, which notes less
         self.relay: DayRelay = processes.enter_context(DayRelay())
-        self.listed = ListedNodes(plan)
+        self.listed = ListedEndpoints(plan)
         self.first_entries = self.listed.entries()
         self.expected: ExpectedViews | None = None
         self.views_file: dict = {}
@@ -130,7 +130,7 @@
         return [name for name in names if told.views[name] == self.expected.states(name)]
 
     def held_tables(self) -> dict[str, HeldTables]:
-        """Of each controller what its proxies hold and, of a hollow one, which nodes it knows."""
+        """Of each controller what its proxies hold and, of a hollow one, which endpoints it knows."""
         hollow = self.hollows.orders() if self.hollows else []
         real = self.peers.orders() if self.peers else []
         return dict(zip(self.names, [*hollow, *real], strict=True))
@@ -262,11 +262,13 @@
         trial.relay.join(cut.controllers)
         caught_up_s = self.wait_settled(sorted(cut.controllers))
         told, traffic = trial.relay.views().views, trial.relay.clients()
-        moved = {(name, node) for name in cut.controllers for node in begun.told[name] ^ told[name].keys()}
+        moved = {
+            (name, endpoint) for name in cut.controllers for endpoint in begun.told[name] ^ told[name].keys()
+        }
         had_to_move = {
-            (name, node)
+            (name, endpoint)
             for name in cut.controllers
-            for node in begun.expected[name] ^ trial.expected.view(name)
+            for endpoint in begun.expected[name] ^ trial.expected.view(name)
         }
         received = [traffic[name].bytes_in - begun.traffic[name].bytes_in for name in cut.controllers]
         self.healings.append(
--- a/oatcart/scale/day_views.py
+++ b/oatcart/scale/day_views.py
@@ -17,14 +17,14 @@
 from oatcart.views.records import Controller, ViewLimits
 
 UNBOUNDED = ViewLimits(max_endpoints=10**9, max_bytes=10**9, max_entry_bytes=1)
-ZONES_LEAST = 2  # of each service in a view, where the service has nodes ready in as many
+ZONES_LEAST = 2  # of each service in a view, where the service has endpoints ready in as many
 
 
 class ViewAt(NamedTuple):
     """The view that a controller ought to have after a change, by the change's number."""
 
     change: int
-    nodes: frozenset[str]
+    endpoints: frozenset[str]
 
 
 class ExpectedViews:
@@ -38,7 +38,7 @@
         self.taken = 0  # changes
         self.returned: dict[
             tuple[int, str], frozenset[str]
-        ] = {}  # holders of nodes that changes brought back
+        ] = {}  # holders of endpoints that changes brought back
         self._fleet_views = FleetViews(limits, seed)
         self._fleet_views.put_controllers(viewers)
         self._set(entries)
@@ -51,30 +51,35 @@
             change = changes[number]
             self._set(change.entries)
             for name in self._fleet_views.pop_changed():
-                nodes = frozenset(self._fleet_views.view(name))
-                if nodes != self._history[name][-1].nodes:
-                    self._history[name].append(ViewAt(number, nodes))
+                endpoints = frozenset(self._fleet_views.view(name))
+                if endpoints != self._history[name][-1].endpoints:
+                    self._history[name].append(ViewAt(number, endpoints))
             if change.kind is Kind.RETURN:
                 for entry in change.entries:
                     self.returned[number, entry["id"]] = self._fleet_views.holders(entry["id"])
         self.taken = len(changes)
 
     def view(self, name: str) -> frozenset[str]:
-        """The nodes that a controller ought to hold now."""
-        return self._history[name][-1].nodes
+        """The endpoints that a controller ought to hold now."""
+        return self._history[name][-1].endpoints
 
     def states(self, name: str) -> dict[str, EntryState]:
         """The list that a controller ought to have been told."""
-        return {node: entry_state(self.entries[node]) for node in self.view(name)}
+        return {endpoint: entry_state(self.entries[endpoint]) for endpoint in self.view(name)}
 
-    def is_dropped_after(self, name: str, node: str, change: int) -> int | None:
-        """The number of the first later change by which a node left a controller's view; None: it did not."""
+    def is_dropped_after(self, name: str, endpoint: str, change: int) -> int | None:
+        """The number of the first later change by which an endpoint left a controller's view, or None."""
         return next(
-            (one.change for one in self._history[name] if one.change > change and node not in one.nodes), None
+            (
+                one.change
+                for one in self._history[name]
+                if one.change > change and endpoint not in one.endpoints
+            ),
+            None,
         )
 
     def unusable(self, name: str, held: Collection[str]) -> list[str]:
-        """The services for which a controller holds ready nodes in too few zones."""
+        """The services for which a controller holds ready endpoints in too few zones."""
         there, here = self._ready_zones(self.entries), self._ready_zones(held)
         needed = self.viewers[name].services or there.keys()
         return [
@@ -83,10 +88,10 @@
             if len(here.get(service, ())) < min(ZONES_LEAST, len(there.get(service, ())))
         ]
 
-    def _ready_zones(self, nodes: Iterable[str]) -> dict[str, set[tuple[str, str]]]:
+    def _ready_zones(self, endpoints: Iterable[str]) -> dict[str, set[tuple[str, str]]]:
         zones: dict[str, set[tuple[str, str]]] = {}
-        for node in nodes:
-            entry = self.entries.get(node)
+        for endpoint in endpoints:
+            entry = self.entries.get(endpoint)
             if entry and entry["phase"] == SERVING:
                 zones.setdefault(entry["service"], set()).add((entry["region"], entry["locality"]))
         return zones
--- a/oatcart/scale/discovery.py
+++ b/oatcart/scale/discovery.py
@@ -26,7 +26,7 @@
 
 LOOPBACK = "127.0.0.1"
 DELETED = "DELETED"
-MAIN_LIST = "all"  # the name of the list that holds every node
+MAIN_LIST = "all"  # the name of the list that holds every endpoint
 END_OF_HEAD = b"\r\n\r\n"
 BACKLOG = 128
 WAIT_MOST_S = 60.0  # of a watch, by the protocol
@@ -34,12 +34,12 @@
 NOT_FOUND = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
 
 
-class NodeList:
-    """One list of nodes with its revisions; every entry is encoded once, when it is set."""
+class EndpointList:
+    """One list of endpoints with its revisions; every entry is encoded once, when it is set."""
 
     def __init__(self) -> None:
         self.revision = 0
-        self._current: dict[str, bytes] = {}  # encoded entries of listed nodes, by id
+        self._current: dict[str, bytes] = {}  # encoded entries of listed endpoints, by id
         self._log_revisions: list[int] = []  # ascending, one for each entry of _log
         self._log: list[tuple[str, bytes]] = []  # every change since the start: id and encoded entry
         self._encoded: dict[
@@ -61,7 +61,7 @@
         return self.revision
 
     def whole(self) -> bytes:
-        """The answer with every listed node."""
+        """The answer with every listed endpoint."""
         if None not in self._encoded:
             self._encoded[None] = self._answer(True, self._current.values())
         return self._encoded[None]
@@ -72,7 +72,7 @@
             return self.whole()
         if since not in self._encoded:
             first = bisect_right(self._log_revisions, since)
-            changed = dict(self._log[first:])  # of several changes of a node the last one
+            changed = dict(self._log[first:])  # of several changes of an endpoint the last one
             self._encoded[since] = self._answer(False, changed.values())
         return self._encoded[since]
 
@@ -109,7 +109,7 @@
 
     def __init__(self, service: "DiscoveryService", account: ClientAccount) -> None:
         self.service, self.account = service, account
-        self.nodes = service.lists[account.list_name]
+        self.endpoints = service.lists[account.list_name]
         self.unread = b""
         self.since: int | None = None  # of the watch that waits here
         self.timer: asyncio.TimerHandle | None = None
@@ -139,12 +139,12 @@
             return
         query = parse_qs(url.query)
         if "since" not in query:
-            self._answer(self.nodes.whole())
+            self._answer(self.endpoints.whole())
             return
         since, wait_s = int(query["since"][0]), float(query.get("timeout_ms", ["0"])[0]) / 1000
         self.account.held.append(HeldRevision(time.monotonic(), since, self.account.bytes_sent))
-        if self.nodes.revision > since or wait_s <= 0:
-            self._answer(self.nodes.changes(since))
+        if self.endpoints.revision > since or wait_s <= 0:
+            self._answer(self.endpoints.changes(since))
             return
         self.since = since
         self.timer = self.service.loop.call_later(min(wait_s, WAIT_MOST_S), self.answer_watch)
@@ -154,7 +154,7 @@
         """Ends the wait of a watch: with what is newer, or with no entries when its time is over."""
         since = self.since
         self._end_wait()
-        self._answer(self.nodes.changes(since) if since else self.nodes.whole())
+        self._answer(self.endpoints.changes(since) if since else self.endpoints.whole())
 
     def _end_wait(self) -> None:
         self.service.waiting[self.account.list_name].pop(self, None)
@@ -177,7 +177,7 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.lists: dict[str, NodeList] = {}
+        self.lists: dict[str, EndpointList] = {}
         self.accounts: dict[str, ClientAccount] = {}
         self.connections: set[ClientConnection] = set()
         self.waiting: dict[str, dict[ClientConnection, None]] = {}  # watches by list, oldest first
@@ -189,9 +189,9 @@
 
     def change(self, entries: list[dict], list_name: str = MAIN_LIST) -> dict:
         """One new revision of a list, told to all its watchers."""
-        nodes = self.lists.setdefault(list_name, NodeList())
+        endpoints = self.lists.setdefault(list_name, EndpointList())
         waiting = self.waiting.setdefault(list_name, {})
-        revision = nodes.change(entries)
+        revision = endpoints.change(entries)
         for connection in list(waiting):
             connection.answer_watch()
         return {"revision": revision}
@@ -219,7 +219,7 @@
 
     def open(self, clients: list[str], list_name: str) -> dict:
         """A port for each client of one list."""
-        self.lists.setdefault(list_name, NodeList())
+        self.lists.setdefault(list_name, EndpointList())
         self.waiting.setdefault(list_name, {})
         return {"ports": {client: self._open(client, list_name) for client in clients}}
 
--- a/oatcart/scale/fault_plan.py
+++ b/oatcart/scale/fault_plan.py
@@ -1,8 +1,8 @@
 """One day of a fleet from one seed: failures, restarts, racks and zones lost, partitions, and changes.
 
 Events bear the time in seconds from the start of a run: the simulated day divided by `time_compression`. They
-are consistent: a node has at most one outage at a time, a node that is restarted is first DRAINING and then
-DELETED, and whatever was away returns cold at its `NodeReturned`.
+are consistent: an endpoint has at most one outage at a time, an endpoint that is restarted is first DRAINING
+and then DELETED, and whatever was away returns cold at its `NodeReturned`.
 """
 
 from bisect import bisect_right, insort
@@ -17,10 +17,10 @@
 from oatcart.scale.fleet import FleetPlan
 
 MOST_TIMES = 50
-"""Times drawn for an outage that overlaps no other, before another node is tried or it is given up."""
+"""Times drawn for an outage that overlaps no other, before another endpoint is tried or it is given up."""
 
-MOST_NODES = 200
-"""Nodes tried for one outage, before it is given up."""
+MOST_ENDPOINTS = 200
+"""Endpoints tried for one outage, before it is given up."""
 
 
 class FaultPlanError(ValueError):
@@ -28,7 +28,7 @@
 
 
 class Cause(Enum):
-    """Why a node went away."""
+    """Why an endpoint went away."""
 
     FAILURE = "failure"
     RESTART = "restart"
@@ -37,32 +37,32 @@
 
 
 class NodeLost(NamedTuple):
-    """A node is gone without a word: by itself, or with its rack or zone."""
+    """An endpoint is gone without a word: by itself, or with its rack or zone."""
 
     at_s: float
-    node: str
+    endpoint: str
     cause: Cause
 
 
 class NodeDraining(NamedTuple):
-    """A node is about to be restarted and takes no new requests."""
+    """An endpoint is about to be restarted and takes no new requests."""
 
     at_s: float
-    node: str
+    endpoint: str
 
 
 class NodeDeleted(NamedTuple):
-    """A drained node leaves the list of nodes."""
+    """A drained endpoint leaves the list of endpoints."""
 
     at_s: float
-    node: str
+    endpoint: str
 
 
 class NodeReturned(NamedTuple):
-    """A node is back, cold: its time of start is `at_s`."""
+    """An endpoint is back, cold: its time of start is `at_s`."""
 
     at_s: float
-    node: str
+    endpoint: str
     cause: Cause
 
 
@@ -125,31 +125,31 @@
 
 
 class _Interval(NamedTuple):
-    """A time that a node is draining or away, in seconds of the simulated day."""
+    """A time that an endpoint is draining or away, in seconds of the simulated day."""
 
     start: float
     end: float
 
 
 class _Outages:
-    """Draws outages, the largest first; each avoids those drawn before it on the same nodes."""
+    """Draws outages, the largest first; each avoids those drawn before it on the same endpoints."""
 
     def __init__(self, fleet: FleetPlan, settings: DaySettings, generator: numpy.random.Generator) -> None:
         self.fleet = fleet
         self.settings = settings
         self.generator = generator
-        self.node_ids = [node.id for node in fleet.nodes]
-        self.busy: dict[str, list[_Interval]] = {node: [] for node in self.node_ids}
+        self.endpoint_ids = [endpoint.id for endpoint in fleet.endpoints]
+        self.busy: dict[str, list[_Interval]] = {endpoint: [] for endpoint in self.endpoint_ids}
         self.events: list[Event] = []
 
     def draw(self) -> list[Event]:
-        """All events of nodes."""
+        """All events of endpoints."""
         settings = self.settings
-        self._lose_groups(self.fleet.nodes_by_zone(), settings.zone_losses, Cause.ZONE_LOSS)
-        self._lose_groups(self.fleet.nodes_by_rack(), settings.rack_losses, Cause.RACK_LOSS)
-        self._each_of_some_nodes(settings.failures, settings.failed_for, self._fail, "failures")
+        self._lose_groups(self.fleet.endpoints_by_zone(), settings.zone_losses, Cause.ZONE_LOSS)
+        self._lose_groups(self.fleet.endpoints_by_rack(), settings.rack_losses, Cause.RACK_LOSS)
+        self._each_of_some_endpoints(settings.failures, settings.failed_for, self._fail, "failures")
         away_for = settings.drain_for + settings.restart_for
-        self._each_of_some_nodes(settings.restarts, away_for, self._restart, "restarts")
+        self._each_of_some_endpoints(settings.restarts, away_for, self._restart, "restarts")
         return self.events
 
     def _lose_groups(self, groups: dict[str, list], count: int, cause: Cause) -> None:
@@ -157,63 +157,63 @@
             raise FaultPlanError(f"{count} times {cause.value}, of only {len(groups)}")
         names = list(groups)
         for chosen in self.generator.permutation(len(names))[:count].tolist():
-            nodes = [node.id for node in groups[names[chosen]]]
-            outage = self._free_time(nodes, self.settings.lost_for)
+            endpoints = [endpoint.id for endpoint in groups[names[chosen]]]
+            outage = self._free_time(endpoints, self.settings.lost_for)
             if outage is None:
                 raise FaultPlanError(f"{cause.value} of {names[chosen]} finds no time without another outage")
-            for node in nodes:
-                self._lose(node, outage, cause)
+            for endpoint in endpoints:
+                self._lose(endpoint, outage, cause)
 
-    def _each_of_some_nodes(
+    def _each_of_some_endpoints(
         self, count: int, away_for: float, take_out: Callable[[str, _Interval], None], title: str
     ) -> None:
-        """An outage for each of `count` nodes: different ones, as long as there are."""
-        for position in self._drawn_nodes(count):
-            outage, node = None, self.node_ids[position]
-            for _ in range(MOST_NODES):
-                outage = self._free_time([node], away_for)
+        """An outage for each of `count` endpoints: different ones, as long as there are."""
+        for position in self._drawn_endpoints(count):
+            outage, endpoint = None, self.endpoint_ids[position]
+            for _ in range(MOST_ENDPOINTS):
+                outage = self._free_time([endpoint], away_for)
                 if outage is not None:
                     break
-                node = self.node_ids[int(self.generator.integers(len(self.node_ids)))]
+                endpoint = self.endpoint_ids[int(self.generator.integers(len(self.endpoint_ids)))]
             if outage is None:
-                raise FaultPlanError(f"{count} {title} find no room on {len(self.node_ids)} nodes")
-            take_out(node, outage)
+                raise FaultPlanError(f"{count} {title} find no room on {len(self.endpoint_ids)} nodes")
+            take_out(endpoint, outage)
 
-    def _drawn_nodes(self, count: int) -> list[int]:
-        rounds = -(-count // len(self.node_ids))
-        drawn = [self.generator.permutation(len(self.node_ids)) for _ in range(rounds)]
+    def _drawn_endpoints(self, count: int) -> list[int]:
+        rounds = -(-count // len(self.endpoint_ids))
+        drawn = [self.generator.permutation(len(self.endpoint_ids)) for _ in range(rounds)]
         return numpy.concatenate(drawn).tolist()[:count] if drawn else []
 
-    def _free_time(self, nodes: Sequence[str], length: float) -> _Interval | None:
-        """A time in which none of the nodes is away, or None."""
+    def _free_time(self, endpoints: Sequence[str], length: float) -> _Interval | None:
+        """A time in which none of the endpoints is away, or None."""
         latest = DAY_S - length
         for _ in range(MOST_TIMES):
             start = float(self.generator.uniform(0.0, latest))
             interval = _Interval(start, start + length)
-            if all(self._is_free(node, interval) for node in nodes):
+            if all(self._is_free(endpoint, interval) for endpoint in endpoints):
                 return interval
         return None
 
-    def _is_free(self, node: str, interval: _Interval) -> bool:
-        busy = self.busy[node]
+    def _is_free(self, endpoint: str, interval: _Interval) -> bool:
+        busy = self.busy[endpoint]
         after = bisect_right(busy, interval)
         ends_before = after == 0 or busy[after - 1].end < interval.start
         starts_after = after == len(busy) or interval.end < busy[after].start
         return ends_before and starts_after
 
-    def _fail(self, node: str, outage: _Interval) -> None:
-        self._lose(node, outage, Cause.FAILURE)
+    def _fail(self, endpoint: str, outage: _Interval) -> None:
+        self._lose(endpoint, outage, Cause.FAILURE)
 
-    def _lose(self, node: str, outage: _Interval, cause: Cause) -> None:
-        insort(self.busy[node], outage)
-        self.events += [NodeLost(outage.start, node, cause), NodeReturned(outage.end, node, cause)]
+    def _lose(self, endpoint: str, outage: _Interval, cause: Cause) -> None:
+        insort(self.busy[endpoint], outage)
+        self.events += [NodeLost(outage.start, endpoint, cause), NodeReturned(outage.end, endpoint, cause)]
 
-    def _restart(self, node: str, outage: _Interval) -> None:
-        insort(self.busy[node], outage)
+    def _restart(self, endpoint: str, outage: _Interval) -> None:
+        insort(self.busy[endpoint], outage)
         self.events += [
-            NodeDraining(outage.start, node),
-            NodeDeleted(outage.start + self.settings.drain_for, node),
-            NodeReturned(outage.end, node, Cause.RESTART),
+            NodeDraining(outage.start, endpoint),
+            NodeDeleted(outage.start + self.settings.drain_for, endpoint),
+            NodeReturned(outage.end, endpoint, Cause.RESTART),
         ]
 
 
--- a/oatcart/scale/fleet.py
+++ b/oatcart/scale/fleet.py
@@ -1,13 +1,14 @@
-"""A fleet drawn from one seed: nodes over regions, zones, racks and services, and controllers by zone.
+"""A fleet drawn from one seed: endpoints over regions, zones, racks and services, and controllers by zone.
 
 How the operators' counts are read:
 
-* A few services hold thousands of nodes, most a handful: the service of rank ``r`` gets, beyond the two nodes
-  that every service has, a part of the nodes that falls as ``1 / r ** service_skew`` (Zipf's law).
+* A few services hold thousands of endpoints, most a handful: the service of rank ``r`` gets, beyond the two
+  endpoints that every service has, a part of the endpoints that falls as ``1 / r ** service_skew`` (Zipf's
+  law).
 * A small service lives in a few zones, a large one in many: one zone for every `NODES_PER_ZONE_OF_SERVICE`
-  nodes, never fewer than two where there are two.
+  endpoints, never fewer than two where there are two.
 * A controller orders for `proxies_per_conductor` proxies, which call `services_per_conductor` services: the
-  first is dealt in turn, so that every service is called by someone, the others by the nodes they hold.
+  first is dealt in turn, so that every service is called by someone, the others by the endpoints they hold.
 
 The same settings and seed give the same fleet. :meth:`FleetSettings.scaled_to` gives the settings of a
 smaller one of the same shape.
@@ -22,30 +23,30 @@
 
 from oatcart.scale.configuration import MIN_ENDPOINTS_PER_SERVICE, FleetSettings
 
-NODE_SIZES = (1, 2, 4)
+ENDPOINT_SIZES = (1, 2, 4)
 """Sizes that machines come in, as multiples of the smallest."""
 
-NODE_SIZE_SHARES = (0.6, 0.3, 0.1)
-"""The share of the nodes that has each of `NODE_SIZES`."""
+ENDPOINT_SIZE_SHARES = (0.6, 0.3, 0.1)
+"""The share of the endpoints that has each of `NODE_SIZES`."""
 
-NODES_PER_ZONE_OF_SERVICE = 12
-"""Nodes of a service in one zone, before it takes up another zone."""
+ENDPOINTS_PER_ZONE_OF_SERVICE = 12
+"""Endpoints of a service in one zone, before it takes up another zone."""
 
 ZONE_SKEW = 0.5
 """How unequal zones are: the zone of rank r is taken up in proportion to ``1 / r ** ZONE_SKEW``."""
 
 FIRST_ADDRESS = IPv4Address("10.0.0.1")
-"""The host of the first node; the others follow."""
+"""The host of the first endpoint; the others follow."""
 
-NODE_PORT = 8080
-"""The port of every node."""
+ENDPOINT_PORT = 8080
+"""The port of every endpoint."""
 
 Integers = NDArray[numpy.int64]
 Floats = NDArray[numpy.float64]
 
 
-class PlannedNode(NamedTuple):
-    """A node of the fleet; `address` is host and port, `size` a multiple of the smallest machine."""
+class PlannedEndpoint(NamedTuple):
+    """An endpoint of the fleet; `address` is host and port, `size` a multiple of the smallest machine."""
 
     id: str
     address: str
@@ -71,7 +72,7 @@
 
     settings: FleetSettings
     seed: int
-    nodes: tuple[PlannedNode, ...]
+    endpoints: tuple[PlannedEndpoint, ...]
     controllers: tuple[PlannedController, ...]
     zone_regions: dict[str, str]
 
@@ -82,31 +83,31 @@
 
     @property
     def services(self) -> tuple[str, ...]:
-        """All services, the one with the most nodes first."""
+        """All services, the one with the most endpoints first."""
         return tuple(_service_name(number) for number in range(self.settings.services))
 
-    def nodes_by_service(self) -> dict[str, list[PlannedNode]]:
-        """The nodes of each service."""
-        return _grouped(self.nodes, "service")
+    def endpoints_by_service(self) -> dict[str, list[PlannedEndpoint]]:
+        """The endpoints of each service."""
+        return _grouped(self.endpoints, "service")
 
-    def nodes_by_zone(self) -> dict[str, list[PlannedNode]]:
-        """The nodes of each zone."""
-        return _grouped(self.nodes, "zone")
+    def endpoints_by_zone(self) -> dict[str, list[PlannedEndpoint]]:
+        """The endpoints of each zone."""
+        return _grouped(self.endpoints, "zone")
 
-    def nodes_by_rack(self) -> dict[str, list[PlannedNode]]:
-        """The nodes of each rack."""
-        return _grouped(self.nodes, "rack")
+    def endpoints_by_rack(self) -> dict[str, list[PlannedEndpoint]]:
+        """The endpoints of each rack."""
+        return _grouped(self.endpoints, "rack")
 
 
 def plan_fleet(settings: FleetSettings, seed: int) -> FleetPlan:
     """Draws the fleet. The settings are taken as checked by :func:`oatcart.scale.configuration_file.read`."""
-    node_stream, controller_stream = numpy.random.SeedSequence(seed).spawn(2)
+    endpoint_stream, controller_stream = numpy.random.SeedSequence(seed).spawn(2)
     zone_regions = _zone_regions(settings)
-    nodes = _draw_nodes(settings, zone_regions, numpy.random.default_rng(node_stream))
+    endpoints = _draw_endpoints(settings, zone_regions, numpy.random.default_rng(endpoint_stream))
     controllers = _draw_controllers(
-        settings, nodes, zone_regions, numpy.random.default_rng(controller_stream)
+        settings, endpoints, zone_regions, numpy.random.default_rng(controller_stream)
     )
-    return FleetPlan(settings, seed, nodes, controllers, zone_regions)
+    return FleetPlan(settings, seed, endpoints, controllers, zone_regions)
 
 
 def apportion(total: int, weights: Floats) -> Integers:
@@ -123,7 +124,7 @@
 
 
 def service_sizes(settings: FleetSettings) -> Integers:
-    """The nodes of each service, the largest service first."""
+    """The endpoints of each service, the largest service first."""
     ranks = numpy.arange(1, settings.services + 1, dtype=float)
     spare = settings.nodes - MIN_ENDPOINTS_PER_SERVICE * settings.services
     return MIN_ENDPOINTS_PER_SERVICE + apportion(spare, ranks**-settings.service_skew)
@@ -149,20 +150,20 @@
     return ranks**-ZONE_SKEW
 
 
-def _draw_nodes(
+def _draw_endpoints(
     settings: FleetSettings, zone_regions: dict[str, str], generator: numpy.random.Generator
-) -> tuple[PlannedNode, ...]:
+) -> tuple[PlannedEndpoint, ...]:
     zone_weights = _zone_weights(settings, generator)
     services, zones = _places(service_sizes(settings), zone_weights, generator)
     order = generator.permutation(settings.nodes)
     services, zones = services[order], zones[order]
     _fill_empty_zones(services, zones, settings)
-    sizes = generator.choice(NODE_SIZES, settings.nodes, p=NODE_SIZE_SHARES)
+    sizes = generator.choice(ENDPOINT_SIZES, settings.nodes, p=ENDPOINT_SIZE_SHARES)
     in_zone = _positions_within(zones)
     return tuple(
-        PlannedNode(
+        PlannedEndpoint(
             id=f"node-{number:06}",
-            address=f"{FIRST_ADDRESS + number}:{NODE_PORT}",
+            address=f"{FIRST_ADDRESS + number}:{ENDPOINT_PORT}",
             region=zone_regions[_zone_name(zone)],
             zone=_zone_name(zone),
             rack=f"{_zone_name(zone)}-rack-{position // settings.nodes_per_rack:03}",
@@ -178,7 +179,7 @@
 def _places(
     counts: Integers, zone_weights: Floats, generator: numpy.random.Generator
 ) -> tuple[Integers, Integers]:
-    """The service and the zone of each node."""
+    """The service and the zone of each endpoint."""
     zone_parts = []
     for count in counts.tolist():
         chosen = _zones_of_service(count, zone_weights, generator)
@@ -189,13 +190,13 @@
 
 
 def _zones_of_service(count: int, zone_weights: Floats, generator: numpy.random.Generator) -> Integers:
-    wanted = max(2, -(-count // NODES_PER_ZONE_OF_SERVICE))
+    wanted = max(2, -(-count // ENDPOINTS_PER_ZONE_OF_SERVICE))
     zone_count = min(wanted, count, len(zone_weights))
     return generator.choice(len(zone_weights), zone_count, replace=False, p=zone_weights / zone_weights.sum())
 
 
 def _fill_empty_zones(services: Integers, zones: Integers, settings: FleetSettings) -> None:
-    """Moves a node into each zone that the draw left empty, from the fullest zone's largest service."""
+    """Moves an endpoint into each zone that the draw left empty, from the fullest zone's largest service."""
     for zone in numpy.setdiff1d(numpy.arange(settings.zones), zones).tolist():
         fullest = numpy.argmax(numpy.bincount(zones, minlength=settings.zones))
         there = numpy.flatnonzero(zones == fullest)
@@ -217,12 +218,12 @@
 
 def _draw_controllers(
     settings: FleetSettings,
-    nodes: tuple[PlannedNode, ...],
+    endpoints: tuple[PlannedEndpoint, ...],
     zone_regions: dict[str, str],
     generator: numpy.random.Generator,
 ) -> tuple[PlannedController, ...]:
     zone_names = list(zone_regions)
-    zones = _controller_zones(settings, nodes, zone_names, generator)
+    zones = _controller_zones(settings, endpoints, zone_names, generator)
     called = _called_services(settings, generator)
     return tuple(
         PlannedController(
@@ -237,14 +238,14 @@
 
 def _controller_zones(
     settings: FleetSettings,
-    nodes: tuple[PlannedNode, ...],
+    endpoints: tuple[PlannedEndpoint, ...],
     zone_names: list[str],
     generator: numpy.random.Generator,
 ) -> Integers:
-    """The zone of each controller: as many controllers in a zone as its nodes make up of the fleet."""
+    """The zone of each controller: as many controllers in a zone as its endpoints make up of the fleet."""
     counts = dict.fromkeys(zone_names, 0)
-    for node in nodes:
-        counts[node.zone] += 1
+    for endpoint in endpoints:
+        counts[endpoint.zone] += 1
     per_zone = apportion(settings.conductors, numpy.array(list(counts.values()), dtype=float))
     return generator.permutation(numpy.repeat(numpy.arange(len(zone_names)), per_zone))
 
@@ -266,8 +267,8 @@
     return called
 
 
-def _grouped(nodes: tuple[PlannedNode, ...], field: str) -> dict[str, list[PlannedNode]]:
-    groups: dict[str, list[PlannedNode]] = {}
-    for node in nodes:
-        groups.setdefault(getattr(node, field), []).append(node)
+def _grouped(endpoints: tuple[PlannedEndpoint, ...], field: str) -> dict[str, list[PlannedEndpoint]]:
+    groups: dict[str, list[PlannedEndpoint]] = {}
+    for endpoint in endpoints:
+        groups.setdefault(getattr(endpoint, field), []).append(endpoint)
     return groups
--- a/oatcart/scale/hollow.py
+++ b/oatcart/scale/hollow.py
@@ -208,7 +208,7 @@
             for message in messages:
                 try:
                     arrival = self.rounds.codec.decode_message(memoryview(message.line))
-                except InvalidMessageError:  # a node that is not listed
+                except InvalidMessageError:  # an endpoint that is not listed
                     continue
                 if isinstance(arrival, ProxyJoined):
                     self.rounds.join(
@@ -220,8 +220,8 @@
                     continue
                 self.rounds.add_event(arrival)
 
-    def known_nodes(self) -> list[str]:
-        """The ids of all nodes that have a number at this controller."""
+    def known_endpoints(self) -> list[str]:
+        """The ids of all endpoints that have a number at this controller."""
         return list(self.rounds.codec.endpoint_numbers)
 
 
@@ -232,7 +232,7 @@
     longest_s: float
     ready_after_s: float
     ready_core_s: float
-    known_nodes: int
+    known_endpoints: int
     revision: int
     peer_bytes_in: int
     peer_bytes_out: int
@@ -273,12 +273,12 @@
             self.loop.call_at(first, lambda controller=controller, one=one: self._join(controller, one))
         return {}
 
-    def fail(self, nodes: list[str]) -> dict:
-        """From now on these nodes fail every request of all controllers' proxies."""
-        self.failing = nodes
+    def fail(self, endpoints: list[str]) -> dict:
+        """From now on these endpoints fail every request of all controllers' proxies."""
+        self.failing = endpoints
         for controller in self.controllers:
             if controller.peers is not None:
-                controller.peers.fail(nodes)
+                controller.peers.fail(endpoints)
         return {}
 
     def figures(self) -> dict:
@@ -290,10 +290,10 @@
         return {"usage": own_usage(), "conductors": told, "failures": self.failures, "late_s": late_s}
 
     def orders(self) -> dict:
-        """Of every controller its known nodes and what its proxies hold."""
+        """Of every controller its known endpoints and what its proxies hold."""
         return {
             "conductors": [
-                {"known": controller.known_nodes(), "tables": held_tables(controller.peers)}
+                {"known": controller.known_endpoints(), "tables": held_tables(controller.peers)}
                 for controller in self.controllers
             ]
         }
@@ -364,7 +364,7 @@
 
 def peer_settings(told: Mapping) -> PeerSettings:
     """Peer settings as they came with a command, where tuples are lists."""
-    return PeerSettings(**{**told, "routes": tuple(told["routes"]), "nodes": tuple(told["nodes"])})
+    return PeerSettings(**{**told, "routes": tuple(told["routes"]), "endpoints": tuple(told["endpoints"])})
 
 
 def held_tables(peers: ControllerPeers | None) -> dict:
@@ -378,7 +378,7 @@
 
 
 class HeldTables(NamedTuple):
-    """What the proxies of one controller hold, by number as text, and the nodes that the controller knows."""
+    """What the proxies of one controller hold, by number as text, and the endpoints that it knows."""
 
     tables: dict[str, dict]
     known: list[str] | None
@@ -413,9 +413,9 @@
         """Lets the proxies of every controller join and report from then on."""
         self.ask("join", peers=[asdict(one) for one in peers], keep_orders=keep_orders)
 
-    def fail(self, nodes: list[str]) -> None:
-        """From now on these nodes, and no others, fail every request."""
-        self.ask("fail", nodes=nodes)
+    def fail(self, endpoints: list[str]) -> None:
+        """From now on these endpoints, and no others, fail every request."""
+        self.ask("fail", endpoints=endpoints)
 
     def figures(self) -> HollowReading:
         told = self.ask("figures")
--- a/oatcart/scale/peer_sockets.py
+++ b/oatcart/scale/peer_sockets.py
@@ -83,10 +83,10 @@
             self.lives.append(self.loop.create_task(self._live(one.live(TICK_S * place / len(ports)))))
         return {}
 
-    def fail(self, nodes: list[str]) -> dict:
-        """From now on these nodes fail every request of all controllers' proxies."""
+    def fail(self, endpoints: list[str]) -> dict:
+        """From now on these endpoints fail every request of all controllers' proxies."""
         for one in self.connections:
-            one.peers.fail(nodes)
+            one.peers.fail(endpoints)
         return {}
 
     def figures(self) -> dict:
@@ -118,9 +118,9 @@
         """Lets the proxies of the controllers at these ports join and report from then on."""
         self.ask("join", ports=ports, peers=[asdict(one) for one in peers], keep_orders=keep_orders)
 
-    def fail(self, nodes: list[str]) -> None:
-        """From now on these nodes, and no others, fail every request."""
-        self.ask("fail", nodes=nodes)
+    def fail(self, endpoints: list[str]) -> None:
+        """From now on these endpoints, and no others, fail every request."""
+        self.ask("fail", endpoints=endpoints)
 
     def figures(self) -> tuple[Usage, list[PeerTraffic]]:
         """The process's usage, and each controller's traffic with its peers."""
@@ -128,7 +128,7 @@
         return Usage(**told["usage"]), [PeerTraffic(*one) for one in told["conductors"]]
 
     def orders(self) -> list[HeldTables]:
-        """What the proxies of each controller hold; which nodes a real controller knows cannot be read."""
+        """What the proxies of each controller hold; what endpoints a real one knows cannot be read."""
         return [HeldTables(tables, None) for tables in self.ask("orders")["conductors"]]
 
 
--- a/oatcart/scale/peers.py
+++ b/oatcart/scale/peers.py
@@ -1,11 +1,11 @@
-"""Hollow proxies, collectors and nodes of one controller: what they would say, and what they were ordered.
+"""Hollow proxies, collectors and endpoints of one controller: what they send, and what they were sent.
 
 Nothing here owns a connection or a clock: `ControllerPeers` yields encoded lines of the protocol, tick by
 tick, and takes the bytes of orders. In-process hollow controllers and real ones over sockets are driven by
 the same object, so that both meet the same arrivals. What a tick brings is a function of seed and tick
 alone; acknowledgements depend on the orders that came.
 
-A node that fails answers nothing but errors in the sums of what proxies met; drains and restarts are
+An endpoint that fails answers nothing but errors in the sums of what proxies met; drains and restarts are
 changes of the list, made at discovery.
 """
 
@@ -20,11 +20,11 @@
 TICK_S = 0.25  # of the protocol's time between two bundles of reports
 REPORT_PERIOD_S = 1.0  # covered by one sum
 TICKS_OF_PERIOD = round(REPORT_PERIOD_S / TICK_S)
-SUMS_OF_NODES_PER_S = (
-    60  # at most; with more nodes each is met less often, as a few proxies' requests meet it
+SUMS_OF_ENDPOINTS_PER_S = (
+    60  # at most; with more endpoints each is met less often, as a few proxies' requests meet it
 )
 ANSWER_MS = 40.0, 160.0  # the range of mean durations: well under what makes the module lean away from a zone
-CONCURRENT_MOST = 8  # requests that a node reports to hold
+CONCURRENT_MOST = 8  # requests that an endpoint reports to hold
 ACKNOWLEDGED_AFTER_MS = 1000 * TICK_S
 MARK_KEY = b'"nonce_out":'
 
@@ -45,13 +45,13 @@
     proxies: int
     zone: str
     routes: tuple[str, ...]
-    nodes: tuple[str, ...]
+    endpoints: tuple[str, ...]
     requests_per_proxy: float = 15.0
 
 
 @dataclass
 class ProxyTables:
-    """What a proxy holds by its orders: weights by route and node, and the nodes it shuts out."""
+    """What a proxy holds by its orders: weights by route and endpoint, and the endpoints it shuts out."""
 
     weights: dict[str, dict[str, float]] = field(default_factory=dict)
     levels: dict[str, float] = field(default_factory=dict)
@@ -64,11 +64,11 @@
                 self.weights[route] = {}
                 self.levels.pop(route, None)
             table = self.weights.setdefault(route, {})
-            for node, weight in order.get("endpoints", ()):
+            for endpoint, weight in order.get("endpoints", ()):
                 if weight > 0:
-                    table[node] = weight
+                    table[endpoint] = weight
                 else:
-                    table.pop(node, None)
+                    table.pop(endpoint, None)
             if "admit" in order:
                 self.levels[route] = order["admit"]
         self.shut_out.update(order.get("eject", ()))
@@ -95,9 +95,9 @@
         self.failing: set[str] = set()
         self._unread = {number: bytearray() for number in self.tables}
         self._ticks = count()
-        self._nodes = sorted(settings.nodes)
-        Random(settings.seed).shuffle(self._nodes)
-        self._sums_per_s = min(SUMS_OF_NODES_PER_S, len(self._nodes))
+        self._endpoints = sorted(settings.endpoints)
+        Random(settings.seed).shuffle(self._endpoints)
+        self._sums_per_s = min(SUMS_OF_ENDPOINTS_PER_S, len(self._endpoints))
 
     def joins(self) -> list[PeerMessage]:
         """What the proxies say first, each on its stream."""
@@ -131,9 +131,9 @@
         """The stream of a proxy has ended: what was cut off is lost, and its next stream starts anew."""
         self._unread[proxy].clear()
 
-    def fail(self, nodes: Collection[str]) -> None:
-        """From now on these nodes, and no others, fail every request."""
-        self.failing = set(nodes)
+    def fail(self, endpoints: Collection[str]) -> None:
+        """From now on these endpoints, and no others, fail every request."""
+        self.failing = set(endpoints)
 
     def _acknowledgements(self) -> list[PeerMessage]:
         marks = {proxy: mark for proxy in self.tables if (mark := self._read(proxy)) is not None}
@@ -183,21 +183,21 @@
         ]
 
     def _met(self, tick: int, random: Random) -> list[PeerMessage]:
-        """Sums of a part of the nodes, in turn: one left out for long would be taken for silent."""
+        """Sums of a part of the endpoints, in turn: one left out for long would be taken for silent."""
         first = self._sums_per_s * tick // TICKS_OF_PERIOD
         after_last = self._sums_per_s * (tick + 1) // TICKS_OF_PERIOD
-        met = [self._nodes[place % len(self._nodes)] for place in range(first, after_last)]
-        return [self._message(None, self._sum(node, random)) for node in met]
+        met = [self._endpoints[place % len(self._endpoints)] for place in range(first, after_last)]
+        return [self._message(None, self._sum(endpoint, random)) for endpoint in met]
 
-    def _sum(self, node: str, random: Random) -> dict:
+    def _sum(self, endpoint: str, random: Random) -> dict:
         requests_per_s = self.settings.proxies * self.settings.requests_per_proxy
         tries = max(1, round(requests_per_s / self._sums_per_s * random.uniform(0.5, 1.5)))
         return {
             "msg": "heard",
             "az": self.settings.zone,
-            "host": node,
+            "host": endpoint,
             "n": tries,
-            "bad": tries if node in self.failing else 0,
+            "bad": tries if endpoint in self.failing else 0,
             "avg": random.uniform(*ANSWER_MS),
             "window": 1000 * REPORT_PERIOD_S,
             "report": {"inflight": random.randrange(CONCURRENT_MOST)},
--- a/oatcart/scale/runs.py
+++ b/oatcart/scale/runs.py
@@ -3,19 +3,19 @@
 How each dimension is grown, all others staying as they are:
 
 * `conductors`: hollow ones, all in one process, and a few real ones beside them, with a small list.
-* `nodes`: one list of all nodes, which controllers follow without the control role. Where it exceeds the
+* `nodes`: one list of all endpoints, which controllers follow without the control role. Where it exceeds the
   protocol's 1 MiB real and hollow controllers refuse it and are left out; the decision module alone, with no
   socket, is measured at every size of a full run as the role `module`, in a quick one only where others are
   left out.
-* `services`: so many services with the same nodes, as one list of all services, and as one list a service,
-  where each controller follows one service (roles that end in `_of_service`). Controllers follow one list, so
-  one that calls several services has no way to do so with a list a service.
+* `services`: so many services with the same endpoints, as one list of all services, and as one list a
+  service, where each controller follows one service (roles that end in `_of_service`). Controllers follow one
+  list, so one that calls several services has no way to do so with a list a service.
 * `routes`: request classes of a controller, of which there are at most 16; larger sizes are left out.
 * `tenants`: entries in a controller's settings, read at its start and kept; it has no other state of them.
 * `proxies`: proxies of one controller, each with its usage reports and its stream.
 * `changes`: changes of the list, told as changes a day, measured while they are made.
 
-Controllers and nodes are also grown behind the control role, where each controller follows a bounded
+Controllers and endpoints are also grown behind the control role, where each controller follows a bounded
 view: the roles `viewed_conductor`, `viewed_hollow_conductor`, `control` and `discovery_of_control`.
 
 A controller fetches the whole list every 20 s. A full run measures for a multiple of that, whatever the file
@@ -54,16 +54,16 @@
     DISCOVERY_ROLE: "discovery_of_control",
 }
 ROUTES_MEASURED = 1, 2, 4, 8, 12, 16  # request classes, beside what the file asks for
-BASE_NODES = 200  # where nodes are not what grows
-CONTROLLERS_NODES = 50  # a list small enough for many controllers in one process
-VIEWS_NODES = 2_000  # behind the control role: more than the bound of a view
-VIEWED, VIEWED_QUICK = 24, 6  # hollow controllers behind the control role where nodes grow
-SERVICES_NODES = 2_000  # enough for two nodes in each of 720 services, few enough for one list
+BASE_ENDPOINTS = 200  # where endpoints are not what grows
+CONTROLLERS_ENDPOINTS = 50  # a list small enough for many controllers in one process
+VIEWS_ENDPOINTS = 2_000  # behind the control role: more than the bound of a view
+VIEWED, VIEWED_QUICK = 24, 6  # hollow controllers behind the control role where endpoints grow
+SERVICES_ENDPOINTS = 2_000  # enough for two endpoints in each of 720 services, few enough for one list
 HOLLOW_BESIDE, REAL_BESIDE = 4, 2  # controllers where they are not what grows
 HOLLOW_OF_LARGE_LIST, REAL_OF_LARGE_LIST = 1, 1  # each may take up a good part of a core
 REAL_MOST, REAL_MOST_QUICK = 8, 2  # in the dimension of controllers
 CHANGES_PER_S, CHANGES_PER_S_QUICK = 10.0, 40.0  # where changes are not what grows
-MODULE_SPAN_MOST_S = 4.0  # virtual; at 27,000 nodes a second of it takes more than one of a core
+MODULE_SPAN_MOST_S = 4.0  # virtual; at 27,000 endpoints a second of it takes more than one of a core
 
 Progress = Callable[[str], None]
 
@@ -89,7 +89,7 @@
         self.settings, self.quick, self.progress = settings, quick, progress
         self.run: RunSettings = settings.quick if quick else settings.full
         self.base = TrialSettings(
-            fleet=settings.fleet.scaled_to(BASE_NODES),
+            fleet=settings.fleet.scaled_to(BASE_ENDPOINTS),
             seed=settings.seed,
             hollow=HOLLOW_BESIDE,
             real=REAL_BESIDE,
@@ -105,15 +105,15 @@
     def conductors(self, size: int) -> list[Measurement]:
         """So many hollow controllers, with a few real ones beside them."""
         real = min(size, REAL_MOST_QUICK if self.quick else REAL_MOST)
-        fleet = self.settings.fleet.scaled_to(CONTROLLERS_NODES)
+        fleet = self.settings.fleet.scaled_to(CONTROLLERS_ENDPOINTS)
         trial = replace(self.base, fleet=fleet, hollow=size, real=real)
-        behind = replace(trial, fleet=self._fleet_with(VIEWS_NODES, size))
+        behind = replace(trial, fleet=self._fleet_with(VIEWS_ENDPOINTS, size))
         if self.quick:  # what grows with controllers is the control role
             return play_beside([viewed(behind)], "conductors", size)
         return play_beside([Specification(trial), viewed(behind)], "conductors", size)
 
     def nodes(self, size: int) -> list[Measurement]:
-        """One list of so many nodes; controllers with views of it and the module alone beside it."""
+        """One list of so many endpoints; controllers with views of it and the module alone beside it."""
         trial = replace(
             self.base,
             fleet=self.settings.fleet.scaled_to(size),
@@ -130,7 +130,7 @@
     def services(self, size: int) -> list[Measurement]:
         """So many services in one list, and in a list each."""
         fleet = replace(
-            self.settings.fleet.scaled_to(SERVICES_NODES),
+            self.settings.fleet.scaled_to(SERVICES_ENDPOINTS),
             services=size,
             services_per_conductor=min(size, self.settings.fleet.services_per_conductor),
         )
@@ -165,8 +165,8 @@
         )
         return self._play("changes", size, trial)
 
-    def _fleet_with(self, nodes: int, conductors: int) -> FleetSettings:
-        return replace(self.settings.fleet.scaled_to(nodes), conductors=conductors)
+    def _fleet_with(self, endpoints: int, conductors: int) -> FleetSettings:
+        return replace(self.settings.fleet.scaled_to(endpoints), conductors=conductors)
 
     def _play(self, dimension: str, size: float, trial: TrialSettings) -> list[Measurement]:
         return play_beside([Specification(trial)], dimension, size)
@@ -180,11 +180,11 @@
             trial.proxies,
             zones[0],
             route_names(trial.routes),
-            tuple(node.id for node in plan.nodes),
+            tuple(endpoint.id for endpoint in plan.endpoints),
         )
         figures = module_figures(
             controller_settings(zones, trial.routes, trial.proxies),
-            [list_entry(node) for node in plan.nodes],
+            [list_entry(endpoint) for endpoint in plan.endpoints],
             peers,
             trial.settle_s,
             min(trial.quiet_s, MODULE_SPAN_MOST_S),
--- a/oatcart/scale/trial.py
+++ b/oatcart/scale/trial.py
@@ -35,10 +35,10 @@
 from oatcart.scale.configuration import FleetSettings, LimitSettings, ViewSettings
 from oatcart.scale.controller_settings import (
     WARM_AFTER_S,
-    NodeChanges,
+    EndpointChanges,
     controller_settings,
+    endpoints_of_lists,
     list_entry,
-    nodes_of_lists,
     route_names,
 )
 from oatcart.scale.discovery import (
@@ -49,7 +49,7 @@
     HeldRevision,
     Usage,
 )
-from oatcart.scale.fleet import FleetPlan, PlannedNode, plan_fleet
+from oatcart.scale.fleet import FleetPlan, PlannedEndpoint, plan_fleet
 from oatcart.scale.hollow import HollowReading, Hollows
 from oatcart.scale.peer_sockets import PeerSockets
 from oatcart.scale.peers import PeerSettings
@@ -98,12 +98,12 @@
 
 
 class MadeChange(NamedTuple):
-    """A change of the list, made at a moment: monotonic seconds, revision, the node changed."""
+    """A change of the list, made at a moment: monotonic seconds, revision, the endpoint changed."""
 
     at: float
     list_name: str
     revision: int
-    node: str
+    endpoint: str
 
 
 class Reading(NamedTuple):
@@ -143,7 +143,7 @@
 
     def __init__(self, settings: TrialSettings, plan: FleetPlan, processes: ExitStack) -> None:
         self.settings, self.plan, self._processes = settings, plan, processes
-        self.lists = nodes_of_lists(plan.nodes, settings.lists_by_service, MAIN_LIST)
+        self.lists = endpoints_of_lists(plan.endpoints, settings.lists_by_service, MAIN_LIST)
         self.check_fits()
         self.controller_settings = controller_settings(
             list(plan.zone_regions),
@@ -166,7 +166,7 @@
 
     def check_fits(self) -> None:
         """Raises SizeLimitError where a limit is known to be exceeded before anything is started."""
-        check_fits(self.settings, max(list_size(nodes) for nodes in self.lists.values()))
+        check_fits(self.settings, max(list_size(endpoints) for endpoints in self.lists.values()))
 
     @property
     def names(self) -> list[str]:
@@ -180,8 +180,8 @@
 
     def start(self) -> None:
         """Starts everything, waits until all are ready; raises SizeLimitError, NotReadyError, ChildError."""
-        for name, nodes in self.lists.items():
-            self.discovery.change([list_entry(node) for node in nodes], name)
+        for name, endpoints in self.lists.items():
+            self.discovery.change([list_entry(endpoint) for endpoint in endpoints], name)
         ports = self.open_ports()
         if self.hollows:
             self.hollow_before_mb = self.hollows.figures().usage.resident_mb
@@ -235,7 +235,7 @@
             proxies=self.settings.proxies,
             zone=zones[number % len(zones)],
             routes=self.routes,
-            nodes=tuple(node.id for node in self.lists[self.list_of(name)]),
+            endpoints=tuple(endpoint.id for endpoint in self.lists[self.list_of(name)]),
         )
 
     def read(self) -> Reading:
@@ -251,12 +251,12 @@
         self._check_memory()
         return reading
 
-    def changed_nodes(self) -> list[PlannedNode]:
-        """The nodes of which some are changed."""
-        return list(self.plan.nodes)
+    def changed_endpoints(self) -> list[PlannedEndpoint]:
+        """The endpoints of which some are changed."""
+        return list(self.plan.endpoints)
 
     def make_change(self, entry: dict) -> None:
-        """Changes one node's entry in the list that the node is in."""
+        """Changes one endpoint's entry in the list that the endpoint is in."""
         name = entry["service"] if self.settings.lists_by_service else MAIN_LIST
         at = time.monotonic()
         self.made.append(MadeChange(at, name, self.discovery.change([entry], name), entry["id"]))
@@ -331,7 +331,7 @@
 
 def make_changes(trials: Sequence[Trial], count: int, per_s: float) -> None:
     """Makes so many changes in each trial, side by side at a fixed rate."""
-    changes = [NodeChanges(trial.changed_nodes(), trial.settings.seed) for trial in trials]
+    changes = [EndpointChanges(trial.changed_endpoints(), trial.settings.seed) for trial in trials]
     first = time.monotonic()
     for number in range(count):
         time.sleep(max(0.0, first + number / per_s - time.monotonic()))
@@ -352,6 +352,6 @@
         yield kind(settings, plan, processes)
 
 
-def list_size(nodes: Sequence[PlannedNode]) -> int:
-    """The bytes of a whole list of some nodes, but for its few fields beside the entries."""
-    return sum(len(orjson.dumps(list_entry(node))) + 1 for node in nodes)
+def list_size(endpoints: Sequence[PlannedEndpoint]) -> int:
+    """The bytes of a whole list of some endpoints, but for its few fields beside the entries."""
+    return sum(len(orjson.dumps(list_entry(endpoint))) + 1 for endpoint in endpoints)
--- a/oatcart/scale/view_relay.py
+++ b/oatcart/scale/view_relay.py
@@ -1,8 +1,9 @@
 """A counting relay on loopback between many controllers and the control role, which counts nothing itself.
 
 Every controller is given a port of its own, behind which stands its address at the control role. Bytes pass
-unchanged; beside that requests and answers are read, so that it is known which nodes a controller was told of
-and when. A controller *has* what an answer told once it asks on, or ends the connection, on the same one.
+unchanged; beside that requests and answers are read, so that it is known which endpoints a controller was
+told of and when. A controller *has* what an answer told once it asks on, or ends the connection, on the same
+one.
 
 The process (`python -m oatcart.scale.view_relay`) takes commands as in `children.py`; its processor time is
 nobody's role.
@@ -63,7 +64,7 @@
 
 
 class RelayedClient:
-    """One controller: its traffic, the nodes of its list, and when it had word of nodes that are tracked."""
+    """One controller: its traffic, the endpoints of its list, and when it had news of tracked ones."""
 
     def __init__(self, target_port: int) -> None:
         self.target_port = target_port
@@ -72,14 +73,14 @@
         self.told: list[tuple[float, str]] = []
 
     def take(self, body: bytes, tracked: set[str]) -> list[str]:
-        """Notes an answer; the tracked nodes that it tells of. A body that is no list tells of none."""
+        """Notes an answer; the tracked endpoints that it tells of. A body that is no list tells of none."""
         try:
             answer = orjson.loads(body)
             entries = {entry["id"]: entry["phase"] for entry in answer["members"]}
         except (KeyError, TypeError, orjson.JSONDecodeError):
             return []
         gone = self.members - entries.keys() if answer["complete"] else set()
-        deleted = {node for node, phase in entries.items() if phase == DELETED}
+        deleted = {endpoint for endpoint, phase in entries.items() if phase == DELETED}
         self.members = (self.members | entries.keys()) - gone - deleted
         return sorted(tracked & (entries.keys() | gone))
 
@@ -92,7 +93,7 @@
         self.control: ControlSide | None = None
         self.unsent = bytearray()  # until the control role's connection is up
         self.unread = b""
-        self.news: list[str] = []  # tracked nodes in answers since the last request
+        self.news: list[str] = []  # tracked endpoints in answers since the last request
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
@@ -129,7 +130,7 @@
 
     def _have_news(self) -> None:
         now = time.monotonic()
-        self.client.told += [(now, node) for node in self.news]
+        self.client.told += [(now, endpoint) for endpoint in self.news]
         self.news.clear()
 
 
@@ -170,13 +171,13 @@
         """A port for each controller; `targets` are the ports that stand behind them."""
         return {"ports": {name: self._open(name, port) for name, port in targets.items()}}
 
-    def track(self, node: str) -> dict:
-        """From now on word of this node is noted; the controllers whose list has it now."""
-        self.tracked.add(node)
-        return {"holders": [name for name, one in self.clients.items() if node in one.members]}
+    def track(self, endpoint: str) -> dict:
+        """From now on word of this endpoint is noted; the controllers whose list has it now."""
+        self.tracked.add(endpoint)
+        return {"holders": [name for name, one in self.clients.items() if endpoint in one.members]}
 
     def members(self, name: str) -> dict:
-        """The nodes that a controller's list has now."""
+        """The endpoints that a controller's list has now."""
         return {"nodes": sorted(self.clients[name].members)}
 
     def figures(self) -> dict:
@@ -195,7 +196,7 @@
         }
 
     def held(self) -> dict:
-        """Of every controller the revisions that it had, and when it had word of tracked nodes."""
+        """Of every controller the revisions that it had, and when it had word of tracked endpoints."""
         return {
             "held": {name: one.account.held for name, one in self.clients.items()},
             "told": {name: one.told for name, one in self.clients.items()},
@@ -225,7 +226,7 @@
 
 
 class RelayHeld(NamedTuple):
-    """Of every controller the revisions that it had, and when it had word of tracked nodes."""
+    """Of every controller the revisions that it had, and when it had word of tracked endpoints."""
 
     held: dict[str, list[HeldRevision]]
     told: dict[str, list[tuple[float, str]]]
@@ -241,12 +242,12 @@
         """A port for each controller in front of the control role's port for it."""
         return self.ask("open", targets=targets)["ports"]
 
-    def track(self, node: str) -> list[str]:
-        """From now on word of this node is noted; the controllers whose list has it now."""
-        return self.ask("track", node=node)["holders"]
+    def track(self, endpoint: str) -> list[str]:
+        """From now on word of this endpoint is noted; the controllers whose list has it now."""
+        return self.ask("track", endpoint=endpoint)["holders"]
 
     def members(self, name: str) -> list[str]:
-        """The nodes that a controller's list has now."""
+        """The endpoints that a controller's list has now."""
         return self.ask("members", name=name)["nodes"]
 
     def clients(self) -> dict[str, ClientFigures]:
@@ -257,7 +258,7 @@
         """What controllers had when."""
         answer = self.ask("held")
         held = {name: [HeldRevision(*one) for one in some] for name, some in answer["held"].items()}
-        told = {name: [(at, node) for at, node in some] for name, some in answer["told"].items()}
+        told = {name: [(at, endpoint) for at, endpoint in some] for name, some in answer["told"].items()}
         return RelayHeld(held, told)
 
 
--- a/oatcart/scale/view_trial.py
+++ b/oatcart/scale/view_trial.py
@@ -2,9 +2,9 @@
 oatcart.views`.
 
 Only the control role follows discovery. Between it and the controllers stands a counting relay
-(`view_relay.py`), whose ports the controllers are given as their discovery. Changes are of nodes that
-some view holds. A change counts for the controllers whose view held the node when it was made, and is had
-once the relay sees the controller go on after the answer that told of the node.
+(`view_relay.py`), whose ports the controllers are given as their discovery. Changes are of endpoints that
+some view holds. A change counts for the controllers whose view held the endpoint when it was made, and is had
+once the relay sees the controller go on after the answer that told of the endpoint.
 """
 
 import json
@@ -26,7 +26,7 @@
     HeldRevision,
     Usage,
 )
-from oatcart.scale.fleet import FleetPlan, PlannedController, PlannedNode
+from oatcart.scale.fleet import FleetPlan, PlannedController, PlannedEndpoint
 from oatcart.scale.peers import PeerSettings
 from oatcart.scale.ports import free_ports
 from oatcart.scale.real import RUN, NotReadyError
@@ -38,7 +38,7 @@
 CONTROL_READY_WITHIN_S = 60.0  # until it holds the whole list
 STATUS_PATH = "/v1/views"
 STATUS_WITHIN_S = 5.0
-GROWTH_OF_ENTRY = 16  # bytes by which an entry grows when its node drains and restarts: the phase, a time
+GROWTH_OF_ENTRY = 16  # bytes by which an entry grows when its endpoint drains and restarts: the phase, a time
 
 
 class ViewTrial(Trial):
@@ -48,7 +48,7 @@
         super().__init__(settings, plan, processes)
         self.relay = processes.enter_context(ViewRelay())
         self.control: ChildProcess | None = None
-        self.holders: list[list[str]] = []  # of each change made: whose view held the node
+        self.holders: list[list[str]] = []  # of each change made: whose view held the endpoint
 
     def check_fits(self) -> None:
         """As for any trial, but for the whole list, which no controller is sent."""
@@ -68,7 +68,9 @@
 
     def control_configuration(self, source_port: int, main_port: int, served: dict[str, int]) -> dict:
         """The control role's file, which may be JSON as that is YAML."""
-        entry_most = max(len(orjson.dumps(list_entry(node))) for node in self.plan.nodes) + GROWTH_OF_ENTRY
+        entry_most = (
+            max(len(orjson.dumps(list_entry(endpoint))) for endpoint in self.plan.endpoints) + GROWTH_OF_ENTRY
+        )
         return {
             "listen": f"{LOOPBACK}:{main_port}",
             "source": {"address": f"{LOOPBACK}:{source_port}"},
@@ -104,28 +106,28 @@
         return self.relay.held().held
 
     def peer_settings(self, name: str) -> PeerSettings:
-        """Peers that meet the nodes of the controller's view."""
+        """Peers that meet the endpoints of the controller's view."""
         return PeerSettings(
             seed=self.settings.seed + int(name.rpartition("-")[2]),
             proxies=self.settings.proxies,
             zone=self.planned(name).zone,
             routes=self.routes,
-            nodes=tuple(self.relay.members(name)),
+            endpoints=tuple(self.relay.members(name)),
         )
 
-    def changed_nodes(self) -> list[PlannedNode]:
-        """Nodes that some controller's view holds: others are told to nobody."""
-        held = {node for name in self.names for node in self.relay.members(name)}
-        return [node for node in self.plan.nodes if node.id in held]
+    def changed_endpoints(self) -> list[PlannedEndpoint]:
+        """Endpoints that some controller's view holds: others are told to nobody."""
+        held = {endpoint for name in self.names for endpoint in self.relay.members(name)}
+        return [endpoint for endpoint in self.plan.endpoints if endpoint.id in held]
 
     def make_change(self, entry: dict) -> None:
         self.holders.append(self.relay.track(entry["id"]))
         super().make_change(entry)
 
     def change_delays(self) -> tuple[dict[str, list[float]], int]:
-        """Of each controller the delays of the changes to nodes that its view held, and how many are missing.
+        """By controller the delays of the changes to endpoints of its view, and how many are missing.
 
-        Word of the node after the change counts, be it of that change or of a newer one that overtook it.
+        Word of the endpoint after the change counts, be it of that change or of a newer one that overtook it.
         """
         told = self.relay.held().told
         delays: dict[str, list[float]] = {name: [] for name in self.names}
@@ -148,7 +150,7 @@
     def _wait_control(self, main_port: int) -> None:
         """Waits until the control role holds the whole list; it decides a view when it is asked for."""
         until = time.monotonic() + CONTROL_READY_WITHIN_S
-        while self._nodes_at_control(main_port) < len(self.plan.nodes):
+        while self._endpoints_at_control(main_port) < len(self.plan.endpoints):
             if not self.control.running or time.monotonic() > until:
                 raise NotReadyError(f"the control role does not hold the list: {self.control.error_text()}")
             time.sleep(LOOK_EVERY_S)
@@ -160,8 +162,8 @@
         after_s = time.monotonic() - self.control.started_at
         self.control_ready = Ready(after_s, self.control.core_seconds(), received)
 
-    def _nodes_at_control(self, main_port: int) -> int:
-        """The nodes that the control role's status tells; 0 while it does not answer."""
+    def _endpoints_at_control(self, main_port: int) -> int:
+        """The endpoints that the control role's status tells; 0 while it does not answer."""
         with suppress(urllib.error.URLError, ConnectionError, TimeoutError):
             url = f"http://{LOOPBACK}:{main_port}{STATUS_PATH}"
             with urllib.request.urlopen(url, timeout=STATUS_WITHIN_S) as answer:
@@ -170,5 +172,5 @@
 
 
 def first_word(told: list[tuple[float, str]], change: MadeChange) -> float | None:
-    """When a controller first had word of a changed node after the change; None where it had none."""
-    return next((at for at, node in told if node == change.node and at >= change.at), None)
+    """When a controller first had word of a changed endpoint after the change; None where it had none."""
+    return next((at for at, endpoint in told if endpoint == change.endpoint and at >= change.at), None)
--- a/tests/scale/test_scale_agreement.py
+++ b/tests/scale/test_scale_agreement.py
@@ -42,7 +42,7 @@
 
 
 def test_a_controller_under_another_list_does_not_agree(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The real ones follow a list that lacks a node, and the comparison says so."""
+    """The real ones follow a list that lacks an endpoint, and the comparison says so."""
     whole = Trial.list_of
     monkeypatch.setattr(
         Trial, "list_of", lambda self, name: "short" if name.startswith("real") else whole(self, name)
@@ -50,7 +50,7 @@
     begin = Trial.start
 
     def start(self: Trial) -> None:
-        self.lists["short"] = self.plan.nodes[:-1]
+        self.lists["short"] = self.plan.endpoints[:-1]
         begin(self)
 
     monkeypatch.setattr(Trial, "start", start)
--- a/tests/scale/test_scale_capacity.py
+++ b/tests/scale/test_scale_capacity.py
@@ -27,7 +27,7 @@
 
 
 def whole_lists(last_change_s: float = 0.51) -> list[Measurement]:
-    """A controller whose costs grow straight with its nodes, and discovery beside it."""
+    """A controller whose costs grow straight with its endpoints, and discovery beside it."""
     controllers = [
         Measurement(
             "nodes",
--- a/tests/scale/test_scale_day.py
+++ b/tests/scale/test_scale_day.py
@@ -1,4 +1,4 @@
-"""A played day: what is scheduled, which controllers had what, cuts, an interrupt; and days of few nodes."""
+"""A played day: what is scheduled, which controllers had what, cuts, an interrupt; days of few endpoints."""
 
 import os
 import signal
@@ -15,11 +15,11 @@
 from oatcart.scale.__main__ import main
 from oatcart.scale.children import Interrupted
 from oatcart.scale.configuration import DaySettings, FleetSettings, Settings, ViewSettings
-from oatcart.scale.day import DayResult, DayScale, is_known, play_day, table_nodes
+from oatcart.scale.day import DayResult, DayScale, is_known, play_day, table_endpoints
 from oatcart.scale.day_deliveries import Cut, History, deliveries, drains
 from oatcart.scale.day_relay import DayClient, Word, entry_state
 from oatcart.scale.day_report import day_json, day_text
-from oatcart.scale.day_schedule import Change, Kind, ListedNodes, schedule
+from oatcart.scale.day_schedule import Change, Kind, ListedEndpoints, schedule
 from oatcart.scale.day_trial import DayPlayer
 from oatcart.scale.day_views import UNBOUNDED, ExpectedViews
 from oatcart.scale.fault_plan import (
@@ -38,12 +38,12 @@
 from oatcart.scale.interrupts import noted_interrupts
 from oatcart.views.records import Controller
 
-NODES = 60
-SMALL_FLEET = replace(FleetSettings().scaled_to(NODES), regions=2, zones=6, services=6, nodes_per_rack=4)
+ENDPOINTS = 60
+SMALL_FLEET = replace(FleetSettings().scaled_to(ENDPOINTS), regions=2, zones=6, services=6, nodes_per_rack=4)
 SMALL_DAY = DaySettings(
     failures=2, restarts=4, rack_losses=0, zone_losses=0, partitions=0, changes=12, burst_size=3
 )
-SMALL = DayScale(nodes=NODES, hollow=3, real=0, time_compression=172_800.0, settle_s=0.1)
+SMALL = DayScale(nodes=ENDPOINTS, hollow=3, real=0, time_compression=172_800.0, settle_s=0.1)
 LEAST_CUT_S = 0.4  # long enough for changes meanwhile
 ENDED_WITHIN_S = 10.0
 
@@ -69,7 +69,7 @@
     assert [type(step.events[0]) for step in steps] == [NodeDraining, NodeDeleted, NodeReturned]
 
 
-def test_a_later_outage_of_a_node_waits_for_the_end_of_its_drain() -> None:
+def test_a_later_outage_of_a_endpoint_waits_for_the_end_of_its_drain() -> None:
     events = [
         NodeDraining(1.0, "x"),
         NodeDeleted(1.1, "x"),
@@ -78,7 +78,9 @@
         NodeLost(2.0, "y", Cause.FAILURE),
     ]
     steps = schedule(events, 5.0, 5.0)
-    assert [(step.at_s, step.events[0].node) for step in steps if isinstance(step.events[0], NodeLost)] == [
+    assert [
+        (step.at_s, step.events[0].endpoint) for step in steps if isinstance(step.events[0], NodeLost)
+    ] == [
         (2.0, "y"),
         (pytest.approx(6.2), "x"),
     ]
@@ -103,18 +105,18 @@
     assert [step.at_s for step in steps] == sorted(step.at_s for step in steps)
 
 
-def test_no_two_entries_of_a_node_are_the_same() -> None:
+def test_no_two_entries_of_a_endpoint_are_the_same() -> None:
     plan = plan_fleet(SMALL_FLEET, 1)
-    listed, node = ListedNodes(plan), plan.nodes[0]
-    told = [entry for entry in listed.entries() if entry["id"] == node.id]
-    told += listed.change((NodeDraining(0.0, node.id),), 1.0)
-    told += listed.change((NodeDeleted(0.0, node.id),), 2.0)
-    assert node.id not in {entry["id"] for entry in listed.entries()}
-    told += listed.change((NodeReturned(0.0, node.id, Cause.RESTART),), 3.0)
+    listed, endpoint = ListedEndpoints(plan), plan.endpoints[0]
+    told = [entry for entry in listed.entries() if entry["id"] == endpoint.id]
+    told += listed.change((NodeDraining(0.0, endpoint.id),), 1.0)
+    told += listed.change((NodeDeleted(0.0, endpoint.id),), 2.0)
+    assert endpoint.id not in {entry["id"] for entry in listed.entries()}
+    told += listed.change((NodeReturned(0.0, endpoint.id, Cause.RESTART),), 3.0)
     for number in range(200):
-        route = plan.services.index(node.service)
-        told += listed.change((ConfigurationChanged(0.0, number, node.service, route, None),), 4.0)
-    own = [entry_state(entry) for entry in told if entry["id"] == node.id]
+        route = plan.services.index(endpoint.service)
+        told += listed.change((ConfigurationChanged(0.0, number, endpoint.service, route, None),), 4.0)
+    own = [entry_state(entry) for entry in told if entry["id"] == endpoint.id]
     assert len(own) > 100 and len(set(own)) == len(own)
 
 
@@ -182,7 +184,7 @@
 
 
 def overtaken_return(dropped_at: float) -> tuple[int, list[str]]:
-    """Pairs overtaken and late where a node is back, is dropped at a moment and is told of at 30."""
+    """Pairs overtaken and late where an endpoint is back, is dropped at a moment and is told of at 30."""
     back = ENTRIES[0] | {"up_since_ms": 5}
     changes = [
         *DRAIN_CHANGES,
@@ -197,7 +199,7 @@
     return found.overtaken, found.late
 
 
-def test_a_node_back_that_is_dropped_before_it_had_to_be_told_is_overtaken() -> None:
+def test_a_endpoint_back_that_is_dropped_before_it_had_to_be_told_is_overtaken() -> None:
     assert overtaken_return(dropped_at=22.0) == (1, [])
     assert overtaken_return(dropped_at=26.0) == (0, ["node back: x: c: 10.00 s"])
 
@@ -212,7 +214,7 @@
     assert drains(history, [cut._replace(controllers=frozenset("d"))]).missed == ["c: x"]
 
 
-def test_a_node_that_nobody_holds_concerns_nobody() -> None:
+def test_a_endpoint_that_nobody_holds_concerns_nobody() -> None:
     change = Change(10.0, Kind.CONFIGURATION, (ENTRIES[1] | {"size": 2.0},))
     history = History(ENTRIES, [change], {"c": [Word(1.0, "x", FIRST)]})
     expected = ExpectedViews([Controller("c", "r", "z1", ())], UNBOUNDED, 1, ENTRIES)
@@ -228,9 +230,9 @@
     assert expected.unusable("c", ["x", "y"]) == [] and expected.unusable("c", ["y"]) == ["s"]
 
 
-def test_known_nodes_are_those_of_the_view_and_what_left_it_lately() -> None:
+def test_known_endpoints_are_those_of_the_view_and_what_left_it_lately() -> None:
     held = HeldTables({"0": {"weights": {"route": {"x": 1.0, "y": 0.0}}}}, ["x", "old"])
-    assert is_known(held, frozenset("x"), {"old"}) and table_nodes(held) == {"x"}
+    assert is_known(held, frozenset("x"), {"old"}) and table_endpoints(held) == {"x"}
     assert not is_known(held, frozenset("x"), set())
     assert not is_known(held, frozenset("xy"), {"old"})
 
@@ -253,7 +255,7 @@
     assert client.members == set() and client.take(b"no json", ()) == []
 
 
-# Days of few nodes.
+# Days of few endpoints.
 
 
 def test_a_small_day_is_played_and_all_holds(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/scale/test_scale_discovery.py
+++ b/tests/scale/test_scale_discovery.py
@@ -8,11 +8,11 @@
 import pytest
 
 from oatcart.scale.children import ChildError
-from oatcart.scale.discovery import LOOPBACK, Discovery, HeldRevision, NodeList
+from oatcart.scale.discovery import LOOPBACK, Discovery, EndpointList, HeldRevision
 from oatcart.scale.trial import first_holding
 
-NODE = {"id": "node-1", "host_port": "10.0.0.1:8080", "locality": "a", "phase": "SERVING"}
-OTHER = NODE | {"id": "node-2"}
+ENDPOINT = {"id": "node-1", "host_port": "10.0.0.1:8080", "locality": "a", "phase": "SERVING"}
+OTHER = ENDPOINT | {"id": "node-2"}
 LONG_WAIT_MS = 20_000
 
 
@@ -25,26 +25,26 @@
 
 
 def test_a_whole_list_holds_what_is_listed_and_changes_hold_the_last_state() -> None:
-    nodes = NodeList()
-    nodes.change([NODE, OTHER])
-    nodes.change([NODE | {"phase": "DRAINING"}])
-    nodes.change([NODE | {"phase": "DELETED"}])
-    assert read(nodes.whole()) == {"revision": 3, "complete": True, "members": [OTHER]}
-    assert read(nodes.changes(1)) == {
+    endpoints = EndpointList()
+    endpoints.change([ENDPOINT, OTHER])
+    endpoints.change([ENDPOINT | {"phase": "DRAINING"}])
+    endpoints.change([ENDPOINT | {"phase": "DELETED"}])
+    assert read(endpoints.whole()) == {"revision": 3, "complete": True, "members": [OTHER]}
+    assert read(endpoints.changes(1)) == {
         "revision": 3,
         "complete": False,
-        "members": [NODE | {"phase": "DELETED"}],
+        "members": [ENDPOINT | {"phase": "DELETED"}],
     }
-    assert read(nodes.changes(3)) == {"revision": 3, "complete": False, "members": []}
-    assert nodes.changes(0) == nodes.whole()
+    assert read(endpoints.changes(3)) == {"revision": 3, "complete": False, "members": []}
+    assert endpoints.changes(0) == endpoints.whole()
 
 
-def test_a_node_that_returns_is_listed_again() -> None:
-    nodes = NodeList()
-    nodes.change([NODE])
-    nodes.change([NODE | {"phase": "DELETED"}])
-    nodes.change([NODE])
-    assert ids(nodes.whole()) == ["node-1"]
+def test_a_endpoint_that_returns_is_listed_again() -> None:
+    endpoints = EndpointList()
+    endpoints.change([ENDPOINT])
+    endpoints.change([ENDPOINT | {"phase": "DELETED"}])
+    endpoints.change([ENDPOINT])
+    assert ids(endpoints.whole()) == ["node-1"]
 
 
 class Caller:
@@ -80,7 +80,7 @@
 @pytest.fixture
 def discovery():
     with Discovery() as running:
-        running.change([NODE, OTHER])
+        running.change([ENDPOINT, OTHER])
         yield running
 
 
@@ -90,9 +90,9 @@
         assert len(caller.call("/v1/servers?since=0&timeout_ms=0")["members"]) == 2
         caller.send(f"/v1/servers?since=1&timeout_ms={LONG_WAIT_MS}")
         began = time.monotonic()
-        discovery.change([NODE | {"phase": "DRAINING"}])
+        discovery.change([ENDPOINT | {"phase": "DRAINING"}])
         answer = caller.answer()
-        assert answer["revision"] == 2 and answer["members"] == [NODE | {"phase": "DRAINING"}]
+        assert answer["revision"] == 2 and answer["members"] == [ENDPOINT | {"phase": "DRAINING"}]
         caller.send(f"/v1/servers?since=2&timeout_ms={LONG_WAIT_MS}")
         while (at := first_holding(discovery.held()["one"], 2)) is None:
             time.sleep(0.01)
--- a/tests/scale/test_scale_fault_plan.py
+++ b/tests/scale/test_scale_fault_plan.py
@@ -1,4 +1,4 @@
-"""The drawn day: its counts, its order, and that no node is in two states at once."""
+"""The drawn day: its counts, its order, and that no endpoint is in two states at once."""
 
 from collections import Counter
 from dataclasses import replace
@@ -44,7 +44,7 @@
 
 
 def assert_consistent(day: DayPlan) -> None:
-    """Every node goes serving -> lost -> serving or serving -> draining -> deleted -> serving."""
+    """Every endpoint goes serving -> lost -> serving or serving -> draining -> deleted -> serving."""
     serving, draining, deleted, lost = "serving", "draining", "deleted", "lost"
     allowed = {
         NodeLost: {serving: lost},
@@ -55,9 +55,9 @@
     states: dict[str, str] = {}
     for event in day.events:
         if type(event) in allowed:
-            state = states.get(event.node, serving)
+            state = states.get(event.endpoint, serving)
             assert state in allowed[type(event)], f"{event} while {state}"
-            states[event.node] = allowed[type(event)][state]
+            states[event.endpoint] = allowed[type(event)][state]
     assert set(states.values()) <= {serving}
 
 
@@ -76,32 +76,32 @@
     assert times[-1] <= day.length_s == 1_440.0
 
 
-def test_no_node_is_in_two_states_at_once(day):
+def test_no_endpoint_is_in_two_states_at_once(day):
     assert_consistent(day)
 
 
-def test_failures_and_restarts_strike_different_nodes(day):
-    failed = [event.node for event in of_kind(day, NodeLost) if event.cause is Cause.FAILURE]
+def test_failures_and_restarts_strike_different_endpoints(day):
+    failed = [event.endpoint for event in of_kind(day, NodeLost) if event.cause is Cause.FAILURE]
     assert len(set(failed)) == 46
-    assert len({event.node for event in of_kind(day, NodeDraining)}) > 1_780
+    assert len({event.endpoint for event in of_kind(day, NodeDraining)}) > 1_780
 
 
 @pytest.mark.parametrize(
-    ("cause", "groups"), [(Cause.ZONE_LOSS, "nodes_by_zone"), (Cause.RACK_LOSS, "nodes_by_rack")]
+    ("cause", "groups"), [(Cause.ZONE_LOSS, "endpoints_by_zone"), (Cause.RACK_LOSS, "endpoints_by_rack")]
 )
 def test_a_zone_and_a_rack_are_lost_whole_and_at_once(fleet, day, cause, groups):
     lost = [event for event in of_kind(day, NodeLost) if event.cause is cause]
     assert len({event.at_s for event in lost}) == 1
-    nodes = {event.node for event in lost}
-    assert nodes in [{node.id for node in group} for group in getattr(fleet, groups)().values()]
+    endpoints = {event.endpoint for event in lost}
+    assert endpoints in [{endpoint.id for endpoint in group} for group in getattr(fleet, groups)().values()]
 
 
 def test_what_is_lost_returns_after_the_time_stated(day):
-    lost_at = {event.node: event for event in of_kind(day, NodeLost)}
+    lost_at = {event.endpoint: event for event in of_kind(day, NodeLost)}
     lengths = {Cause.FAILURE: 30.0, Cause.ZONE_LOSS: 20.0, Cause.RACK_LOSS: 20.0}  # compressed 60 times
     for event in of_kind(day, NodeReturned):
-        if event.cause in lengths and lost_at[event.node].cause is event.cause:
-            assert event.at_s - lost_at[event.node].at_s == pytest.approx(lengths[event.cause])
+        if event.cause in lengths and lost_at[event.endpoint].cause is event.cause:
+            assert event.at_s - lost_at[event.endpoint].at_s == pytest.approx(lengths[event.cause])
 
 
 def test_a_partition_lasts_an_hour_between_two_regions(fleet, day):
@@ -185,14 +185,14 @@
 
 
 @given(
-    nodes=st.integers(20, 200),
+    endpoints=st.integers(20, 200),
     restarts=st.integers(0, 400),
     failures=st.integers(0, 20),
     seed=st.integers(0, 1_000),
 )
 @settings(max_examples=25, deadline=None)
-def test_any_day_is_consistent(nodes, restarts, failures, seed):
-    fleet = plan_fleet(FleetSettings().scaled_to(nodes), seed)
+def test_any_day_is_consistent(endpoints, restarts, failures, seed):
+    fleet = plan_fleet(FleetSettings().scaled_to(endpoints), seed)
     partitions = 1 if len(fleet.regions) > 1 else 0
     day = plan_day(
         fleet,
--- a/tests/scale/test_scale_hollow.py
+++ b/tests/scale/test_scale_hollow.py
@@ -15,12 +15,12 @@
 ROUTES = 2
 PROXIES = 3
 SETTINGS = controller_settings(["a", "b"], ROUTES, PROXIES)
-NODES = tuple(f"node-{number:02}" for number in range(12))
+ENDPOINTS = tuple(f"node-{number:02}" for number in range(12))
 WITHIN_S = 10.0
 
 
-def entry(node: str, phase: str = "SERVING") -> dict:
-    return {"id": node, "host_port": "10.0.0.1:80", "locality": "a", "phase": phase, "size": 1.0}
+def entry(endpoint: str, phase: str = "SERVING") -> dict:
+    return {"id": endpoint, "host_port": "10.0.0.1:80", "locality": "a", "phase": phase, "size": 1.0}
 
 
 def wait_until(met: Callable[[], bool], what: str) -> None:
@@ -31,13 +31,13 @@
 
 
 def peers(seed: int = 1) -> PeerSettings:
-    return PeerSettings(seed, PROXIES, "a", route_names(ROUTES), NODES)
+    return PeerSettings(seed, PROXIES, "a", route_names(ROUTES), ENDPOINTS)
 
 
 @pytest.fixture
 def discovery() -> Iterator[Discovery]:
     with Discovery() as running:
-        running.change([entry(node) for node in NODES])
+        running.change([entry(endpoint) for endpoint in ENDPOINTS])
         yield running
 
 
@@ -51,24 +51,25 @@
     ports = discovery.open([f"hollow-{number}" for number in range(count)])
     hollows.start_controllers(SETTINGS, list(ports.values()), list(range(count)))
     wait_until(
-        lambda: [one.known_nodes for one in hollows.figures().controllers] == [len(NODES)] * count, "no list"
+        lambda: [one.known_endpoints for one in hollows.figures().controllers] == [len(ENDPOINTS)] * count,
+        "no list",
     )
 
 
-def tables_name(hollows: Hollows, nodes: set[str]) -> bool:
-    """Whether every table of every proxy names these nodes and no others."""
+def tables_name(hollows: Hollows, endpoints: set[str]) -> bool:
+    """Whether every table of every proxy names these endpoints and no others."""
     tables = [
         table
         for one in hollows.orders()
         for held in one.tables.values()
         for table in [*held["weights"].values()]
     ]
-    return bool(tables) and all(set(table) == nodes for table in tables)
+    return bool(tables) and all(set(table) == endpoints for table in tables)
 
 
 def test_many_follow_one_list_and_each_change_comes_to_all(discovery: Discovery, hollows: Hollows) -> None:
     start(discovery, hollows, 40)
-    revision = discovery.change([entry(NODES[0], "DRAINING")])
+    revision = discovery.change([entry(ENDPOINTS[0], "DRAINING")])
     wait_until(
         lambda: all(one.taken[-1][1] == revision for one in hollows.figures().controllers), "no change"
     )
@@ -77,27 +78,27 @@
     assert not figures.failures
 
 
-def test_proxies_are_ordered_all_ready_nodes_and_no_drained_one(
+def test_proxies_are_ordered_all_ready_endpoints_and_no_drained_one(
     discovery: Discovery, hollows: Hollows
 ) -> None:
     start(discovery, hollows, 2)
     hollows.join_peers([peers(), peers(2)], keep_orders=True)
-    wait_until(lambda: tables_name(hollows, set(NODES)), "no tables")
-    discovery.change([entry(NODES[3], "DRAINING")])
-    wait_until(lambda: tables_name(hollows, set(NODES) - {NODES[3]}), "still ordered")
+    wait_until(lambda: tables_name(hollows, set(ENDPOINTS)), "no tables")
+    discovery.change([entry(ENDPOINTS[3], "DRAINING")])
+    wait_until(lambda: tables_name(hollows, set(ENDPOINTS) - {ENDPOINTS[3]}), "still ordered")
     figures = hollows.figures().controllers
     assert all(one.peer_bytes_in > 0 and one.peer_bytes_out > 0 for one in figures)
     assert all(one.peer_messages_out >= PROXIES for one in figures)
 
 
-def test_a_node_that_fails_is_shut_out_at_all_proxies(discovery: Discovery, hollows: Hollows) -> None:
+def test_a_endpoint_that_fails_is_shut_out_at_all_proxies(discovery: Discovery, hollows: Hollows) -> None:
     start(discovery, hollows, 1)
     hollows.join_peers([peers()], keep_orders=True)
-    hollows.fail([NODES[5]])
+    hollows.fail([ENDPOINTS[5]])
 
     def shut_out() -> bool:
         (held,) = hollows.orders()
-        return all(one["shut_out"] == [NODES[5]] for one in held.tables.values())
+        return all(one["shut_out"] == [ENDPOINTS[5]] for one in held.tables.values())
 
     wait_until(shut_out, "not shut out")
 
@@ -105,7 +106,7 @@
 def test_discovery_goes_away_and_returns(discovery: Discovery, hollows: Hollows) -> None:
     start(discovery, hollows, 5)
     discovery.outage(True)
-    revision = discovery.change([entry(NODES[0], "DRAINING")])
+    revision = discovery.change([entry(ENDPOINTS[0], "DRAINING")])
     time.sleep(0.3)
     assert all(one.revision < revision for one in hollows.figures().controllers)
     discovery.outage(False)
@@ -123,21 +124,23 @@
     assert ticks != [other.tick() for _ in range(4)]
 
 
-def test_every_proxy_and_every_node_is_reported_once_a_period() -> None:
+def test_every_proxy_and_every_endpoint_is_reported_once_a_period() -> None:
     one = ControllerPeers(peers())
     told = [orjson.loads(message.line) for _ in range(4) for message in one.tick()]
-    assert sorted(line["host"] for line in told if line["msg"] == "heard") == sorted(NODES)
+    assert sorted(line["host"] for line in told if line["msg"] == "heard") == sorted(ENDPOINTS)
     usage = sorted((line["sidecar"], line["kind"]) for line in told if line["msg"] == "usage")
     assert usage == sorted((number, route) for number in range(PROXIES) for route in route_names(ROUTES))
     assert one.traffic.messages_in == len(told)
 
 
-def test_failing_nodes_fail_every_request_and_no_others() -> None:
+def test_failing_endpoints_fail_every_request_and_no_others() -> None:
     one = ControllerPeers(peers())
-    one.fail([NODES[0]])
+    one.fail([ENDPOINTS[0]])
     told = [orjson.loads(message.line) for _ in range(4) for message in one.tick()]
     failed = {line["host"]: line["bad"] / line["n"] for line in told if line["msg"] == "heard"}
-    assert {node for node, share in failed.items() if share} == {NODES[0]} and failed[NODES[0]] == 1.0
+    assert {endpoint for endpoint, share in failed.items() if share} == {ENDPOINTS[0]} and failed[
+        ENDPOINTS[0]
+    ] == 1.0
 
 
 @pytest.mark.parametrize("keep_orders", [False, True])
--- a/tests/scale/test_scale_report.py
+++ b/tests/scale/test_scale_report.py
@@ -124,8 +124,8 @@
 
 
 def test_the_slopes_tell_form_proof_and_what_is_missing():
-    _, nodes, _, routes = text_report(measured(), analyse(measured()), Budgets()).split("\n\n")
-    (core,) = [line for line in nodes.splitlines() if line.startswith("conductor  Quiet share")]
+    _, endpoints, _, routes = text_report(measured(), analyse(measured()), Budgets()).split("\n\n")
+    (core,) = [line for line in endpoints.splitlines() if line.startswith("conductor  Quiet share")]
     assert "a + b n " in core
     assert core.endswith("yes")
     (control,) = [line for line in routes.splitlines() if line.startswith("control  Quiet share")]
--- a/tests/scale/test_scale_views.py
+++ b/tests/scale/test_scale_views.py
@@ -16,9 +16,9 @@
 from oatcart.scale.view_relay import AnswerReader, RelayedClient
 from oatcart.scale.view_trial import ViewTrial, first_word
 
-NODES = 120
+ENDPOINTS = 120
 SMALL = TrialSettings(
-    replace(FleetSettings().scaled_to(NODES), conductors=4),
+    replace(FleetSettings().scaled_to(ENDPOINTS), conductors=4),
     seed=1,
     hollow=3,
     real=1,
@@ -33,14 +33,14 @@
     with running(SMALL, ViewTrial) as trial:
         trial.start()
         assert all(0 < len(trial.relay.members(name)) <= SMALL.view.nodes for name in trial.names)
-        assert all(one.known_nodes <= SMALL.view.nodes for one in trial.hollows.figures().controllers)
+        assert all(one.known_endpoints <= SMALL.view.nodes for one in trial.hollows.figures().controllers)
         trial.join_peers()
         pids = [one.process for one in trial.running_processes()]
     assert all(process.returncode is not None for process in pids)
 
 
 def test_every_role_behind_the_control_role_is_measured() -> None:
-    found = {one.role: one for one in play(SMALL, "nodes", NODES, ViewTrial)}
+    found = {one.role: one for one in play(SMALL, "nodes", ENDPOINTS, ViewTrial)}
     assert set(found) == {"discovery", "conductor", "hollow_conductor", "control"}
     assert all(one.left_out is None and one.core_share >= 0 for one in found.values())
     assert found["conductor"].core_share > 0 and found["hollow_conductor"].core_share > 0
@@ -49,12 +49,12 @@
     assert found["control"].resident_mb > 5 and found["control"].ready_s > 0
 
 
-def test_changes_of_nodes_are_had_by_the_controllers_whose_views_hold_them() -> None:
+def test_changes_of_endpoints_are_had_by_the_controllers_whose_views_hold_them() -> None:
     with running(SMALL, ViewTrial) as trial:
         trial.start()
         name = trial.hollow_names[0]
         held = trial.relay.members(name)[0]
-        entry = next(one for one in trial.plan.nodes if one.id == held)
+        entry = next(one for one in trial.plan.endpoints if one.id == held)
         trial.make_change(
             {"id": entry.id, "host_port": entry.address, "locality": entry.zone, "phase": "DRAINING"}
         )
@@ -64,12 +64,12 @@
         assert sum(map(len, delays.values())) == len(trial.holders[0])
 
 
-def test_changes_are_of_nodes_that_some_view_holds() -> None:
+def test_changes_are_of_endpoints_that_some_view_holds() -> None:
     with running(SMALL, ViewTrial) as trial:
         trial.start()
-        changed = {node.id for node in trial.changed_nodes()}
-        assert changed == {node for name in trial.names for node in trial.relay.members(name)}
-        assert 0 < len(changed) <= len(trial.plan.nodes)
+        changed = {endpoint.id for endpoint in trial.changed_endpoints()}
+        assert changed == {endpoint for name in trial.names for endpoint in trial.relay.members(name)}
+        assert 0 < len(changed) <= len(trial.plan.endpoints)
 
 
 def test_a_control_role_that_died_is_an_error_and_all_else_is_ended() -> None:
@@ -112,7 +112,7 @@
 
 
 def list_body(complete: bool, **phases: str) -> bytes:
-    members = [{"id": node, "phase": phase} for node, phase in phases.items()]
+    members = [{"id": endpoint, "phase": phase} for endpoint, phase in phases.items()]
     return orjson.dumps({"revision": 1, "complete": complete, "members": members})
 
 
@@ -125,7 +125,7 @@
     assert client.members == {"w"}
 
 
-def test_word_of_tracked_nodes_is_noted_also_when_a_whole_list_lacks_them() -> None:
+def test_word_of_tracked_endpoints_is_noted_also_when_a_whole_list_lacks_them() -> None:
     client = RelayedClient(0)
     assert client.take(list_body(True, x="SERVING", y="SERVING"), {"x"}) == ["x"]
     assert client.take(list_body(False, y="DRAINING"), {"x"}) == []
