--- a/oatcart/scale/agreement.py
+++ b/oatcart/scale/agreement.py
@@ -145,7 +145,7 @@
     An endpoint that was restarted gets its lines back as it warms up, at each controller in a round of its
     own.
     """
-    until = time.monotonic() + trial.settings.warm_after_s + ORDERS_AFTER_WARM_S
+    until = time.monotonic() + trial.settings.warm_up_s + ORDERS_AFTER_WARM_S
     while True:
         figures = list(compare_orders(trial))
         if all(figure.agrees for figure in figures) or time.monotonic() > until:
--- a/oatcart/scale/day_schedule.py
+++ b/oatcart/scale/day_schedule.py
@@ -11,8 +11,8 @@
 from itertools import groupby
 from typing import NamedTuple
 
-from oatcart.scale.controller_settings import DRAINING, MILLISECONDS, SERVING, list_entry
 from oatcart.scale.discovery import DELETED
+from oatcart.scale.endpoint_entries import DRAINING, MILLISECONDS, SERVING, list_entry
 from oatcart.scale.fault_plan import (
     Cause,
     ConfigurationChanged,
--- a/oatcart/scale/runs.py
+++ b/oatcart/scale/runs.py
@@ -28,7 +28,8 @@
 
 from oatcart.policy.discovery import REFRESH_S
 from oatcart.scale.configuration import DAY_S, FleetSettings, RunSettings, Settings
-from oatcart.scale.controller_settings import ROUTES_MOST, controller_settings, list_entry, route_names
+from oatcart.scale.controller_settings import MAX_ROUTES, controller_settings, route_names
+from oatcart.scale.endpoint_entries import list_entry
 from oatcart.scale.figures import (
     CONTROL_ROLE,
     DISCOVERY_ROLE,
@@ -141,8 +142,8 @@
 
     def routes(self, size: int) -> list[Measurement]:
         """A controller with so many request classes."""
-        if size > ROUTES_MOST:
-            text = f"a conductor of today has at most {ROUTES_MOST} request classes"
+        if size > MAX_ROUTES:
+            text = f"a conductor of today has at most {MAX_ROUTES} request classes"
             return [Measurement("routes", size, role, left_out=text) for role in (REAL_ROLE, HOLLOW_ROLE)]
         return self._play("routes", size, replace(self.base, routes=size))
 
--- a/oatcart/scale/trial.py
+++ b/oatcart/scale/trial.py
@@ -33,14 +33,7 @@
 from oatcart.net.stream import MAX_MESSAGE_BYTES
 from oatcart.scale.children import MEGABYTE, ChildProcess
 from oatcart.scale.configuration import FleetSettings, LimitSettings, ViewSettings
-from oatcart.scale.controller_settings import (
-    WARM_AFTER_S,
-    EndpointChanges,
-    controller_settings,
-    endpoints_of_lists,
-    list_entry,
-    route_names,
-)
+from oatcart.scale.controller_settings import WARM_UP_S, controller_settings, route_names
 from oatcart.scale.discovery import (
     MAIN_LIST,
     ClientFigures,
@@ -49,6 +42,7 @@
     HeldRevision,
     Usage,
 )
+from oatcart.scale.endpoint_entries import EndpointChanges, endpoints_of_lists, list_entry
 from oatcart.scale.fleet import FleetPlan, PlannedEndpoint, plan_fleet
 from oatcart.scale.hollow import HollowReading, Hollows
 from oatcart.scale.peer_sockets import PeerSockets
@@ -78,7 +72,7 @@
     routes: int = 2
     proxies: int = 8
     tenants: int = 0
-    warm_after_s: float = WARM_AFTER_S
+    warm_up_s: float = WARM_UP_S
     settle_s: float = 3.0
     quiet_s: float = 15.0
     changes: int = 20
@@ -150,7 +144,7 @@
             settings.routes,
             settings.proxies,
             settings.tenants,
-            settings.warm_after_s,
+            settings.warm_up_s,
         )
         self.routes = route_names(settings.routes)
         self.hollow_names = [f"hollow-{number}" for number in range(settings.hollow)]
--- a/oatcart/scale/view_trial.py
+++ b/oatcart/scale/view_trial.py
@@ -18,7 +18,6 @@
 import orjson
 
 from oatcart.scale.children import ChildProcess
-from oatcart.scale.controller_settings import list_entry
 from oatcart.scale.discovery import (
     LOOPBACK,
     ClientFigures,
@@ -26,6 +25,7 @@
     HeldRevision,
     Usage,
 )
+from oatcart.scale.endpoint_entries import list_entry
 from oatcart.scale.fleet import FleetPlan, PlannedController, PlannedEndpoint
 from oatcart.scale.peers import PeerSettings
 from oatcart.scale.ports import free_ports
--- a/tests/scale/test_scale_agreement.py
+++ b/tests/scale/test_scale_agreement.py
@@ -16,7 +16,7 @@
     real=2,
     settle_s=0.5,
     quiet_s=5.0,  # long enough that one message more on the way is well under a tenth of all
-    warm_after_s=1.0,
+    warm_up_s=1.0,
     changes=4,
     changes_per_s=4.0,
 )
--- a/tests/scale/test_scale_real.py
+++ b/tests/scale/test_scale_real.py
@@ -12,7 +12,7 @@
 import pytest
 
 from oatcart.scale.children import Child, ChildProcess, core_seconds, resident_megabytes
-from oatcart.scale.controller_settings import ROUTES_MOST, controller_settings
+from oatcart.scale.controller_settings import MAX_ROUTES, controller_settings
 from oatcart.scale.discovery import Discovery
 from oatcart.scale.real import RUN, NotReadyError, RealController, real_controllers
 
@@ -130,7 +130,7 @@
     assert resident_megabytes(os.getpid()) > 5
 
 
-@pytest.mark.parametrize("routes", [0, ROUTES_MOST + 1])
+@pytest.mark.parametrize("routes", [0, MAX_ROUTES + 1])
 def test_a_controller_has_no_more_routes_than_request_classes(routes: int) -> None:
     with pytest.raises(ValueError, match="routes"):
         controller_settings(["a"], routes, 2)
