--- a/oatcart/scale/trial.py
+++ b/oatcart/scale/trial.py
@@ -274,7 +274,7 @@
         held = self.held_revisions()
         if self.hollows:
             for name, one in zip(self.hollow_names, self.hollows.figures().controllers, strict=True):
-                held[name] = [HeldRevision(at, revision, 0) for at, revision in one.taken]
+                held[name] = [HeldRevision(at, revision, 0) for at, revision in one.applied_revisions]
         delays, missing = {}, 0
         for name in self.names:
             made = [change for change in self.made if change.list_name == self.list_of(name)]
--- a/tests/scale/test_scale_day.py
+++ b/tests/scale/test_scale_day.py
@@ -69,7 +69,7 @@
     assert [type(step.events[0]) for step in steps] == [NodeDraining, NodeDeleted, NodeReturned]
 
 
-def test_a_later_outage_of_a_endpoint_waits_for_the_end_of_its_drain() -> None:
+def test_a_later_outage_of_an_endpoint_waits_for_the_end_of_its_drain() -> None:
     events = [
         NodeDraining(1.0, "x"),
         NodeDeleted(1.1, "x"),
@@ -105,7 +105,7 @@
     assert [step.at_s for step in steps] == sorted(step.at_s for step in steps)
 
 
-def test_no_two_entries_of_a_endpoint_are_the_same() -> None:
+def test_no_two_entries_of_an_endpoint_are_the_same() -> None:
     plan = plan_fleet(SMALL_FLEET, 1)
     listed, endpoint = ListedEndpoints(plan), plan.endpoints[0]
     told = [entry for entry in listed.entries() if entry["id"] == endpoint.id]
@@ -199,7 +199,7 @@
     return found.overtaken, found.late
 
 
-def test_a_endpoint_back_that_is_dropped_before_it_had_to_be_told_is_overtaken() -> None:
+def test_an_endpoint_back_that_is_dropped_before_it_had_to_be_told_is_overtaken() -> None:
     assert overtaken_return(dropped_at=22.0) == (1, [])
     assert overtaken_return(dropped_at=26.0) == (0, ["node back: x: c: 10.00 s"])
 
@@ -214,7 +214,7 @@
     assert drains(history, [cut._replace(controllers=frozenset("d"))]).missed == ["c: x"]
 
 
-def test_a_endpoint_that_nobody_holds_concerns_nobody() -> None:
+def test_an_endpoint_that_nobody_holds_concerns_nobody() -> None:
     change = Change(10.0, Kind.CONFIGURATION, (ENTRIES[1] | {"size": 2.0},))
     history = History(ENTRIES, [change], {"c": [Word(1.0, "x", FIRST)]})
     expected = ExpectedViews([Controller("c", "r", "z1", ())], UNBOUNDED, 1, ENTRIES)
--- a/tests/scale/test_scale_discovery.py
+++ b/tests/scale/test_scale_discovery.py
@@ -39,7 +39,7 @@
     assert endpoints.changes(0) == endpoints.whole()
 
 
-def test_a_endpoint_that_returns_is_listed_again() -> None:
+def test_an_endpoint_that_returns_is_listed_again() -> None:
     endpoints = EndpointList()
     endpoints.change([ENDPOINT])
     endpoints.change([ENDPOINT | {"phase": "DELETED"}])
--- a/tests/scale/test_scale_hollow.py
+++ b/tests/scale/test_scale_hollow.py
@@ -9,7 +9,8 @@
 from oatcart.net.loop import Loop, Wait
 from oatcart.scale.controller_settings import controller_settings, route_names
 from oatcart.scale.discovery import Discovery
-from oatcart.scale.hollow import ControllerLoop, Hollows, Meter, metered
+from oatcart.scale.hollow import Hollows
+from oatcart.scale.metering import Meter, MeteredLoop, metered
 from oatcart.scale.peers import ControllerPeers, PeerSettings, ProxyTables, last_mark
 
 ROUTES = 2
@@ -71,7 +72,8 @@
     start(discovery, hollows, 40)
     revision = discovery.change([entry(ENDPOINTS[0], "DRAINING")])
     wait_until(
-        lambda: all(one.taken[-1][1] == revision for one in hollows.figures().controllers), "no change"
+        lambda: all(one.applied_revisions[-1][1] == revision for one in hollows.figures().controllers),
+        "no change",
     )
     figures = hollows.figures()
     assert all(0 < one.ready_core_s <= one.core_s and one.ready_after_s > 0 for one in figures.controllers)
@@ -91,7 +93,7 @@
     assert all(one.peer_messages_out >= PROXIES for one in figures)
 
 
-def test_a_endpoint_that_fails_is_shut_out_at_all_proxies(discovery: Discovery, hollows: Hollows) -> None:
+def test_an_endpoint_that_fails_is_shut_out_at_all_proxies(discovery: Discovery, hollows: Hollows) -> None:
     start(discovery, hollows, 1)
     hollows.join_peers([peers()], keep_orders=True)
     hollows.fail([ENDPOINTS[5]])
@@ -191,7 +193,7 @@
 
     now = [0.0]
     loop = Loop(lambda: now[0], ended.append)
-    task = ControllerLoop(loop, Meter()).spawn(steps())
+    task = MeteredLoop(loop, Meter()).spawn(steps())
     now[0] = 1.0
     loop.turn(0.0)
     assert ended == [False] and not task.done
