--- a/oatcart/scale/children.py
+++ b/oatcart/scale/children.py
@@ -21,6 +21,8 @@
 
 import orjson
 
+from oatcart.errors import OatcartError
+
 ANSWER_WITHIN_S = 60.0  # for one command; the longest sets up thousands of endpoints
 END_WITHIN_S = 3.0  # from SIGTERM to SIGKILL
 SHOWN_OF_ERRORS = 2000  # letters of a child's standard error in an error message
@@ -31,7 +33,7 @@
 _LIBC = ctypes.CDLL(None, use_errno=True)
 
 
-class ChildError(RuntimeError):
+class ChildError(OatcartError):
     """A child process that ended early, answered with an error or did not answer in time."""
 
 
@@ -93,10 +95,12 @@
 
     @property
     def pid(self) -> int:
+        """The process id."""
         return self.process.pid
 
     @property
     def running(self) -> bool:
+        """Whether the process has not ended yet."""
         return self.process.poll() is None
 
     def error_text(self) -> str:
@@ -105,9 +109,11 @@
             return copy.read().decode(errors="replace")
 
     def core_seconds(self) -> float:
+        """Processor seconds of all its threads since its start; raises OSError once it has ended."""
         return core_seconds(self.pid)
 
     def resident_megabytes(self) -> float:
+        """Resident memory in megabytes (10^6 bytes); raises OSError once it has ended."""
         return resident_megabytes(self.pid)
 
     def end(self) -> None:
--- a/oatcart/scale/day_trial.py
+++ b/oatcart/scale/day_trial.py
@@ -94,10 +94,12 @@
         self.views_file: dict = {}
 
     def control_configuration(self, source_port: int, main_port: int, served: dict[str, int]) -> dict:
+        """The control role's file, which is kept to work out the expected views."""
         self.views_file = super().control_configuration(source_port, main_port, served)
         return self.views_file
 
     def start(self) -> None:
+        """Starts the trial and works out the views that controllers have at first."""
         super().start()
         self.expected = self.expected_views()
 
@@ -140,15 +142,18 @@
     """A day of controllers that follow the whole list, at discovery."""
 
     def check_fits(self) -> None:
+        """As for a trial without the control role."""
         Trial.check_fits(self)
 
     def open_ports(self) -> dict[str, int]:
+        """Ports of the relay in front of discovery's."""
         return self.relay.open(Trial.open_ports(self))
 
     def _wait_ready(self) -> None:
         Trial._wait_ready(self)
 
     def control_usage(self) -> None:
+        """None, as there is no control role."""
         return None
 
     def expected_views(self) -> ExpectedViews:
--- a/oatcart/scale/discovery.py
+++ b/oatcart/scale/discovery.py
@@ -115,16 +115,19 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """Registers the connection; resets it during an outage."""
         self.transport = transport
         self.service.connections.add(self)
         if self.service.down:
             transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Forgets the connection and its watch."""
         self.service.connections.discard(self)
         self._end_wait()
 
     def data_received(self, data: bytes) -> None:
+        """Counts the bytes and answers each whole call."""
         self.account.bytes_received += len(data)
         self.unread += data
         while END_OF_HEAD in self.unread:
@@ -273,6 +276,7 @@
         self.ask("outage", down=down)
 
     def figures(self) -> DiscoveryFigures:
+        """One reading of the process and of all clients."""
         told = self.ask("figures")
         clients = {name: ClientFigures(*figures) for name, figures in told["clients"].items()}
         return DiscoveryFigures(Usage(**told["usage"]), clients)
--- a/oatcart/scale/fault_plan.py
+++ b/oatcart/scale/fault_plan.py
@@ -13,6 +13,7 @@
 
 import numpy
 
+from oatcart.errors import OatcartError
 from oatcart.scale.configuration import DAY_S, DaySettings
 from oatcart.scale.fleet import FleetPlan
 
@@ -23,7 +24,7 @@
 """Endpoints tried for one outage, before it is given up."""
 
 
-class FaultPlanError(ValueError):
+class FaultPlanError(OatcartError):
     """A day that does not fit into this fleet, such as more restarts than its endpoints can go through."""
 
 
--- a/oatcart/scale/module_rounds.py
+++ b/oatcart/scale/module_rounds.py
@@ -42,15 +42,20 @@
                 encoded[parts] = self.codec.encode_update(parts)
             self.peers.take(proxy, encoded[parts])
 
-    def check_health(self, endpoint: int) -> None: ...
+    def check_health(self, endpoint: int) -> None:
+        """Does nothing: health checks are off."""
 
-    def watch_endpoints(self, on: bool) -> None: ...
+    def watch_endpoints(self, on: bool) -> None:
+        """Does nothing: the list does not change."""
 
-    def fetch_endpoints(self) -> None: ...
+    def fetch_endpoints(self) -> None:
+        """Does nothing: the list does not change."""
 
-    def schedule_round(self, after: float) -> None: ...
+    def schedule_round(self, after: float) -> None:
+        """Does nothing: a round follows at every tick."""
 
-    def log(self, text: str) -> None: ...
+    def log(self, text: str) -> None:
+        """Discards a line of the log."""
 
 
 class ModuleFigures(NamedTuple):
--- a/oatcart/scale/peer_sockets.py
+++ b/oatcart/scale/peer_sockets.py
@@ -28,6 +28,7 @@
         self.peers, self.proxy = peers, proxy
 
     def data_received(self, data: bytes) -> None:
+        """Hands encoded updates to the proxy."""
         self.peers.take(self.proxy, data)
 
 
--- a/oatcart/scale/real.py
+++ b/oatcart/scale/real.py
@@ -16,6 +16,7 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
+from oatcart.errors import OatcartError
 from oatcart.scale.children import ChildProcess
 from oatcart.scale.discovery import LOOPBACK
 
@@ -28,7 +29,7 @@
 _LISTENS = re.compile(rf"listens at {re.escape(LOOPBACK)}:(\d+)")
 
 
-class NotReadyError(RuntimeError):
+class NotReadyError(OatcartError):
     """A controller ended, or did not answer `pong`, within the time allowed."""
 
 
--- a/oatcart/scale/trial.py
+++ b/oatcart/scale/trial.py
@@ -30,6 +30,7 @@
 
 import orjson
 
+from oatcart.errors import OatcartError
 from oatcart.net.stream import MAX_MESSAGE_BYTES
 from oatcart.scale.children import MEGABYTE, ChildProcess
 from oatcart.scale.configuration import FleetSettings, LimitSettings, ViewSettings
@@ -57,7 +58,7 @@
 DESCRIPTORS_SPARE = 64
 
 
-class SizeLimitError(RuntimeError):
+class SizeLimitError(OatcartError):
     """A size that exceeds a limit of this machine or of the protocol; the message says which."""
 
 
--- a/oatcart/scale/view_relay.py
+++ b/oatcart/scale/view_relay.py
@@ -96,10 +96,12 @@
         self.news: list[str] = []  # tracked endpoints in answers since the last request
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """Starts to connect to the control role."""
         self.transport = transport
         self.service.begin(self)
 
     def data_received(self, data: bytes) -> None:
+        """Counts and forwards the bytes of a controller, and reads its requests."""
         self._have_news()
         self.client.account.bytes_received += len(data)
         if self.control is None:
@@ -112,6 +114,7 @@
             self._request(head.split(b" ", 2)[1].decode())
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Resets the connection to the control role."""
         self._have_news()
         if self.control is not None:
             self.control.transport.abort()
@@ -142,15 +145,18 @@
         self.answers = AnswerReader(self._answer)
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """Forwards what the controller has sent meanwhile."""
         self.transport = transport
         self.controller.up(self)
 
     def data_received(self, data: bytes) -> None:
+        """Counts and forwards the bytes of the control role, and reads its answers."""
         self.controller.client.account.bytes_sent += len(data)
         self.controller.transport.write(data)
         self.answers.read(data)
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Closes the controller's connection."""
         self.controller.transport.close()
 
     def _answer(self, body: bytes) -> None:
--- a/oatcart/scale/view_trial.py
+++ b/oatcart/scale/view_trial.py
@@ -97,12 +97,15 @@
         return self.plan.controllers[number % len(self.plan.controllers)]
 
     def client_figures(self, discovery: DiscoveryFigures) -> dict[str, ClientFigures]:
+        """The control traffic of each controller, as the relay counts it."""
         return self.relay.clients()
 
     def control_usage(self) -> Usage:
+        """The control role's processor seconds and memory."""
         return Usage(self.control.core_seconds(), self.control.resident_megabytes())
 
     def held_revisions(self) -> dict[str, list[HeldRevision]]:
+        """Which revisions of its view each controller had when."""
         return self.relay.held().held
 
     def peer_settings(self, name: str) -> PeerSettings:
@@ -121,6 +124,7 @@
         return [endpoint for endpoint in self.plan.endpoints if endpoint.id in held]
 
     def make_change(self, entry: dict) -> None:
+        """Changes one endpoint's entry and keeps which controllers hold the endpoint."""
         self.holders.append(self.relay.track(entry["id"]))
         super().make_change(entry)
 
@@ -142,9 +146,11 @@
         return delays, missing
 
     def running_processes(self) -> list[ChildProcess]:
+        """All processes of the trial, with the relay and the control role."""
         return [*super().running_processes(), self.relay, *([self.control] if self.control else [])]
 
     def errors(self) -> str:
+        """What real controllers and the control role have written to their logs."""
         return f"{super().errors()}\n{self.control.error_text() if self.control else ''}"
 
     def _wait_control(self, main_port: int) -> None:
