--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -38,7 +38,7 @@
 from oatcart.scale.report import text_report
 from oatcart.scale.runs import BASE_ENDPOINTS, CHANGES_PER_S, whole_fetches
 from oatcart.scale.slopes import QuantitySlope, analyse
-from oatcart.scale.trial import SizeLimitError, TrialSettings
+from oatcart.scale.trial_settings import SizeLimitError, TrialSettings
 from oatcart.scale.view_trial import ViewTrial
 
 SETTINGS_FILE = Path(__file__).parents[1] / "deploy" / "scale.yaml"
--- a/oatcart/scale/__main__.py
+++ b/oatcart/scale/__main__.py
@@ -83,7 +83,7 @@
     from oatcart.scale.day import FULL, QUICK, play_day
     from oatcart.scale.day_report import day_json, day_text
     from oatcart.scale.real import NotReadyError
-    from oatcart.scale.trial import SizeLimitError
+    from oatcart.scale.trial_settings import SizeLimitError
 
     try:
         result = play_day(settings, QUICK if parsed.quick else FULL, parsed.whole_list, report_progress)
--- a/oatcart/scale/agreement.py
+++ b/oatcart/scale/agreement.py
@@ -22,7 +22,8 @@
 from oatcart.scale.discovery import ClientFigures
 from oatcart.scale.hollow import HeldTables
 from oatcart.scale.peers import PeerTraffic
-from oatcart.scale.trial import Reading, Trial, TrialSettings, make_changes, running
+from oatcart.scale.trial import Reading, Trial, make_changes, running
+from oatcart.scale.trial_settings import TrialSettings
 
 DIFFERENCE_MOST = 0.1  # of bytes and messages, as a part of the real controller's
 COMMON_WEIGHT_LEAST = 0.9  # of a table's weight on the same endpoints
--- a/oatcart/scale/day.py
+++ b/oatcart/scale/day.py
@@ -12,23 +12,23 @@
 """
 
 import time
-from collections.abc import Callable, Sequence
+from collections.abc import Callable
 from dataclasses import dataclass, replace
-from itertools import pairwise
-from statistics import fmean
 from typing import NamedTuple
 
 from oatcart.policy.draining import FORGET_AFTER_S
 from oatcart.scale.configuration import Settings
 from oatcart.scale.day_deliveries import Deliveries, Drains, History, deliveries, drains
+from oatcart.scale.day_loads import RoleLoad, metered_core_share, role_loads
 from oatcart.scale.day_schedule import Kind, schedule
-from oatcart.scale.day_trial import DayPlayer, DayTrial, Healing, Sample, WholeListTrial
+from oatcart.scale.day_trial import DayPlayer, DayTrial, Healing, WholeListTrial
 from oatcart.scale.fault_plan import plan_day
-from oatcart.scale.figures import CONTROL_ROLE, HOLLOW_ROLE, REAL_ROLE, is_late, summed
+from oatcart.scale.figures import is_late
 from oatcart.scale.fleet import FleetPlan
 from oatcart.scale.hollow import HeldTables
 from oatcart.scale.interrupts import noted_interrupts
-from oatcart.scale.trial import LOOK_EVERY_S, Reading, TrialSettings, running
+from oatcart.scale.trial import LOOK_EVERY_S, Reading, running
+from oatcart.scale.trial_settings import TrialSettings
 
 LEAST_CUT_S = 5.0  # of a cut between regions, in real time
 KEPT_MOST_S = (
@@ -54,25 +54,6 @@
 WHOLE_LIST_MOST = 4  # hollow controllers that follow the whole list: each of them takes far more
 
 
-class Rates(NamedTuple):
-    """What a role takes in a span: share of a core, bytes and messages a second; of a controller the mean."""
-
-    core_share: float
-    bytes_in_s: float
-    bytes_out_s: float
-    messages_in_s: float
-    messages_out_s: float
-
-
-class RoleLoad(NamedTuple):
-    """A role over the day; `worst` has of each figure the worst second, `zone_lost` that of a zone's loss."""
-
-    role: str
-    mean: Rates
-    worst: Rates
-    zone_lost: Rates | None
-
-
 class EndState(NamedTuple):
     """How controllers stand at the end of the day, of `conductors` in all.
 
@@ -282,84 +263,6 @@
     )
 
 
-def metered_core_share(before: Reading, after: Reading) -> float:
-    """Of the mean hollow controller by its own meter, without its proxies; 0 where there are none."""
-    if not before.hollow or not after.hollow:
-        return 0.0
-    pairs = zip(before.hollow.controllers, after.hollow.controllers, strict=True)
-    return fmean(now.core_s - then.core_s for then, now in pairs) / (after.at - before.at)
-
-
-def role_loads(player: DayPlayer) -> list[RoleLoad]:
-    """What each role took, from the samples of the day."""
-    trial, samples = player.trial, player.samples
-    readers: dict[str, Callable[[Sample, Sample], Rates]] = {}
-    if trial.control:
-        readers[CONTROL_ROLE] = control_rates
-    if trial.hollow_names:
-        readers[HOLLOW_ROLE] = lambda then, now: controller_rates(
-            then, now, trial.hollow_names, now.hollow_core_s - then.hollow_core_s
-        )
-    if trial.real_names:
-        readers[REAL_ROLE] = lambda then, now: controller_rates(
-            then, now, trial.real_names, sum(now.real_core_s) - sum(then.real_core_s)
-        )
-    zone_losses = [change.at for change in player.changes if change.kind is Kind.ZONE_LOSS]
-    return [role_load(role, reader, samples, zone_losses) for role, reader in readers.items()]
-
-
-def role_load(
-    role: str,
-    reader: Callable[[Sample, Sample], Rates],
-    samples: Sequence[Sample],
-    zone_losses: Sequence[float],
-) -> RoleLoad:
-    """The mean and the worst seconds of one role."""
-    seconds = [(then, now) for then, now in pairwise(samples) if now.at - then.at >= LOOK_EVERY_S]
-    after_loss = [
-        reader(then, now)
-        for then, now in seconds
-        if any(then.at <= at + 1.0 and now.at >= at for at in zone_losses)
-    ]
-    return RoleLoad(
-        role,
-        reader(samples[0], samples[-1]),
-        worst([reader(then, now) for then, now in seconds]),
-        worst(after_loss) if after_loss else None,
-    )
-
-
-def worst(rates: Sequence[Rates]) -> Rates:
-    """Of each figure the largest."""
-    return Rates(*(max(figures) for figures in zip(*rates, strict=True)))
-
-
-def controller_rates(then: Sample, now: Sample, names: Sequence[str], core_s: float) -> Rates:
-    """The mean controller of some, which took so many core seconds together."""
-    shared = (now.at - then.at) * len(names)
-    traffic = summed(*({name: one.clients[name] for name in names} for one in (then, now)))
-    return Rates(
-        core_s / shared,
-        traffic.bytes_in / shared,
-        traffic.bytes_out / shared,
-        traffic.messages_in / shared,
-        traffic.messages_out / shared,
-    )
-
-
-def control_rates(then: Sample, now: Sample) -> Rates:
-    """The control role, with discovery and all controllers together."""
-    span_s = now.at - then.at
-    served, followed = summed(then.clients, now.clients), summed(then.source, now.source)
-    return Rates(
-        (now.control_core_s - then.control_core_s) / span_s,
-        (served.bytes_out + followed.bytes_in) / span_s,
-        (served.bytes_in + followed.bytes_out) / span_s,
-        (served.messages_out + followed.messages_in) / span_s,
-        (served.messages_in + followed.messages_out) / span_s,
-    )
-
-
 def fleet_counts(plan: FleetPlan) -> dict[str, int]:
     """The counts of the fleet as played."""
     return {
--- a/oatcart/scale/day_report.py
+++ b/oatcart/scale/day_report.py
@@ -3,8 +3,9 @@
 import json
 from dataclasses import asdict
 
-from oatcart.scale.day import DayResult, Rates
+from oatcart.scale.day import DayResult
 from oatcart.scale.day_deliveries import Deliveries
+from oatcart.scale.day_loads import Rates
 from oatcart.scale.figures import summarised
 from oatcart.scale.report import NOT_MEASURED, OVER_BUDGET, align, number_text
 
--- a/oatcart/scale/day_trial.py
+++ b/oatcart/scale/day_trial.py
@@ -28,7 +28,8 @@
 from oatcart.scale.fleet import FleetPlan
 from oatcart.scale.hollow import HeldTables
 from oatcart.scale.real import NotReadyError
-from oatcart.scale.trial import LOOK_EVERY_S, Trial, TrialSettings
+from oatcart.scale.trial import LOOK_EVERY_S, Trial
+from oatcart.scale.trial_settings import TrialSettings
 from oatcart.scale.view_trial import ViewTrial
 from oatcart.views.configuration import Configuration
 from oatcart.views.configuration_file import read as read_views
--- a/oatcart/scale/figures.py
+++ b/oatcart/scale/figures.py
@@ -15,7 +15,8 @@
 from oatcart.scale.measurement import Measurement
 from oatcart.scale.peers import TICK_S
 from oatcart.scale.real import NotReadyError
-from oatcart.scale.trial import Reading, Ready, SizeLimitError, Trial, TrialSettings, make_changes, running
+from oatcart.scale.trial import Reading, Ready, Trial, make_changes, running
+from oatcart.scale.trial_settings import SizeLimitError, TrialSettings
 
 HOLLOW_ROLE, REAL_ROLE = "hollow_conductor", "conductor"
 DISCOVERY_ROLE, CONTROL_ROLE = "discovery", "control"
--- a/oatcart/scale/runs.py
+++ b/oatcart/scale/runs.py
@@ -43,7 +43,7 @@
 from oatcart.scale.measurement import Measurement
 from oatcart.scale.module_rounds import module_figures
 from oatcart.scale.peers import PeerSettings
-from oatcart.scale.trial import TrialSettings
+from oatcart.scale.trial_settings import TrialSettings
 from oatcart.scale.view_trial import ViewTrial
 
 MODULE_ROLE = "module"
--- a/oatcart/scale/trial.py
+++ b/oatcart/scale/trial.py
@@ -21,20 +21,15 @@
   trial tells of bytes and processor time is then without it.
 """
 
-import resource
 import time
 from collections.abc import Iterator, Sequence
 from contextlib import ExitStack, contextmanager
-from dataclasses import dataclass
 from typing import NamedTuple
 
 import orjson
 
-from oatcart.errors import OatcartError
-from oatcart.net.stream import MAX_MESSAGE_BYTES
 from oatcart.scale.children import MEGABYTE, ChildProcess
-from oatcart.scale.configuration import FleetSettings, LimitSettings, ViewSettings
-from oatcart.scale.controller_settings import WARM_UP_S, controller_settings, route_names
+from oatcart.scale.controller_settings import controller_settings, route_names
 from oatcart.scale.discovery import (
     MAIN_LIST,
     ClientFigures,
@@ -49,39 +44,11 @@
 from oatcart.scale.peer_sockets import PeerSockets
 from oatcart.scale.peers import PeerSettings
 from oatcart.scale.real import NotReadyError, RealController, real_controllers
+from oatcart.scale.trial_settings import SizeLimitError, TrialSettings, check_fits
 
 READY_WITHIN_S = 60.0
 LOOK_EVERY_S = 0.05  # at what controllers have, while waiting
 LAST_CHANGE_WITHIN_S = 5.0  # after the last change, for all controllers to have it
-STAND_INS = 3  # processes beside controllers: discovery, the hollow fleet, the peers' sockets
-DESCRIPTORS_OF_CONTROLLER = 4  # at discovery: a port, a watch, a fetch, a spare
-DESCRIPTORS_SPARE = 64
-
-
-class SizeLimitError(OatcartError):
-    """A size that exceeds a limit of this machine or of the protocol; the message says which."""
-
-
-@dataclass(frozen=True)
-class TrialSettings:
-    """One trial; times in seconds. `tenants` go into the settings of controllers."""
-
-    fleet: FleetSettings
-    seed: int
-    hollow: int
-    real: int
-    routes: int = 2
-    proxies: int = 8
-    tenants: int = 0
-    warm_up_s: float = WARM_UP_S
-    settle_s: float = 3.0
-    quiet_s: float = 15.0
-    changes: int = 20
-    changes_per_s: float = 10.0
-    measure_under_changes: bool = False
-    lists_by_service: bool = False
-    limits: LimitSettings = LimitSettings()
-    view: ViewSettings = ViewSettings()
 
 
 class Ready(NamedTuple):
@@ -112,27 +79,6 @@
     real: list[Usage]
 
 
-def raise_descriptor_limit() -> int:
-    """Raises this process's limit of open files as far as allowed; children inherit it. Returns the limit."""
-    _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
-    return most
-
-
-def check_fits(settings: TrialSettings, list_bytes: int) -> None:
-    """Raises SizeLimitError where a limit is known to be exceeded before anything is started."""
-    processes = settings.real + STAND_INS
-    if processes > settings.limits.processes:
-        raise SizeLimitError(f"{processes} processes are over the limit of {settings.limits.processes}")
-    if list_bytes > MAX_MESSAGE_BYTES:
-        raise SizeLimitError(
-            f"a list of {list_bytes} bytes is over the protocol's {MAX_MESSAGE_BYTES}: refused"
-        )
-    descriptors = DESCRIPTORS_OF_CONTROLLER * (settings.hollow + settings.real) + DESCRIPTORS_SPARE
-    if descriptors > (most := raise_descriptor_limit()):
-        raise SizeLimitError(f"{descriptors} descriptors are over the limit of {most}")
-
-
 class Trial:
     """The processes of one trial and what is asked of them; made by `running`, which ends them."""
 
--- a/oatcart/scale/view_trial.py
+++ b/oatcart/scale/view_trial.py
@@ -30,7 +30,8 @@
 from oatcart.scale.peers import PeerSettings
 from oatcart.scale.ports import free_ports
 from oatcart.scale.real import RUN, NotReadyError
-from oatcart.scale.trial import LOOK_EVERY_S, MadeChange, Ready, Trial, TrialSettings, check_fits
+from oatcart.scale.trial import LOOK_EVERY_S, MadeChange, Ready, Trial
+from oatcart.scale.trial_settings import TrialSettings, check_fits
 from oatcart.scale.view_relay import ViewRelay
 
 CONTROL_CLIENT = "control"  # the control role's name at discovery
--- a/tests/scale/test_scale_agreement.py
+++ b/tests/scale/test_scale_agreement.py
@@ -7,7 +7,8 @@
 from oatcart.scale import agreement
 from oatcart.scale.agreement import Agreement, Compared, compare, none, same, within
 from oatcart.scale.configuration import FleetSettings
-from oatcart.scale.trial import Trial, TrialSettings
+from oatcart.scale.trial import Trial
+from oatcart.scale.trial_settings import TrialSettings
 
 SETTINGS = TrialSettings(
     fleet=FleetSettings().scaled_to(30),
--- a/tests/scale/test_scale_runs.py
+++ b/tests/scale/test_scale_runs.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from oatcart.scale import runs, trial
+from oatcart.scale import runs, trial, trial_settings
 from oatcart.scale.children import Interrupted
 from oatcart.scale.configuration import FleetSettings, LimitSettings, RunSettings, Settings
 from oatcart.scale.figures import Delays, Observed, Specification, measured, play, play_beside, summarised
@@ -19,7 +19,8 @@
 from oatcart.scale.interrupts import noted_interrupts
 from oatcart.scale.measurement import Measurement
 from oatcart.scale.runs import measure, sizes_of
-from oatcart.scale.trial import SizeLimitError, TrialSettings, check_fits, make_changes, running
+from oatcart.scale.trial import make_changes, running
+from oatcart.scale.trial_settings import SizeLimitError, TrialSettings, check_fits
 
 SMALL = TrialSettings(
     FleetSettings().scaled_to(40), seed=1, hollow=2, real=1, settle_s=0.1, quiet_s=0.3, changes=3
@@ -50,7 +51,7 @@
 def test_a_list_over_the_protocols_limit_is_left_out_and_the_module_is_measured(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(trial, "MAX_MESSAGE_BYTES", 1_000)
+    monkeypatch.setattr(trial_settings, "MAX_MESSAGE_BYTES", 1_000)
     found = by_role(measure(settings_with({"nodes": (50,)}), True, None, lambda line: None))
     assert "list" in found["conductor"].left_out and "refused" in found["hollow_conductor"].left_out
     assert found["viewed_conductor"].left_out is None and found["control"].ready_core_s > 0
--- a/tests/scale/test_scale_views.py
+++ b/tests/scale/test_scale_views.py
@@ -12,7 +12,8 @@
 from oatcart.scale.fleet import plan_fleet
 from oatcart.scale.ports import free_ports
 from oatcart.scale.real import NotReadyError
-from oatcart.scale.trial import MadeChange, TrialSettings, running
+from oatcart.scale.trial import MadeChange, running
+from oatcart.scale.trial_settings import TrialSettings
 from oatcart.scale.view_relay import AnswerReader, RelayedClient
 from oatcart.scale.view_trial import ViewTrial, first_word
 
