--- a/oatcart/net/assembly.py
+++ b/oatcart/net/assembly.py
@@ -7,7 +7,6 @@
 from typing import NamedTuple
 
 from oatcart.errors import InvalidConfigurationError
-from oatcart.handover import seconds, socket_records
 from oatcart.net.acceptor import Acceptor
 from oatcart.net.codec import Codec, parse_address
 from oatcart.net.configuration import read_configuration, read_descriptors, read_field
@@ -18,6 +17,7 @@
 from oatcart.net.loop import Loop
 from oatcart.net.rounds import Rounds
 from oatcart.policy import Controller
+from oatcart.settings import read_seconds, read_socket_controller_settings
 
 IDENTITY_FIELDS = ("name", "listen")  # a file in which these differ is another controller's
 RESTART_FIELDS = ("settings",)  # changed only by a restart
@@ -45,11 +45,11 @@
     `Rounds` that serves another front as well.
     """
     settings = read_field(configuration, "settings", dict)
-    controller_settings = read_field(configuration, "settings", socket_records)
+    controller_settings = read_field(configuration, "settings", read_socket_controller_settings)
     loop = Loop(time.monotonic, lambda error: log.write("task", "".join(traceback.format_exception(error))))
     log = Log(loop.clock)
     codec = read_field(configuration, "settings", _make_codec)
-    rounds = make_rounds(loop, log, codec, seconds(settings, "quantum"), time.time())
+    rounds = make_rounds(loop, log, codec, read_seconds(settings, "quantum"), time.time())
     watcher = _make_watcher(configuration, settings, rounds)
     health_checker = _make_health_checker(settings, watcher, rounds)
     seed = read_field(configuration, "seed", lambda text: int(text, 16))
@@ -94,7 +94,7 @@
 
 
 def _make_watcher(configuration: Mapping, settings: Mapping, rounds: Rounds) -> EndpointListWatcher:
-    poll_within = seconds(settings.get("rules") or {}, "askWithin", DEFAULT_POLL_WITHIN_S)
+    poll_within = read_seconds(settings.get("rules") or {}, "askWithin", DEFAULT_POLL_WITHIN_S)
     discovery = read_field(configuration, "discovery", parse_address)
     return EndpointListWatcher(
         rounds.loop,
@@ -111,7 +111,7 @@
     return HealthChecker(
         rounds.loop,
         reports.get("how", "off") != "off",
-        seconds(limits, "connectTimeout", DEFAULT_HEALTH_CHECK_TIMEOUT_S),
+        read_seconds(limits, "connectTimeout", DEFAULT_HEALTH_CHECK_TIMEOUT_S),
         watcher.addresses,
         rounds.add_event,
     )
--- a/oatcart/net/codec.py
+++ b/oatcart/net/codec.py
@@ -17,7 +17,7 @@
     ProxyLoadReported,
     UpdateAcknowledged,
 )
-from oatcart.handover import AMOUNT_MOST, is_amount, load
+from oatcart.load_reports import MAX_AMOUNT, is_amount, read_load_report
 from oatcart.model import EndpointState
 from oatcart.net.stream import Address
 from oatcart.routing_tables import UpdatePart
@@ -188,7 +188,7 @@
             mean_duration,
             errors,
             attempts,
-            load(message.get("report")),
+            read_load_report(message.get("report")),
         )
 
     def _decode_usage(self, message: dict) -> ProxyLoadReported:
@@ -295,7 +295,7 @@
         raise _InvalidFieldError(field, name, "a known name") from None
 
 
-def _amount(field: str, value: object, maximum: float = AMOUNT_MOST) -> float:
+def _amount(field: str, value: object, maximum: float = MAX_AMOUNT) -> float:
     if not is_amount(value) or value > maximum:
         raise _InvalidFieldError(field, value, f"a number from 0 to {maximum:g}")
     return float(value)
--- a/oatcart/net/health_checks.py
+++ b/oatcart/net/health_checks.py
@@ -4,7 +4,7 @@
 
 from oatcart.errors import CloseReason, ConnectionClosedError
 from oatcart.events import HealthCheckCompleted
-from oatcart.handover import load
+from oatcart.load_reports import read_load_report
 from oatcart.model import HealthCheckOutcome, LoadReport
 from oatcart.net.codec import HEALTH_PATH, LOAD_PATH, parse_object
 from oatcart.net.http_client import HttpClient
@@ -60,7 +60,7 @@
         try:
             body = yield from self._call(address, started_at + self.timeout)
             if self.with_load and body:
-                load_report = load(parse_object(body))
+                load_report = read_load_report(parse_object(body))
         except ConnectionClosedError as error:
             reason = error.reason
         finally:
--- a/oatcart/policy/telemetry.py
+++ b/oatcart/policy/telemetry.py
@@ -5,7 +5,6 @@
 """
 
 from collections.abc import Iterable, Sequence
-from statistics import median
 
 from oatcart.events import EndpointLoadReported, ProxyLoadReported
 from oatcart.model import RequestClass
@@ -16,11 +15,23 @@
 MEMORY_S = 3.0  # time constant of the decaying sums
 MEMORY_INTERVALS = 1.5  # the same in report intervals; the longer of both counts
 INITIAL_CAPACITY = 8.0  # requests in flight, until an endpoint shows more
-CAPACITY_STEP_DOWN = 0.3  # part of the way towards what a late endpoint holds
+CAPACITY_STEP_DOWN = 0.3  # part of the way towards what a late endpoint has in flight
 ON_TIME_SHARE = 0.5  # of the latency objective; a mean duration over it is late
 FAILING_RATIO = 0.15  # of the attempts, at the median endpoint: full strain
 
 
+def median(values: Iterable[float]) -> float:
+    """Returns the middle value, or the mean of both middle ones; there must be at least one.
+
+    `statistics` of the standard library would load `decimal` and `fractions` into every controller.
+    """
+    ordered = sorted(values)
+    middle = len(ordered) // 2
+    if len(ordered) % 2:
+        return ordered[middle]
+    return (ordered[middle - 1] + ordered[middle]) / 2
+
+
 def error_ratio(endpoints: Iterable[Endpoint], unknown: float = 0.0) -> float:
     """Returns the failed part of the attempts at some endpoints, or `unknown` where there were none."""
     endpoints = list(endpoints)
@@ -83,7 +94,7 @@
             )
 
     def _learn_capacity(self, endpoint: Endpoint, in_flight: float) -> None:
-        """Raises the capacity to what is held on time, and lowers it while the endpoint is late."""
+        """Raises the capacity to what is in flight on time, and lowers it while the endpoint is late."""
         objective = ON_TIME_SHARE * self.latency_objective
         late = endpoint.answers and endpoint.answer_seconds / endpoint.answers > objective
         if late:
--- a/oatcart/scale/hollow.py
+++ b/oatcart/scale/hollow.py
@@ -22,7 +22,6 @@
 
 from oatcart.errors import InvalidMessageError
 from oatcart.events import ProxyJoined, UpdateAcknowledged
-from oatcart.handover import seconds, socket_records
 from oatcart.net.assembly import DEFAULT_HEALTH_CHECK_TIMEOUT_S, DEFAULT_POLL_WITHIN_S, WATCH_WAIT_FRACTION
 from oatcart.net.codec import Codec
 from oatcart.net.endpoint_list import EndpointListWatcher
@@ -34,6 +33,7 @@
 from oatcart.scale.children import Child, CommandReader, ignore_interrupts, own_usage
 from oatcart.scale.discovery import LOOPBACK, Usage
 from oatcart.scale.peers import TICK_S, ConductorPeers, PeerMessage, PeerSettings, PeerTraffic
+from oatcart.settings import read_seconds, read_socket_controller_settings
 
 START_SPREAD_S = (
     0.25  # conductors start spread over the module's time between two looks, as a real fleet has them
@@ -63,7 +63,7 @@
 
 
 def metered(coroutine: Coroutine, meter: Meter) -> Coroutine:
-    """The same task, each of its steps under the meter."""
+    """The same task, each of its coroutine under the meter."""
     ready = None
     try:
         while True:
@@ -165,9 +165,11 @@
             settings["zones"],
             settings["specifics"]["proxyCount"],
         )
-        quantum = seconds(settings, "quantum")
+        quantum = read_seconds(settings, "quantum")
         self.rounds = HollowRounds(loop, log, codec, quantum, time.time(), self.may_be_due)
-        wait = WATCH_WAIT_FRACTION * seconds(settings.get("rules") or {}, "askWithin", DEFAULT_POLL_WITHIN_S)
+        wait = WATCH_WAIT_FRACTION * read_seconds(
+            settings.get("rules") or {}, "askWithin", DEFAULT_POLL_WITHIN_S
+        )
         self.watcher = EndpointListWatcher(
             loop, codec, log, (LOOPBACK, discovery_port), wait, self.rounds.add_event
         )
@@ -175,11 +177,11 @@
         prober = HealthChecker(
             loop,
             reports.get("how", "off") != "off",
-            seconds(allowed, "connectTimeout", DEFAULT_HEALTH_CHECK_TIMEOUT_S),
+            read_seconds(allowed, "connectTimeout", DEFAULT_HEALTH_CHECK_TIMEOUT_S),
             self.watcher.addresses,
             self.rounds.add_event,
         )
-        module = Controller(socket_records(settings), seed)
+        module = Controller(read_socket_controller_settings(settings), seed)
         self.rounds.start(module.round, self.watcher, prober)
         self.rounds.is_due = True
 
--- a/oatcart/trace/configuration.py
+++ b/oatcart/trace/configuration.py
@@ -3,10 +3,11 @@
 from pathlib import Path
 from typing import NamedTuple
 
+from oatcart.errors import InvalidConfigurationError
 from oatcart.trace.write_policy import Limits
-from oatcart.yaml_files import Wrong, load, name, size, span, table, whole
+from oatcart.yaml_files import duration, integer, load, name, size, table
 
-__all__ = ["TraceSettings", "Wrong", "read"]
+__all__ = ["TraceSettings", "InvalidConfigurationError", "read"]
 
 
 class TraceSettings(NamedTuple):
@@ -20,9 +21,9 @@
 KEYS = {
     "folder": name,
     "file_size": size,
-    "file_for": span,
+    "file_for": duration,
     "budget": size,
-    "room": whole(1000, 10_000_000),
+    "room": integer(1000, 10_000_000),
 }
 # The limit that each key sets
 LIMITS = {
@@ -34,7 +35,10 @@
 
 
 def read(path: str | Path) -> TraceSettings:
-    """Read the settings file; raises Wrong with a line for each fault, naming file, line and key."""
+    """Read the settings file.
+
+    Raises InvalidConfigurationError with a line for each fault, which names file, line and key.
+    """
     faults: list[str] = []
     document, where = load(path)
     values = table(document, KEYS, "", where, faults, 0)
@@ -45,5 +49,5 @@
         line = document.lc.key("budget" if "budget" in values else "file_size")[0]
         faults.append(f"{where(line)}: budget holds not even one file of file_size")
     if faults:
-        raise Wrong("\n".join(faults))
+        raise InvalidConfigurationError("\n".join(faults))
     return TraceSettings(values["folder"], limits)
--- a/oatcart/trace/run.py
+++ b/oatcart/trace/run.py
@@ -11,7 +11,6 @@
 from oatcart.net.configuration import read_configuration
 from oatcart.net.configuration_reload import reload_signal
 from oatcart.net.rounds import Rounds
-from oatcart.trace.configuration import Wrong
 from oatcart.trace.configuration import read as read_settings
 from oatcart.trace.controller_tracing import flush_on_termination, trace_controller
 
@@ -29,7 +28,7 @@
         controller_configuration = read_configuration()
         make_rounds = trace_controller(Rounds, controller_configuration, settings, writers.append)
         loop, rounds, _ = assemble(controller_configuration, reload_signal(), make_rounds)
-    except (Wrong, InvalidConfigurationError) as error:
+    except InvalidConfigurationError as error:
         print(error, file=sys.stderr)
         return INVALID_CONFIGURATION
     (writer,) = writers
--- a/oatcart/xds/serve.py
+++ b/oatcart/xds/serve.py
@@ -8,11 +8,11 @@
 from random import Random
 
 from oatcart.errors import InvalidConfigurationError
-from oatcart.handover import start_records
 from oatcart.model import AdmissionMode
 from oatcart.net.assembly import assemble
 from oatcart.net.configuration_reload import reload_signal
 from oatcart.net.loop import Loop
+from oatcart.settings import read_controller_settings
 from oatcart.xds.configuration import Xds
 from oatcart.xds.encode import Encoder
 from oatcart.xds.follow import Follower
@@ -39,7 +39,7 @@
     ) -> None:
         self.xds = xds
         self.loop, self.rounds, self.acceptor = assemble(cfg, woken, traced(self._rounds))
-        records, codec = start_records(cfg["settings"]), self.rounds.codec
+        records, codec = read_controller_settings(cfg["settings"]), self.rounds.codec
         zones = sorted(codec.zones, key=codec.zones.get)
         self.front = Front(
             self.rounds,
