--- a/oatcart/scale/hollow.py
+++ b/oatcart/scale/hollow.py
@@ -63,7 +63,7 @@
 
 
 def metered(coroutine: Coroutine, meter: Meter) -> Coroutine:
-    """The same task, each of its steps under the meter."""
+    """The same task, each of its coroutine under the meter."""
     ready = None
     try:
         while True:
