--- /dev/null
+++ b/tests/policy/policy_records.py
@@ -0,0 +1,12 @@
+"""Records of the decisions' state for tests."""
+
+from oatcart.policy.registry import EndpointRegistry
+from oatcart.policy.state import Endpoint
+
+
+def make_endpoint(**fields) -> Endpoint:
+    """Returns an endpoint of which nothing is known but these fields."""
+    endpoint = EndpointRegistry().get_or_create(0)
+    for name, value in fields.items():
+        setattr(endpoint, name, value)
+    return endpoint
