--- a/oatcart/scale/hollow.py
+++ b/oatcart/scale/hollow.py
@@ -1,9 +1,10 @@
 """Hollow conductors: hundreds in one process, with the real decision module, order writer, codec and
 watcher.
 
-Real in a hollow conductor: `policy.Controller`, `net.conductor.Rounds` with its tables, `net.codec.Codec`,
-and `net.roll.Watcher` with its HTTP calls on loopback. Left out: the acceptor and the proxies' sockets; its
-proxies stand in the same process, their lines are read by the real codec and the orders' bytes are counted.
+Real in a hollow conductor: `policy.Controller`, `net.rounds.Rounds` with its tables, `net.codec.Codec`,
+and `net.endpoint_list.EndpointListWatcher` with its HTTP calls on loopback. Left out: the acceptor and the
+proxies' sockets; its proxies stand in the same process, their lines are read by the real codec and the
+orders' bytes are counted.
 
 All share one `net.loop.Loop`. Every task and every round of a conductor runs under its own `Meter`, which
 counts the thread's processor time; what the loop and the hollow proxies need is in no meter. How much less
@@ -19,14 +20,15 @@
 from dataclasses import asdict
 from typing import NamedTuple, TextIO
 
+from oatcart.errors import InvalidMessageError
 from oatcart.events import ProxyJoined, UpdateAcknowledged
-from oatcart.net.codec import Codec, Odd
-from oatcart.net.conductor import Rounds
+from oatcart.net.assembly import DEFAULT_HEALTH_CHECK_TIMEOUT_S, DEFAULT_POLL_WITHIN_S, WATCH_WAIT_FRACTION
+from oatcart.net.codec import Codec
+from oatcart.net.endpoint_list import EndpointListWatcher
+from oatcart.net.health_checks import HealthChecker
 from oatcart.net.log import Log
-from oatcart.net.loop import IN, Loop, Steps, Task, Wait
-from oatcart.net.probe import Prober
-from oatcart.net.roll import Watcher
-from oatcart.net.start import PROBE_MOST, UNASKED_MOST, WATCH_PART
+from oatcart.net.loop import READABLE, Coroutine, Loop, Task, Wait
+from oatcart.net.rounds import Rounds
 from oatcart.policy import Controller
 from oatcart.scale.children import Child, CommandReader, ignore_interrupts, own_usage
 from oatcart.scale.discovery import LOOPBACK, Usage
@@ -60,19 +62,19 @@
             self.longest_s = max(self.longest_s, took)
 
 
-def metered(steps: Steps, meter: Meter) -> Steps:
+def metered(coroutine: Coroutine, meter: Meter) -> Coroutine:
     """The same task, each of its steps under the meter."""
     ready = None
     try:
         while True:
             try:
                 with meter:
-                    wait = steps.send(ready)
+                    wait = coroutine.send(ready)
             except StopIteration:
                 return
             ready = yield wait
     finally:
-        steps.close()
+        coroutine.close()
 
 
 class ConductorLoop:
@@ -80,17 +82,17 @@
 
     def __init__(self, shared: Loop, meter: Meter) -> None:
         self._shared, self._meter = shared, meter
-        self.clock, self.at, self.close = shared.clock, shared.at, shared.close
-        self.end, self.expire = shared.end, shared.expire
-        self.masks: dict[int, int] = {}  # only looked at for the log
-        self.open, self.open_most = 0, float("inf")
+        self.clock, self.call_at, self.unregister = shared.clock, shared.call_at, shared.unregister
+        self.cancel, self.expire = shared.cancel, shared.expire
+        self.registered: dict[int, int] = {}  # only looked at for the log
+        self.connections, self.connection_limit = 0, float("inf")
 
     @property
     def now(self) -> float:
         return self._shared.now
 
-    def spawn(self, steps: Steps) -> Task:
-        return self._shared.spawn(metered(steps, self._meter))
+    def spawn(self, coroutine: Coroutine) -> Task:
+        return self._shared.spawn(metered(coroutine, self._meter))
 
 
 class HollowRounds(Rounds):
@@ -108,16 +110,16 @@
         self.may_be_due = may_be_due
         super().__init__(loop, log, codec, least_gap, unix)
 
-    def arrive(self, arrival: tuple) -> None:
-        super().arrive(arrival)
+    def add_event(self, arrival: tuple) -> None:
+        super().add_event(arrival)
         self.may_be_due()
 
-    def _woken(self) -> None:
-        super()._woken()
+    def _on_scheduled(self) -> None:
+        super()._on_scheduled()
         self.may_be_due()
 
-    def _gap_over(self) -> None:
-        super()._gap_over()
+    def _on_gap_over(self) -> None:
+        super()._on_gap_over()
         self.may_be_due()
 
 
@@ -132,7 +134,7 @@
 
 
 class HollowConductor:
-    """One conductor of the fleet, assembled as `net.start.assemble` does but for the acceptor."""
+    """One conductor of the fleet, assembled as `net.assembly.assemble` does but for the acceptor."""
 
     def __init__(
         self,
@@ -165,25 +167,28 @@
         )
         quantum = read_seconds(settings, "quantum")
         self.rounds = HollowRounds(loop, log, codec, quantum, time.time(), self.may_be_due)
-        wait = WATCH_PART * read_seconds(settings.get("rules") or {}, "askWithin", UNASKED_MOST)
-        self.watcher = Watcher(loop, codec, log, (LOOPBACK, discovery_port), wait, self.rounds.arrive)
+        poll_within = read_seconds(settings.get("rules") or {}, "askWithin", DEFAULT_POLL_WITHIN_S)
+        wait = WATCH_WAIT_FRACTION * poll_within
+        self.watcher = EndpointListWatcher(
+            loop, codec, log, (LOOPBACK, discovery_port), wait, self.rounds.add_event
+        )
         allowed, reports = settings.get("policyLimits") or {}, settings.get("report") or {}
-        prober = Prober(
+        prober = HealthChecker(
             loop,
             reports.get("how", "off") != "off",
-            read_seconds(allowed, "connectTimeout", PROBE_MOST),
+            read_seconds(allowed, "connectTimeout", DEFAULT_HEALTH_CHECK_TIMEOUT_S),
             self.watcher.addresses,
-            self.rounds.arrive,
+            self.rounds.add_event,
         )
         module = Controller(read_socket_controller_settings(settings), seed)
         self.rounds.start(module.round, self.watcher, prober)
-        self.rounds.due = True
+        self.rounds.is_due = True
 
     def turn(self) -> None:
         """A round, if one is due."""
         with self.meter:
-            self.rounds.turn()
-        if self.watcher.revision > self.revision and not self.rounds.came:
+            self.rounds.run_if_due()
+        if self.watcher.revision > self.revision and not self.rounds.events:
             self._note_taken(self.rounds.loop.clock())
 
     def _note_taken(self, now: float) -> None:
@@ -202,8 +207,8 @@
         with self.meter:
             for message in messages:
                 try:
-                    arrival = self.rounds.codec.arrival(memoryview(message.line))
-                except Odd:  # a node that is not listed
+                    arrival = self.rounds.codec.decode_message(memoryview(message.line))
+                except InvalidMessageError:  # a node that is not listed
                     continue
                 if isinstance(arrival, ProxyJoined):
                     self.rounds.join(
@@ -213,11 +218,11 @@
                     message.proxy, arrival.nonce
                 ):
                     continue
-                self.rounds.arrive(arrival)
+                self.rounds.add_event(arrival)
 
     def known_nodes(self) -> list[str]:
         """The ids of all nodes that have a number at this conductor."""
-        return list(self.rounds.codec.places)
+        return list(self.rounds.codec.endpoint_numbers)
 
 
 class HollowFigures(NamedTuple):
@@ -255,7 +260,7 @@
         """Starts a conductor for each of discovery's ports, spread over some seconds."""
         for place, (port, seed) in enumerate(zip(ports, seeds, strict=True)):
             after = spread_s * place / len(ports)
-            self.loop.at(
+            self.loop.call_at(
                 self.loop.clock() + after, lambda port=port, seed=seed: self._start(settings, seed, port)
             )
         return {}
@@ -265,7 +270,7 @@
         for place, (conductor, told) in enumerate(zip(self.conductors, peers, strict=True)):
             one = ConductorPeers(peer_settings(told), keep_orders)
             first = self.loop.clock() + TICK_S * place / len(peers)
-            self.loop.at(first, lambda conductor=conductor, one=one: self._join(conductor, one))
+            self.loop.call_at(first, lambda conductor=conductor, one=one: self._join(conductor, one))
         return {}
 
     def fail(self, nodes: list[str]) -> dict:
@@ -316,7 +321,7 @@
         self._tick_after(conductor, self.loop.clock() + TICK_S)
 
     def _tick_after(self, conductor: HollowConductor, when: float) -> None:
-        self.loop.at(when, lambda: self._tick(conductor, when))
+        self.loop.call_at(when, lambda: self._tick(conductor, when))
 
     def _tick(self, conductor: HollowConductor, when: float) -> None:
         self.late_s = max(self.late_s, self.loop.clock() - when)
@@ -330,7 +335,7 @@
             conductor.meter.longest_s,
             conductor.ready_after_s,
             conductor.ready_core_s,
-            len(conductor.rounds.codec.places),
+            len(conductor.rounds.codec.endpoint_numbers),
             conductor.watcher.revision,
             traffic.bytes_in,
             traffic.bytes_out,
@@ -353,7 +358,7 @@
             }
         )
         while self.reading:
-            yield Wait(sys.stdin.fileno(), IN)
+            yield Wait(sys.stdin.fileno(), READABLE)
             self.reading = reader.read()
 
 
--- a/oatcart/views/decisions.py
+++ b/oatcart/views/decisions.py
@@ -10,7 +10,7 @@
 from threading import Thread
 from typing import NamedTuple
 
-from oatcart.net.loop import IN, Loop, Wait
+from oatcart.net.loop import READABLE, Loop, Wait
 from oatcart.views.fleet_views import FleetViews
 from oatcart.views.records import Controller, Endpoint, ViewError, ViewLimits
 
@@ -85,9 +85,9 @@
         """Ends the thread, once a decision under way is done."""
         self.changes.put(None)
         self.thread.join()
-        if not self.delivery.over:
-            self.loop.end(self.delivery)
-        self.loop.close(self.wake_receiver.fileno())
+        if not self.delivery.done:
+            self.loop.cancel(self.delivery)
+        self.loop.unregister(self.wake_receiver.fileno())
         self.wake_receiver.close()
         self.wake_sender.close()
 
@@ -109,7 +109,7 @@
 
     def _deliver(self) -> Generator[Wait, bool, None]:
         while True:
-            yield Wait(self.wake_receiver.fileno(), IN)
+            yield Wait(self.wake_receiver.fileno(), READABLE)
             self.wake_receiver.recv(WAKE_READ_BYTES)
             while not self.results.empty():
                 views = self.results.get()
--- a/oatcart/views/role.py
+++ b/oatcart/views/role.py
@@ -10,9 +10,9 @@
 
 import orjson
 
+from oatcart.errors import InvalidConfigurationError
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop, Wait
-from oatcart.net.reload import Unusable
 from oatcart.net.stream import Address
 from oatcart.views.configuration import Configuration, ServedController
 from oatcart.views.configuration_file import read
@@ -24,7 +24,6 @@
 from oatcart.views.publisher import Publisher
 from oatcart.views.revisions import RevisionSequence
 from oatcart.views.server import Server
-from oatcart.yaml_files import InvalidConfigurationError
 
 VIEWS_PER_TURN = 32  # that are published in one turn of the loop
 TURNS_LOG_INTERVAL = 30.0  # s between two log lines with the longest turn
@@ -83,7 +82,7 @@
         self.main = self.server.listen(self.configuration.listen)
         self.listeners = self._listen(_served_by_key(self.configuration))
         address = "{}:{}".format(*self.main.address)
-        self.log.say(
+        self.log.write(
             "start",
             f"control role listens at {address}, and at {len(self.listeners)} addresses of controllers",
         )
@@ -123,21 +122,18 @@
 
     def reload(self, path: str | Path) -> str:
         """Reads the deploy file again and returns what to log. An invalid file changes nothing and raises
-        Unusable."""
-        try:
-            return self.reconfigure(read(path))
-        except InvalidConfigurationError as error:
-            raise Unusable(str(error)) from None
+        InvalidConfigurationError."""
+        return self.reconfigure(read(path))
 
     def reconfigure(self, new: Configuration) -> str:
-        """Takes over another configuration and returns what to log. Raises Unusable, and changes nothing, if
-        an address cannot be listened at."""
+        """Takes over another configuration and returns what to log. Raises InvalidConfigurationError, and
+        changes nothing, if an address cannot be listened at."""
         old, served_by_key = self.configuration, _served_by_key(new)
         added_keys = served_by_key.keys() - self.listeners.keys()
         try:
             added = self._listen({key: served_by_key[key] for key in served_by_key if key in added_keys})
         except OSError as error:
-            raise Unusable(error.strerror) from None
+            raise InvalidConfigurationError(error.strerror) from None
         self.publisher.configure(new)
         if self.leases is not None:
             self.leases.configure(self.publisher.controllers, self.loop.now)
@@ -225,7 +221,7 @@
         longest = max((len(entry.encoded) for entry in changes.changed.values()), default=0)
         stated = self.configuration.limits.max_entry_bytes
         if longest > stated:
-            self.log.say(
+            self.log.write(
                 "size",
                 f"an entry takes {longest} bytes, more than views.most_entry_bytes {stated}: "
                 "a view may take more than views.most_bytes",
@@ -246,15 +242,15 @@
     def _next_turn(self) -> Wait:
         """Waits for the next turn. The clock is later than `loop.now`, and a wait until `loop.now` would end
         in this turn."""
-        return Wait(until=self.loop.clock())
+        return Wait(deadline=self.loop.clock())
 
     def _renew_lease(self, name: str) -> None:
         if self.leases is not None and self.leases.renew(name, self.loop.now):
             self.publisher.restore(name)
-            self.log.say("leases", f"{name} called after its lease had expired; its view is decided anew")
+            self.log.write("leases", f"{name} called after its lease had expired; its view is decided anew")
 
     def _schedule_lease_check(self) -> None:
-        self.loop.at(self.loop.now + self.leases.check_interval, self._check_leases)
+        self.loop.call_at(self.loop.now + self.leases.check_interval, self._check_leases)
 
     def _check_leases(self) -> None:
         """Ends overdue leases. A waiting call renews its lease first, so that a stall of this process expires
@@ -270,11 +266,11 @@
 
     def _log_lease_check(self, lease_check: LeaseCheck) -> None:
         if lease_check.expired:
-            self.log.say(
+            self.log.write(
                 "leases", f"{_shown(lease_check.expired)} expired; their endpoints are assigned to others"
             )
         if lease_check.is_retention_new:
-            self.log.say(
+            self.log.write(
                 "leases",
                 f"{_shown(lease_check.retained)} overdue, too many at once: a mass expiry, they stay",
             )
@@ -287,7 +283,7 @@
     def _publish(self) -> Generator[Wait, bool, None]:
         """Collects changes for a while, then publishes them, some views in a turn of the loop."""
         try:
-            yield Wait(until=self.loop.now + self.configuration.bounds.batching_delay)
+            yield Wait(deadline=self.loop.now + self.configuration.bounds.batching_delay)
             while self.publisher.unpublished:
                 names = [*islice(self.publisher.unpublished, VIEWS_PER_TURN)]
                 self.server.wake_watches(self.publisher.publish(names))
@@ -300,10 +296,10 @@
 
     def _log_turns(self) -> None:
         watches = sum(map(len, self.server.watching.values()))
-        self.log.say(
+        self.log.write(
             "turns",
             f"longest {self.longest_turn * 1000:.1f} ms, {len(self.publisher.entries)} endpoints, "
             f"{len(self.publisher.histories)} views, {watches} watches, {len(self.server.tasks)} connections",
         )
         self.longest_turn = 0.0
-        self.loop.at(self.loop.now + TURNS_LOG_INTERVAL, self._log_turns)
+        self.loop.call_at(self.loop.now + TURNS_LOG_INTERVAL, self._log_turns)
--- a/oatcart/xds/__main__.py
+++ b/oatcart/xds/__main__.py
@@ -13,8 +13,8 @@
 import asyncio
 import sys
 
-from oatcart.net.reload import Unusable
-from oatcart.net.start import configuration, read
+from oatcart.errors import InvalidConfigurationError
+from oatcart.net.configuration import read_configuration
 from oatcart.xds.configuration import Wrong
 from oatcart.xds.configuration import read as read_xds
 from oatcart.xds.serve import UNUSABLE, run
@@ -28,13 +28,13 @@
     told = parser.parse_args(words)
     try:
         xds = read_xds(told.file)
-        cfg = read(os.environ, "EDGE_CONFIG", configuration)
+        cfg = read_configuration()
         if told.trace:
             from oatcart.trace import configuration as tracing
             from oatcart.trace import controller_tracing
 
             where = tracing.read(told.trace)
-    except (Wrong, Unusable) as error:
+    except (Wrong, InvalidConfigurationError) as error:
         print(error, file=sys.stderr)
         return UNUSABLE
     if told.check:
--- a/tests/proxy/test_proxy_retries.py
+++ b/tests/proxy/test_proxy_retries.py
@@ -3,8 +3,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from oatcart.errors import CloseReason
 from oatcart.model import Idempotency, RetryPolicy
-from oatcart.net.ending import Ending
 from oatcart.proxy.retries import (
     RETRY_BUDGET_WINDOW_SECONDS,
     FailedAttempt,
@@ -17,7 +17,7 @@
 
 FAILED_ATTEMPTS = st.builds(
     FailedAttempt,
-    st.sampled_from(list(Ending)),
+    st.sampled_from(list(CloseReason)),
     st.sampled_from([0, 1, 500]),
     st.booleans(),
     st.sampled_from([0, 0, 9]),
@@ -61,19 +61,21 @@
 
 
 def test_what_was_never_sent_or_never_started_was_never_processed():
-    assert never_processed(FailedAttempt(Ending.SILENT, 0))
-    assert never_processed(FailedAttempt(Ending.DONE, 500, not_started=True))
-    assert not never_processed(FailedAttempt(Ending.CLOSED, 1))
-    assert not never_processed(FailedAttempt(Ending.RESET, 0, response_bytes=1))
+    assert never_processed(FailedAttempt(CloseReason.TIMED_OUT, 0))
+    assert never_processed(FailedAttempt(CloseReason.COMPLETED, 500, not_started=True))
+    assert not never_processed(FailedAttempt(CloseReason.CLOSED_BY_PEER, 1))
+    assert not never_processed(FailedAttempt(CloseReason.RESET_BY_PEER, 0, response_bytes=1))
     request = Request(Idempotency.NOT_IDEMPOTENT, started_at=0.0, deadline=9.0, attempts=1)
-    assert retry_permitted(request, FailedAttempt(Ending.REFUSED, 0), RetryPolicy.IF_NOT_PROCESSED)
-    assert not retry_permitted(request, FailedAttempt(Ending.REFUSED, 0), RetryPolicy.NEVER)
-    assert not retry_permitted(request, FailedAttempt(Ending.RESET, 9), RetryPolicy.TWICE_ON_FAILURE)
+    assert retry_permitted(request, FailedAttempt(CloseReason.REFUSED, 0), RetryPolicy.IF_NOT_PROCESSED)
+    assert not retry_permitted(request, FailedAttempt(CloseReason.REFUSED, 0), RetryPolicy.NEVER)
+    assert not retry_permitted(
+        request, FailedAttempt(CloseReason.RESET_BY_PEER, 9), RetryPolicy.TWICE_ON_FAILURE
+    )
 
 
 def test_a_retry_without_time_for_it_is_not_made():
     budget = RetryBudget(ratio=1.0, minimum=9.0)
-    reset = FailedAttempt(Ending.RESET, 9, deduplication_group="east")
+    reset = FailedAttempt(CloseReason.RESET_BY_PEER, 9, deduplication_group="east")
     request = Request(Idempotency.IDEMPOTENT, started_at=0.0, deadline=1.0, attempts=1)
     assert decide_retry(0.8, request, reset, RetryPolicy.ON_FAILURE, 0.1, budget) == (True, "")
     assert decide_retry(0.9, request, reset, RetryPolicy.ON_FAILURE, 0.1, budget) == (False, "")
