--- a/oatcart/xds/front.py
+++ b/oatcart/xds/front.py
@@ -21,7 +21,7 @@
 from oatcart.xds.limits import JOINED, Budget, Gate, Refused, check_names, rank
 from oatcart.xds.loads import Books, ClusterReport
 from oatcart.xds.pushes import NEVER, Line, Push, Refusal
-from oatcart.xds.shelf import Shelf, digest
+from oatcart.xds.resource_cache import ResourceCache, digest
 
 CLUSTER, ENDPOINTS, MEMBER, LISTENER, ROUTE = "cluster", "endpoints", "member", "listener", "route"
 ORDER = (CLUSTER, ENDPOINTS, MEMBER, LISTENER, ROUTE)  # makes go in this order, breaks against it
@@ -30,7 +30,7 @@
 MARKS_OWED = 8  # marks of one client that are not acknowledged; the module waits for none so long
 REFUSALS_KEPT = 8  # of a client, for the operator
 SLICE = 2000  # resources that are sent in one go, some ms of work
-NOTHING = Shelf()  # of a client that is not bound yet
+EMPTY_CACHE = ResourceCache()  # of a client that is not bound yet
 
 
 class Host(Protocol):
@@ -126,7 +126,7 @@
         self.free: list[int] = []
         self.known: OrderedDict[str, None] = OrderedDict()  # ids of clients that have left, newest last
         self.keys = count(1)
-        self.shelves: dict[tuple, Shelf] = {}
+        self.caches: dict[tuple, ResourceCache] = {}
         self.maps: dict[int, tuple[int, ...]] = {}  # by zone: the table of each kind
         # by table: nodes that had a line at the last look, or are leaving
         self.lined: dict[int, set[int]] = {}
@@ -136,25 +136,25 @@
         self.more = False  # work is left over from this slice
         self.again = False  # the budget left someone waiting
         for kind, _ in self.kinds:
-            self._shelf(LISTENER).put(0.0, kind, view.Listener(kind))
+            self._cache(LISTENER).put(0.0, kind, view.Listener(kind))
             for shape in view.WHOLE, view.EACH, view.SPREAD:
-                self._shelf(CLUSTER, shape).put(0.0, kind, view.Cluster(kind, shape))
+                self._cache(CLUSTER, shape).put(0.0, kind, view.Cluster(kind, shape))
 
-    def _shelf(self, *key: object) -> Shelf:
-        return self.shelves.setdefault(key, Shelf())
+    def _cache(self, *key: object) -> ResourceCache:
+        return self.caches.setdefault(key, ResourceCache())
 
-    def shelf(self, client: Client, kind: str) -> Shelf:
+    def cache_for(self, client: Client, kind: str) -> ResourceCache:
         """What a client may see of a type."""
         if kind == LISTENER:
-            return self._shelf(LISTENER)
+            return self._cache(LISTENER)
         if kind == CLUSTER:
-            return self._shelf(CLUSTER, client.shape)
+            return self._cache(CLUSTER, client.shape)
         if not client.bound:
-            return NOTHING
+            return EMPTY_CACHE
         return (
-            self._shelf(kind, client.zone, client.shape)
+            self._cache(kind, client.zone, client.shape)
             if kind == ENDPOINTS
-            else self._shelf(kind, client.zone)
+            else self._cache(kind, client.zone)
         )
 
     # -- streams and what comes on them
@@ -361,18 +361,18 @@
             picks = view.picks(endpoints)
             for shape in view.WHOLE, view.SPREAD:
                 body = view.Assignment(name, shape, drop, endpoints)
-                news |= self._shelf(ENDPOINTS, zone, shape).put(now, name, body, picks, urgent)
+                news |= self._cache(ENDPOINTS, zone, shape).put(now, name, body, picks, urgent)
             begins = tuple(
                 (one, view.collection(self.zone_names[zone], first, one)) for one in self.zone_names
             )
             body = view.Assignment(name, view.EACH, drop, (), begins)
-            news |= self._shelf(ENDPOINTS, zone, view.EACH).put(now, name, body, (), drop > before)
-            news |= self._shelf(ROUTE, zone).put(now, name, view.route(name, req, tries))
+            news |= self._cache(ENDPOINTS, zone, view.EACH).put(now, name, body, (), drop > before)
+            news |= self._cache(ROUTE, zone).put(now, name, view.route(name, req, tries))
         return self._put_members(now, zone, at, found) or news
 
     def _put_members(self, now: float, zone: int, at: tuple[int, ...], found: dict) -> bool:
-        shelf, news, names = self._shelf(MEMBER, zone), False, set()
-        shelf.ready = True
+        cache, news, names = self._cache(MEMBER, zone), False, set()
+        cache.ready = True
         for table in dict.fromkeys(at):
             first, before = (
                 self.kinds[at.index(table)][0],
@@ -383,8 +383,8 @@
                 names.add(name)
                 healthy = {one.name} if one.health == view.HEALTHY else ()
                 urgent = one.name in before and view.sinks([before[one.name]], [one])
-                news |= shelf.put(now, name, view.Member(one), healthy, urgent)
-        return shelf.keep_only(now, names) or news
+                news |= cache.put(now, name, view.Member(one), healthy, urgent)
+        return cache.retain_only(now, names) or news
 
     def _rate(self, zone: int, kind: int) -> float:
         rates = [
@@ -400,7 +400,7 @@
             (stream, kind): due
             for stream in client.streams
             for kind, line in stream.lines.items()
-            if kind in BY_TABLE and (due := line.behind(self.shelf(client, kind)))
+            if kind in BY_TABLE and (due := line.behind(self.cache_for(client, kind)))
         }
         client.owed.append(Owed(mark, now, needs))
         self._settle(now, client)
@@ -441,11 +441,11 @@
         waiting, out, self.again, self.more = [], [], False, False
         for stream in self.dirty:
             if stream.room and stream.client is not None:
-                shelves = {kind: self.shelf(stream.client, kind) for kind in stream.lines}
-                urgent = any(line.hurries(shelves[kind]) for kind, line in stream.lines.items())
-                waiting.append((rank(urgent, stream.primed, stream.returning), stream.key, stream, shelves))
+                caches = {kind: self.cache_for(stream.client, kind) for kind in stream.lines}
+                urgent = any(line.hurries(caches[kind]) for kind, line in stream.lines.items())
+                waiting.append((rank(urgent, stream.primed, stream.returning), stream.key, stream, caches))
         self.dirty, left = {}, SLICE
-        for place, _, stream, shelves in sorted(waiting, key=lambda one: one[:2]):
+        for place, _, stream, caches in sorted(waiting, key=lambda one: one[:2]):
             if left <= 0:
                 self.more = True
                 self.dirty[stream] = None
@@ -460,9 +460,9 @@
                     self.dirty[stream] = None
                     break
                 push = line.due(
-                    shelves[kind],
-                    lambda name: self._may_add(stream, shelves, kind, name),
-                    lambda name: self._may_remove(stream, shelves, kind, name),
+                    caches[kind],
+                    lambda name: self._may_add(stream, caches, kind, name),
+                    lambda name: self._may_remove(stream, caches, kind, name),
                 )
                 if push is None:
                     self.budget.give()
@@ -475,22 +475,22 @@
                 out.append((stream, pushes))
         return out
 
-    def _may_add(self, stream: Stream, shelves: dict, kind: str, name: str) -> bool:
+    def _may_add(self, stream: Stream, caches: dict, kind: str, name: str) -> bool:
         """A client that asks for a cluster gets what builds on it once it has taken the cluster. One that
         holds resources of an earlier stream sends requests by them, so it gets what replaces them right after
         the cluster."""
         clusters = stream.lines.get(CLUSTER)
         if kind in (CLUSTER, MEMBER) or clusters is None or not clusters.awaits(name):
             return True
-        if name not in shelves[CLUSTER].items or name in clusters.held:
+        if name not in caches[CLUSTER].resources or name in clusters.held:
             return True
         return stream.lines[kind].returning and clusters.sent.get(name, NEVER) > NEVER
 
-    def _may_remove(self, stream: Stream, shelves: dict, kind: str, name: str) -> bool:
+    def _may_remove(self, stream: Stream, caches: dict, kind: str, name: str) -> bool:
         """What builds on a cluster goes before it, as far as the incremental protocol can tell that."""
         later = ORDER[ORDER.index(kind) + 1 :] if kind in (CLUSTER, ENDPOINTS) else ()
         return not any(
-            line.delta and name in line.held and name not in shelves[one].items
+            line.delta and name in line.held and name not in caches[one].resources
             for one in later
             if (line := stream.lines.get(one)) is not None
         )
--- a/oatcart/xds/pushes.py
+++ b/oatcart/xds/pushes.py
@@ -2,8 +2,8 @@
 
 Source: the xDS protocol as Envoy publishes it, state of the world and incremental, and its section on the
 order of makes and breaks. One push is in flight; changes merge while it is; whatever takes a node out
-overtakes it and is never merged away (`shelf.Item.after`). What a client refused is not sent to it again
-until it says something else.
+overtakes it and is never merged away (`CachedResource.next_after`). What a client refused is not sent to it
+again until it says something else.
 """
 
 from collections import deque
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from oatcart.xds.shelf import Content, Shelf, digest
+from oatcart.xds.resource_cache import ResourceCache, ResourceContent, digest
 
 # pushes whose answer is awaited; an older one's answer counts as stale, and urgent ones still go
 FLIGHTS_MOST = 8
@@ -27,7 +27,7 @@
 
     nonce: str
     version: str
-    items: tuple[tuple[str, Content], ...]
+    items: tuple[tuple[str, ResourceContent], ...]
     removed: tuple[str, ...]
     urgent: bool
 
@@ -79,10 +79,10 @@
     alone: dict[str, None] = field(default_factory=dict)  # refused together, so tried one by one
     count: int = 0
     nonce: str = ""  # the last
-    seen: int = 0  # the shelf's seq up to which `stale` is complete
+    seen: int = 0  # the cache's seq up to which `stale` is complete
     stale: dict[str, None] = field(default_factory=dict)
     reset: bool = True  # all that is wanted has to be looked at
-    calm: int = 0  # the shelf's seq up to which nothing urgent is left to send
+    calm: int = 0  # the cache's seq up to which nothing urgent is left to send
     owes: bool = False  # an answer is due even if nothing changed
     returning: bool = False  # the client holds resources of this type from an earlier stream
 
@@ -180,84 +180,88 @@
 
     # -- what it is sent
 
-    def behind(self, shelf: Shelf) -> dict[str, int]:
+    def behind(self, cache: ResourceCache) -> dict[str, int]:
         """The seqs, by name, that a client has yet to acknowledge to hold what stands now."""
-        self._look(shelf)
+        self._look(cache)
         due = {
             name: seq
             for flight in self.flights
             for name, seq in flight.took.items()
             if seq > self.held.get(name, NEVER)
         }
-        return due | {name: shelf.items[name].now.seq for name in self.stale if name in shelf.items}
+        return due | {
+            name: cache.resources[name].current.sequence for name in self.stale if name in cache.resources
+        }
 
     def awaits(self, name: str) -> bool:
         """Whether the client still asks for it."""
         return name in self.sent or self._wants(name)
 
-    def hurries(self, shelf: Shelf) -> bool:
+    def hurries(self, cache: ResourceCache) -> bool:
         """Whether something may be urgent; cheap, as it is asked of all lines to find who goes first."""
-        return self.asked and shelf.ready and shelf.urgent > self.calm and bool(self.sent)
+        return self.asked and cache.ready and cache.last_urgent > self.calm and bool(self.sent)
 
-    def _is_urgent(self, shelf: Shelf, name: str) -> bool:
-        item = shelf.items.get(name)
+    def _is_urgent(self, cache: ResourceCache, name: str) -> bool:
+        resource = cache.resources.get(name)
         return (
-            item.urgent > self.sent.get(name, NEVER) > NEVER if item else self.sent.get(name, NEVER) > NEVER
+            resource.last_urgent > self.sent.get(name, NEVER) > NEVER
+            if resource
+            else self.sent.get(name, NEVER) > NEVER
         )
 
-    def _look(self, shelf: Shelf) -> None:
+    def _look(self, cache: ResourceCache) -> None:
         """Bring `stale` up to date: names of which the client was sent less than there is."""
-        if not self.asked or not shelf.ready:
+        if not self.asked or not cache.ready:
             return
-        changed = None if self.reset else shelf.changed(self.seen)
+        changed = None if self.reset else cache.changed_since(self.seen)
         if changed is None:
             self.stale = {}
             changed = [
-                *(name for name in shelf.items if self._wants(name)),
+                *(name for name in cache.resources if self._wants(name)),
                 *self.sent,
                 *self.wanted,
                 *self.brought,
             ]
-        self.reset, self.seen = False, shelf.seq
+        self.reset, self.seen = False, cache.sequence
         for name in dict.fromkeys(changed):
             if name.endswith(COLLECTION_END):
                 continue
             if name in self.brought:
-                self._match(name, shelf)
-            if (name in self.sent or self._wants(name)) and self._lacks(name, shelf):
+                self._match(name, cache)
+            if (name in self.sent or self._wants(name)) and self._lacks(name, cache):
                 self.stale[name] = None
             else:
                 self.stale.pop(name, None)
 
-    def _match(self, name: str, shelf: Shelf) -> None:
+    def _match(self, name: str, cache: ResourceCache) -> None:
         """What an earlier stream brought counts as sent and held where it still stands."""
-        version, item = self.brought.pop(name), shelf.items.get(name)
+        version, resource = self.brought.pop(name), cache.resources.get(name)
         if self._wants(name) and name not in self.sent:
             self.sent[name] = NEVER
-            if item is not None and item.now.version == version:
-                self.sent[name] = self.held[name] = item.now.seq
+            if resource is not None and resource.current.version == version:
+                self.sent[name] = self.held[name] = resource.current.sequence
 
-    def _lacks(self, name: str, shelf: Shelf) -> bool:
-        item, sent = shelf.items.get(name), self.sent.get(name)
-        if item is None:  # the incremental protocol tells of what there is not, the other cannot
+    def _lacks(self, name: str, cache: ResourceCache) -> bool:
+        resource, sent = cache.resources.get(name), self.sent.get(name)
+        if resource is None:  # the incremental protocol tells of what there is not, the other cannot
             return self.delta and sent != ABSENT or self.whole and sent is not None
-        content = self._next(name, shelf)
-        return sent != content.seq and self.refused.get(name) != content.version
+        content = self._next(name, cache)
+        return sent != content.sequence and self.refused.get(name) != content.version
 
     def due(
         self,
-        shelf: Shelf,
+        cache: ResourceCache,
         may_add: Callable[[str], bool] = lambda name: True,
         may_remove: Callable[[str], bool] = lambda name: True,
     ) -> Push | None:
         """What to send now, if anything; it counts as sent. `may_add` and `may_remove` tell of other types'
         lines whether a name's turn has come: makes go from clusters on, breaks go back to them."""
-        self._look(shelf)
-        if not self.asked or not shelf.ready or not (self.stale or self.alone or self.owes):
+        self._look(cache)
+        if not self.asked or not cache.ready or not (self.stale or self.alone or self.owes):
             return None
-        ready = [name for name in self.stale if self._may(name, shelf, may_add, may_remove)]
-        urgent = [name for name in ready if self._is_urgent(shelf, name)]
-        self.calm = self.calm if urgent else shelf.seq
+        ready = [name for name in self.stale if self._may(name, cache, may_add, may_remove)]
+        urgent = [name for name in ready if self._is_urgent(cache, name)]
+        self.calm = self.calm if urgent else cache.sequence
         if self.flights and not urgent:
             return None
         if urgent:
@@ -265,48 +269,50 @@
         elif self.alone:
             name = next(iter(self.alone))
             del self.alone[name]
-            if name not in shelf.items or not self._wants(name):
-                return self.due(shelf, may_add, may_remove)
-            return self._sends([name], shelf, False)
+            if name not in cache.resources or not self._wants(name):
+                return self.due(cache, may_add, may_remove)
+            return self._sends([name], cache, False)
         if self.whole:
-            return self._sends_all(shelf, ready, bool(urgent), may_add, may_remove)
+            return self._sends_all(cache, ready, bool(urgent), may_add, may_remove)
         for name in ready:
             self.alone.pop(name, None)
         if not ready and not (self.owes and self.delta and not self.stale):
             return None
-        return self._sends(ready, shelf, bool(urgent))
+        return self._sends(ready, cache, bool(urgent))
 
-    def _may(self, name: str, shelf: Shelf, may_add: Callable, may_remove: Callable) -> bool:
-        if name not in shelf.items:
+    def _may(self, name: str, cache: ResourceCache, may_add: Callable, may_remove: Callable) -> bool:
+        if name not in cache.resources:
             return may_remove(name)
         return self.sent.get(name, NEVER) > NEVER or may_add(name)
 
-    def _next(self, name: str, shelf: Shelf) -> Content:
-        item, sent = shelf.items[name], self.sent.get(name, NEVER)
-        return item.after(sent) if sent > NEVER else item.now  # who has nothing skips nothing
+    def _next(self, name: str, cache: ResourceCache) -> ResourceContent:
+        resource, sent = cache.resources[name], self.sent.get(name, NEVER)
+        return (
+            resource.next_after(sent) if sent > NEVER else resource.current
+        )  # who has nothing skips nothing
 
-    def _sends(self, names: list[str], shelf: Shelf, urgent: bool) -> Push:
-        found = {name: self._next(name, shelf) for name in names if name in shelf.items}
+    def _sends(self, names: list[str], cache: ResourceCache, urgent: bool) -> Push:
+        found = {name: self._next(name, cache) for name in names if name in cache.resources}
         items = tuple((name, content) for name, content in found.items() if content.body is not None)
         removed = tuple(name for name in names if name not in found or found[name].body is None)
         return self._note(
-            items, removed, urgent, digest([content.version for _, content in items], removed), shelf
+            items, removed, urgent, digest([content.version for _, content in items], removed), cache
         )
 
     def _sends_all(
-        self, shelf: Shelf, ready: list[str], urgent: bool, may_add: Callable, may_remove: Callable
+        self, cache: ResourceCache, ready: list[str], urgent: bool, may_add: Callable, may_remove: Callable
     ) -> Push | None:
         """All that is wanted; a name whose turn to go has not come is held back with the whole push."""
-        if any(name not in shelf.items and name not in ready for name in self.stale):
+        if any(name not in cache.resources and name not in ready for name in self.stale):
             return None
         if not ready and (self.stale or not self.owes):
             return None  # a push without what is to come would tell that it does not exist
         items = tuple(
             (name, content)
-            for name in shelf.items
+            for name in cache.resources
             if self._wants(name)
-            and self._may(name, shelf, may_add, may_remove)
-            and (content := self._next(name, shelf)).body is not None
+            and self._may(name, cache, may_add, may_remove)
+            and (content := self._next(name, cache)).body is not None
         )
         version = digest([(name, content.version) for name, content in items])
         if version == self.refused_all:
@@ -314,21 +320,21 @@
                 self.stale.pop(name, None)
             self.owes = False
             return None
-        for name in [name for name in self.sent if name not in shelf.items]:
+        for name in [name for name in self.sent if name not in cache.resources]:
             self._forget(name)
             self.stale.pop(name, None)
-        return self._note(items, (), urgent, version, shelf)
+        return self._note(items, (), urgent, version, cache)
 
-    def _note(self, items: tuple, removed: tuple, urgent: bool, version: str, shelf: Shelf) -> Push:
+    def _note(self, items: tuple, removed: tuple, urgent: bool, version: str, cache: ResourceCache) -> Push:
         self.count += 1
         self.nonce, self.owes = f"{self.life}.{self.count}", False
-        took = {name: content.seq for name, content in items} | dict.fromkeys(removed, ABSENT)
+        took = {name: content.sequence for name, content in items} | dict.fromkeys(removed, ABSENT)
         self.flights.append(
             Flight(self.nonce, version, took, {name: content.version for name, content in items})
         )
         self.sent |= took
         for name, seq in took.items():
-            if name in shelf.items and seq != shelf.items[name].now.seq:
+            if name in cache.resources and seq != cache.resources[name].current.sequence:
                 self.stale[name] = None  # that was a step, what stands now is still to come
             else:
                 self.stale.pop(name, None)
--- a/tests/xds/sim.py
+++ b/tests/xds/sim.py
@@ -29,7 +29,7 @@
 from oatcart.xds import view
 from oatcart.xds.front import CLUSTER, ENDPOINTS, MEMBER, ROUTE, Ask, Front, Node, new_life
 from oatcart.xds.limits import Budget, Gate
-from oatcart.xds.shelf import STEP_KEPT
+from oatcart.xds.resource_cache import WITHDRAWAL_RETENTION
 
 KINDS = [
     ("lookup", RequestClass(1.0, 0.5, Idempotency.IDEMPOTENT)),
@@ -181,9 +181,9 @@
     def check(self, kind, name, content):
         """Nobody who went out is met again before it was seen to be out."""
         for node, (seq, at) in list(self.owed.get((kind, name), {}).items()):
-            if content.seq >= seq:
-                kept = self.stage.now - at <= STEP_KEPT - 2 * STEP
-                assert node not in content.picks or not kept, f"{self.id} never saw {node} out"
+            if content.sequence >= seq:
+                kept = self.stage.now - at <= WITHDRAWAL_RETENTION - 2 * STEP
+                assert node not in content.pickable or not kept, f"{self.id} never saw {node} out"
                 del self.owed[kind, name][node]
 
     def view(self, kind):
@@ -300,21 +300,27 @@
 
     def note_outs(self):
         """Each peer owes a look at whoever went out of a list that it was sent."""
-        for key, shelf in self.front.shelves.items():
+        for key, cache in self.front.caches.items():
             if key[0] not in (ENDPOINTS, MEMBER):
                 continue
-            for name, item in shelf.items.items():
-                before, self.picks[key, name] = self.picks.get((key, name), frozenset()), item.now.picks
-                for node in before - item.now.picks:
+            for name, resource in cache.resources.items():
+                before, self.picks[key, name] = (
+                    self.picks.get((key, name), frozenset()),
+                    resource.current.pickable,
+                )
+                for node in before - resource.current.pickable:
                     for stream, peer in self.peers_by_stream.items():
                         line = stream.lines.get(key[0])
                         if (
                             line
                             and stream.client
-                            and self.front.shelf(stream.client, key[0]) is shelf
+                            and self.front.cache_for(stream.client, key[0]) is cache
                             and line.sent.get(name, -1) >= 0
                         ):
-                            peer.owed.setdefault((key[0], name), {})[node] = item.now.seq, self.now
+                            peer.owed.setdefault((key[0], name), {})[node] = (
+                                resource.current.sequence,
+                                self.now,
+                            )
 
     def rules(self, peer):
         for kind, (name, _) in enumerate(KINDS):
--- a/tests/xds/test_decisions.py
+++ b/tests/xds/test_decisions.py
@@ -12,7 +12,7 @@
 from oatcart.xds.limits import Refused
 from oatcart.xds.loads import Books, ClusterReport, Tally
 from oatcart.xds.pushes import ABSENT, Line, Refusal
-from oatcart.xds.shelf import Shelf
+from oatcart.xds.resource_cache import ResourceCache
 
 SHAPES = [(False, view.WHOLE), (True, view.WHOLE), (True, view.EACH), (False, view.SPREAD)]
 
@@ -113,13 +113,13 @@
     take = peer.take
     peer.take = lambda kind, push: (order.extend((kind, name) for name in push.removed), take(kind, push))
     peer.late = True
-    shelves = [
-        front.shelves[CLUSTER, view.WHOLE],
-        front.shelves[ENDPOINTS, 0, view.WHOLE],
-        front.shelves[ROUTE, 0],
+    caches = [
+        front.caches[CLUSTER, view.WHOLE],
+        front.caches[ENDPOINTS, 0, view.WHOLE],
+        front.caches[ROUTE, 0],
     ]
-    for shelf in shelves:
-        shelf.drop(stage.now, "fee")
+    for cache in caches:
+        cache.remove(stage.now, "fee")
     front.dirty[peer.stream] = None
     deliver(stage, peer)
     assert (CLUSTER, "fee") not in order
@@ -257,81 +257,83 @@
     assert [peer.view("lookup")["n0"][1] for peer in peers] == [view.DRAINING] * 6
 
 
-def shelf_of(**bodies):
-    shelf = Shelf()
+def cache_of(**bodies):
+    cache = ResourceCache()
     for name, body in bodies.items():
-        shelf.put(0.0, name, body, body)
-    return shelf
+        cache.put(0.0, name, body, body)
+    return cache
 
 
 def test_of_two_refused_together_each_is_tried_alone():
-    shelf, line = shelf_of(x="ab", y="ab"), Line(True, False, "l")
+    cache, line = cache_of(x="ab", y="ab"), Line(True, False, "l")
     line.change(["x", "y"], [], {}, "", None)
-    push = line.due(shelf)
+    push = line.due(cache)
     assert {name for name, _ in push.items} == {"x", "y"}
     assert line.change([], [], {}, push.nonce, "something is wrong") == Refusal(
         "something is wrong", (), ("x", "y")
     )
-    alone = line.due(shelf)
+    alone = line.due(cache)
     assert len(alone.items) == 1
     name, other = alone.items[0][0], {"x": "y", "y": "x"}[alone.items[0][0]]
     assert line.change([], [], {}, alone.nonce, "wrong again").refused == (name,)
-    last = line.due(shelf)
+    last = line.due(cache)
     assert [one for one, _ in last.items] == [other]
     line.change([], [], {}, last.nonce, None)
-    assert line.due(shelf) is None and line.held == {other: shelf.items[other].now.seq}
-    shelf.put(1.0, name, "other", "o")
-    assert [one for one, _ in line.due(shelf).items] == [name]
+    assert line.due(cache) is None and line.held == {other: cache.resources[other].current.sequence}
+    cache.put(1.0, name, "other", "o")
+    assert [one for one, _ in line.due(cache).items] == [name]
 
 
 def test_who_is_named_in_a_refusal_is_refused_and_the_rest_is_held():
-    shelf, line = shelf_of(lookup="ab", fee="ab"), Line(True, False, "l")
+    cache, line = cache_of(lookup="ab", fee="ab"), Line(True, False, "l")
     line.change(["lookup", "fee"], [], {}, "", None)
-    push = line.due(shelf)
+    push = line.due(cache)
     assert line.change([], [], {}, push.nonce, "fee: no such thing").refused == ("fee",)
-    assert line.due(shelf) is None and "lookup" in line.held and "fee" not in line.held
+    assert line.due(cache) is None and "lookup" in line.held and "fee" not in line.held
 
 
 def test_stale_answers_say_nothing():
-    shelf, line = shelf_of(x="a"), Line(False, False, "l", may_wild=False)
+    cache, line = cache_of(x="a"), Line(False, False, "l", may_wild=False)
     line.ask(["x"], "", None)
-    first = line.due(shelf)
-    shelf.put(1.0, "x", "b", "b", urgent=True)
-    second = line.due(shelf)  # took a out, so it did not wait
+    first = line.due(cache)
+    cache.put(1.0, "x", "b", "b", urgent=True)
+    second = line.due(cache)  # took a out, so it did not wait
     assert line.ask(["x", "y"], "l.0", None) is False and "y" not in line.wanted
     # the answer, not yet the names
     assert line.ask(["x", "y"], first.nonce, None) is None and "y" not in line.wanted
-    assert line.held["x"] == first.items[0][1].seq
+    assert line.held["x"] == first.items[0][1].sequence
     line.ask(["x", "y"], second.nonce, "no")
-    assert "y" in line.wanted and line.held["x"] == first.items[0][1].seq
-    assert line.due(shelf) is None
+    assert "y" in line.wanted and line.held["x"] == first.items[0][1].sequence
+    assert line.due(cache) is None
 
 
 def test_a_whole_push_that_was_refused_waits_for_other_contents():
-    shelf, line = shelf_of(x="a", y="a"), Line(False, True, "l")
+    cache, line = cache_of(x="a", y="a"), Line(False, True, "l")
     line.ask([], "", None)
-    push = line.due(shelf)
+    push = line.due(cache)
     assert line.ask([], push.nonce, "no").refused == ("x", "y")
-    assert line.due(shelf) is None
-    shelf.put(1.0, "y", "b", "b")
-    assert {name for name, _ in line.due(shelf).items} == {"x", "y"}
+    assert line.due(cache) is None
+    cache.put(1.0, "y", "b", "b")
+    assert {name for name, _ in line.due(cache).items} == {"x", "y"}
 
 
 def test_versions_of_an_earlier_stream_are_gone_on_from():
-    shelf, line = shelf_of(x="a", y="a"), Line(True, False, "l")
-    line.change(["x", "y", "z"], [], {"x": shelf.items["x"].now.version, "y": "old", "z": "old"}, "", None)
-    push = line.due(shelf)
+    cache, line = cache_of(x="a", y="a"), Line(True, False, "l")
+    line.change(
+        ["x", "y", "z"], [], {"x": cache.resources["x"].current.version, "y": "old", "z": "old"}, "", None
+    )
+    push = line.due(cache)
     assert [name for name, _ in push.items] == ["y"] and push.removed == ("z",)
-    assert line.sent["z"] == ABSENT and line.held["x"] == shelf.items["x"].now.seq
+    assert line.sent["z"] == ABSENT and line.held["x"] == cache.resources["x"].current.sequence
 
 
 def test_a_long_way_behind_all_is_looked_at():
-    shelf, line = shelf_of(x="a"), Line(True, True, "l")
+    cache, line = cache_of(x="a"), Line(True, True, "l")
     line.change(["*"], [], {}, "", None)
-    line.change([], [], {}, line.due(shelf).nonce, None)
+    line.change([], [], {}, line.due(cache).nonce, None)
     for at in range(20_000):
-        shelf.put(1.0, "x" if at % 2 else "y", str(at), "a")
-    assert {name for name, _ in line.due(shelf).items} == {"x", "y"}
+        cache.put(1.0, "x" if at % 2 else "y", str(at), "a")
+    assert {name for name, _ in line.due(cache).items} == {"x", "y"}
 
 
 @given(st.lists(st.floats(0.01, 1e6), min_size=1, max_size=50))
@@ -420,12 +422,12 @@
 
 def test_an_endpoint_that_was_gone_for_a_while_is_told_gone_before_it_is_told_back():
     """Found by the machine: a resource that was dropped and came back had lost what nobody may skip."""
-    shelf, line = shelf_of(x="a"), Line(True, False, "l")
+    cache, line = cache_of(x="a"), Line(True, False, "l")
     line.change(["x"], [], {}, "", None)
-    line.change([], [], {}, line.due(shelf).nonce, None)
-    shelf.drop(1.0, "x")
-    shelf.put(1.5, "x", "b", "a")
-    gone = line.due(shelf)
+    line.change([], [], {}, line.due(cache).nonce, None)
+    cache.remove(1.0, "x")
+    cache.put(1.5, "x", "b", "a")
+    gone = line.due(cache)
     assert gone.removed == ("x",) and not gone.items
     line.change([], [], {}, gone.nonce, None)
-    assert [name for name, _ in line.due(shelf).items] == ["x"]
+    assert [name for name, _ in line.due(cache).items] == ["x"]
--- a/tests/xds/test_machine.py
+++ b/tests/xds/test_machine.py
@@ -152,7 +152,7 @@
         still, last = 0, None
         while still < 32:  # turns in which the module changed nothing; scores go on rising for a while
             stage.turn()
-            now = sum(shelf.seq for shelf in stage.front.shelves.values())
+            now = sum(cache.sequence for cache in stage.front.caches.values())
             still, last = (still + 1 if now == last else 0), now
         for peer in stage.peers.values():
             for kind, (name, _) in enumerate(KINDS):
--- a/tests/xds/test_wire_bytes.py
+++ b/tests/xds/test_wire_bytes.py
@@ -10,7 +10,7 @@
 from oatcart.xds.encode import Encoder
 from oatcart.xds.front import CLUSTER, ENDPOINTS, LISTENER, MEMBER, ROUTE
 from oatcart.xds.pushes import Push
-from oatcart.xds.shelf import Content, digest
+from oatcart.xds.resource_cache import ResourceContent, digest
 
 ENDPOINT_A = view.Endpoint("n0", "127.0.0.1", 9000, "a", 40, view.HEALTHY)
 ENDPOINT_B = view.Endpoint("n1", "127.0.0.1", 9001, "b", 1, view.DRAINING)
@@ -68,7 +68,7 @@
 @pytest.mark.parametrize("name, delta", [(name, delta) for name in RESOURCES for delta in (False, True)])
 def test_bytes_stay(name, delta):
     resource_type, body = RESOURCES[name]
-    content = Content(1, "v1", body, frozenset())
+    content = ResourceContent(1, "v1", body, frozenset())
     push = Push("l.1", "v0", ((name, content),), ("gone",) if delta else (), False)
     message = Encoder().push(delta, resource_type, push)
     assert blake2b(message, digest_size=8).hexdigest() == BYTES[name, delta]
