--- a/oatcart/xds/decode.py
+++ b/oatcart/xds/decode.py
@@ -10,7 +10,7 @@
 from oatcart.xds import loads, view
 from oatcart.xds.encode import TYPES
 from oatcart.xds.front import Ask, Node
-from oatcart.xds.limits import Refused
+from oatcart.xds.limits import RequestRejectedError
 
 KINDS = {url: kind for kind, url in TYPES.items()}
 GRPC = "gRPC"  # begins the user agent of gRPC's own clients
@@ -20,12 +20,14 @@
 
 
 def kind_of(url: str) -> str:
-    """A type by its URL; raises Refused."""
+    """A type by its URL; raises RequestRejectedError."""
     if url in KINDS:
         return KINDS[url]
     if "/" not in url or len(url) > 300:
-        raise Refused("INVALID_ARGUMENT", f"type_url: {url[:80]!r} is no type's URL")
-    raise Refused("UNIMPLEMENTED", f"type_url: {url} is not served; served are {', '.join(sorted(KINDS))}")
+        raise RequestRejectedError("INVALID_ARGUMENT", f"type_url: {url[:80]!r} is no type's URL")
+    raise RequestRejectedError(
+        "UNIMPLEMENTED", f"type_url: {url} is not served; served are {', '.join(sorted(KINDS))}"
+    )
 
 
 def node_of(node: base_pb2.Node) -> Node | None:
@@ -38,7 +40,7 @@
     if SHAPE_KEY in node.metadata.fields:
         shape = node.metadata.fields[SHAPE_KEY].string_value
         if shape not in SHAPES:
-            raise Refused(
+            raise RequestRejectedError(
                 "INVALID_ARGUMENT",
                 f"node.metadata: {SHAPE_KEY} {shape[:80]!r} is none of {', '.join(sorted(SHAPES))}",
             )
@@ -52,7 +54,7 @@
             discovery_pb2.DeltaDiscoveryRequest if delta else discovery_pb2.DiscoveryRequest
         ).FromString(data)
     except DecodeError:
-        raise Refused("INVALID_ARGUMENT", "a request that cannot be read") from None
+        raise RequestRejectedError("INVALID_ARGUMENT", "a request that cannot be read") from None
     kind = kind_of(message.type_url) if message.type_url or only is None else only
     refusal = None
     if message.HasField("error_detail"):
@@ -111,7 +113,7 @@
     try:
         message = lrs_pb2.LoadStatsRequest.FromString(data)
     except DecodeError:
-        raise Refused("INVALID_ARGUMENT", "a load report that cannot be read") from None
+        raise RequestRejectedError("INVALID_ARGUMENT", "a load report that cannot be read") from None
     found = []
     for cluster in message.cluster_stats:
         met, whole = [], []
--- a/oatcart/xds/front.py
+++ b/oatcart/xds/front.py
@@ -18,7 +18,14 @@
 from oatcart.model import RequestClass, RetryPolicy
 from oatcart.routing_tables import RoutingTables, UpdatePart
 from oatcart.xds import view
-from oatcart.xds.limits import JOINED, Budget, Gate, Refused, check_names, rank
+from oatcart.xds.limits import (
+    ClientLimits,
+    PushBudget,
+    PushPriority,
+    RequestRejectedError,
+    check_names,
+    push_priority,
+)
 from oatcart.xds.loads import Books, ClusterReport
 from oatcart.xds.pushes import NEVER, Line, Push, Refusal
 from oatcart.xds.resource_cache import ResourceCache, digest
@@ -112,15 +119,15 @@
         zones: Sequence[str],
         first: int,
         life: str,
-        gate: Gate,
-        budget: Budget,
+        limits: ClientLimits,
+        budget: PushBudget,
         by_rate: bool,
         home: str = "",
         say: Callable[[str, str], None] = lambda kind, text: None,
     ) -> None:
         self.host, self.kinds, self.zones = host, list(kinds), {name: at for at, name in enumerate(zones)}
         self.zone_names, self.first, self.life = list(zones), first, life
-        self.gate, self.budget, self.by_rate, self.home, self.say = gate, budget, by_rate, home, say
+        self.limits, self.budget, self.by_rate, self.home, self.say = limits, budget, by_rate, home, say
         self.clients: dict[str, Client] = {}
         self.by_proxy: dict[int, Client] = {}
         self.free: list[int] = []
@@ -163,9 +170,12 @@
         return Stream(next(self.keys), delta, only)
 
     def ask(self, now: float, stream: Stream, ask: Ask) -> list[Stream]:
-        """Take a request; raises Refused, which ends the stream. Hands back streams that end for this one."""
+        """Take a request; returns the streams that are closed for this one.
+
+        Raises RequestRejectedError, which ends the stream.
+        """
         if stream.only is not None and ask.type != stream.only:
-            raise Refused("INVALID_ARGUMENT", f"this stream is for {stream.only} alone")
+            raise RequestRejectedError("INVALID_ARGUMENT", f"this stream is for {stream.only} alone")
         check_names((*ask.names, *ask.unsubscribe, *ask.brought))
         ended = self._admit(stream, ask)
         line = stream.lines.get(ask.type)
@@ -175,7 +185,7 @@
                 stream.delta, whole, f"{self.life}.{stream.key}.{ask.type[0]}", ask.type in WHOLE_TYPES
             )
             line.returning = bool(ask.brought or ask.version)
-        self.gate.wanted(
+        self.limits.check_name_count(
             sum(len(one.wanted) for one in stream.lines.values())
             + len(ask.names)
             - (len(line.wanted) if not stream.delta else 0)
@@ -201,30 +211,34 @@
             return []
         node = ask.node
         if node is None or not node.id or not node.id.isprintable():
-            raise Refused("INVALID_ARGUMENT", "node.id: the first request of a stream has to say who asks")
+            raise RequestRejectedError(
+                "INVALID_ARGUMENT", "node.id: the first request of a stream has to say who asks"
+            )
         check_names([node.id])
         zone = node.zone or self.home
         if zone not in self.zones:
-            raise Refused(
+            raise RequestRejectedError(
                 "INVALID_ARGUMENT",
                 f"node.locality.zone: {zone[:80]!r} is none of {', '.join(self.zone_names)}",
             )
         client = self.clients.get(node.id)
         if client is None:
-            self.gate.client(len(self.clients), sum(not one.bound for one in self.clients.values()))
+            self.limits.check_new_client(
+                len(self.clients), sum(not one.bound for one in self.clients.values())
+            )
             proxy = self.free.pop() if self.free else self.first + len(self.clients)
             client = Client(node.id, proxy, self.zones[zone], node.shape, [0.0] * len(self.kinds))
             self.clients[node.id] = self.by_proxy[proxy] = client
             stream.returning = node.id in self.known
         elif (client.zone, client.shape) != (self.zones[zone], node.shape):
-            raise Refused(
+            raise RequestRejectedError(
                 "FAILED_PRECONDITION",
                 f"{node.id[:80]!r} is joined from {self.zone_names[client.zone]} "
                 f"as {client.shape}: an id is one client's",
             )
         stream.client = client
         client.streams.append(stream)
-        return self.gate.makes_way(client.streams)
+        return self.limits.superseded(client.streams)
 
     def _join(self, client: Client) -> None:
         if not client.joined:
@@ -246,7 +260,7 @@
         self.free.append(client.proxy)
         self.known[client.id] = None
         self.known.move_to_end(client.id)
-        while len(self.known) > self.gate.clients:
+        while len(self.known) > self.limits.clients:
             self.known.popitem(last=False)
         if client.joined:
             self.host.remove_proxy(client.proxy)
@@ -437,15 +451,17 @@
         stream has no room until `written`. `again` tells that the budget left someone waiting for
         `budget.wait()` seconds, `more` that this was one slice of a long work, so that what comes in
         meanwhile is not kept waiting."""
-        self.budget.turn(now)
+        self.budget.advance(now)
         waiting, out, self.again, self.more = [], [], False, False
         for stream in self.dirty:
             if stream.room and stream.client is not None:
                 caches = {kind: self.cache_for(stream.client, kind) for kind in stream.lines}
                 urgent = any(line.hurries(caches[kind]) for kind, line in stream.lines.items())
-                waiting.append((rank(urgent, stream.primed, stream.returning), stream.key, stream, caches))
+                waiting.append(
+                    (push_priority(urgent, stream.primed, stream.returning), stream.key, stream, caches)
+                )
         self.dirty, left = {}, SLICE
-        for place, _, stream, caches in sorted(waiting, key=lambda one: one[:2]):
+        for priority, _, stream, caches in sorted(waiting, key=lambda one: one[:2]):
             if left <= 0:
                 self.more = True
                 self.dirty[stream] = None
@@ -455,7 +471,7 @@
                 line = stream.lines.get(kind)
                 if line is None:
                     continue
-                if not self.budget.take(place < JOINED):
+                if not self.budget.take(priority == PushPriority.URGENT):
                     self.again = True
                     self.dirty[stream] = None
                     break
@@ -465,7 +481,7 @@
                     lambda name: self._may_remove(stream, caches, kind, name),
                 )
                 if push is None:
-                    self.budget.give()
+                    self.budget.give_back()
                 else:
                     pushes.append((kind, push))
                     left -= len(push.items)
--- a/oatcart/xds/serve.py
+++ b/oatcart/xds/serve.py
@@ -16,7 +16,7 @@
 from oatcart.xds.encode import Encoder
 from oatcart.xds.follow import Follower
 from oatcart.xds.front import Front, new_life
-from oatcart.xds.limits import Budget, Gate
+from oatcart.xds.limits import ClientLimits, PushBudget
 from oatcart.xds.nested import Nested
 from oatcart.xds.rounds import XdsRounds
 from oatcart.xds.server import Server
@@ -46,8 +46,8 @@
             zones,
             codec.proxies,
             new_life(time.time_ns(), int(cfg["seed"], 16)),
-            Gate(xds.clients, xds.streams, xds.names, xds.pushes),
-            Budget(xds.pushes),
+            ClientLimits(xds.clients, xds.streams, xds.names, xds.pushes),
+            PushBudget(xds.pushes),
             records.admission_mode == AdmissionMode.RATE,
             xds.home_zone,
             self.rounds.log.say,
--- a/oatcart/xds/server.py
+++ b/oatcart/xds/server.py
@@ -14,7 +14,7 @@
 from oatcart.xds import decode
 from oatcart.xds.encode import Encoder
 from oatcart.xds.front import CLUSTER, ENDPOINTS, LISTENER, MEMBER, ROUTE, Ask, Front, Stream
-from oatcart.xds.limits import Refused
+from oatcart.xds.limits import RequestRejectedError
 from oatcart.xds.loads import Books
 
 REQUEST_MOST = 1024 * 1024  # bytes of a request: what a client may bring of versions, as long as names may be
@@ -54,10 +54,10 @@
     def __init__(self) -> None:
         self.pushes: list[tuple[str, object]] = []
         self.wake = asyncio.Event()
-        self.over: Refused | None = None
+        self.over: RequestRejectedError | None = None
 
-    def end(self, refused: Refused) -> None:
-        self.over = self.over or refused
+    def end(self, rejected: RequestRejectedError) -> None:
+        self.over = self.over or rejected
         self.wake.set()
 
 
@@ -125,7 +125,7 @@
 
     async def stop(self) -> None:
         for live in self.lives.values():
-            live.end(Refused("UNAVAILABLE", "this conductor ends"))
+            live.end(RequestRejectedError("UNAVAILABLE", "this conductor ends"))
         await self.server.stop(END_WITHIN)
 
     def soon(self) -> None:
@@ -174,7 +174,7 @@
                             self.sent_bytes, self.sent = self.sent_bytes + len(one), self.sent + 1
                             await context.write(one)
                 except TimeoutError:
-                    raise Refused(
+                    raise RequestRejectedError(
                         "RESOURCE_EXHAUSTED",
                         f"a push was left unread for {self.unread_for:g} s",
                         self.unread_for,
@@ -182,14 +182,14 @@
                 self.front.written(stream)
                 self.soon()
             raise live.over
-        except Refused as refused:
-            if refused.words:
+        except RequestRejectedError as rejected:
+            if rejected.message:
                 who = stream.client.id if stream.client else "a client"
-                self.say("xds", f"{who}'s stream ends: {refused.words}")
-            if refused.after:
-                context.set_trailing_metadata(((RETRY_PUSHBACK, str(round(refused.after * 1000))),))
-            context.set_code(grpc.StatusCode[refused.code])
-            context.set_details(refused.words)
+                self.say("xds", f"{who}'s stream ends: {rejected.message}")
+            if rejected.retry_after:
+                context.set_trailing_metadata(((RETRY_PUSHBACK, str(round(rejected.retry_after * 1000))),))
+            context.set_code(grpc.StatusCode[rejected.code])
+            context.set_details(rejected.message)
         finally:
             reader.cancel()
             del self.lives[stream]
@@ -204,19 +204,23 @@
                     async with asyncio.timeout(FIRST_WITHIN if first else None):
                         data = await context.read()
                 except TimeoutError:
-                    raise Refused("DEADLINE_EXCEEDED", f"no request within {FIRST_WITHIN:g} s") from None
+                    raise RequestRejectedError(
+                        "DEADLINE_EXCEEDED", f"no request within {FIRST_WITHIN:g} s"
+                    ) from None
                 if data is grpc.aio.EOF:
-                    raise Refused("OK", "")
+                    raise RequestRejectedError("OK", "")
                 self._take(stream, decode.request(stream.delta, data, stream.only))
                 first = False
-        except Refused as refused:
-            live.end(refused)
+        except RequestRejectedError as rejected:
+            live.end(rejected)
         except Exception as error:  # the connection is gone, or a request over the limit
-            live.end(Refused("UNAVAILABLE", f"its connection ended: {type(error).__name__}"))
+            live.end(RequestRejectedError("UNAVAILABLE", f"its connection ended: {type(error).__name__}"))
 
     def _take(self, stream: Stream, ask: Ask) -> None:
         for older in self.front.ask(self.clock(), stream, ask):
-            self.lives[older].end(Refused("ABORTED", "a newer stream of this client takes its place"))
+            self.lives[older].end(
+                RequestRejectedError("ABORTED", "a newer stream of this client takes its place")
+            )
         self.soon()
         self.kick()
 
@@ -234,8 +238,8 @@
                 while (data := await context.read()) is not grpc.aio.EOF:
                     try:
                         told, reports = decode.report(data)
-                    except Refused as refused:
-                        self.say("odd", refused.words)
+                    except RequestRejectedError as rejected:
+                        self.say("odd", rejected.message)
                         continue
                     if node is None and told is not None:
                         node = told
--- a/tests/xds/sim.py
+++ b/tests/xds/sim.py
@@ -28,7 +28,7 @@
 from oatcart.routing_tables import RoutingTables
 from oatcart.xds import view
 from oatcart.xds.front import CLUSTER, ENDPOINTS, MEMBER, ROUTE, Ask, Front, Node, new_life
-from oatcart.xds.limits import Budget, Gate
+from oatcart.xds.limits import ClientLimits, PushBudget
 from oatcart.xds.resource_cache import WITHDRAWAL_RETENTION
 
 KINDS = [
@@ -234,8 +234,8 @@
             ZONES,
             8,
             new_life(self.life, 1),
-            Gate(50, 3, 100, self.pushes),
-            Budget(self.pushes),
+            ClientLimits(50, 3, 100, self.pushes),
+            PushBudget(self.pushes),
             False,
             say=lambda kind, text: self.said.append(text),
         )
--- a/tests/xds/test_decisions.py
+++ b/tests/xds/test_decisions.py
@@ -9,7 +9,7 @@
 from oatcart.model import EndpointState, RetryPolicy
 from oatcart.xds import view
 from oatcart.xds.front import CLUSTER, ENDPOINTS, ROUTE
-from oatcart.xds.limits import Refused
+from oatcart.xds.limits import RequestRejectedError
 from oatcart.xds.loads import Books, ClusterReport, Tally
 from oatcart.xds.pushes import ABSENT, Line, Refusal
 from oatcart.xds.resource_cache import ResourceCache
@@ -347,11 +347,11 @@
 
 def test_gate_refuses_with_a_hint_and_keeps_no_record():
     stage = stage_of()
-    stage.front.gate.clients = 1
+    stage.front.limits.clients = 1
     peer_of(stage, "one")
-    with pytest.raises(Refused) as refused:
+    with pytest.raises(RequestRejectedError) as refused:
         peer_of(stage, "two")
-    assert refused.value.code == "RESOURCE_EXHAUSTED" and refused.value.after > 0
+    assert refused.value.code == "RESOURCE_EXHAUSTED" and refused.value.retry_after > 0
     assert list(stage.front.clients) == ["one"]
 
 
