--- a/oatcart/trace/controller_tracing.py
+++ b/oatcart/trace/controller_tracing.py
@@ -5,8 +5,8 @@
 import time
 from collections.abc import Callable
 
-from oatcart.handover import socket_records
 from oatcart.net.conductor import Rounds
+from oatcart.settings import read_socket_controller_settings
 from oatcart.trace.configuration import TraceSettings
 from oatcart.trace.recorder import RoundRecorder, start_record
 from oatcart.trace.writer import Writer
@@ -62,7 +62,7 @@
                 now(),
                 writer.instance,
                 int(configuration["seed"], 16),
-                socket_records(configuration["settings"]),
+                read_socket_controller_settings(configuration["settings"]),
                 rounds.codec.kind_names,
                 list(rounds.codec.zones),
             )
