--- a/oatcart/model.py
+++ b/oatcart/model.py
@@ -108,7 +108,7 @@
     warm_up: WarmUpLimits
     report_period: float  # s between two load reports of a collector
     admission_mode: AdmissionMode
-    cross_zone_price: float  # points of service, of 100, for each request crossing zones once, over 100
+    cross_zone_price: float  # part of the service, from 0 to 1, that is lost if each request crosses zones
     health_checks_allowed: bool
     drain_deadline: float = inf  # s from the news of a drain to the last request sent there
     expected_proxies: float = 0.0  # proxies that usually join this controller
--- a/oatcart/policy/discovery.py
+++ b/oatcart/policy/discovery.py
@@ -50,7 +50,7 @@
         self._backoff = min(MAX_BACKOFF_S, self._backoff * 2)
 
     def record_list(self, now: float) -> None:
-        """Notes that a list has come; the one held at the start answers no call."""
+        """Notes that a list has come; the one that the host brings at its start is no answer to a call."""
         if self._next_call_at > LONG_AGO:
             self._watching = True
             self._backoff = FIRST_BACKOFF_S
--- a/oatcart/policy/draining.py
+++ b/oatcart/policy/draining.py
@@ -13,7 +13,8 @@
 from oatcart.policy.subsetting import RoutingTables
 
 MIN_REMOVALS = 4  # lines that justify a message, where not all fit
-OVERDUE_S = 1.0  # after which removals may use the last messages, which until then drains wait to share
+OVERDUE_S = 1.0  # from the news of a drain until its removal may use the last messages of the cap; until then
+# drains wait for each other, as a message may carry many
 FORGET_AFTER_S = 30.0  # after an endpoint is gone; longer than any proxy takes to connect again
 
 
@@ -34,7 +35,7 @@
         self._channel = channel
 
     def remove_entries(self, table: RoutingTable, this_round: Round) -> None:
-        """Removes unavailable endpoints from a subset, which costs half of what an ejection does."""
+        """Removes unavailable endpoints from a subset, which costs lines for its own proxies only."""
         endpoints = self._registry.endpoints
         due = [at for at in sorted(table.weights) if endpoints[at].unavailable]
         if not due:
--- a/oatcart/policy/flow_control.py
+++ b/oatcart/policy/flow_control.py
@@ -13,7 +13,9 @@
 from oatcart.model import ChannelLimits
 from oatcart.policy.state import LONG_AGO, Proxy
 
-# Parts of the caps that a reservation may fill, by what it is for; the rest is left to what is more urgent
+# Parts of the message cap that a reservation may fill, by what it is for; the rest is left to what is more
+# urgent. Of the queue, urgent and overdue reservations may fill all of its share below, others these parts of
+# what the channel sends within some seconds.
 WEIGHTS_SHARE = 0.5
 ASSIGNMENT_SHARE = 0.6  # tables of joined proxies, endpoints that return
 URGENT_SHARE = 0.7  # draining and ejected endpoints, admission
@@ -41,7 +43,7 @@
     def __init__(self, limits: ChannelLimits) -> None:
         """`limits`: as the settings give them."""
         self.limits = limits
-        self.queued = 0.0  # lines that are taken to wait
+        self.queued = 0.0  # lines that count as waiting
         self._now = 0.0
         self._reserved = 0.0  # lines since the start
         self._reserved_before_round = 0.0
@@ -56,7 +58,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no lines are taken to wait."""
+        """Whether no lines count as waiting."""
         return not self.queued
 
     @property
@@ -65,7 +67,7 @@
         return bool(self._messages_of_round)
 
     def begin_round(self, now: float) -> None:
-        """Takes from the queue what has left since the last round (s)."""
+        """Takes from the queue what has left since the last round; `now` in seconds."""
         rate = self.limits.line_rate
         self._reserved_before_round = self._reserved
         self._messages_of_round = 0
@@ -81,10 +83,14 @@
         self._now = now
 
     def _measure_rate(self, now: float, unacknowledged: float) -> None:
-        """Sets the acknowledged rate; a queue that was short or left completely proves the line rate."""
+        """Sets the acknowledged rate (lines/s).
+
+        Only a long queue that did not leave completely shows a channel slower than its line rate.
+        """
         rate = self.limits.line_rate
         left = self._acknowledged - self._acknowledged_then
-        slow = left < self._unacknowledged_then > rate / MAX_SLOWDOWN * ACK_LATE_S
+        long_queue = self._unacknowledged_then > rate / MAX_SLOWDOWN * ACK_LATE_S
+        slow = long_queue and left < self._unacknowledged_then
         shown = left / (now - self._measured_at) if slow else rate
         self._acknowledged_rate = min(rate, max(rate / MAX_SLOWDOWN, shown))
         self._measured_at = now
@@ -102,7 +108,8 @@
         """Reserves lines to each of some proxies and returns how many lines fit.
 
         `share`: the part of the caps that may be filled, one of the constants above. Where not all lines
-        fit, as many are reserved as do, if these are at least `minimum` (0: all or none). `notices`: for
+        fit, as many are reserved as do, if these are at least `minimum` (0: all or none); without a limit of
+        the queue all fit. There must be at least one line. `notices`: for
         each line, how many proxies are notified with it whether its endpoint may be used, one line each.
         """
         first_messages = [one for one in proxies.values() if not one.sent_at or one.sent_at[-1] < self._now]
@@ -146,7 +153,7 @@
         return min(left, share * min(self.limits.max_queue, by_rate) - self.queued)
 
     def end_round(self, nonce: int) -> None:
-        """Notes that all messages of this round bear a nonce."""
+        """Notes the nonce of this round's messages; to be called only if it has any."""
         if self._acknowledged >= self._reserved_before_round:
             self._heard_at = self._now  # nobody owed an acknowledgement until now
         lines = self._reserved - self._reserved_before_round
--- a/oatcart/policy/load_shedding.py
+++ b/oatcart/policy/load_shedding.py
@@ -15,14 +15,14 @@
 from oatcart.policy.telemetry import FAILING_RATIO, Telemetry, error_ratio, median, median_error_ratio, strain
 from oatcart.policy.workload import Workload
 
-MAX_CUT = 0.6  # share of the admitted work that a cut leaves at least
+MIN_SHARE_AFTER_CUT = 0.6  # part of the admitted share that one cut leaves at least
 CUT_INTERVALS = 3.5  # report intervals until a cut shows
-MIN_ADMITTED_SHARE = 0.25
+MIN_ADMITTED_SHARE = 0.25  # of the offered work, however high the strain
 FULL_LOAD = 80.0  # percent at the median endpoint, over which strain means overload
 SPARE_LOAD = 50.0  # percent at the median endpoint, under which work is admitted again
 FAILING_STRAIN = 2.0  # strain from which errors in every zone mean overload too
-RECOVERY_STEP = 0.04  # share that is admitted again in a second
-CALM_STRAIN = 0.8  # under which it is
+RECOVERY_STEP = 0.04  # share of the offered work that is admitted again in a second
+CALM_STRAIN = 0.8  # strain under which work is admitted again
 MIN_LEVEL = 0.02  # share of a class that is always admitted
 LEVEL_STEP = 0.04  # smallest change of a level that is sent
 UNLIMITED_RATE = 1e6  # requests/s
@@ -51,18 +51,18 @@
     def adjust(self, table: RoutingTable, now: float) -> None:
         """Cuts or raises the admitted share of a table; to be called once a second."""
         pool = self._active(table)
-        strained = strain(pool, self._telemetry.latency_objective)
-        failing = strained > FAILING_STRAIN and fails_in_every_zone(pool)
+        pool_strain = strain(pool, self._telemetry.latency_objective)
+        failing = pool_strain > FAILING_STRAIN and fails_in_every_zone(pool)
         load = median([one.load for one in pool if one.load is not None] or [100.0])
         next_cut = table.reduced_at + CUT_INTERVALS * self._telemetry.report_interval
-        if strained > 1.0 and (load > FULL_LOAD or failing) and now > next_cut:
+        if pool_strain > 1.0 and (load > FULL_LOAD or failing) and now > next_cut:
             table.reduced_at = now
-            cut = max(MAX_CUT, 1.0 / strained)
-            table.admitted_share = max(MIN_ADMITTED_SHARE, table.admitted_share * cut)
-        elif strained < CALM_STRAIN or load < SPARE_LOAD and not failing:
+            kept = max(MIN_SHARE_AFTER_CUT, 1.0 / pool_strain)
+            table.admitted_share = max(MIN_ADMITTED_SHARE, table.admitted_share * kept)
+        elif pool_strain < CALM_STRAIN or (load < SPARE_LOAD and not failing):
             table.admitted_share = min(1.0, table.admitted_share + RECOVERY_STEP)
         table.retries_pay = retries_pay(
-            table.admitted_share, strained, error_ratio(pool), median_error_ratio(pool)
+            table.admitted_share, pool_strain, error_ratio(pool), median_error_ratio(pool)
         )
 
     def admitted_share(self, table: RoutingTable, now: float) -> float:
@@ -103,7 +103,7 @@
         if sent is None:
             return True
         old_level, old_retries = sent
-        close = level == old_level or level < 1.0 and abs(level - old_level) < LEVEL_STEP
+        close = level == old_level or (level < 1.0 and abs(level - old_level) < LEVEL_STEP)
         return retries != old_retries or not close
 
     def _quota(self, table: RoutingTable, number: int, level: float) -> float:
--- a/oatcart/policy/locality.py
+++ b/oatcart/policy/locality.py
@@ -12,7 +12,7 @@
 SPILL_STRAIN = 0.8  # of a zone that classes are bound to, from which the other classes leave it
 REMOTE_STRAIN = 0.6  # of any other zone, from which it is no longer preferred
 SPILL_FACTOR = 0.7  # of a zone's weight that is left after a second of strain
-RETURN_FACTOR = 1.06  # growth of its weight in a second without
+RECOVERY_FACTOR = 1.06  # growth of a zone's weight in a second without strain
 MIN_ZONE_WEIGHT = 0.05  # so that reports still show how the zone is
 
 
@@ -27,7 +27,7 @@
 def table_keys(classes: Sequence[RequestClass], zone: int, cross_zone_price: float) -> list[TableKey]:
     """Returns the tables that a proxy of a zone needs, each for the classes that share their endpoints.
 
-    `cross_zone_price`: what a request costs that crosses zones once, as a part of its value.
+    `cross_zone_price`: part of the service, from 0 to 1, that is lost if each request crosses zones once.
     """
     keys: dict[tuple[tuple[int, ...], int], tuple[int, ...]] = {}
     for number, request_class in enumerate(classes):
@@ -66,11 +66,11 @@
             if here > max(limit, rest):
                 self._weights[zone] = max(MIN_ZONE_WEIGHT, self.weight(zone) * SPILL_FACTOR)
             elif here < limit:
-                self._weights[zone] = min(1.0, self.weight(zone) * RETURN_FACTOR)
+                self._weights[zone] = min(1.0, self.weight(zone) * RECOVERY_FACTOR)
         if ready and all(endpoint.zone in self.bound_zones for endpoint in ready):
-            self._level_out(ready)
+            self._normalize(ready)
 
-    def _level_out(self, ready: Collection[Endpoint]) -> None:
-        """Scales the weights so that the best zone has 1: where all zones are left, none is."""
+    def _normalize(self, ready: Collection[Endpoint]) -> None:
+        """Scales the weights so that the best zone has 1, as requests cannot leave all zones."""
         best = max(self.weight(endpoint.zone) for endpoint in ready)
         self._weights = {zone: weight / best for zone, weight in self._weights.items()}
--- a/oatcart/policy/outlier_detection.py
+++ b/oatcart/policy/outlier_detection.py
@@ -12,9 +12,9 @@
 from oatcart.policy.telemetry import Telemetry, error_ratio
 
 MIN_ERROR_RATIO = 0.5  # beyond the ratio of its peers
-MIN_ATTEMPTS = 8.0  # in memory; with fewer, chance reaches the ratio
+MIN_ATTEMPTS = 8.0  # in the decayed sums; with fewer, chance reaches the ratio
 MIN_MISSED_ANSWERS = 10.0  # that it owes by its share of the fleet's
-SILENCE_INTERVALS = 2.5  # report intervals without an answer
+UNRESPONSIVE_INTERVALS = 2.5  # report intervals without an answer
 ANSWER_SHARE_GAIN = 0.4  # part of a new share that the mean share takes over
 MAX_EJECTED_SHARE = 0.5  # of a pool; beyond it the fault is likely the observer's
 INITIAL_EJECTION_TIME_S = 4.0
@@ -49,7 +49,7 @@
                 endpoint.ramp_started_at = now
                 if self._may_return(endpoint, now):
                     self.restore(endpoint, now, now)
-            elif self._is_silent(endpoint, now) or is_failing(endpoint, peers):
+            elif self._is_unresponsive(endpoint, now) or is_failing(endpoint, peers):
                 self._eject(endpoint, [pool for pool in pools if number in pool], now)
 
     def restore(self, endpoint: Endpoint, ramp_started_at: float, now: float) -> None:
@@ -72,11 +72,11 @@
         healthy = endpoint.passed_checks >= PASSED_CHECKS or not self._health_checks_allowed
         return now - endpoint.ejected_at >= endpoint.ejection_time and healthy
 
-    def _is_silent(self, endpoint: Endpoint, now: float) -> bool:
+    def _is_unresponsive(self, endpoint: Endpoint, now: float) -> bool:
         """Whether it owes answers by its share of the fleet's; late reports alone never look so."""
         fleet_answers = self._telemetry.fleet_answers - endpoint.fleet_answers_then
         missed = fleet_answers * endpoint.answer_share * ramp(now - endpoint.ramp_started_at)
-        patience = SILENCE_INTERVALS * self._telemetry.report_interval
+        patience = UNRESPONSIVE_INTERVALS * self._telemetry.report_interval
         return missed > MIN_MISSED_ANSWERS and now - endpoint.answered_at > patience
 
     def _eject(self, endpoint: Endpoint, its_pools: list[Pool], now: float) -> None:
--- a/oatcart/policy/publication.py
+++ b/oatcart/policy/publication.py
@@ -24,7 +24,7 @@
 
 MIN_CHANGE = 5.0  # points
 MIN_CHANGE_SHARE = 0.1  # of the weight that is sent; the larger of both counts
-MAX_CHANNEL_S = 3.0  # s that a complete table takes the channel; each raises the threshold by its own
+MAX_CHANNEL_S = 3.0  # s; the threshold grows by itself with each second that sending a complete table takes
 LACKING_SHARE = 0.1  # of a table's endpoints without an entry, from which new entries go out at once
 
 
--- a/oatcart/policy/retries.py
+++ b/oatcart/policy/retries.py
@@ -8,16 +8,21 @@
 from oatcart.model import Idempotency, RetryPolicy
 
 MAX_STRAIN = 0.45  # of the pool; over it a retry is just more load
-MIN_ERROR_RATIO = 0.02  # over twice the median endpoint's
+MIN_EXCESS_ERROR_RATIO = 0.02  # over twice the median endpoint's
 
 
-def retries_pay(admitted_share: float, strain: float, errors: float, median_errors: float) -> bool:
+def retries_pay(admitted_share: float, strain: float, error_ratio: float, median_error_ratio: float) -> bool:
     """Whether a retry after any failure pays in a pool.
 
-    `admitted_share` from 0 to 1; `strain`: 1 is the limit; `errors`: failed part of the attempts at the
-    pool, `median_errors` at its median endpoint, which client cancellations and lost answers raise too.
+    `admitted_share` from 0 to 1; `strain`: 1 is the limit; `error_ratio`: failed part of the attempts at
+    the pool, `median_error_ratio` at its median endpoint, which client cancellations and lost answers
+    raise too.
     """
-    return admitted_share >= 1.0 and strain < MAX_STRAIN and errors > MIN_ERROR_RATIO + 2 * median_errors
+    return (
+        admitted_share >= 1.0
+        and strain < MAX_STRAIN
+        and error_ratio > MIN_EXCESS_ERROR_RATIO + 2 * median_error_ratio
+    )
 
 
 def retry_policy(idempotency: Idempotency, pays: bool, admitted_share: float) -> RetryPolicy:
--- a/oatcart/policy/scoring.py
+++ b/oatcart/policy/scoring.py
@@ -21,7 +21,8 @@
 ERROR_COST = 1000.0  # points for a ratio of 1
 NEUTRAL_SCORE = 50.0  # points for a flat trend, and for bytes, which nobody reports
 TREND_SAMPLES = 30  # loads, one a second, over which the trend is taken
-MAX_SCORE_GROWTH = 1.35  # a rescore multiplies a score by it at most, so that no idle endpoint is flooded
+MAX_SCORE_GROWTH = 1.35  # factor of a score in one second at most, so that no idle endpoint is flooded
+MIN_SCORE_GROWTH = 1.0  # points that a score may grow in any case
 
 
 def new_load_history() -> deque[float]:
@@ -69,7 +70,7 @@
     for endpoint in endpoints:
         scale = endpoint.nominal_weight / mean_weight if lists_weights else 1.0
         score = scores.get(id(endpoint), average) * scale
-        endpoint.score = min(score, endpoint.score * MAX_SCORE_GROWTH + 1.0)
+        endpoint.score = min(score, endpoint.score * MAX_SCORE_GROWTH + MIN_SCORE_GROWTH)
 
 
 def _score(endpoint: Endpoint) -> float:
--- a/oatcart/policy/state.py
+++ b/oatcart/policy/state.py
@@ -22,7 +22,7 @@
     """
 
     capacity: float  # requests in flight that it holds while still on time; telemetry
-    score: float  # points from 0 to 100 before the nominal weight; scoring
+    score: float  # points, scaled by the nominal weight where discovery lists one; scoring
     ejection_time: float  # s that its next ejection lasts; outlier_detection
     load_history: deque[float]  # percent, one a second, the oldest first; scoring
     # As discovery lists it
--- a/oatcart/policy/subsetting.py
+++ b/oatcart/policy/subsetting.py
@@ -20,7 +20,7 @@
 )
 MIN_SUBSET = 4  # endpoints; with fewer, two draws meet failing ones too often
 SUBSETS_PER_ENDPOINT = 2
-MAX_SIZE_FACTOR = 1.5  # times the wanted size that a table may have which a joining proxy is given
+MAX_SIZE_FACTOR = 1.5  # a joining proxy is given no table larger than so many times the wanted size
 
 
 class TableChoice(NamedTuple):
@@ -85,11 +85,12 @@
         entries = sum(map(len, pools.values()))
         proxies = max(1.0, settings.expected_proxies, joined_proxies)
         overhead = settings.channel.message_overhead + 1 + len(pools) + len(settings.request_classes)
-        part = (in_time / proxies - overhead) / (entries * (1 + configured_before) or 1)
+        lines = entries * (1 + configured_before)
+        fitting_share = (in_time / proxies - overhead) / (lines or 1)
         fits = proxies * (entries + overhead) <= in_time
         choices = []
         for key, pool in pools.items():
-            size = inf if fits else max(MIN_SUBSET, int(part * len(pool)))
+            size = inf if fits else max(MIN_SUBSET, int(fitting_share * len(pool)))
             tables = self._tables_up_to(key, size, len(pool))
             by_proxies = sorted(tables, key=lambda table: len(table.proxies))
             choices.append(TableChoice(MAX_SIZE_FACTOR * size, deque(by_proxies)))
--- a/oatcart/policy/telemetry.py
+++ b/oatcart/policy/telemetry.py
@@ -15,6 +15,7 @@
 MEMORY_S = 3.0  # time constant of the decaying sums
 MEMORY_INTERVALS = 1.5  # the same in report intervals; the longer of both counts
 INITIAL_CAPACITY = 8.0  # requests in flight, until an endpoint shows more
+MIN_CAPACITY = INITIAL_CAPACITY / 2
 CAPACITY_STEP_DOWN = 0.3  # part of the way towards what a late endpoint has in flight
 ON_TIME_SHARE = 0.5  # of the latency objective; a mean duration over it is late
 FAILING_RATIO = 0.15  # of the attempts, at the median endpoint: full strain
@@ -99,7 +100,7 @@
         late = endpoint.answers and endpoint.answer_seconds / endpoint.answers > objective
         if late:
             step = CAPACITY_STEP_DOWN * min(0.0, in_flight - endpoint.capacity)
-            endpoint.capacity = max(INITIAL_CAPACITY / 2, endpoint.capacity + step)
+            endpoint.capacity = max(MIN_CAPACITY, endpoint.capacity + step)
         else:
             endpoint.capacity = max(endpoint.capacity, in_flight)
 
--- a/oatcart/policy/workload.py
+++ b/oatcart/policy/workload.py
@@ -41,7 +41,10 @@
         return self._by_table[table.number]
 
     def filled_endpoints(self, table: RoutingTable) -> float:
-        """Returns how many endpoints the work offered to a table would fill, by what all tables admit."""
+        """Returns how many endpoints the work offered to a table would fill.
+
+        The work that all tables admit fills all ready endpoints.
+        """
         offered = sum(self._by_table.get(table.number, {}).values())
         part = offered / self._admitted if self._admitted else 1.0
         # endpoints of a subset are filled by the other subsets too that have them
