--- a/tests/test_signals.py
+++ b/tests/net/test_signals.py
@@ -9,7 +9,7 @@
 import sys
 
 import pytest
-from test_scenarios import CONFIG, HERE
+from controller_process import CONFIG, ROOT
 
 STRUCK = """
 import builtins, os, runpy, signal, socket, sys
@@ -53,7 +53,7 @@
     (folder / "cfg").write_text(json.dumps(CONFIG))
     return subprocess.Popen(
         [sys.executable, "-c", STRUCK, point, str(int(number))],
-        cwd=HERE.parent,
+        cwd=ROOT,
         text=True,
         stderr=subprocess.PIPE,
         env=os.environ | {"EDGE_CONFIG": str(folder / "cfg")},
--- /dev/null
+++ b/tests/net/test_socket_scenarios.py
@@ -0,0 +1,13 @@
+"""Plays the scenarios of `tests/sockets` on the net code; the notation is in `tests/README.md`."""
+
+from pathlib import Path
+
+import pytest
+import stage
+
+SCENARIOS = sorted((Path(__file__).parent.parent / "sockets").glob("*.txt"))
+
+
+@pytest.mark.parametrize("path", SCENARIOS, ids=lambda path: path.stem)
+def test_scenario(path):
+    stage.play(path.read_text())
