--- a/oatcart/scale/hollow.py
+++ b/oatcart/scale/hollow.py
@@ -167,9 +167,8 @@
         )
         quantum = read_seconds(settings, "quantum")
         self.rounds = HollowRounds(loop, log, codec, quantum, time.time(), self.may_be_due)
-        wait = WATCH_WAIT_FRACTION * read_seconds(
-            settings.get("rules") or {}, "askWithin", DEFAULT_POLL_WITHIN_S
-        )
+        poll_within = read_seconds(settings.get("rules") or {}, "askWithin", DEFAULT_POLL_WITHIN_S)
+        wait = WATCH_WAIT_FRACTION * poll_within
         self.watcher = EndpointListWatcher(
             loop, codec, log, (LOOPBACK, discovery_port), wait, self.rounds.add_event
         )
--- a/oatcart/yaml_files.py
+++ b/oatcart/yaml_files.py
@@ -22,7 +22,6 @@
 MAX_NAME_LETTERS = 256
 PORTS = 65536
 
-
 # The name in packages that have not taken the new one.
 Wrong = InvalidConfigurationError
 
