--- a/oatcart/errors.py
+++ b/oatcart/errors.py
@@ -26,6 +26,10 @@
         return cls(f"{field} is invalid: {problem}")
 
 
+class InvalidSettingError(InvalidConfigurationError, LookupError):
+    """A setting without a default is missing, no number or too small; the message names it with its value."""
+
+
 class InvalidMessageError(OatcartError):
     """A message can be parsed, but a field of it cannot be used; its connection goes on."""
 
--- a/oatcart/settings.py
+++ b/oatcart/settings.py
@@ -7,6 +7,7 @@
 from math import inf
 from typing import TypeVar
 
+from oatcart.errors import InvalidSettingError
 from oatcart.load_reports import is_amount
 from oatcart.model import (
     AdmissionMode,
@@ -39,19 +40,20 @@
 def require_amount(table: dict, name: str, where: str, minimum: float = SMALLEST_POSITIVE) -> float:
     """Read a number that has no default, as it differs by deployment.
 
-    Raises LookupError with the setting's full name and value where it is missing, no number, or too small.
+    Raises InvalidSettingError with the setting's full name and value where it is missing, no number, or too
+    small.
     """
     value = table.get(name)
     if not is_amount(value) or value < minimum:
-        raise LookupError(f"{where}.{name} is {value!r}")
+        raise InvalidSettingError(f"{where}.{name} is {value!r}")
     return value
 
 
 def read_controller_settings(settings: dict) -> ControllerSettings:
     """Read all that a controller is started with beside its seed.
 
-    Raises LookupError where a required number is missing, AttributeError, TypeError or ValueError where a
-    value has another form.
+    Raises InvalidSettingError where a required number is missing, AttributeError, TypeError or ValueError
+    where a value has another form.
     """
     plane = settings.get("specifics") or {}
     rules = settings.get("rules") or {}
--- a/oatcart/simhost/adapter.py
+++ b/oatcart/simhost/adapter.py
@@ -14,8 +14,8 @@
 class ControllerInstance:
     """One controller with the decoder of its records.
 
-    `settings_json` is the settings object of the protocol. Raises LookupError, TypeError or ValueError where
-    it cannot be used.
+    `settings_json` is the settings object of the protocol. Raises InvalidSettingError, AttributeError,
+    TypeError or ValueError where it cannot be used.
     """
 
     def __init__(self, number: int, seed: int, settings_json: bytes) -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -2,6 +2,7 @@
 
 import pytest
 
+from oatcart.errors import InvalidSettingError
 from oatcart.settings import read_controller_settings
 
 
@@ -9,7 +10,7 @@
     plane = {"pushRate": 1000.0, "period": 1000.0}
     assert read_controller_settings({"specifics": plane}).channel.max_messages == 0
     capped = plane | {"messagesMost": 12}
-    with pytest.raises(LookupError, match="specifics.updateWindow"):
+    with pytest.raises(InvalidSettingError, match="specifics.updateWindow"):
         read_controller_settings({"specifics": capped})
     controller = read_controller_settings({"specifics": capped | {"updateWindow": 5000.0}})
     assert controller.channel.message_window == 5.0
@@ -26,6 +27,6 @@
     ],
 )
 def test_a_required_number_is_named_with_its_value(specifics, message):
-    with pytest.raises(LookupError) as raised:
+    with pytest.raises(InvalidSettingError) as raised:
         read_controller_settings({"specifics": specifics})
     assert raised.value.args == (message,)
