--- a/oatcart/xds/front.py
+++ b/oatcart/xds/front.py
@@ -18,10 +18,17 @@
 from oatcart.model import RequestClass, RetryPolicy
 from oatcart.routing_tables import RoutingTables, UpdatePart
 from oatcart.xds import view
-from oatcart.xds.limits import JOINED, Budget, Gate, Refused, check_names, rank
+from oatcart.xds.limits import (
+    ClientLimits,
+    PushBudget,
+    PushPriority,
+    RequestRejectedError,
+    check_names,
+    push_priority,
+)
 from oatcart.xds.loads import Books, ClusterReport
 from oatcart.xds.pushes import NEVER, Line, Push, Refusal
-from oatcart.xds.shelf import Shelf, digest
+from oatcart.xds.resource_cache import ResourceCache, digest
 
 CLUSTER, ENDPOINTS, MEMBER, LISTENER, ROUTE = "cluster", "endpoints", "member", "listener", "route"
 ORDER = (CLUSTER, ENDPOINTS, MEMBER, LISTENER, ROUTE)  # makes go in this order, breaks against it
@@ -30,7 +37,7 @@
 MARKS_OWED = 8  # marks of one client that are not acknowledged; the module waits for none so long
 REFUSALS_KEPT = 8  # of a client, for the operator
 SLICE = 2000  # resources that are sent in one go, some ms of work
-NOTHING = Shelf()  # of a client that is not bound yet
+EMPTY_CACHE = ResourceCache()  # of a client that is not bound yet
 
 
 class Host(Protocol):
@@ -112,21 +119,21 @@
         zones: Sequence[str],
         first: int,
         life: str,
-        gate: Gate,
-        budget: Budget,
+        limits: ClientLimits,
+        budget: PushBudget,
         by_rate: bool,
         home: str = "",
         say: Callable[[str, str], None] = lambda kind, text: None,
     ) -> None:
         self.host, self.kinds, self.zones = host, list(kinds), {name: at for at, name in enumerate(zones)}
         self.zone_names, self.first, self.life = list(zones), first, life
-        self.gate, self.budget, self.by_rate, self.home, self.say = gate, budget, by_rate, home, say
+        self.limits, self.budget, self.by_rate, self.home, self.say = limits, budget, by_rate, home, say
         self.clients: dict[str, Client] = {}
         self.by_proxy: dict[int, Client] = {}
         self.free: list[int] = []
         self.known: OrderedDict[str, None] = OrderedDict()  # ids of clients that have left, newest last
         self.keys = count(1)
-        self.shelves: dict[tuple, Shelf] = {}
+        self.caches: dict[tuple, ResourceCache] = {}
         self.maps: dict[int, tuple[int, ...]] = {}  # by zone: the table of each kind
         # by table: nodes that had a line at the last look, or are leaving
         self.lined: dict[int, set[int]] = {}
@@ -136,25 +143,25 @@
         self.more = False  # work is left over from this slice
         self.again = False  # the budget left someone waiting
         for kind, _ in self.kinds:
-            self._shelf(LISTENER).put(0.0, kind, view.Listener(kind))
+            self._cache(LISTENER).put(0.0, kind, view.Listener(kind))
             for shape in view.WHOLE, view.EACH, view.SPREAD:
-                self._shelf(CLUSTER, shape).put(0.0, kind, view.Cluster(kind, shape))
+                self._cache(CLUSTER, shape).put(0.0, kind, view.Cluster(kind, shape))
 
-    def _shelf(self, *key: object) -> Shelf:
-        return self.shelves.setdefault(key, Shelf())
+    def _cache(self, *key: object) -> ResourceCache:
+        return self.caches.setdefault(key, ResourceCache())
 
-    def shelf(self, client: Client, kind: str) -> Shelf:
+    def cache_for(self, client: Client, kind: str) -> ResourceCache:
         """What a client may see of a type."""
         if kind == LISTENER:
-            return self._shelf(LISTENER)
+            return self._cache(LISTENER)
         if kind == CLUSTER:
-            return self._shelf(CLUSTER, client.shape)
+            return self._cache(CLUSTER, client.shape)
         if not client.bound:
-            return NOTHING
+            return EMPTY_CACHE
         return (
-            self._shelf(kind, client.zone, client.shape)
+            self._cache(kind, client.zone, client.shape)
             if kind == ENDPOINTS
-            else self._shelf(kind, client.zone)
+            else self._cache(kind, client.zone)
         )
 
     # -- streams and what comes on them
@@ -163,9 +170,12 @@
         return Stream(next(self.keys), delta, only)
 
     def ask(self, now: float, stream: Stream, ask: Ask) -> list[Stream]:
-        """Take a request; raises Refused, which ends the stream. Hands back streams that end for this one."""
+        """Take a request; returns the streams that are closed for this one.
+
+        Raises RequestRejectedError, which ends the stream.
+        """
         if stream.only is not None and ask.type != stream.only:
-            raise Refused("INVALID_ARGUMENT", f"this stream is for {stream.only} alone")
+            raise RequestRejectedError("INVALID_ARGUMENT", f"this stream is for {stream.only} alone")
         check_names((*ask.names, *ask.unsubscribe, *ask.brought))
         ended = self._admit(stream, ask)
         line = stream.lines.get(ask.type)
@@ -175,7 +185,7 @@
                 stream.delta, whole, f"{self.life}.{stream.key}.{ask.type[0]}", ask.type in WHOLE_TYPES
             )
             line.returning = bool(ask.brought or ask.version)
-        self.gate.wanted(
+        self.limits.check_name_count(
             sum(len(one.wanted) for one in stream.lines.values())
             + len(ask.names)
             - (len(line.wanted) if not stream.delta else 0)
@@ -201,30 +211,34 @@
             return []
         node = ask.node
         if node is None or not node.id or not node.id.isprintable():
-            raise Refused("INVALID_ARGUMENT", "node.id: the first request of a stream has to say who asks")
+            raise RequestRejectedError(
+                "INVALID_ARGUMENT", "node.id: the first request of a stream has to say who asks"
+            )
         check_names([node.id])
         zone = node.zone or self.home
         if zone not in self.zones:
-            raise Refused(
+            raise RequestRejectedError(
                 "INVALID_ARGUMENT",
                 f"node.locality.zone: {zone[:80]!r} is none of {', '.join(self.zone_names)}",
             )
         client = self.clients.get(node.id)
         if client is None:
-            self.gate.client(len(self.clients), sum(not one.bound for one in self.clients.values()))
+            self.limits.check_new_client(
+                len(self.clients), sum(not one.bound for one in self.clients.values())
+            )
             proxy = self.free.pop() if self.free else self.first + len(self.clients)
             client = Client(node.id, proxy, self.zones[zone], node.shape, [0.0] * len(self.kinds))
             self.clients[node.id] = self.by_proxy[proxy] = client
             stream.returning = node.id in self.known
         elif (client.zone, client.shape) != (self.zones[zone], node.shape):
-            raise Refused(
+            raise RequestRejectedError(
                 "FAILED_PRECONDITION",
                 f"{node.id[:80]!r} is joined from {self.zone_names[client.zone]} "
                 f"as {client.shape}: an id is one client's",
             )
         stream.client = client
         client.streams.append(stream)
-        return self.gate.makes_way(client.streams)
+        return self.limits.superseded(client.streams)
 
     def _join(self, client: Client) -> None:
         if not client.joined:
@@ -246,7 +260,7 @@
         self.free.append(client.proxy)
         self.known[client.id] = None
         self.known.move_to_end(client.id)
-        while len(self.known) > self.gate.clients:
+        while len(self.known) > self.limits.clients:
             self.known.popitem(last=False)
         if client.joined:
             self.host.remove_proxy(client.proxy)
@@ -361,18 +375,18 @@
             picks = view.picks(endpoints)
             for shape in view.WHOLE, view.SPREAD:
                 body = view.Assignment(name, shape, drop, endpoints)
-                news |= self._shelf(ENDPOINTS, zone, shape).put(now, name, body, picks, urgent)
+                news |= self._cache(ENDPOINTS, zone, shape).put(now, name, body, picks, urgent)
             begins = tuple(
                 (one, view.collection(self.zone_names[zone], first, one)) for one in self.zone_names
             )
             body = view.Assignment(name, view.EACH, drop, (), begins)
-            news |= self._shelf(ENDPOINTS, zone, view.EACH).put(now, name, body, (), drop > before)
-            news |= self._shelf(ROUTE, zone).put(now, name, view.route(name, req, tries))
+            news |= self._cache(ENDPOINTS, zone, view.EACH).put(now, name, body, (), drop > before)
+            news |= self._cache(ROUTE, zone).put(now, name, view.route(name, req, tries))
         return self._put_members(now, zone, at, found) or news
 
     def _put_members(self, now: float, zone: int, at: tuple[int, ...], found: dict) -> bool:
-        shelf, news, names = self._shelf(MEMBER, zone), False, set()
-        shelf.ready = True
+        cache, news, names = self._cache(MEMBER, zone), False, set()
+        cache.ready = True
         for table in dict.fromkeys(at):
             first, before = (
                 self.kinds[at.index(table)][0],
@@ -383,8 +397,8 @@
                 names.add(name)
                 healthy = {one.name} if one.health == view.HEALTHY else ()
                 urgent = one.name in before and view.sinks([before[one.name]], [one])
-                news |= shelf.put(now, name, view.Member(one), healthy, urgent)
-        return shelf.keep_only(now, names) or news
+                news |= cache.put(now, name, view.Member(one), healthy, urgent)
+        return cache.retain_only(now, names) or news
 
     def _rate(self, zone: int, kind: int) -> float:
         rates = [
@@ -400,7 +414,7 @@
             (stream, kind): due
             for stream in client.streams
             for kind, line in stream.lines.items()
-            if kind in BY_TABLE and (due := line.behind(self.shelf(client, kind)))
+            if kind in BY_TABLE and (due := line.behind(self.cache_for(client, kind)))
         }
         client.owed.append(Owed(mark, now, needs))
         self._settle(now, client)
@@ -437,15 +451,17 @@
         stream has no room until `written`. `again` tells that the budget left someone waiting for
         `budget.wait()` seconds, `more` that this was one slice of a long work, so that what comes in
         meanwhile is not kept waiting."""
-        self.budget.turn(now)
+        self.budget.advance(now)
         waiting, out, self.again, self.more = [], [], False, False
         for stream in self.dirty:
             if stream.room and stream.client is not None:
-                shelves = {kind: self.shelf(stream.client, kind) for kind in stream.lines}
-                urgent = any(line.hurries(shelves[kind]) for kind, line in stream.lines.items())
-                waiting.append((rank(urgent, stream.primed, stream.returning), stream.key, stream, shelves))
+                caches = {kind: self.cache_for(stream.client, kind) for kind in stream.lines}
+                urgent = any(line.hurries(caches[kind]) for kind, line in stream.lines.items())
+                waiting.append(
+                    (push_priority(urgent, stream.primed, stream.returning), stream.key, stream, caches)
+                )
         self.dirty, left = {}, SLICE
-        for place, _, stream, shelves in sorted(waiting, key=lambda one: one[:2]):
+        for priority, _, stream, caches in sorted(waiting, key=lambda one: one[:2]):
             if left <= 0:
                 self.more = True
                 self.dirty[stream] = None
@@ -455,17 +471,17 @@
                 line = stream.lines.get(kind)
                 if line is None:
                     continue
-                if not self.budget.take(place < JOINED):
+                if not self.budget.take(priority == PushPriority.URGENT):
                     self.again = True
                     self.dirty[stream] = None
                     break
                 push = line.due(
-                    shelves[kind],
-                    lambda name: self._may_add(stream, shelves, kind, name),
-                    lambda name: self._may_remove(stream, shelves, kind, name),
+                    caches[kind],
+                    lambda name: self._may_add(stream, caches, kind, name),
+                    lambda name: self._may_remove(stream, caches, kind, name),
                 )
                 if push is None:
-                    self.budget.give()
+                    self.budget.give_back()
                 else:
                     pushes.append((kind, push))
                     left -= len(push.items)
@@ -475,22 +491,22 @@
                 out.append((stream, pushes))
         return out
 
-    def _may_add(self, stream: Stream, shelves: dict, kind: str, name: str) -> bool:
+    def _may_add(self, stream: Stream, caches: dict, kind: str, name: str) -> bool:
         """A client that asks for a cluster gets what builds on it once it has taken the cluster. One that
         holds resources of an earlier stream sends requests by them, so it gets what replaces them right after
         the cluster."""
         clusters = stream.lines.get(CLUSTER)
         if kind in (CLUSTER, MEMBER) or clusters is None or not clusters.awaits(name):
             return True
-        if name not in shelves[CLUSTER].items or name in clusters.held:
+        if name not in caches[CLUSTER].resources or name in clusters.held:
             return True
         return stream.lines[kind].returning and clusters.sent.get(name, NEVER) > NEVER
 
-    def _may_remove(self, stream: Stream, shelves: dict, kind: str, name: str) -> bool:
+    def _may_remove(self, stream: Stream, caches: dict, kind: str, name: str) -> bool:
         """What builds on a cluster goes before it, as far as the incremental protocol can tell that."""
         later = ORDER[ORDER.index(kind) + 1 :] if kind in (CLUSTER, ENDPOINTS) else ()
         return not any(
-            line.delta and name in line.held and name not in shelves[one].items
+            line.delta and name in line.held and name not in caches[one].resources
             for one in later
             if (line := stream.lines.get(one)) is not None
         )
--- a/oatcart/xds/serve.py
+++ b/oatcart/xds/serve.py
@@ -17,7 +17,7 @@
 from oatcart.xds.encode import Encoder
 from oatcart.xds.follow import Follower
 from oatcart.xds.front import Front, new_life
-from oatcart.xds.limits import Budget, Gate
+from oatcart.xds.limits import ClientLimits, PushBudget
 from oatcart.xds.nested import Nested
 from oatcart.xds.rounds import XdsRounds
 from oatcart.xds.server import Server
@@ -47,8 +47,8 @@
             zones,
             codec.proxy_count,
             new_life(time.time_ns(), int(cfg["seed"], 16)),
-            Gate(xds.clients, xds.streams, xds.names, xds.pushes),
-            Budget(xds.pushes),
+            ClientLimits(xds.clients, xds.streams, xds.names, xds.pushes),
+            PushBudget(xds.pushes),
             records.admission_mode == AdmissionMode.RATE,
             xds.home_zone,
             self.rounds.logger.write,
