--- a/oatcart/trace/controller_tracing.py
+++ b/oatcart/trace/controller_tracing.py
@@ -5,8 +5,8 @@
 import time
 from collections.abc import Callable
 
-from oatcart.handover import socket_records
-from oatcart.net.conductor import Rounds
+from oatcart.net.rounds import Rounds
+from oatcart.settings import read_socket_controller_settings
 from oatcart.trace.configuration import TraceSettings
 from oatcart.trace.recorder import RoundRecorder, start_record
 from oatcart.trace.writer import Writer
@@ -21,7 +21,7 @@
     settings: TraceSettings,
     on_writer: Callable[[Writer], None],
 ) -> Callable[..., Rounds]:
-    """A maker of rounds, for `net.start.assemble`, whose calls of the decisions are recorded from the first.
+    """A maker of rounds for `net.assembly.assemble` that records all calls of the decisions.
 
     `on_writer` gets the writer, which has to be started.
     """
@@ -33,8 +33,8 @@
             settings.folder,
             instance,
             {"format": "oatcart"},
-            lambda: rounds.loop.clock() + rounds.offset,
-            rounds.log.say,
+            lambda: rounds.loop.clock() + rounds.unix_offset,
+            rounds.logger.write,
             settings.limits,
         )
         _record_rounds(rounds, writer, configuration)
@@ -54,7 +54,7 @@
     start = rounds.start
 
     def now() -> float:
-        return rounds.loop.now + rounds.offset
+        return rounds.loop.now + rounds.unix_offset
 
     def start_recorded(decide: Callable, watcher: object, prober: object) -> None:
         writer.start_records = [
@@ -62,22 +62,22 @@
                 now(),
                 writer.instance,
                 int(configuration["seed"], 16),
-                socket_records(configuration["settings"]),
-                rounds.codec.kind_names,
+                read_socket_controller_settings(configuration["settings"]),
+                rounds.codec.request_class_names,
                 list(rounds.codec.zones),
             )
         ]
         recorder = RoundRecorder(
-            decide, writer.put, time.time, lambda events: rounds.came.extendleft(reversed(events))
+            decide, writer.put, time.time, lambda events: rounds.events.extendleft(reversed(events))
         )
-        number_of = rounds.codec.place
+        number_of = rounds.codec.number_of
 
         def number_and_name(endpoint_id: str) -> int:
             number = number_of(endpoint_id)
             recorder.name_endpoint(now(), number, endpoint_id)
             return number
 
-        rounds.codec.place = number_and_name
+        rounds.codec.number_of = number_and_name
         start(recorder.round, watcher, prober)
 
     rounds.start = start_recorded
--- a/oatcart/views/__main__.py
+++ b/oatcart/views/__main__.py
@@ -18,21 +18,21 @@
 import time
 import traceback
 
+from oatcart.errors import InvalidConfigurationError
+from oatcart.net.configuration_reload import reload_on_signal, reload_signal
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop
-from oatcart.net.reload import reloads, wake_pair
 from oatcart.views.configuration import Configuration
 from oatcart.views.configuration_file import read
 from oatcart.views.descriptors import check_descriptors
 from oatcart.views.role import ControlRole
-from oatcart.yaml_files import InvalidConfigurationError
 
 EXIT_INVALID = 2
 
 
 def assemble(configuration: Configuration) -> ControlRole:
     """A control role on a loop of its own, which logs to standard error."""
-    loop = Loop(time.monotonic, lambda error: log.say("task", "".join(traceback.format_exception(error))))
+    loop = Loop(time.monotonic, lambda error: log.write("task", "".join(traceback.format_exception(error))))
     log = Log(loop.clock)
     return ControlRole(configuration, loop, log)
 
@@ -43,7 +43,7 @@
     parser.add_argument("file", help="the control role's settings, YAML")
     parser.add_argument("--check", action="store_true", help="read and check the file, start nothing")
     arguments = parser.parse_args(words)
-    wake_receiver = wake_pair()
+    wake_receiver = reload_signal()
     try:
         configuration = read(arguments.file)
         check_descriptors(configuration)
@@ -55,7 +55,7 @@
     except (InvalidConfigurationError, OSError) as error:
         print(error, file=sys.stderr)
         return EXIT_INVALID
-    role.loop.spawn(reloads(role.loop, role.log, wake_receiver, lambda: role.reload(arguments.file)))
+    role.loop.spawn(reload_on_signal(role.loop, role.log, wake_receiver, lambda: role.reload(arguments.file)))
     while True:
         role.turn()
 
--- a/oatcart/views/descriptors.py
+++ b/oatcart/views/descriptors.py
@@ -2,8 +2,8 @@
 
 import resource
 
+from oatcart.errors import InvalidConfigurationError
 from oatcart.views.configuration import Configuration
-from oatcart.yaml_files import InvalidConfigurationError
 
 # Standard streams, epoll, the wake pair, the main listener and the call to discovery, twice over.
 RESERVED_DESCRIPTORS = 32
--- a/oatcart/views/requests.py
+++ b/oatcart/views/requests.py
@@ -8,11 +8,11 @@
 
 import orjson
 
-from oatcart.net.codec import ROLL_PATH
+from oatcart.net.codec import ENDPOINT_LIST_PATH
 
 GET = b"GET"
 VIEWS_PATH = "/v1/views"
-MAX_WATCH_MS = 60_000  # by the protocol; a longer wait is cut
+MAX_WATCH_TIMEOUT = 60.0  # s, by the protocol; a longer one is cut
 MAX_SHOWN_LETTERS = 80  # of a rejected method, path or value
 MAX_DIGITS = 16  # of a number in a query
 OK, BAD_REQUEST, NOT_FOUND, METHOD_NOT_ALLOWED, UNAVAILABLE = 200, 400, 404, 405, 503
@@ -51,9 +51,9 @@
         raise RejectedRequestError(METHOD_NOT_ALLOWED, _shown(method), "only GET is served")
     path, _, query = target.decode("ascii", "replace").partition("?")
     if own_view is not None:
-        if path != ROLL_PATH:
+        if path != ENDPOINT_LIST_PATH:
             raise RejectedRequestError(
-                NOT_FOUND, _shown(path), f"this is the address of {own_view}; it serves {ROLL_PATH}"
+                NOT_FOUND, _shown(path), f"this is the address of {own_view}; it serves {ENDPOINT_LIST_PATH}"
             )
         return _list_request(own_view, query)
     if path == VIEWS_PATH:
@@ -72,8 +72,8 @@
     if "since" not in fields:
         return ListRequest(view)
     since = _count("since", fields["since"])
-    wait_ms = min(MAX_WATCH_MS, _count("timeout_ms", fields.get("timeout_ms", "0")))
-    return ListRequest(view, since, wait_ms / 1000)
+    timeout_ms = _count("timeout_ms", fields.get("timeout_ms", "0"))
+    return ListRequest(view, since, min(MAX_WATCH_TIMEOUT, timeout_ms / 1000))
 
 
 def _count(field: str, value: str) -> int:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -9,11 +9,11 @@
 
 import stage
 
+from oatcart.errors import CloseReason, ConnectionClosedError
 from oatcart.net import loop
-from oatcart.net.acceptor import STRANGER_MOST
-from oatcart.net.ending import Ended, Ending
-from oatcart.net.loop import IN, OUT, Loop, Wait
-from oatcart.net.stream import Stream, dial
+from oatcart.net.acceptor import IDENTIFICATION_TIMEOUT_S
+from oatcart.net.loop import READABLE, WRITABLE, Loop, Wait
+from oatcart.net.stream import Stream, connect
 
 
 def raising(error):
@@ -44,15 +44,15 @@
         address = full_listener(stack)
 
         def dials():
-            stream = yield from dial(turns, address, 1.0)
+            stream = yield from connect(turns, address, 1.0)
             up.append(stream)
 
         def reads(mine, other):
-            yield Wait(mine.fd, IN)
+            yield Wait(mine.fd, READABLE)
             number = other.fd
             other.close()
             turns.spawn(dials())
-            assert (number, OUT) in turns.waiting, "the dial has its number"
+            assert (number, WRITABLE) in turns.waiting, "the dial has its number"
 
         for mine, other in (streams, streams[::-1]):
             turns.spawn(reads(mine, other))
@@ -61,10 +61,10 @@
         turns.turn(0.0)
         assert not up
         for task in [*turns.waiting.values()]:
-            turns.end(task)
+            turns.cancel(task)
         for stream in streams:
             stream.close()
-        turns.poll.close()
+        turns.epoll.close()
 
 
 JOINED = b'{"msg":"joined","sidecar":%d,"az":"a","share":1}\n'
@@ -94,11 +94,12 @@
         stranger, _ = dial_in(stack, one), dial_in(stack, one)
         other.sendall(b'{"msg":"ping"}\n')
         stranger.sendall(JOINED % 2)
-        one.now += STRANGER_MOST
-        monkeypatch.setattr(loop, "EVENTS_MOST", 1)
+        one.now += IDENTIFICATION_TIMEOUT_S
+        monkeypatch.setattr(loop, "MAX_EVENTS_PER_TURN", 1)
         one.turn()
         assert [*one.rounds.streams] == [1, 2]
-        assert not one.acceptor.strangers and "a stranger gone: nothing came in time" in one.out.getvalue()
+        assert not one.acceptor.unidentified
+        assert "connection of unidentified peer ended: timed out" in one.out.getvalue()
 
 
 def test_who_never_stops_is_late_all_the_same():
@@ -118,20 +119,20 @@
     def life(stream):
         try:
             while True:
-                yield from stream.line(4.0)
-        except Ended as error:
-            ended.append(error.ending)
+                yield from stream.read_line(4.0)
+        except ConnectionClosedError as error:
+            ended.append(error.reason)
             stream.close()
 
     with theirs:
         turns.spawn(life(Stream(turns, Endless())))
         turns.turn(0.0)
-    assert ended == [Ending.SILENT] and len(reads) == 2  # what came with the connection, and one look
-    turns.poll.close()
+    assert ended == [CloseReason.TIMED_OUT] and len(reads) == 2  # what came with the connection, and one look
+    turns.epoll.close()
 
 
 def test_the_oldest_stranger_is_read_before_it_makes_way():
-    """Failure: where there was no room it was closed with its joining unread, and so might a whole fleet that
+    """Failure: where no capacity it was closed with its joining unread, and so might a whole fleet that
     dials be.
     """
     with ExitStack() as stack:
@@ -141,9 +142,9 @@
         oldest.sendall(JOINED % 1)  # behind the newest, so the acceptor's turn is first
         next_one.sendall(b'{"msg":"jo')
         one.quiet()
-        assert [*one.rounds.streams] == [1] and one.out.getvalue().count(
-            "a stranger gone: there was no room"
-        ) == 1
+        assert [*one.rounds.streams] == [1]
+        ended = one.out.getvalue().count("connection of unidentified peer ended: no capacity")
+        assert ended == 1
         newest.sendall(JOINED % 2)
         one.quiet()
         assert [*one.rounds.streams] == [1, 2]
@@ -157,7 +158,7 @@
         one, [end, other] = stage_with(stack, [1, 2])
         for order in ("order set_weight 0 1 20", "order assign_table 0 1 0", "order assign_table 0 2 0"):
             one.play(order)
-        one.codec.place("n0"), one.codec.place("n1")
+        one.codec.number_of("n0"), one.codec.number_of("n1")
         stream, sent = one.rounds.streams[1], []
 
         class Short:
@@ -192,9 +193,9 @@
         end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         end.close()
         one.play("order request_ack 3 true")
-        one.rounds.turn()  # the loop has not taken the reset in yet
+        one.rounds.run_if_due()  # the loop has not taken the reset in yet
         assert [*one.rounds.streams] == [*one.rounds.proxies] == [2]
-        one.rounds.turn()
+        one.rounds.run_if_due()
         assert one.said[-1] == "left 1"
 
 
@@ -216,12 +217,12 @@
             proxies[-1].setblocking(False)
             proxies[-1].sendall(JOINED % number)
             one.turn()
-            most = max(most, one.loop.open)
+            most = max(most, one.loop.connections)
         one.quiet()
-        assert sorted(one.rounds.streams) == [*range(60)] and most <= one.loop.open_most
-        one.now += STRANGER_MOST
+        assert sorted(one.rounds.streams) == [*range(60)] and most <= one.loop.connection_limit
+        one.now += IDENTIFICATION_TIMEOUT_S
         one.quiet()
-        assert not one.acceptor.strangers and len(one.acceptor.lives) == 60
+        assert not one.acceptor.unidentified and len(one.acceptor.tasks) == 60
         for at, end in enumerate(strangers):
             one.ends[at] = end
             assert one.has_ended(at) or one.has_ended(at), at  # behind its pongs
--- a/tests/views/views_stage.py
+++ b/tests/views/views_stage.py
@@ -7,11 +7,11 @@
 import h11
 import orjson
 
-from oatcart.net.ending import Ended
-from oatcart.net.http import Client
+from oatcart.errors import ConnectionClosedError
+from oatcart.net.http_client import HttpClient
 from oatcart.net.log import Log
-from oatcart.net.loop import IN, Loop, Wait
-from oatcart.net.stream import Stream, dial
+from oatcart.net.loop import READABLE, Loop, Wait
+from oatcart.net.stream import Stream, connect
 from oatcart.views.configuration import Configuration, DiscoverySettings, ServedController, ServerBounds
 from oatcart.views.list_guard import ListGuard
 from oatcart.views.records import Controller
@@ -24,7 +24,7 @@
 SOON = DiscoverySettings(watch_timeout=1.0, fetch_timeout=1.0, max_backoff=0.1, refetch_interval=60.0)
 
 
-def node(name, zone="a", phase="SERVING", port=5000, **more):
+def endpoint_entry(name, zone="a", phase="SERVING", port=5000, **more):
     """An entry of the list."""
     told = {"id": name, "host_port": f"127.0.0.1:{port}", "locality": zone, "flavor": "m2", "cell": 3}
     return told | {"phase": phase, "size": 1.0, "up_since_ms": 0} | more
@@ -52,18 +52,18 @@
         self.address = self.listener.address
 
     def die(self):
-        """Its connections are reset, new ones are refused."""
-        self.loop.end(self.listener.accepting)
-        self.loop.close(self.listener.sock.fileno())
+        """Its connections are reset, new ones are rejected."""
+        self.loop.cancel(self.listener.accepting)
+        self.loop.unregister(self.listener.sock.fileno())
         self.listener.sock.close()
         for task, stream in self.streams:
-            if not task.over:
-                self.loop.end(task)
+            if not task.done:
+                self.loop.cancel(task)
             stream.close()
         self.streams = []
 
     def put(self, *entries):
-        """Nodes that come or change, in one revision."""
+        """Endpoints that come or change, in one revision."""
         self.revision += 1
         for entry in entries:
             self.entries[entry["id"]] = entry
@@ -87,7 +87,7 @@
 
     def wake(self):
         for task, _ in self.streams:
-            if not task.over and task.wait.fd == -1:
+            if not task.done and task.wait.fd == -1:
                 self.loop.expire(task)
 
     def _admit(self, sock, listener):
@@ -100,7 +100,7 @@
             while True:
                 event = http.next_event()
                 if event is h11.NEED_DATA:
-                    part = yield from stream.some()
+                    part = yield from stream.read_available()
                     if not part:
                         return
                     http.receive_data(part)
@@ -120,7 +120,7 @@
                     http.start_next_cycle()
                 else:
                     return
-        except Ended:
+        except ConnectionClosedError:
             pass
         finally:
             stream.close()
@@ -130,7 +130,7 @@
         since = int(query["since"][0]) if "since" in query else None
         until = self.loop.now + int(query.get("timeout_ms", ["0"])[0]) / 1000
         while since == self.revision and self.loop.now < until and self.spoil is None and self.status == 200:
-            yield Wait(until=until)
+            yield Wait(deadline=until)
         if self.spoil is not None:
             return self.spoil
         if since is None:
@@ -159,7 +159,7 @@
 
     def start(self, configuration):
         """One more control role, on the same loop and before the same discovery."""
-        role = ControlRole(configuration, self.loop, Log(lambda: 0.0, self.out, most=1000))
+        role = ControlRole(configuration, self.loop, Log(lambda: 0.0, self.out, max_lines=1000))
         role.start()
         return role
 
@@ -167,9 +167,9 @@
         """Whatever still waits ends, and what it holds is closed."""
         self.role.stop()
         for task in set(self.loop.waiting.values()):
-            self.loop.end(task)
+            self.loop.cancel(task)
         self.discovery.die()
-        self.loop.poll.close()
+        self.loop.epoll.close()
 
     def until(self, met, what="that"):
         """Turn the loop until `met` hands back something true; hands it back."""
@@ -189,7 +189,7 @@
         return text in self.out.getvalue()
 
     def ready(self, count=None):
-        """So many nodes are known and all views decided."""
+        """So many endpoints are known and all views decided."""
         wanted = len(self.discovery.entries) if count is None else count
         publisher = self.role.publisher
         self.until(lambda: len(publisher.entries) == wanted, f"{wanted} nodes known")
@@ -200,7 +200,7 @@
         return Call(self.loop, address, path, within)
 
     def get(self, name, query=""):
-        """The answer at a conductor's own address, as JSON, once its view is decided."""
+        """The answer at a controller's own address, as JSON, once its view is decided."""
         self.until(lambda: name in self.role.publisher.views, f"a decision on {name}")
         return self.call(self.role.address_of(name), "/v1/servers" + query).result(self)
 
@@ -216,7 +216,7 @@
 
     def __init__(self, loop, address, path, within=5.0, client=None):
         self.loop, self.body, self.ended, self.at = loop, None, None, None
-        self.client = client or Client(loop, address)
+        self.client = client or HttpClient(loop, address)
         loop.spawn(self._run(path, loop.clock() + within))
 
     @property
@@ -226,7 +226,7 @@
     def _run(self, path, until):
         try:
             self.body = orjson.loads((yield from self.client.get(path, until)))
-        except Ended as ended:
+        except ConnectionClosedError as ended:
             self.ended = ended
         self.at = self.loop.now
 
@@ -248,18 +248,18 @@
         loop.spawn(self._run(address, request))
 
     def _run(self, address, request):
-        self.stream = yield from dial(self.loop, address, self.loop.clock() + 5.0)
+        self.stream = yield from connect(self.loop, address, self.loop.clock() + 5.0)
         self.stream.write(request)
         try:
-            while self.reads and (part := (yield from self.stream.some(self.loop.now + 1.0))):
+            while self.reads and (part := (yield from self.stream.read_available(self.loop.now + 1.0))):
                 self.data += bytes(part)
-        except Ended:
+        except ConnectionClosedError:
             pass
         self.over = True
         if self.reads:
             self.stream.close()
         else:
-            yield Wait(self.stream.fd, IN)
+            yield Wait(self.stream.fd, READABLE)
 
 
 def ids(answer):
