--- a/oatcart/views/fleet_views.py
+++ b/oatcart/views/fleet_views.py
@@ -40,10 +40,11 @@
         self._too_large: dict[str, int] = {}
 
         # Since the last question: services with another number of endpoints, and the number before; services
-        # with other records or quotas; endpoints of another service; controllers whose quotas may change.
+        # with other records or quotas; endpoints that were removed, also from one service to another;
+        # controllers whose quotas may change.
         self._counts_before: dict[str, int] = {}
         self._unsettled_services: set[str] = set()
-        self._reassigned_endpoints: set[str] = set()
+        self._removed_endpoints: set[str] = set()
         self._unassigned_quotas: set[str] = set()
 
         self._changed: set[str] = set()  # controllers, until they are taken by `pop_changed`
@@ -58,7 +59,6 @@
             return
         if before is not None and before.service != endpoint.service:
             self.remove_endpoint(endpoint.id)
-            self._reassigned_endpoints.add(endpoint.id)
         self._note_count(endpoint.service)
         self._endpoints[endpoint.id] = endpoint
         self._pool(endpoint.service).put_endpoint(endpoint)
@@ -73,6 +73,7 @@
         endpoint = self._endpoints.pop(endpoint_id, None)
         if endpoint is None:
             return
+        self._removed_endpoints.add(endpoint_id)
         self._note_count(endpoint.service)
         self._pool(endpoint.service).remove_endpoint(endpoint_id)
 
@@ -125,7 +126,8 @@
         return frozenset(self._pools[endpoint.service].holders_of(endpoint_id))
 
     def pop_changed(self) -> frozenset[str]:
-        """The controllers whose view, or a record in it, has changed since the last call."""
+        """The controllers whose view, or a record in it, has changed since the last call, and the holders of
+        endpoints that were removed and are back."""
         self._settle()
         changed = frozenset(self._changed)
         self._changed.clear()
@@ -167,9 +169,10 @@
         self._unsettled_services.clear()
         for name in reassigned & self._controllers.keys():
             self._update_view(self._controllers[name])
-        for endpoint_id in self._reassigned_endpoints & self._endpoints.keys():
+        # Their holders may have been served the removal, though an endpoint that is back leaves views equal.
+        for endpoint_id in self._removed_endpoints & self._endpoints.keys():
             self._changed |= self._pools[self._endpoints[endpoint_id].service].holders_of(endpoint_id)
-        self._reassigned_endpoints.clear()
+        self._removed_endpoints.clear()
 
     def _note_quota_changes(self) -> None:
         """Notes the controllers whose quotas change with the numbers of the services' endpoints."""
--- a/tests/views/test_views_decisions.py
+++ b/tests/views/test_views_decisions.py
@@ -1,5 +1,8 @@
 """Decisions in their own thread: what is told while one is under way, and what an error in one does."""
 
+from collections.abc import Iterator
+from threading import Event
+
 import pytest
 from views_stage import Stage, controller, endpoint_entry, ids, phases
 
@@ -44,6 +47,34 @@
     stage.until(lambda: "new" in ids(stage.get("c0")), "what was decided")
 
 
+def long_decision(may_end: Event) -> RecordChanges:
+    """Changes that keep the deciding thread busy until `may_end` is set, and change nothing."""
+
+    def removed_endpoints() -> Iterator[str]:
+        assert may_end.wait(10.0)
+        yield from ()
+
+    return RecordChanges(removed_endpoints=removed_endpoints())
+
+
+def test_an_endpoint_that_goes_and_comes_back_during_one_decision_is_served_both_times(stage):
+    """Failure: its removal was served before it was decided; decided together with its return it left the
+    view as it was, so nothing was published, and the endpoint was missing until the view's next change."""
+    revision, may_end = stage.get("c0")["revision"], Event()
+    stage.role.decisions.submit(long_decision(may_end))
+    try:
+        stage.discovery.drop("s-0")
+        gone = stage.get("c0", f"?since={revision}&timeout_ms=4000")
+        stage.discovery.put(endpoint_entry("s-0", up_since_ms=9))
+        stage.until(lambda: stage.role.decisions.changes.qsize() == 2, "both changes wait to be decided")
+    finally:
+        may_end.set()
+    back = stage.get("c0", f"?since={gone['revision']}&timeout_ms=4000")
+    assert phases(gone) == {"s-0": "DELETED"} and phases(back) == {"s-0": "SERVING"}
+    assert back["members"][0]["up_since_ms"] == 9 and not gone["complete"] and not back["complete"]
+    assert ids(stage.get("c0")) == ["s-0", "s-1", "s-2", "s-3"]
+
+
 def test_a_view_is_never_served_before_a_decision_on_the_first_list():
     """Failure: decided without a list, every view is empty, and a controller that receives it loses its
     own."""
@@ -99,6 +130,18 @@
     )
 
 
+def test_a_removal_and_a_return_decided_together_bring_back_the_views_that_have_the_endpoint():
+    decider = ViewDecider()
+    everyone = [Controller("c0", "r", "a", ("x",)), Controller("c1", "r", "a", ("y",))]
+    first = RecordChanges(
+        [endpoint("x0"), endpoint("y0", "y")], controllers=everyone, limits=ViewLimits(), seed=3
+    )
+    decider.decide([first])
+    removal, restoration = RecordChanges(removed_endpoints=["x0"]), RecordChanges([endpoint("x0")])
+    assert decider.decide([removal, restoration]) == {"c0": ("x0",)}
+    assert decider.decide([restoration]) == {}
+
+
 def test_a_view_that_cannot_be_decided_comes_back_as_the_reason():
     decider = ViewDecider()
     services = [RecordChanges([endpoint(f"{one}{number}", one) for one in "xyz" for number in range(2)])]
--- a/tests/views/test_views_fleet.py
+++ b/tests/views/test_views_fleet.py
@@ -397,6 +397,18 @@
     assert fleet_views.pop_changed() == {controller.name}
 
 
+def test_holders_are_notified_of_an_endpoint_that_was_removed_and_is_back_though_no_view_differs():
+    endpoints, controllers = planned_endpoints(), planned_controllers()
+    fleet_views = fleet_views_of(endpoints, controllers, FLEET_LIMITS)
+    before = held_pairs(fleet_views, controllers)
+    fleet_views.pop_changed()
+    for endpoint in endpoints[::31]:
+        fleet_views.remove_endpoint(endpoint.id)
+        fleet_views.put_endpoint(endpoint)
+        assert fleet_views.pop_changed() == fleet_views.holders(endpoint.id) != frozenset()
+    assert held_pairs(fleet_views, controllers) == before
+
+
 def test_a_drain_reaches_every_holder_and_moves_nobody():
     endpoints, controllers = planned_endpoints(), planned_controllers()
     fleet_views = fleet_views_of(endpoints, controllers, FLEET_LIMITS)
