--- a/oatcart/trace/configuration.py
+++ b/oatcart/trace/configuration.py
@@ -3,8 +3,9 @@
 from pathlib import Path
 from typing import NamedTuple
 
+from oatcart.errors import InvalidConfigurationError
 from oatcart.trace.write_policy import Limits
-from oatcart.yaml_files import InvalidConfigurationError, duration, integer, load, name, size, table
+from oatcart.yaml_files import duration, integer, load, name, size, table
 
 __all__ = ["TraceSettings", "InvalidConfigurationError", "read"]
 
