--- a/oatcart/commands.py
+++ b/oatcart/commands.py
@@ -23,7 +23,7 @@
     def set_ejected(self, endpoint: int, ejected: bool) -> None:
         """Tells all proxies not to use an endpoint, or that they may use it again."""
 
-    def set_admission(self, table: int, classes: int, level: float, retry_policy: RetryPolicy) -> None:
+    def set_admission(self, table: int, classes: int, quota: float, retry_policy: RetryPolicy) -> None:
         """Limits the admitted requests of classes (a share, or requests/s a proxy) and sets their retries."""
 
     def forget_endpoint(self, endpoint: int) -> None:
--- a/oatcart/routing_tables.py
+++ b/oatcart/routing_tables.py
@@ -29,7 +29,7 @@
     complete: bool = False  # replaces the tables of these classes, admission included
     weights: tuple[tuple[int, float], ...] = ()  # by endpoint, points; 0 removes it
     quota: float | None = None  # share, or requests/s; None: admission stays
-    retry_policy: int = 0  # comes with the quota
+    retry_policy: RetryPolicy = RetryPolicy.NEVER  # comes with the quota
     ejected: tuple[int, ...] = ()
     restored: tuple[int, ...] = ()
     nonce: int | None = None  # to be acknowledged
--- a/oatcart/simhost/command_encoding.py
+++ b/oatcart/simhost/command_encoding.py
@@ -87,11 +87,11 @@
         """Let a proxy route classes (bits; 0: all) by a routing table."""
         self._append(_ASSIGN_TABLE.pack(CommandCode.ASSIGN_TABLE, self._instance, table, proxy, classes))
 
-    def set_admission(self, table: int, classes: int, level: float, retry_policy: RetryPolicy) -> None:
+    def set_admission(self, table: int, classes: int, quota: float, retry_policy: RetryPolicy) -> None:
         """Set the quota (a share, or requests/s a proxy) and the retry policy of classes (bits; 0: all)."""
         self._append(
             _SET_ADMISSION.pack(
-                CommandCode.SET_ADMISSION, self._instance, retry_policy, level, classes, table
+                CommandCode.SET_ADMISSION, self._instance, retry_policy, quota, classes, table
             )
         )
 
--- a/oatcart/trace/command_log.py
+++ b/oatcart/trace/command_log.py
@@ -39,10 +39,10 @@
         self.stored.append((CommandName.SET_EJECTED, endpoint, ejected))
         self._target.set_ejected(endpoint, ejected)
 
-    def set_admission(self, table: int, classes: int, level: float, retry_policy: RetryPolicy) -> None:
+    def set_admission(self, table: int, classes: int, quota: float, retry_policy: RetryPolicy) -> None:
         """See `CommandWriter`."""
-        self.stored.append((CommandName.SET_ADMISSION, table, classes, level, retry_policy))
-        self._target.set_admission(table, classes, level, retry_policy)
+        self.stored.append((CommandName.SET_ADMISSION, table, classes, quota, retry_policy))
+        self._target.set_admission(table, classes, quota, retry_policy)
 
     def forget_endpoint(self, endpoint: int) -> None:
         """See `CommandWriter`."""
--- a/oatcart/xds/rounds.py
+++ b/oatcart/xds/rounds.py
@@ -65,9 +65,9 @@
         self.touched = True
         super().set_ejected(node, out)
 
-    def set_admission(self, table: int, kinds: int, level: float, tries: int) -> None:
+    def set_admission(self, table: int, kinds: int, quota: float, tries: int) -> None:
         self.touched = True
-        super().set_admission(table, kinds, level, tries)
+        super().set_admission(table, kinds, quota, tries)
 
     def forget_endpoint(self, node: int) -> None:
         self.gone.append(node)
--- a/tests/policy/scenario_player.py
+++ b/tests/policy/scenario_player.py
@@ -79,11 +79,11 @@
         """Records `eject e2` or `restore e2`."""
         self._add(f"{'eject' if ejected else 'restore'} e{endpoint}")
 
-    def set_admission(self, table: int, classes: int, level: float, retry_policy: RetryPolicy) -> None:
-        """Records `admission t0 c1 r2` with the level, for each class."""
+    def set_admission(self, table: int, classes: int, quota: float, retry_policy: RetryPolicy) -> None:
+        """Records `admission t0 c1 r2` with the quota, for each class."""
         for number in range(MAX_CLASSES):
             if classes >> number & 1:
-                self._add(f"admission t{table} c{number} r{int(retry_policy)}", level)
+                self._add(f"admission t{table} c{number} r{int(retry_policy)}", quota)
 
     def request_ack(self, nonce: int, all_proxies: bool) -> None:
         """Records `ack_request` with the nonce, which `ack` then acknowledges."""
