--- a/oatcart/net/codec.py
+++ b/oatcart/net/codec.py
@@ -69,9 +69,7 @@
     """A field whose value cannot be used; `expected` says what could be."""
 
     def __init__(self, field: str, value: object, expected: str) -> None:
-        # A list's or object's text may be long, or nested deeper than `repr` goes.
-        shown = type(value).__name__ if isinstance(value, (list, dict)) else repr(value)
-        super().__init__(f"{field} is {shown[:MAX_LOGGED_VALUE_LENGTH]}, not {expected}")
+        super().__init__(f"{field} is {_shown(value)}, not {expected}")
 
 
 def watch_path(revision: int, wait: float) -> str:
@@ -125,7 +123,7 @@
     def number_of(self, endpoint_id: str) -> int:
         """The number of an endpoint, a new one if it has none; raises TypeError if that is not an id."""
         if not isinstance(endpoint_id, str) or not 0 < len(endpoint_id) <= MAX_ID_LENGTH:
-            raise TypeError(f"{str(endpoint_id)[:MAX_LOGGED_VALUE_LENGTH]!r} is not the id of an endpoint")
+            raise TypeError(f"{_shown(endpoint_id)} is not the id of an endpoint")
         number = self.endpoint_numbers.get(endpoint_id)
         if number is None:
             if self.released:
@@ -152,8 +150,9 @@
         try:
             return _DECODERS[message["msg"]](self, message)
         except _DECODING_ERRORS as error:
-            kind = str(message.get("msg"))[:MAX_LOGGED_VALUE_LENGTH]
-            raise InvalidMessageError(f"{kind}: {_describe(error)}") from None
+            name = message.get("msg")
+            shown = name[:MAX_LOGGED_VALUE_LENGTH] if isinstance(name, str) else _shown(name)
+            raise InvalidMessageError(f"{shown}: {_describe(error)}") from None
 
     def _decode_collector(self, message: dict) -> CollectorConnected:
         self._zone(message)
@@ -223,8 +222,8 @@
             try:
                 entry, address = self._decode_entry(member)
             except _DECODING_ERRORS as error:
-                problem = f"endpoint entry {member}: {_describe(error)}"
-                invalid_entries.append(problem[:MAX_LOGGED_ENTRY_LENGTH])
+                shown = _shown(member, MAX_LOGGED_ENTRY_LENGTH)
+                invalid_entries.append(f"endpoint entry {shown}: {_describe(error)}")
                 continue
             entries.append(entry)
             if address:
@@ -281,6 +280,14 @@
 }
 
 
+def _shown(value: object, max_length: int = MAX_LOGGED_VALUE_LENGTH) -> str:
+    """A value as errors show it; of one that is nested deeper than `repr` goes the type alone."""
+    try:
+        return repr(value)[:max_length]
+    except RecursionError:
+        return type(value).__name__
+
+
 def _describe(error: Exception) -> str:
     """What the log says of a decoding error: the field and its value, as far as they are known."""
     if isinstance(error, KeyError):
