--- a/tests/net/stage.py
+++ b/tests/net/stage.py
@@ -1,4 +1,4 @@
-"""The stage for scenarios of `tests/sockets`: the conductor's net code on loopback, with a scripted module.
+"""The stage of the socket scenarios: the net code on loopback, with scripted decisions.
 
 The clock is handed in and moves only by `at`; what travels on loopback is waited for by turning the loop.
 """
--- a/tests/net/test_net_codec.py
+++ b/tests/net/test_net_codec.py
@@ -1,4 +1,4 @@
-"""JSON nested as deep as the parser allows, in place of a name or a number: it is invalid as any other value."""
+"""JSON nested as deep as the parser allows, in place of a name or a number, is invalid as any other value."""
 
 import orjson
 import pytest
--- a/tests/net/test_socket_scenarios.py
+++ b/tests/net/test_socket_scenarios.py
@@ -1,11 +1,11 @@
-"""Plays the scenarios of `tests/sockets` on the net code; the notation is in `tests/README.md`."""
+"""Plays the scenarios of `tests/net/scenarios` on the net code; the notation is in `tests/README.md`."""
 
 from pathlib import Path
 
 import pytest
 import stage
 
-SCENARIOS = sorted((Path(__file__).parent.parent / "sockets").glob("*.txt"))
+SCENARIOS = sorted((Path(__file__).parent / "scenarios").glob("*.txt"))
 
 
 @pytest.mark.parametrize("path", SCENARIOS, ids=lambda path: path.stem)
