--- a/tests/net/test_wire_bytes.py
+++ b/tests/net/test_wire_bytes.py
@@ -96,15 +96,15 @@
     """A proxy that was configured before gets two tables, then changes of each kind."""
     join(stage, "p", b"false")
     for order in (
-        "line 0 0 20.5",
-        "line 0 1 30",
-        "line 1 2 100",
-        "withdraw 1 true",
-        "admit 0 1 0.25 3",
-        "admit 1 2 1000000.0 1",
-        "bind 0 5 1",
-        "bind 1 5 2",
-        "ask_ack 65535 false",
+        "set_weight 0 0 20.5",
+        "set_weight 0 1 30",
+        "set_weight 1 2 100",
+        "set_ejected 1 true",
+        "set_admission 0 1 0.25 3",
+        "set_admission 1 2 1000000.0 1",
+        "assign_table 0 5 1",
+        "assign_table 1 5 2",
+        "request_ack 65535 false",
     ):
         stage.play(f"order {order}")
     expected = (
@@ -116,11 +116,11 @@
     )
     assert sent_to(stage, "p", len(expected)) == expected
     for order in (
-        "line 0 0 0",
-        "withdraw 1 false",
-        "withdraw 2 true",
-        "admit 65535 3 0.125 0",
-        "ask_ack 0 true",
+        "set_weight 0 0 0",
+        "set_ejected 1 false",
+        "set_ejected 2 true",
+        "set_admission 65535 3 0.125 0",
+        "request_ack 0 true",
     ):
         stage.play(f"order {order}")
     expected = (
@@ -142,14 +142,14 @@
     """First without a wait, then with the time that news may take."""
     host = "{}:{}".format(*stage.desk.getsockname()).encode()
     head = b"GET /v1/servers?since=41&timeout_ms=%d HTTP/1.1\r\nHost: %s\r\n\r\n"
-    assert request_head(stage, "follow true") == head % (0, host)
+    assert request_head(stage, "watch_endpoints true") == head % (0, host)
     answer(stage, b"HTTP/1.1 200 OK\r\n", b'{"revision":41,"complete":false,"members":[]}')
-    assert request_head(stage, "note x") == head % (5000, host)
+    assert request_head(stage, "log x") == head % (5000, host)
 
 
 def test_the_complete_list_is_asked_for_with_these_bytes(stage):
     host = "{}:{}".format(*stage.desk.getsockname()).encode()
-    assert request_head(stage, "fetch_roll") == b"GET /v1/servers HTTP/1.1\r\nHost: %s\r\n\r\n" % host
+    assert request_head(stage, "fetch_endpoints") == b"GET /v1/servers HTTP/1.1\r\nHost: %s\r\n\r\n" % host
 
 
 @pytest.mark.parametrize(("reports", "path"), [(1, b"/load"), (0, b"/healthz")])
@@ -158,6 +158,6 @@
     try:
         one.play(LIST)
         host = "{}:{}".format(*one.desk.getsockname()).encode()
-        assert request_head(one, "probe 1") == b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (path, host)
+        assert request_head(one, "check_health 1") == b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (path, host)
     finally:
         one.close()
