--- a/tests/net/test_wire_bytes.py
+++ b/tests/net/test_wire_bytes.py
@@ -5,6 +5,18 @@
 import pytest
 import stage as sockets
 
+from oatcart.events import (
+    EndpointEntry,
+    EndpointListFailed,
+    EndpointListReceived,
+    EndpointLoadReported,
+    HealthCheckCompleted,
+    ProxyJoined,
+    ProxyLeft,
+    ProxyLoadReported,
+    UpdateAcknowledged,
+)
+from oatcart.model import EndpointState, HealthCheckOutcome, LoadReport
 from oatcart.net.codec import Codec
 from oatcart.tables import Part
 
@@ -14,10 +26,30 @@
 )
 
 
+class Stage(sockets.Stage):
+    """The stage of `tests/sockets` that also keeps the events as the decisions are handed them."""
+
+    def __init__(self, cfg):
+        self.events = []
+        super().__init__(cfg)
+
+    def round(self, now, events, commands):
+        kept = list(events)
+        self.events += kept
+        super().round(now, kept, commands)
+
+    def take(self, send, data):
+        """The events that come of some bytes."""
+        self.events = []
+        send(data)
+        self.until(lambda: self.events, data)
+        return self.events
+
+
 @pytest.fixture
 def stage():
-    """The stage of `tests/sockets` round scripted decisions, with three endpoints known."""
-    one = sockets.Stage({})
+    """A stage round scripted decisions, with three endpoints known."""
+    one = Stage({})
     one.play(LIST)
     yield one
     one.close()
@@ -154,10 +186,91 @@
 
 @pytest.mark.parametrize(("reports", "path"), [(1, b"/load"), (0, b"/healthz")])
 def test_a_health_check_is_asked_for_with_these_bytes(reports, path):
-    one = sockets.Stage({"reports": reports})
+    one = Stage({"reports": reports})
     try:
         one.play(LIST)
         host = "{}:{}".format(*one.desk.getsockname()).encode()
         assert request_head(one, "check_health 1") == b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (path, host)
     finally:
         one.close()
+
+
+def test_the_messages_of_a_proxy_are_taken_with_all_fields(stage):
+    stage.play("dial p")
+    say = stage.ends["p"].sendall
+    joined = b'{"msg":"joined","sidecar":5,"az":"b","share":6.5,"standing":true}\n'
+    assert stage.take(say, joined) == [ProxyJoined(5, 1, 6.5, True)]
+    stage.play("order request_ack 700 true")
+    assert sent_to(stage, "p", 1) == b'{"msg":"update","nonce_out":700}\n'
+    applied = b'{"msg":"applied","sidecar":5,"version":700,"lag_ms":250.5}\n'
+    assert stage.take(say, applied) == [UpdateAcknowledged(5, 700, 0.2505)]
+    usage = b'{"msg":"usage","sidecar":5,"kind":"order","n":40,"bad":3,"window":1500}\n'
+    assert stage.take(say, usage) == [ProxyLoadReported(5, 1, 40, 3, 1.5)]
+    stage.events = []
+    stage.play("close p")
+    stage.until(lambda: stage.events, "the end of the stream")
+    assert stage.events == [ProxyLeft(5)]
+
+
+@pytest.mark.parametrize(
+    "report",
+    [b'{"concurrent":7,"load_share":0.5,"depth":2}', b'{"inflight":7,"util":0.5,"queue":2,"lag":9}'],
+    ids=["names of the settings", "names of the protocol"],
+)
+def test_the_messages_of_a_collector_are_taken_with_all_fields(stage, report):
+    stage.play("dial c")
+    say = stage.ends["c"].sendall
+    say(b'{"msg":"collector","az":"b"}\n')
+    heard = b'{"msg":"heard","host":"s-3d","az":"b","window":2000.0,"avg":125,"bad":4,"n":20,"report":%s}\n'
+    load = LoadReport(in_flight=7, utilization=0.5, queued=2)
+    assert stage.take(say, heard % report) == [EndpointLoadReported(2, 1, 2.0, 0.125, 4, 20, load)]
+    usage = b'{"msg":"usage","sidecar":63,"kind":"lookup","n":4,"bad":0,"window":1000}\n'
+    assert stage.take(say, usage) == [ProxyLoadReported(63, 0, 4, 0, 1.0)]
+    say(b'{"msg":"ping"}\n')
+    assert sent_to(stage, "c", 15) == b'{"msg":"pong"}\n'
+
+
+def test_a_list_of_endpoints_is_taken_with_all_fields(stage):
+    """An endpoint in each state; of the last only the fields that may not be missing."""
+    request_head(stage, "watch_endpoints true")
+    members = (
+        b'{"id":"s-1f","host_port":"127.0.0.1:7001","locality":"a","phase":"DRAINING","size":2.5,'
+        b'"up_since_ms":0},'
+        b'{"id":"s-4c","host_port":"127.0.0.1:7004","locality":"b","phase":"SERVING","size":0.5,'
+        b'"up_since_ms":1764720000250.5},'
+        b'{"id":"s-2e","locality":"b","phase":"DELETED"}'
+    )
+    entries = [
+        EndpointEntry(0, 0, 0.0, EndpointState.DRAINING, 2.5),
+        EndpointEntry(3, 1, 1764720000.2505, EndpointState.READY, 0.5),
+        EndpointEntry(1, 1, 0.0, EndpointState.GONE, 1.0),
+    ]
+    for complete in (b"false", b"true"):
+        body = b'{"revision":%d,"complete":%s,"members":[%s]}' % (
+            42 + (complete == b"true"),
+            complete,
+            members,
+        )
+        found = stage.take(lambda data: answer(stage, b"HTTP/1.1 200 OK\r\n", data), body)
+        assert found == [EndpointListReceived(complete == b"true", entries)]
+        stage.quiet()
+    found = stage.take(lambda data: answer(stage, b"HTTP/1.1 503 Service Unavailable\r\n", data), b"")
+    assert found == [EndpointListFailed()]
+
+
+@pytest.mark.parametrize(
+    ("head", "body", "outcome", "load"),
+    [
+        (
+            b"200 OK",
+            b'{"inflight":3,"util":0.25,"queue":1}',
+            HealthCheckOutcome.PASSED,
+            LoadReport(3, 0.25, 1),
+        ),
+        (b"503 X", b"", HealthCheckOutcome.FAILED, LoadReport(None, None, None)),
+    ],
+)
+def test_a_health_check_is_taken_with_all_fields(stage, head, body, outcome, load):
+    request_head(stage, "check_health 1")
+    found = stage.take(lambda data: answer(stage, b"HTTP/1.1 %s\r\n" % head, data), body)
+    assert found == [HealthCheckCompleted(1, outcome, 0.0, load)]
