--- a/oatcart/views/descriptors.py
+++ b/oatcart/views/descriptors.py
@@ -1,25 +1,26 @@
-"""How many descriptors a control role needs, held against the limit that its process was started with."""
+"""Compares the file descriptors that a control role needs with the limit of its process."""
 
 import resource
 
-from oatcart.views.configuration import Configuration, Wrong
+from oatcart.views.configuration import Configuration
+from oatcart.yaml_files import InvalidConfigurationError
 
-# descriptors: standard streams, epoll, the wake pair, the main listener, the call to discovery; half
-# spare
-KEPT_BACK = 32
+# Standard streams, epoll, the wake pair, the main listener and the call to discovery, twice over.
+RESERVED_DESCRIPTORS = 32
 
 
-def needed(configuration: Configuration) -> int:
-    """Descriptors for a listener of each conductor that has an address, and for all connections."""
-    listeners = sum(conductor.address is not None for conductor in configuration.conductors)
-    return listeners + configuration.bounds.connections + KEPT_BACK
+def required_descriptors(configuration: Configuration) -> int:
+    """Descriptors for a listener of each controller that has an address, and for all connections."""
+    listeners = sum(served.address is not None for served in configuration.controllers)
+    return listeners + configuration.bounds.max_connections + RESERVED_DESCRIPTORS
 
 
 def check_descriptors(configuration: Configuration) -> None:
-    """Raises Wrong where the limit is lower than what is needed; the limit itself is the operators'."""
+    """Raises InvalidConfigurationError if the limit is too low. The limit itself is left to the operators."""
     limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if limit != resource.RLIM_INFINITY and needed(configuration) > limit:
-        raise Wrong(
-            f"{needed(configuration)} descriptors are needed (conductors' addresses, bounds.connections), "
-            f"{limit} are allowed; raise the limit (ulimit -n, LimitNOFILE) or lower bounds.connections"
+    if limit != resource.RLIM_INFINITY and required_descriptors(configuration) > limit:
+        raise InvalidConfigurationError(
+            f"{required_descriptors(configuration)} descriptors are needed (addresses of controllers, "
+            f"bounds.connections), {limit} are allowed; raise the limit (ulimit -n, LimitNOFILE) or lower "
+            "bounds.connections"
         )
--- /dev/null
+++ b/oatcart/views/list_guard.py
@@ -0,0 +1,108 @@
+"""Decides which parts of discovery's answers are accepted. Free of I/O.
+
+All views are made from one endpoint list, so one wrong answer would be felt everywhere at once. The rules:
+
+- New endpoints, changed entries and draining are accepted at once.
+- Endpoints that were draining may be removed at once.
+- An answer that removes more than a stated share of the ready endpoints is a mass removal: these stay as
+  they are, unconfirmed, and the complete list is fetched again after a delay. Those still missing then are
+  removed.
+- A complete list with fewer endpoints than a stated minimum is rejected.
+- An endpoint whose entry is malformed stays as it was.
+"""
+
+from math import inf
+from typing import NamedTuple
+
+from oatcart.views.entries import DELETED, SERVING, EndpointEntry, ListAnswer
+
+
+class ListGuard(NamedTuple):
+    """Bounds of what one answer may remove.
+
+    `max_removed_share`: of the ready endpoints; `mass_removal_count`: as many may be removed at once however
+    few endpoints there are; `confirmation_delay`: s until the complete list is fetched again after a mass
+    removal; `min_endpoints`: of a complete list.
+    """
+
+    max_removed_share: float = 0.25
+    mass_removal_count: int = 10
+    confirmation_delay: float = 10.0
+    min_endpoints: int = 1
+
+
+class RejectedAnswerError(Exception):
+    """An answer of which nothing is accepted; the list stays as it was."""
+
+
+class ListChanges(NamedTuple):
+    """What an answer has changed. `unconfirmed`: the number of endpoints that it removes and that stay."""
+
+    changed: dict[str, EndpointEntry]
+    removed: frozenset[str]
+    unconfirmed: int
+
+
+class AcceptedList:
+    """The endpoint list in force, by id."""
+
+    def __init__(self, guard: ListGuard) -> None:
+        self.guard = guard
+        self.entries: dict[str, EndpointEntry] = {}
+        self.unconfirmed_since: dict[str, float] = {}  # s, by endpoint: the first answer without it
+
+    def accept(self, now: float, answer: ListAnswer) -> ListChanges:
+        """Applies what is accepted of an answer that came at `now` (s) and returns the changes.
+
+        Raises RejectedAnswerError if the answer has too few endpoints.
+        """
+        listed = {entry.id: entry for entry in answer.entries.values() if entry.phase != DELETED}
+        if answer.is_complete and len(listed) < self.guard.min_endpoints:
+            raise RejectedAnswerError(
+                f"complete list of {len(listed)} endpoints, fewer than {self.guard.min_endpoints}"
+            )
+        missing = self._missing(answer, listed)
+        unconfirmed = self._unconfirmed(now, missing, answer.is_complete)
+        removed = frozenset(missing - unconfirmed)
+        changed = {entry.id: entry for entry in listed.values() if self._is_changed(entry)}
+        self._note_unconfirmed(now, unconfirmed, listed.keys() | removed | answer.unreadable_ids)
+        self.entries.update(changed)
+        for endpoint_id in removed:
+            del self.entries[endpoint_id]
+        return ListChanges(changed, removed, len(unconfirmed))
+
+    def refetch_at(self) -> float:
+        """When the complete list is to be fetched to confirm removals, s; inf if there are none."""
+        return min(self.unconfirmed_since.values(), default=inf) + self.guard.confirmation_delay
+
+    def _missing(self, answer: ListAnswer, listed: dict[str, EndpointEntry]) -> set[str]:
+        if answer.is_complete:
+            return self.entries.keys() - listed.keys() - answer.unreadable_ids
+        return (answer.entries.keys() - listed.keys()) & self.entries.keys()
+
+    def _unconfirmed(self, now: float, missing: set[str], is_complete: bool) -> set[str]:
+        """The missing endpoints that stay. Only a complete list after the delay confirms their removal."""
+        missing_ready = {endpoint_id for endpoint_id in missing if self.entries[endpoint_id].phase == SERVING}
+        newly_missing = missing_ready - self.unconfirmed_since.keys()
+        unconfirmed = newly_missing if self._is_mass_removal(len(newly_missing)) else set()
+        for endpoint_id in missing_ready - newly_missing:
+            confirmed_at = self.unconfirmed_since[endpoint_id] + self.guard.confirmation_delay
+            if not is_complete or now < confirmed_at:
+                unconfirmed.add(endpoint_id)
+        return unconfirmed
+
+    def _is_mass_removal(self, count: int) -> bool:
+        if count <= self.guard.mass_removal_count:
+            return False
+        ready = sum(entry.phase == SERVING for entry in self.entries.values())
+        return count > self.guard.max_removed_share * ready
+
+    def _is_changed(self, entry: EndpointEntry) -> bool:
+        old = self.entries.get(entry.id)
+        return old is None or old.encoded != entry.encoded
+
+    def _note_unconfirmed(self, now: float, unconfirmed: set[str], resolved: set[str]) -> None:
+        for endpoint_id in unconfirmed:
+            self.unconfirmed_since.setdefault(endpoint_id, now)
+        for endpoint_id in resolved:
+            self.unconfirmed_since.pop(endpoint_id, None)
--- a/oatcart/views/role.py
+++ b/oatcart/views/role.py
@@ -1,6 +1,6 @@
-"""A whole control role: the follower, the publisher, the server and reloads, on one event loop."""
+"""A complete control role on one event loop: list watcher, decisions, publisher, server, leases and
+reloads."""
 
-import time
 from collections.abc import Generator, Iterable, Mapping
 from itertools import islice
 from math import inf
@@ -14,169 +14,169 @@
 from oatcart.net.loop import Loop, Wait
 from oatcart.net.reload import Unusable
 from oatcart.net.stream import Address
-from oatcart.views.configuration import Conductor, Configuration, Wrong, read
-from oatcart.views.deciding import DecidingThread, View
-from oatcart.views.follower import Follower
-from oatcart.views.leases import Leases, Silence
+from oatcart.views.configuration import Configuration, ServedController
+from oatcart.views.configuration_file import read
+from oatcart.views.decisions import DecisionThread, View
+from oatcart.views.leases import LeaseCheck, LeaseTable
+from oatcart.views.list_guard import AcceptedList, ListChanges
+from oatcart.views.list_watcher import ListWatcher
+from oatcart.views.listener import Listener
 from oatcart.views.publisher import Publisher
-from oatcart.views.revisions import Revisions
-from oatcart.views.server import Listener, Server
-from oatcart.views.trust import Outcome, TrustedList
+from oatcart.views.revisions import RevisionSequence
+from oatcart.views.server import Server
+from oatcart.yaml_files import InvalidConfigurationError
 
-SLICE = 32  # views that are brought up to date in one turn of the loop
-TELL_EVERY = 30.0  # s between the log's lines on how this process keeps up
-NAMES_SHOWN = 5  # of conductors in one line of the log
-STARTED_ONCE = "listen", "bounds", "leases"  # what only a restart changes
+VIEWS_PER_TURN = 32  # that are published in one turn of the loop
+TURNS_LOG_INTERVAL = 30.0  # s between two log lines with the longest turn
+MAX_NAMES_SHOWN = 5  # of controllers in a log line
+RESTART_ONLY = "listen", "bounds", "leases"  # settings that a reload does not change
 
 
 class ListenKey(NamedTuple):
-    """An address of the file. `name`: set where any free port is asked for, as many may ask for that."""
+    """An address of the deploy file. `name`: of the controller if the address is any free port, which several
+    may ask for."""
 
     address: Address
     name: str
 
 
-def _conductors_by_key(configuration: Configuration) -> dict[ListenKey, Conductor]:
-    """The conductors that have an address of their own."""
+def _served_by_key(configuration: Configuration) -> dict[ListenKey, ServedController]:
+    """The controllers that have an address of their own."""
     return {
-        ListenKey(one.address, "" if one.address[1] else one.viewer.name): one
-        for one in configuration.conductors
-        if one.address is not None
+        ListenKey(served.address, "" if served.address[1] else served.record.name): served
+        for served in configuration.controllers
+        if served.address is not None
     }
 
 
 def _shown(names: Iterable[str]) -> str:
     """
     >>> _shown(["a", "b"]), _shown("abcdefg")
-    ('2 conductors (a, b)', '7 conductors (a, b, c, d, e, ...)')
+    ('2 controllers (a, b)', '7 controllers (a, b, c, d, e, ...)')
     """
     names = sorted(names)
-    more = ", ..." if len(names) > NAMES_SHOWN else ""
-    return f"{len(names)} conductors ({', '.join(names[:NAMES_SHOWN])}{more})"
+    more = ", ..." if len(names) > MAX_NAMES_SHOWN else ""
+    return f"{len(names)} controllers ({', '.join(names[:MAX_NAMES_SHOWN])}{more})"
 
 
 class ControlRole:
-    """Follows the list of nodes and serves each conductor its view. `start` raises OSError."""
+    """Watches the endpoint list and serves each controller its view."""
 
     def __init__(self, configuration: Configuration, loop: Loop, log: Log) -> None:
         self.configuration, self.loop, self.log = configuration, loop, log
-        chance = SystemRandom()
-        self.deciding = DecidingThread(loop, self._decided)
-        self.publisher = Publisher(configuration, Revisions(time.time, chance), self.deciding.put)
-        self.trusted = TrustedList(configuration.guard)
-        self.follower = Follower(
-            self.loop, self.log, configuration.source, self.trusted, chance.uniform, self._taken
+        random = SystemRandom()
+        self.decisions = DecisionThread(loop, self._apply_views)
+        self.publisher = Publisher(configuration, RevisionSequence(random), self.decisions.submit)
+        self.accepted = AcceptedList(configuration.guard)
+        self.watcher = ListWatcher(
+            loop, log, configuration.source, self.accepted, random.uniform, self._apply_list_changes
         )
-        self.server = Server(
-            self.loop, self.log, self.publisher, configuration.bounds, self.status, self._called
-        )
-        self.leases: Leases | None = None  # all conductors of the file count as alive
-        self.listeners: dict[ListenKey, Listener] = {}  # of conductors
-        self.publishing = False  # a task gathers changes or brings views up to date
-        self.failure: Exception | None = None  # of bringing views up to date
-        self.longest = 0.0  # s that a turn of the loop took, since the last line on it
+        self.server = Server(loop, log, self.publisher, configuration.bounds, self.status, self._renew_lease)
+        self.leases: LeaseTable | None = None  # None: every listed controller counts
+        self.listeners: dict[ListenKey, Listener] = {}  # of controllers' own addresses
+        self.is_publishing = False
+        self.failure: Exception | None = None  # of publishing
+        self.longest_turn = 0.0  # s, since the last log line on it
 
     def start(self) -> None:
-        """Listen everywhere and begin to follow."""
+        """Listens at all addresses and begins to watch the endpoint list. Raises OSError."""
         self.main = self.server.listen(self.configuration.listen)
-        self.listeners = self._listen(_conductors_by_key(self.configuration))
+        self.listeners = self._listen(_served_by_key(self.configuration))
+        address = "{}:{}".format(*self.main.address)
         self.log.say(
             "start",
-            "control role listens at {}:{}, and at {} conductors' addresses".format(
-                *self.main.address, len(self.listeners)
-            ),
+            f"control role listens at {address}, and at {len(self.listeners)} addresses of controllers",
         )
         if self.configuration.leases is not None:
-            self.leases = Leases(self.configuration.leases, self.publisher.viewers, self.loop.now)
-            self._check_leases_later()
-        self.deciding.start()
-        self.follower.start()
-        self._keep_telling()
+            self.leases = LeaseTable(self.configuration.leases, self.publisher.controllers, self.loop.now)
+            self._schedule_lease_check()
+        self.decisions.start()
+        self.watcher.start()
+        self._log_turns()
 
-    def turn(self, longest: float = inf) -> None:
-        """One turn of the loop, `longest` s of waiting at most.
+    def turn(self, max_wait: float = inf) -> None:
+        """One turn of the loop, which waits at most `max_wait` s.
 
-        Raises RuntimeError where following, deciding or publishing has failed by an error that nobody
-        foresaw: whoever supervises the process starts it again, and conductors keep their lists meanwhile.
+        Raises RuntimeError if watching, deciding or publishing has failed by an unexpected error. Whoever
+        supervises the process starts it again; controllers keep their lists meanwhile.
         """
-        self.loop.turn(longest)
-        if self.follower.failed:
-            raise RuntimeError("the follower has failed; its log line tells why")
-        if self.deciding.failure is not None:
-            raise RuntimeError("a decision has failed") from self.deciding.failure
+        self.loop.turn(max_wait)
+        if self.watcher.failed:
+            raise RuntimeError("the list watcher has failed; see its log line")
+        if self.decisions.failure is not None:
+            raise RuntimeError("a decision has failed") from self.decisions.failure
         if self.failure is not None:
-            raise RuntimeError("views cannot be brought up to date") from self.failure
-        self.longest = max(self.longest, self.loop.clock() - self.loop.now)
+            raise RuntimeError("views cannot be published") from self.failure
+        self.longest_turn = max(self.longest_turn, self.loop.clock() - self.loop.now)
 
     def stop(self) -> None:
-        """Follow and serve no more; all connections end."""
-        self.follower.stop()
-        self.deciding.stop()
+        """Stops watching, deciding and serving; all connections are closed."""
+        self.watcher.stop()
+        self.decisions.stop()
         for listener in (self.main, *self.listeners.values()):
             self.server.unlisten(listener)
         self.listeners = {}
 
     def address_of(self, name: str) -> Address:
-        """Where a conductor's own address is listened at; raises KeyError."""
+        """A controller's own listening address. Raises KeyError if it has none."""
         return {listener.view: listener for listener in self.listeners.values()}[name].address
 
     def reload(self, path: str | Path) -> str:
-        """Read the file again; a file that cannot be used changes nothing and raises Unusable."""
+        """Reads the deploy file again and returns what to log. An invalid file changes nothing and raises
+        Unusable."""
         try:
             return self.reconfigure(read(path))
-        except Wrong as wrong:
-            raise Unusable(str(wrong)) from None
+        except InvalidConfigurationError as error:
+            raise Unusable(str(error)) from None
 
     def reconfigure(self, new: Configuration) -> str:
-        """Another configuration, all of it or nothing; hands back what is to be logged. Raises Unusable."""
-        old, wanted = self.configuration, _conductors_by_key(new)
+        """Takes over another configuration and returns what to log. Raises Unusable, and changes nothing, if
+        an address cannot be listened at."""
+        old, served_by_key = self.configuration, _served_by_key(new)
+        added_keys = served_by_key.keys() - self.listeners.keys()
         try:
-            fresh = self._listen({key: one for key, one in wanted.items() if key not in self.listeners})
+            added = self._listen({key: served_by_key[key] for key in served_by_key if key in added_keys})
         except OSError as error:
             raise Unusable(error.strerror) from None
         self.publisher.configure(new)
         if self.leases is not None:
-            self.leases.configure(self.publisher.viewers, self.loop.now)
-        gone = [key for key in self.listeners if key not in wanted]
-        for key in gone:
-            self.server.unlisten(self.listeners.pop(key))
-        for key, listener in self.listeners.items():
-            self.server.hand_over(listener, wanted[key].viewer.name)
-        self.listeners |= fresh
-        self.configuration, self.trusted.guard = new, new.guard
-        self.follower.move(new.source)
-        self.server.wake([*self.server.waiting])  # a view that is gone is refused at once
+            self.leases.configure(self.publisher.controllers, self.loop.now)
+        removed = self._replace_listeners(added, served_by_key)
+        self.configuration, self.accepted.guard = new, new.guard
+        self.watcher.move(new.source)
+        self.server.wake_watches([*self.server.watching])  # watches of removed views are rejected at once
         self.server.wake_undecided([*self.server.undecided])
-        self._publish_soon()
-        kept = [key for key in STARTED_ONCE if getattr(new, key) != getattr(old, key)]
+        self._schedule_publication()
+        kept = [key for key in RESTART_ONLY if getattr(new, key) != getattr(old, key)]
         restart = f"; only a restart changes {', '.join(kept)}" if kept else ""
-        return f"{len(new.conductors)} conductors, {len(fresh)} addresses new, {len(gone)} gone{restart}"
+        return f"{len(new.controllers)} controllers, {len(added)} addresses new, {removed} gone{restart}"
 
     def status(self) -> bytes:
-        """How the control role stands, as JSON."""
-        heard = self.loop.now - self.follower.heard
+        """The state of the control role, as JSON for `GET /v1/views`."""
+        source_age = self.loop.now - self.watcher.last_answer_at
+        calls = self.server.undecided_calls
         return orjson.dumps(
             {
                 "nodes": len(self.publisher.entries),
-                "held": len(self.trusted.doubted),
+                "held": len(self.accepted.unconfirmed_since),
                 "source": {
-                    "address": "{}:{}".format(*self.follower.source.address),
-                    "revision": self.follower.revision,
-                    "heard_s_ago": round(heard, 3) if self.publisher.entries else None,
+                    "address": "{}:{}".format(*self.watcher.source.address),
+                    "revision": self.watcher.revision,
+                    "heard_s_ago": round(source_age, 3) if self.publisher.entries else None,
                 },
-                "conductors": len(self.publisher.viewers),
-                "connections": len(self.server.lives),
+                "conductors": len(self.publisher.controllers),
+                "connections": len(self.server.tasks),
                 "leases": self._lease_status(),
                 "undecided_calls": {
                     "held": sum(map(len, self.server.undecided.values())),
-                    "answered": self.server.undecided_calls.answered,
-                    "refused": self.server.undecided_calls.refused,
+                    "answered": calls.answered,
+                    "refused": calls.rejected,
                 },
                 "views": {
                     name: {
-                        "nodes": len(history.members),
+                        "nodes": len(history.entries),
                         "revision": history.revision,
-                        "watches": len(self.server.waiting.get(name, ())),
+                        "watches": len(self.server.watching.get(name, ())),
                     }
                     for name, history in self.publisher.histories.items()
                 },
@@ -184,113 +184,126 @@
             }
         )
 
-    def _listen(self, conductors: Mapping[ListenKey, Conductor]) -> dict[ListenKey, Listener]:
-        """Listeners for conductors; all or, with OSError, none."""
+    def _lease_status(self) -> dict[str, object] | None:
+        if self.leases is None:
+            return None
+        return {"silent": sorted(self.leases.expired), "doubted": len(self.leases.retained)}
+
+    def _listen(self, served_by_key: Mapping[ListenKey, ServedController]) -> dict[ListenKey, Listener]:
+        """Listeners for controllers; all or, with OSError, none."""
         listeners: dict[ListenKey, Listener] = {}
-        for key, conductor in conductors.items():
+        for key, served in served_by_key.items():
             try:
-                listeners[key] = self.server.listen(key.address, conductor.viewer.name)
+                listeners[key] = self.server.listen(key.address, served.record.name)
             except OSError as error:
                 for listener in listeners.values():
                     self.server.unlisten(listener)
-                at = "{}:{}".format(*key.address)
-                raise OSError(error.errno, f"{conductor.viewer.name}: {at}: {error.strerror}") from None
+                address = "{}:{}".format(*key.address)
+                raise OSError(error.errno, f"{served.record.name}: {address}: {error.strerror}") from None
         return listeners
 
-    def _taken(self, outcome: Outcome) -> None:
-        self._check_sizes(outcome)
-        self.publisher.take(outcome)
-        self._publish_soon()
-
-    def _check_sizes(self, outcome: Outcome) -> None:
-        """The bytes of a view are bounded by its number of nodes and by what the file tells of an entry."""
-        longest = max((len(entry.encoded) for entry in outcome.changed.values()), default=0)
-        told = self.configuration.limits.most_entry_bytes
-        if longest > told:
+    def _replace_listeners(
+        self, added: dict[ListenKey, Listener], served_by_key: Mapping[ListenKey, ServedController]
+    ) -> int:
+        """Closes the listeners that are no longer wanted and returns their number."""
+        removed = [key for key in self.listeners if key not in served_by_key]
+        for key in removed:
+            self.server.unlisten(self.listeners.pop(key))
+        for key, listener in self.listeners.items():
+            self.server.reassign(listener, served_by_key[key].record.name)
+        self.listeners |= added
+        return len(removed)
+
+    def _apply_list_changes(self, changes: ListChanges) -> None:
+        self._check_entry_sizes(changes)
+        self.publisher.apply_list_changes(changes)
+        self._schedule_publication()
+
+    def _check_entry_sizes(self, changes: ListChanges) -> None:
+        """The size of a view in bytes is bounded by its number of endpoints and the stated size of an entry,
+        so a longer entry is logged."""
+        longest = max((len(entry.encoded) for entry in changes.changed.values()), default=0)
+        stated = self.configuration.limits.max_entry_bytes
+        if longest > stated:
             self.log.say(
                 "size",
-                f"an entry takes {longest} bytes, more than views.most_entry_bytes {told}: "
+                f"an entry takes {longest} bytes, more than views.most_entry_bytes {stated}: "
                 "a view may take more than views.most_bytes",
             )
 
-    def _decided(self, views: Mapping[str, View]) -> None:
-        self.publisher.decided(views)
-        self._publish_soon()
-        if held := [name for name in views if self.server.undecided.get(name)]:
-            self.loop.spawn(self._answer_undecided(held))
+    def _apply_views(self, views: Mapping[str, View]) -> None:
+        self.publisher.apply_views(views)
+        self._schedule_publication()
+        if awaited := [name for name in views if self.server.undecided.get(name)]:
+            self.loop.spawn(self._answer_undecided(awaited))
 
     def _answer_undecided(self, names: list[str]) -> Generator[Wait, bool, None]:
-        """Answer the calls that are held open for these views, some views in a turn of the loop."""
-        for start in range(0, len(names), SLICE):
-            self.server.wake_undecided(names[start : start + SLICE])
+        """Wakes the calls that wait for these views, for some views in a turn of the loop."""
+        for start in range(0, len(names), VIEWS_PER_TURN):
+            self.server.wake_undecided(names[start : start + VIEWS_PER_TURN])
             yield self._next_turn()
 
     def _next_turn(self) -> Wait:
-        """A time after this turn's: what is due by `loop.now` is run in the same turn."""
+        """Waits for the next turn. The clock is later than `loop.now`, and a wait until `loop.now` would end
+        in this turn."""
         return Wait(until=self.loop.clock())
 
-    def _called(self, name: str) -> None:
+    def _renew_lease(self, name: str) -> None:
         if self.leases is not None and self.leases.renew(name, self.loop.now):
-            self.publisher.come_back(name)
-            self.log.say("leases", f"{name} is back; its view is decided anew")
+            self.publisher.restore(name)
+            self.log.say("leases", f"{name} called after its lease had expired; its view is decided anew")
 
-    def _check_leases_later(self) -> None:
-        self.loop.at(self.loop.now + self.leases.check_every, self._check_leases)
+    def _schedule_lease_check(self) -> None:
+        self.loop.at(self.loop.now + self.leases.check_interval, self._check_leases)
 
     def _check_leases(self) -> None:
-        """A call that stands renews its lease as well."""
-        for calls in self.server.waiting, self.server.undecided:
+        """Ends overdue leases. A waiting call renews its lease first, so that a stall of this process expires
+        no watcher."""
+        for calls in self.server.watching, self.server.undecided:
             for name in [name for name, streams in calls.items() if streams]:
-                self._called(name)
-        silence = self.leases.check(self.loop.now)
-        if silence.left:
-            self.publisher.leave(silence.left)
-        self._tell_silence(silence)
-        self._check_leases_later()
-
-    def _tell_silence(self, silence: Silence) -> None:
-        if silence.left:
+                self._renew_lease(name)
+        lease_check = self.leases.check(self.loop.now)
+        if lease_check.expired:
+            self.publisher.expire(lease_check.expired)
+        self._log_lease_check(lease_check)
+        self._schedule_lease_check()
+
+    def _log_lease_check(self, lease_check: LeaseCheck) -> None:
+        if lease_check.expired:
             self.log.say(
-                "leases",
-                f"{_shown(silence.left)} silent for longer than lease and grace; "
-                "others get their shares of the nodes",
+                "leases", f"{_shown(lease_check.expired)} expired; their endpoints are assigned to others"
             )
-        if silence.is_new_doubt:
+        if lease_check.is_retention_new:
             self.log.say(
                 "leases",
-                f"{_shown(silence.doubted)} silent for longer than lease and grace, "
-                "too many at once; they stay for the hold",
+                f"{_shown(lease_check.retained)} overdue, too many at once: a mass expiry, they stay",
             )
 
-    def _lease_status(self) -> dict[str, object] | None:
-        if self.leases is None:
-            return None
-        return {"silent": sorted(self.leases.silent), "doubted": len(self.leases.doubted)}
-
-    def _publish_soon(self) -> None:
-        if not self.publishing:
-            self.publishing = True
+    def _schedule_publication(self) -> None:
+        if not self.is_publishing:
+            self.is_publishing = True
             self.loop.spawn(self._publish())
 
     def _publish(self) -> Generator[Wait, bool, None]:
-        """Gather changes for a while, then bring the views up to date, some in a turn of the loop."""
+        """Collects changes for a while, then publishes them, some views in a turn of the loop."""
         try:
-            yield Wait(until=self.loop.now + self.configuration.bounds.gather)
-            while self.publisher.changed:
-                self.server.wake(self.publisher.publish([*islice(self.publisher.changed, SLICE)]))
+            yield Wait(until=self.loop.now + self.configuration.bounds.batching_delay)
+            while self.publisher.unpublished:
+                names = [*islice(self.publisher.unpublished, VIEWS_PER_TURN)]
+                self.server.wake_watches(self.publisher.publish(names))
                 yield self._next_turn()
         except Exception as error:
             self.failure = error
             raise
         finally:
-            self.publishing = False
+            self.is_publishing = False
 
-    def _keep_telling(self) -> None:
-        watches = sum(map(len, self.server.waiting.values()))
+    def _log_turns(self) -> None:
+        watches = sum(map(len, self.server.watching.values()))
         self.log.say(
             "turns",
-            f"longest {self.longest * 1000:.1f} ms, {len(self.publisher.entries)} nodes, "
-            f"{len(self.publisher.histories)} views, {watches} watches, {len(self.server.lives)} connections",
+            f"longest {self.longest_turn * 1000:.1f} ms, {len(self.publisher.entries)} endpoints, "
+            f"{len(self.publisher.histories)} views, {watches} watches, {len(self.server.tasks)} connections",
         )
-        self.longest = 0.0
-        self.loop.at(self.loop.now + TELL_EVERY, self._keep_telling)
+        self.longest_turn = 0.0
+        self.loop.at(self.loop.now + TURNS_LOG_INTERVAL, self._log_turns)
