--- a/tests/simhost/wire_faults.py
+++ b/tests/simhost/wire_faults.py
@@ -4,7 +4,7 @@
 
 import wire_frames as wire
 from wire_frames import DELTA, FAILED, PROBE_OK
-from wire_model import DRAINING, GONE, READY, Endpoint
+from wire_model import DRAINING, GONE, READY, Endpoint, Proxy
 
 if TYPE_CHECKING:
     from wire_fleet import Fleet
@@ -133,6 +133,10 @@
     window(fleet, "acks_late", 4000, 10000)
 
 
+def acks_silent(fleet: "Fleet") -> None:
+    window(fleet, "acks_silent", 14000, 22000)
+
+
 def discovery_down(fleet: "Fleet") -> None:
     window(fleet, "discovery_down", 3000, 9000)
     for controller in fleet.controllers:
@@ -172,6 +176,16 @@
     fleet.events += [one for one in odd if fleet.random.random() < 0.5]
 
 
+def odd_class(fleet: "Fleet") -> None:
+    """A report of the class one past the last."""
+    place = len(fleet.scenario.classes)
+    fleet.events += [wire.ingress(one.controller, one.number, place, 9, 0, 1000.0) for one in joined(fleet)]
+
+
+def joined(fleet: "Fleet") -> list[Proxy]:
+    return [one for one in fleet.proxies if one.controller is not None]
+
+
 CALLS = {
     "vanished": vanished,
     "half_vanished": half_vanished,
@@ -190,6 +204,8 @@
     "overload": overload,
     "reports_late": reports_late,
     "acks_late": acks_late,
+    "acks_silent": acks_silent,
     "discovery_down": discovery_down,
     "odd_records": odd_records,
+    "odd_class": odd_class,
 }
--- a/tests/simhost/wire_fleet.py
+++ b/tests/simhost/wire_fleet.py
@@ -114,8 +114,8 @@
     def add_endpoint(self, zone: int, started: float) -> None:
         returns = bool(self.retired) and self.random.random() < 0.3
         number = self.retired.pop() if returns else self.random.randrange(1, 2**32)
-        size = [0.5, 1.0, 1.0, 2.0][self.random.randrange(4)] if self.scenario.weights != "off" else 1.0
-        speed = size * (0.7 + 0.6 * self.random.random())
+        size = self.scenario.sizes[self.random.randrange(4)] if self.scenario.weights != "off" else 1.0
+        speed = max(size, 0.5) * (0.7 + 0.6 * self.random.random())
         self.endpoints[number] = Endpoint(
             number, zone, started, size, self.scenario.capacity * speed, self.scenario.idle_ms / speed
         )
@@ -157,7 +157,8 @@
         controller = self.controllers[number]
         if not controller.alive:
             return
-        if self.during("discovery_down") or self.random.random() < 0.03:
+        fails = self.now < self.scenario.list_after or self.during("discovery_down")
+        if fails or self.random.random() < 0.03:
             controller.following = controller.following and not follow
             self.events.append(wire.update(number, FAILED, 0))
         elif follow:
@@ -264,7 +265,7 @@
                 self.acknowledge(number, proxy, nonce)
 
     def acknowledge(self, number: int, proxy: int, nonce: int) -> None:
-        if self.random.random() < self.scenario.acks_lost:
+        if self.during("acks_silent") or self.random.random() < self.scenario.acks_lost:
             return
         late = self.between(*self.scenario.ack_ms) * (8 if self.during("acks_late") else 1)
         self.later(late, self.send_ack, number, proxy, nonce, late)
--- a/tests/simhost/wire_scenarios.py
+++ b/tests/simhost/wire_scenarios.py
@@ -24,6 +24,8 @@
 CHARGE = RequestClass("charge", 0.20, 1000.0, 5.0, "at_most_once")
 HOME_SLOT = RequestClass("home-slot", 0.35, 800.0, 4.0, "deduplicated", zone_bound=True)
 PLACED = RequestClass("placed", 0.38, 1000.0, 5.0, "at_most_once", only_zones=("a",))
+QUICK = RequestClass("quick", 0.4, 200.0, 1.0)  # of less worth than LASTING, but of more for its time
+LASTING = RequestClass("lasting", 0.4, 2000.0, 4.0, "deduplicated")
 FAULTS: Mapping[str, float] = {
     "vanished": 1.0,
     "failing": 1.5,
@@ -60,6 +62,7 @@
     overload: float = 2.6  # times the usual rate
     admit: str = "fraction"
     weights: str = "off"
+    sizes: tuple[float, float, float, float] = (0.5, 1.0, 1.0, 2.0)  # that listed weights are drawn from
     membership: str = "automatic"
     probes: bool = True
     cross_zone: float = 0.12
@@ -76,6 +79,7 @@
     cold_share: float = 0.19
     tip_multiple: float = 4.0
     cached: float = 1.0  # part of the list that a started controller holds
+    list_after: int = 0  # ms until discovery answers
     ack_ms: tuple[int, int] = (100, 500)
     acks_lost: float = 0.0
     drain_part: float = 0.25
@@ -300,4 +304,35 @@
         clock_jitter=12.0,
         faults=_faults(half_vanished=4.0, drain=0.3, vanish_from_list=0.3, restart=0.3),
     ),
+    Scenario(
+        "cold_subsets",
+        118,
+        seconds=90,
+        classes=(QUICK, LOOKUP, LASTING),
+        weights="nominal",
+        sizes=(0.0, 1.0, 1.0, 2.0),
+        endpoints=14,
+        proxies=18,
+        push_rate=260.0,
+        queue_cap=260.0,
+        grace_ms=2400.0,
+        proxy_rate=9.0,
+        cold=30000.0,
+        cross_zone=0.0,
+        faults=_faults(restart=8.0, zone_loss=3.0, acks_silent=4.0, controller_restart=2.0),
+    ),
+    Scenario(
+        "late_list",
+        119,
+        seconds=60,
+        classes=(QUICK, LASTING),
+        endpoints=5,
+        proxies=6,
+        controllers=1,
+        membership="subscribe",
+        cached=0.0,
+        list_after=15000,
+        proxy_rate=40.0,
+        faults=_faults(odd_records=40.0, odd_class=6.0, overload=4.0),
+    ),
 )
