--- a/tests/simhost/test_same_updates.py
+++ b/tests/simhost/test_same_updates.py
@@ -12,7 +12,8 @@
 import pytest
 import wire_frames as wire
 from wire_fleet import CHECKPOINT, Fleet
-from wire_scenarios import SCENARIOS, Scenario
+from wire_scenario import Scenario
+from wire_scenarios import SCENARIOS
 from wire_settings import settings
 
 DIGESTS = Path(__file__).with_name("update_digests.json")
--- a/tests/simhost/wire_fleet.py
+++ b/tests/simhost/wire_fleet.py
@@ -17,7 +17,7 @@
 import wire_traffic
 from wire_frames import CACHED, DELTA, FAILED, FULL, PROBE_LATE, PROBE_OK
 from wire_model import DRAINING, GONE, READY, Controller, Endpoint, Proxy
-from wire_scenarios import CLOCK_START, Scenario
+from wire_scenario import CLOCK_START, Scenario
 from wire_settings import settings
 
 STEP = 50  # ms between batches
--- a/tests/simhost/wire_settings.py
+++ b/tests/simhost/wire_settings.py
@@ -1,6 +1,6 @@
 """The settings object of the wire, with the names of its page."""
 
-from wire_scenarios import RequestClass, Scenario
+from wire_scenario import RequestClass, Scenario
 
 
 def settings(scenario: Scenario, number: int) -> dict:
--- a/tests/simhost/wire_traffic.py
+++ b/tests/simhost/wire_traffic.py
@@ -5,7 +5,7 @@
 import wire_frames as wire
 from wire_frames import PROBE_BUSY, PROBE_ERROR, PROBE_LATE, PROBE_OK, PROBE_REFUSED, PROBE_RESET
 from wire_model import DRAINING, Controller, Endpoint, Proxy
-from wire_scenarios import CLOCK_START
+from wire_scenario import CLOCK_START
 
 if TYPE_CHECKING:
     from wire_fleet import Fleet
