--- /dev/null
+++ b/oatcart/proxy/retries.py
@@ -0,0 +1,151 @@
+"""Whether a proxy retries a failed request.
+
+A request that may have taken effect is retried only where that does no harm. That an attempt was not
+processed is proved by how its connection ended and by what had been sent on it: nothing of the request left
+this process, or the endpoint answered that it did not start. A reset after the first byte proves nothing.
+
+Times are seconds of the caller's clock.
+"""
+
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from oatcart.model import Idempotency, RetryPolicy
+from oatcart.net.ending import Ending
+
+ENDINGS_WITHOUT_CONNECTION = frozenset({Ending.REFUSED, Ending.UNREACHED, Ending.CROWDED})
+RETRY_BUDGET_RATIO = 0.2  # retries for each first attempt
+RETRY_BUDGET_MIN = 3.0  # retries within the window that are permitted however few first attempts there are
+RETRY_BUDGET_WINDOW_SECONDS = 10.0  # both are counted over so long
+MIN_TIME_LEFT = 1.5  # usual durations of an attempt that must be left until the deadline
+MAX_RETRIES = {
+    RetryPolicy.NEVER: 0,
+    RetryPolicy.IF_NOT_PROCESSED: 1,
+    RetryPolicy.ON_FAILURE: 1,
+    RetryPolicy.TWICE_ON_FAILURE: 2,
+}
+
+
+class FailedAttempt(NamedTuple):
+    """An attempt that failed, and what is known of it."""
+
+    ending: Ending  # of its connection
+    bytes_sent: int  # of the request, handed to the connection
+    not_started: bool = False  # the endpoint answered so: 503 with the header that says it
+    response_bytes: int = 0  # that came before it failed
+    deduplication_group: str = ""  # of its endpoint; "" where that is in none
+
+
+@dataclass(slots=True)
+class Request:
+    """A request with what bounds its retries."""
+
+    idempotency: Idempotency
+    started_at: float
+    deadline: float
+    key_lifetime: float = 0.0  # s from its first attempt that endpoints keep its idempotency key; 0: no key
+    attempts: int = 0
+
+
+class RetryDecision(NamedTuple):
+    """Whether to retry; `deduplication_group`: where the retry has to stay, "" where it may go anywhere."""
+
+    retry: bool
+    deduplication_group: str = ""
+
+
+NO_RETRY = RetryDecision(False)
+
+
+def never_processed(failed: FailedAttempt) -> bool:
+    """Whether it is proved that the endpoint processed nothing of an attempt.
+
+    >>> never_processed(FailedAttempt(Ending.REFUSED, 0)), never_processed(FailedAttempt(Ending.RESET, 0))
+    (True, True)
+    >>> never_processed(FailedAttempt(Ending.RESET, 1))
+    False
+    """
+    if failed.not_started:
+        return True
+    if failed.response_bytes:
+        return False
+    return failed.ending in ENDINGS_WITHOUT_CONNECTION or failed.bytes_sent == 0
+
+
+class RetryBudget:
+    """Bounds retries to a ratio of first attempts, so that retries do not add to the overload they come from.
+
+    `ratio`: retries for each first attempt; `minimum`: retries permitted however few those are. Both counts
+    decay over RETRY_BUDGET_WINDOW_SECONDS.
+    """
+
+    def __init__(self, ratio: float = RETRY_BUDGET_RATIO, minimum: float = RETRY_BUDGET_MIN) -> None:
+        self._ratio = ratio
+        self._minimum = minimum
+        self._first_attempts = 0.0
+        self._retries = 0.0
+        self._decayed_at = 0.0  # s
+
+    def record_first_attempt(self, now: float) -> None:
+        """Count the first attempt of a request."""
+        self._decay(now)
+        self._first_attempts += 1.0
+
+    def try_spend(self, now: float) -> bool:
+        """Count a retry and return True, or return False where the budget is spent."""
+        self._decay(now)
+        if self._retries + 1.0 > max(self._minimum, self._ratio * self._first_attempts):
+            return False
+        self._retries += 1.0
+        return True
+
+    def _decay(self, now: float) -> None:
+        elapsed = max(0.0, now - self._decayed_at)
+        kept = max(0.0, 1.0 - elapsed / RETRY_BUDGET_WINDOW_SECONDS)
+        self._first_attempts *= kept
+        self._retries *= kept
+        self._decayed_at = now
+
+
+def retry_permitted(request: Request, failed: FailedAttempt, policy: RetryPolicy) -> bool:
+    """Whether the retry policy of its table and the request's idempotency permit a retry.
+
+    Time left and budget aside. None is permitted once bytes of a response were passed on.
+    """
+    if request.attempts > MAX_RETRIES[policy] or failed.response_bytes:
+        return False
+    if never_processed(failed):
+        return policy != RetryPolicy.NEVER
+    if request.idempotency == Idempotency.NOT_IDEMPOTENT:
+        return False
+    return policy in (RetryPolicy.ON_FAILURE, RetryPolicy.TWICE_ON_FAILURE)
+
+
+def decide_retry(
+    now: float,
+    request: Request,
+    failed: FailedAttempt,
+    policy: RetryPolicy,
+    usual_duration: float,
+    budget: RetryBudget,
+) -> RetryDecision:
+    """Decide whether to retry after `failed`, the last attempt; a retry is taken from the budget.
+
+    `usual_duration`: s that an attempt takes. Where a keyed request may have been processed, its retry stays
+    among the endpoints that know its key, and must reach them while they do.
+    """
+    if not retry_permitted(request, failed, policy):
+        return NO_RETRY
+    if request.deadline - now < MIN_TIME_LEFT * usual_duration:
+        return NO_RETRY
+    group = ""
+    if request.idempotency == Idempotency.KEYED and not never_processed(failed):
+        group = failed.deduplication_group
+        if not group or not _key_outlasts(request, now, usual_duration):
+            return NO_RETRY
+    return RetryDecision(budget.try_spend(now), group)
+
+
+def _key_outlasts(request: Request, now: float, duration: float) -> bool:
+    """Whether endpoints still know the request's key after an attempt of `duration` (s)."""
+    return now + duration - request.started_at < request.key_lifetime
