--- a/oatcart/views/list_watcher.py
+++ b/oatcart/views/list_watcher.py
@@ -16,7 +16,7 @@
 from oatcart.views.configuration import DiscoverySettings
 from oatcart.views.entries import ListAnswer, MalformedAnswerError, parse_answer
 from oatcart.views.list_guard import AcceptedList, ListChanges, RejectedAnswerError
-from oatcart.xds.source import Backoff
+from oatcart.xds.backoff import Backoff
 
 WATCH_ALLOWANCE = 2.0  # s beyond the time that a watch asks discovery to wait
 EARLIEST_EMPTY_ANSWER = 0.5  # of that time; an empty answer before it shows a discovery that does not wait
--- a/oatcart/xds/follow.py
+++ b/oatcart/xds/follow.py
@@ -1,4 +1,4 @@
-"""An xDS client that takes nodes from a management server; what it believes is decided in `source.py`."""
+"""An xDS client that takes endpoints from a management server; `verified_endpoints.py` says which count."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,9 +14,10 @@
 from oatcart.model import EndpointState
 from oatcart.net.codec import ID_MOST, Codec, address
 from oatcart.net.stream import Address
+from oatcart.xds.backoff import Backoff
 from oatcart.xds.encode import TYPES
 from oatcart.xds.front import ENDPOINTS
-from oatcart.xds.source import Backoff, Believed, Told
+from oatcart.xds.verified_endpoints import ReportedEndpoint, VerifiedEndpoints
 
 ADS = "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources"
 ANSWER_MOST = 16 * 1024 * 1024  # bytes of an answer: a hundred thousand endpoints
@@ -37,9 +38,9 @@
 
 def endpoints(
     message: endpoint_pb2.ClusterLoadAssignment, zones: dict[str, int]
-) -> dict[str, tuple[Told, Address]]:
+) -> dict[str, tuple[ReportedEndpoint, Address]]:
     """The endpoints of an assignment by name; raises Unfit."""
-    found: dict[str, tuple[Told, Address]] = {}
+    found: dict[str, tuple[ReportedEndpoint, Address]] = {}
     taken: dict[Address, str] = {}
     for at, part in enumerate(message.endpoints):
         where = f"endpoints[{at}]"
@@ -64,7 +65,7 @@
             taken[known] = name
             if one.health_status in STATES:
                 found[name] = (
-                    Told(
+                    ReportedEndpoint(
                         zones[part.locality.zone],
                         STATES[one.health_status],
                         one.load_balancing_weight.value or 1.0,
@@ -97,7 +98,7 @@
         node: str,
         codec: Codec,
         addresses: dict[int, Address],
-        believed: Believed,
+        verified: VerifiedEndpoints,
         backoff: Backoff,
         clock: Callable[[], float],
         unix: Callable[[], float],
@@ -111,7 +112,7 @@
             codec,
             addresses,
         )
-        self.believed, self.backoff, self.clock, self.unix, self.take = believed, backoff, clock, unix, take
+        self.verified, self.backoff, self.clock, self.unix, self.take = verified, backoff, clock, unix, take
         self.say = say
         self.at: dict[str, Address] = {}
         self.task: asyncio.Task | None = None
@@ -156,7 +157,7 @@
         try:
             await call.write(request.SerializeToString())
             while True:
-                again = self.believed.ask_again() - self.clock()
+                again = self.verified.recheck_at() - self.clock()
                 try:
                     async with asyncio.timeout(max(0.0, again) if again < inf and not fresh else None):
                         data = await call.read()
@@ -196,12 +197,12 @@
                 break
         else:
             return  # an answer without what was asked for says nothing of it
-        doubt = self.believed.take(
+        doubt = self.verified.receive(
             self.clock(), self.unix(), {name: told for name, (told, _) in found.items()}, fresh
         )
         if doubt:
             self.say("source", f"{self.server}: doubted: {doubt}; they stay, it is asked anew")
-        self.at = {name: at for name, at in self.at.items() if name in self.believed.standing} | {
+        self.at = {name: at for name, at in self.at.items() if name in self.verified.endpoints} | {
             name: at for name, (_, at) in found.items()
         }
         by_address = {at: place for place, at in self.addresses.items()}
@@ -210,4 +211,4 @@
             for name, at in self.at.items()
         }
         self.addresses |= {places[name]: at for name, at in self.at.items()}
-        self.take(self.believed.entries(places.__getitem__))
+        self.take(self.verified.entries(places.__getitem__))
--- a/oatcart/xds/rounds.py
+++ b/oatcart/xds/rounds.py
@@ -5,8 +5,8 @@
 from oatcart.events import EndpointListReceived, Event
 from oatcart.net.conductor import Rounds
 from oatcart.routing_tables import UpdatePart
+from oatcart.xds.endpoint_list_merge import EndpointListMerge, ListSource
 from oatcart.xds.front import Front
-from oatcart.xds.source import ROLL, XDS, Merge
 from oatcart.xds.view import Roster
 
 
@@ -17,7 +17,7 @@
         super().__init__(*args)
         self.roster, self.gone, self.touched = Roster(), [], False
         self.front: Front | None = None
-        self.merge: Merge | None = None  # with a management server's list, where there is one
+        self.merge: EndpointListMerge | None = None  # with a management server's list, where there is one
         self.follows_roll = True
         self.published: Callable[[], None] = lambda: None
 
@@ -27,14 +27,16 @@
     def arrive(self, arrival: Event) -> None:
         if isinstance(arrival, EndpointListReceived):
             if self.merge is not None:
-                arrival = EndpointListReceived(False, self.merge.take(ROLL, *arrival))
+                arrival = EndpointListReceived(False, self.merge.update(ListSource.DISCOVERY, *arrival))
             self._listed(arrival)
         else:
             super().arrive(arrival)
 
     def listed_elsewhere(self, entries: list[tuple]) -> None:
         """The whole list of a management server."""
-        self._listed(EndpointListReceived(False, self.merge.take(XDS, True, entries)))
+        self._listed(
+            EndpointListReceived(False, self.merge.update(ListSource.MANAGEMENT_SERVER, True, entries))
+        )
 
     def _listed(self, arrival: EndpointListReceived) -> None:
         self.roster.take(*arrival)
@@ -92,5 +94,5 @@
         for node in self.gone:
             self.roster.drop(node)
             if self.merge is not None:
-                self.merge.drop(node)
+                self.merge.forget(node)
         self.gone = []
--- a/oatcart/xds/serve.py
+++ b/oatcart/xds/serve.py
@@ -12,15 +12,17 @@
 from oatcart.net.reload import Unusable, wake_pair
 from oatcart.net.start import assemble
 from oatcart.settings import read_controller_settings
+from oatcart.xds.backoff import Backoff
 from oatcart.xds.configuration import Xds
 from oatcart.xds.encode import Encoder
+from oatcart.xds.endpoint_list_merge import EndpointListMerge
 from oatcart.xds.follow import Follower
 from oatcart.xds.front import Front, new_life
 from oatcart.xds.limits import ClientLimits, PushBudget
 from oatcart.xds.nested import Nested
 from oatcart.xds.rounds import XdsRounds
 from oatcart.xds.server import Server
-from oatcart.xds.source import Backoff, Believed, Merge, Told
+from oatcart.xds.verified_endpoints import ReportedEndpoint, VerifiedEndpoints
 
 UNUSABLE = 2  # exit code where a configuration cannot be used
 
@@ -68,12 +70,12 @@
 
         self.follower = None
         if xds.source is not None:
-            believed = Believed(xds.source.hold)
+            verified = VerifiedEndpoints(xds.source.hold)
             if not xds.source.with_roll:  # the list known at the start is what that server is held against
-                known = self.rounds.merge.move()
-                believed.begin(
+                known = self.rounds.merge.discovery_to_management()
+                verified.restore(
                     {
-                        codec.nodes[at]: Told(zone, state, nominal, started)
+                        codec.nodes[at]: ReportedEndpoint(zone, state, nominal, started)
                         for at, zone, started, state, nominal in known
                     }
                 )
@@ -83,7 +85,7 @@
                 cfg.get("name", ""),
                 codec,
                 self.rounds.watcher.addresses,
-                believed,
+                verified,
                 Backoff(xds.source.dial_most, Random(int(cfg["seed"], 16)).uniform),
                 self.loop.clock,
                 time.time,
@@ -94,7 +96,7 @@
     def _rounds(self, *args: object) -> XdsRounds:
         rounds = XdsRounds(*args)
         if self.xds.source is not None:
-            rounds.merge, rounds.follows_roll = Merge(), self.xds.source.with_roll
+            rounds.merge, rounds.follows_roll = EndpointListMerge(), self.xds.source.with_roll
         return rounds
 
     def _listed(self, entries: list[tuple]) -> None:
--- a/tests/xds/test_source.py
+++ b/tests/xds/test_management_server.py
@@ -9,11 +9,14 @@
 from table import Following, nodes, played, served
 from test_front import subscribed
 
+from oatcart.events import EndpointEntry
 from oatcart.model import EndpointState
-from oatcart.xds.source import ROLL, XDS, Backoff, Believed, Merge, Told
+from oatcart.xds.backoff import Backoff
+from oatcart.xds.endpoint_list_merge import EndpointListMerge, ListSource
+from oatcart.xds.verified_endpoints import ReportedEndpoint, VerifiedEndpoints
 
-READY = Told(0, EndpointState.READY, 1.0)
-DRAINS = Told(0, EndpointState.DRAINING, 1.0)
+READY = ReportedEndpoint(0, EndpointState.READY, 1.0)
+DRAINS = ReportedEndpoint(0, EndpointState.DRAINING, 1.0)
 
 
 def told(*names, drains=()):
@@ -21,71 +24,91 @@
 
 
 def test_half_a_list_once_takes_nobody_away():
-    one = Believed(10.0)
-    assert one.take(0.0, 1000.0, told("a", "b", "c", "d"), True) == ""
-    assert "2 of 4" in one.take(5.0, 1005.0, told("a", "b"), False)
-    assert one.standing.keys() == set("abcd") and one.ask_again() == 15.0
-    assert one.take(6.0, 1006.0, told("a", "b", "c"), False)  # c is back; d is still in doubt
-    assert one.standing.keys() == set("abcd") and one.doubted == {"d": 5.0}
-    assert one.take(14.0, 1014.0, told("a", "b", "c"), True)  # fresh, but too soon
-    assert one.take(15.0, 1015.0, told("a", "b", "c"), False)  # late enough, but the same stream
-    assert one.take(15.0, 1015.0, told("a", "b", "c"), True) == ""
-    assert one.standing.keys() == set("abc") and one.ask_again() == float("inf")
+    one = VerifiedEndpoints(10.0)
+    assert one.receive(0.0, 1000.0, told("a", "b", "c", "d"), True) == ""
+    assert "2 of 4" in one.receive(5.0, 1005.0, told("a", "b"), False)
+    assert one.endpoints.keys() == set("abcd") and one.recheck_at() == 15.0
+    assert one.receive(6.0, 1006.0, told("a", "b", "c"), False)  # c is back; d is still in doubt
+    assert one.endpoints.keys() == set("abcd") and one.retained_since == {"d": 5.0}
+    assert one.receive(14.0, 1014.0, told("a", "b", "c"), True)  # fresh, but too soon
+    assert one.receive(15.0, 1015.0, told("a", "b", "c"), False)  # late enough, but the same stream
+    assert one.receive(15.0, 1015.0, told("a", "b", "c"), True) == ""
+    assert one.endpoints.keys() == set("abc") and one.recheck_at() == float("inf")
     # one is no half
-    assert one.take(16.0, 1016.0, told("a", "b"), False) == "" and one.standing.keys() == set("ab")
+    assert one.receive(16.0, 1016.0, told("a", "b"), False) == "" and one.endpoints.keys() == set("ab")
 
 
 def test_an_empty_list_is_never_believed_and_a_drain_in_it_is():
-    one = Believed(1.0)
-    assert one.take(0.0, 1000.0, {}, True) and one.standing == {}
-    one.take(0.0, 1000.0, told("a", "b"), True)
+    one = VerifiedEndpoints(1.0)
+    assert one.receive(0.0, 1000.0, {}, True) and one.endpoints == {}
+    one.receive(0.0, 1000.0, told("a", "b"), True)
     for at in range(1, 9):
-        assert one.take(float(at), 1000.0, told(drains=["a"]), True)
-    assert one.standing == {"a": DRAINS, "b": READY}
+        assert one.receive(float(at), 1000.0, told(drains=["a"]), True)
+    assert one.endpoints == {"a": DRAINS, "b": READY}
 
 
 def test_drains_are_believed_at_once_however_many():
-    one = Believed(1.0)
-    one.take(0.0, 1000.0, told("a", "b", "c", "d"), True)
-    assert one.take(1.0, 1001.0, told("a", drains=["b", "c", "d"]), False) == ""
-    assert one.standing["d"] == DRAINS
+    one = VerifiedEndpoints(1.0)
+    one.receive(0.0, 1000.0, told("a", "b", "c", "d"), True)
+    assert one.receive(1.0, 1001.0, told("a", drains=["b", "c", "d"]), False) == ""
+    assert one.endpoints["d"] == DRAINS
 
 
 def test_who_comes_later_or_comes_back_is_cold():
-    one = Believed(1.0)
-    one.take(0.0, 1000.0, told("a", "b", "c"), True)
-    one.take(1.0, 1001.0, told("a", "b", "d", drains=["c"]), False)
-    one.take(2.0, 1002.0, told("a", "b", "d", "c"), False)
+    one = VerifiedEndpoints(1.0)
+    one.receive(0.0, 1000.0, told("a", "b", "c"), True)
+    one.receive(1.0, 1001.0, told("a", "b", "d", drains=["c"]), False)
+    one.receive(2.0, 1002.0, told("a", "b", "d", "c"), False)
     starts = {place: started for place, _, started, *_ in one.entries(lambda name: name)}
     assert starts == {"a": 0.0, "b": 0.0, "c": 1002.0, "d": 1001.0}
-    one.take(3.0, 1003.0, told("b", "c", "d") | {"a": READY._replace(started=900.0)}, False)
+    one.receive(3.0, 1003.0, told("b", "c", "d") | {"a": READY._replace(started_at=900.0)}, False)
     assert ("a", 0, 900.0, EndpointState.READY, 1.0) in one.entries(lambda name: name)
 
 
 def test_a_list_known_at_the_start_is_held_against_the_first_answer():
-    one = Believed(1.0)
-    one.begin(told("a", "b", "c") | {"d": READY._replace(started=500.0)})
-    assert "3 of 4" in one.take(0.0, 1000.0, told("d"), True)
-    assert one.standing.keys() == set("abcd") and one.started["d"] == 500.0
+    one = VerifiedEndpoints(1.0)
+    one.restore(told("a", "b", "c") | {"d": READY._replace(started_at=500.0)})
+    assert "3 of 4" in one.receive(0.0, 1000.0, told("d"), True)
+    assert one.endpoints.keys() == set("abcd") and one.started_at["d"] == 500.0
 
 
 def test_two_lists_become_one():
-    one = Merge()
-    one.take(ROLL, True, [(0, 0, 5.0, EndpointState.READY, 2.0), (1, 0, 0.0, EndpointState.READY, 1.0)])
-    assert one.take(
-        XDS, True, [(0, 1, 9.0, EndpointState.READY, 7.0), (2, 1, 0.0, EndpointState.READY, 1.0)]
+    one = EndpointListMerge()
+    one.update(
+        ListSource.DISCOVERY,
+        True,
+        [
+            EndpointEntry(0, 0, 5.0, EndpointState.READY, 2.0),
+            EndpointEntry(1, 0, 0.0, EndpointState.READY, 1.0),
+        ],
+    )
+    assert one.update(
+        ListSource.MANAGEMENT_SERVER,
+        True,
+        [
+            EndpointEntry(0, 1, 9.0, EndpointState.READY, 7.0),
+            EndpointEntry(2, 1, 0.0, EndpointState.READY, 1.0),
+        ],
     ) == [
-        (0, 0, 9.0, EndpointState.READY, 2.0),
-        (2, 1, 0.0, EndpointState.READY, 1.0),
+        EndpointEntry(0, 0, 9.0, EndpointState.READY, 2.0),
+        EndpointEntry(2, 1, 0.0, EndpointState.READY, 1.0),
     ]
-    assert one.take(XDS, True, [(0, 1, 9.0, EndpointState.DRAINING, 7.0)])[0][3] == EndpointState.DRAINING
-    assert one.take(ROLL, True, []) == [
-        (0, 1, 9.0, EndpointState.DRAINING, 7.0),
-        (1, 0, 0.0, EndpointState.GONE, 1.0),
+    assert (
+        one.update(
+            ListSource.MANAGEMENT_SERVER, True, [EndpointEntry(0, 1, 9.0, EndpointState.DRAINING, 7.0)]
+        )[0][3]
+        == EndpointState.DRAINING
+    )
+    assert one.update(ListSource.DISCOVERY, True, []) == [
+        EndpointEntry(0, 1, 9.0, EndpointState.DRAINING, 7.0),
+        EndpointEntry(1, 0, 0.0, EndpointState.GONE, 1.0),
     ]
-    assert [entry[3] for entry in one.take(XDS, True, [])] == [EndpointState.GONE, EndpointState.GONE]
-    one.drop(0)
-    assert 0 not in one.lists[ROLL] and 0 not in one.lists[XDS]
+    assert [entry[3] for entry in one.update(ListSource.MANAGEMENT_SERVER, True, [])] == [
+        EndpointState.GONE,
+        EndpointState.GONE,
+    ]
+    one.forget(0)
+    assert 0 not in one.lists[ListSource.DISCOVERY] and 0 not in one.lists[ListSource.MANAGEMENT_SERVER]
 
 
 def test_waits_grow_are_capped_and_jittered():
