--- a/oatcart/xds/encode.py
+++ b/oatcart/xds/encode.py
@@ -23,7 +23,7 @@
 
 from oatcart.xds import view
 from oatcart.xds.front import CLUSTER, ENDPOINTS, LISTENER, MEMBER, ROUTE
-from oatcart.xds.pushes import Push
+from oatcart.xds.push import Push
 
 TYPES = {
     CLUSTER: "type.googleapis.com/envoy.config.cluster.v3.Cluster",
--- a/oatcart/xds/front.py
+++ b/oatcart/xds/front.py
@@ -27,15 +27,16 @@
     push_priority,
 )
 from oatcart.xds.loads import Books, ClusterReport
-from oatcart.xds.pushes import NEVER, Line, Push, Refusal
+from oatcart.xds.push import Push, Rejection
 from oatcart.xds.resource_cache import ResourceCache, digest
+from oatcart.xds.subscription import NOT_SENT, Subscription
 
 CLUSTER, ENDPOINTS, MEMBER, LISTENER, ROUTE = "cluster", "endpoints", "member", "listener", "route"
 ORDER = (CLUSTER, ENDPOINTS, MEMBER, LISTENER, ROUTE)  # makes go in this order, breaks against it
 WHOLE_TYPES = (CLUSTER, LISTENER)  # the state-of-the-world protocol has each push hold all of them
 BY_TABLE = (ENDPOINTS, MEMBER, ROUTE)  # depend on the client's tables
 MARKS_OWED = 8  # marks of one client that are not acknowledged; the module waits for none so long
-REFUSALS_KEPT = 8  # of a client, for the operator
+REJECTIONS_KEPT = 8  # of a client, for the operator
 SLICE = 2000  # resources that are sent in one go, some ms of work
 EMPTY_CACHE = ResourceCache()  # of a client that is not bound yet
 
@@ -78,7 +79,7 @@
     delta: bool
     only: str | None  # the one type it is for; None: all of them on one stream
     client: "Client | None" = None
-    lines: dict[str, Line] = field(default_factory=dict)
+    subscriptions: dict[str, Subscription] = field(default_factory=dict)
     room: bool = True  # the transport takes another push
     primed: bool = False  # it was sent endpoints
     returning: bool = False
@@ -105,7 +106,7 @@
     bound: bool = False
     told: int | None = None  # a mark of this round
     owed: deque = field(default_factory=lambda: deque(maxlen=MARKS_OWED))
-    refusals: deque = field(default_factory=lambda: deque(maxlen=REFUSALS_KEPT))
+    rejections: deque = field(default_factory=lambda: deque(maxlen=REJECTIONS_KEPT))
     acked_at: float | None = None
 
 
@@ -135,7 +136,7 @@
         self.keys = count(1)
         self.caches: dict[tuple, ResourceCache] = {}
         self.maps: dict[int, tuple[int, ...]] = {}  # by zone: the table of each kind
-        # by table: nodes that had a line at the last look, or are leaving
+        # by table: nodes that had a subscription at the last look, or are leaving
         self.lined: dict[int, set[int]] = {}
         self.shown: dict[int, tuple[view.Endpoint, ...]] = {}  # by table, as last published
         self.drops: dict[tuple[int, int], int] = {}  # by zone and kind
@@ -178,26 +179,28 @@
             raise RequestRejectedError("INVALID_ARGUMENT", f"this stream is for {stream.only} alone")
         check_names((*ask.names, *ask.unsubscribe, *ask.brought))
         ended = self._admit(stream, ask)
-        line = stream.lines.get(ask.type)
-        if line is None:
+        subscription = stream.subscriptions.get(ask.type)
+        if subscription is None:
             whole = not stream.delta and ask.type in WHOLE_TYPES
-            line = Line(
+            subscription = Subscription(
                 stream.delta, whole, f"{self.life}.{stream.key}.{ask.type[0]}", ask.type in WHOLE_TYPES
             )
-            line.returning = bool(ask.brought or ask.version)
+            subscription.returning = bool(ask.brought or ask.version)
         self.limits.check_name_count(
-            sum(len(one.wanted) for one in stream.lines.values())
+            sum(len(one.subscribed) for one in stream.subscriptions.values())
             + len(ask.names)
-            - (len(line.wanted) if not stream.delta else 0)
+            - (len(subscription.subscribed) if not stream.delta else 0)
         )
-        stream.lines[ask.type] = line
-        stream.returning = stream.returning or line.returning
+        stream.subscriptions[ask.type] = subscription
+        stream.returning = stream.returning or subscription.returning
         if stream.delta:
-            said = line.change(ask.names, ask.unsubscribe, ask.brought, ask.nonce, ask.refusal)
+            said = subscription.request_changes(
+                ask.names, ask.unsubscribe, ask.brought, ask.nonce, ask.refusal
+            )
         else:
-            said = line.ask(ask.names, ask.nonce, ask.refusal)
-        if isinstance(said, Refusal):
-            self._refused(now, stream.client, ask.type, said)
+            said = subscription.request_names(ask.names, ask.nonce, ask.refusal)
+        if isinstance(said, Rejection):
+            self._log_rejection(now, stream.client, ask.type, said)
         if ask.type in BY_TABLE:
             self._join(stream.client)
         if ask.nonce and said is not False:
@@ -272,12 +275,15 @@
         if stream.client is not None:
             self.dirty[stream] = None
 
-    def _refused(self, now: float, client: Client, kind: str, refusal: Refusal) -> None:
-        client.refusals.append((now, kind, refusal))
-        tried = f"; tried again alone: {', '.join(refusal.alone)}" if refusal.alone else ""
+    def _log_rejection(self, now: float, client: Client, kind: str, rejection: Rejection) -> None:
+        client.rejections.append((now, kind, rejection))
+        names = ", ".join(rejection.rejected) or "(unnamed)"
+        tried = (
+            f"; tried again alone: {', '.join(rejection.retried_alone)}" if rejection.retried_alone else ""
+        )
         self.say(
             "refused",
-            f"{client.id} refuses {kind} {', '.join(refusal.refused) or '(unnamed)'}: {refusal.words}{tried}",
+            f"{client.id} refuses {kind} {names}: {rejection.message}{tried}",
         )
 
     def report(
@@ -413,8 +419,8 @@
         needs = {
             (stream, kind): due
             for stream in client.streams
-            for kind, line in stream.lines.items()
-            if kind in BY_TABLE and (due := line.behind(self.cache_for(client, kind)))
+            for kind, subscription in stream.subscriptions.items()
+            if kind in BY_TABLE and (due := subscription.unacknowledged(self.cache_for(client, kind)))
         }
         client.owed.append(Owed(mark, now, needs))
         self._settle(now, client)
@@ -424,14 +430,14 @@
         done = None
         for owed in list(client.owed):
             for (stream, kind), need in list(owed.needs.items()):
-                line = stream.lines.get(kind)
-                if stream.client is not client or line is None:
+                subscription = stream.subscriptions.get(kind)
+                if stream.client is not client or subscription is None:
                     del owed.needs[stream, kind]
                     continue
                 for name in [
                     name
                     for name, seq in need.items()
-                    if line.held.get(name, -1) >= seq or not line.awaits(name)
+                    if subscription.acknowledged.get(name, -1) >= seq or not subscription.is_wanted(name)
                 ]:
                     del need[name]
                 if not need:
@@ -455,8 +461,11 @@
         waiting, out, self.again, self.more = [], [], False, False
         for stream in self.dirty:
             if stream.room and stream.client is not None:
-                caches = {kind: self.cache_for(stream.client, kind) for kind in stream.lines}
-                urgent = any(line.hurries(caches[kind]) for kind, line in stream.lines.items())
+                caches = {kind: self.cache_for(stream.client, kind) for kind in stream.subscriptions}
+                urgent = any(
+                    subscription.may_be_urgent(caches[kind])
+                    for kind, subscription in stream.subscriptions.items()
+                )
                 waiting.append(
                     (push_priority(urgent, stream.primed, stream.returning), stream.key, stream, caches)
                 )
@@ -468,14 +477,14 @@
                 continue
             pushes = []
             for kind in ORDER:
-                line = stream.lines.get(kind)
-                if line is None:
+                subscription = stream.subscriptions.get(kind)
+                if subscription is None:
                     continue
                 if not self.budget.take(priority == PushPriority.URGENT):
                     self.again = True
                     self.dirty[stream] = None
                     break
-                push = line.due(
+                push = subscription.next_push(
                     caches[kind],
                     lambda name: self._may_add(stream, caches, kind, name),
                     lambda name: self._may_remove(stream, caches, kind, name),
@@ -495,20 +504,20 @@
         """A client that asks for a cluster gets what builds on it once it has taken the cluster. One that
         holds resources of an earlier stream sends requests by them, so it gets what replaces them right after
         the cluster."""
-        clusters = stream.lines.get(CLUSTER)
-        if kind in (CLUSTER, MEMBER) or clusters is None or not clusters.awaits(name):
+        clusters = stream.subscriptions.get(CLUSTER)
+        if kind in (CLUSTER, MEMBER) or clusters is None or not clusters.is_wanted(name):
             return True
-        if name not in caches[CLUSTER].resources or name in clusters.held:
+        if name not in caches[CLUSTER].resources or name in clusters.acknowledged:
             return True
-        return stream.lines[kind].returning and clusters.sent.get(name, NEVER) > NEVER
+        return stream.subscriptions[kind].returning and clusters.sent.get(name, NOT_SENT) > NOT_SENT
 
     def _may_remove(self, stream: Stream, caches: dict, kind: str, name: str) -> bool:
         """What builds on a cluster goes before it, as far as the incremental protocol can tell that."""
         later = ORDER[ORDER.index(kind) + 1 :] if kind in (CLUSTER, ENDPOINTS) else ()
         return not any(
-            line.delta and name in line.held and name not in caches[one].resources
+            subscription.delta and name in subscription.acknowledged and name not in caches[one].resources
             for one in later
-            if (line := stream.lines.get(one)) is not None
+            if (subscription := stream.subscriptions.get(one)) is not None
         )
 
     # -- for operators
@@ -525,9 +534,11 @@
                 "bound": one.bound,
                 "acked_s_ago": None if one.acked_at is None else round(now - one.acked_at, 3),
                 "in_flight": sum(
-                    len(line.flights) for stream in one.streams for line in stream.lines.values()
+                    len(subscription.in_flight)
+                    for stream in one.streams
+                    for subscription in stream.subscriptions.values()
                 ),
-                "refused": [f"{kind}: {refusal.words}" for _, kind, refusal in one.refusals],
+                "refused": [f"{kind}: {rejection.message}" for _, kind, rejection in one.rejections],
             }
             for one in self.clients.values()
         ]
--- a/tests/xds/sim.py
+++ b/tests/xds/sim.py
@@ -310,12 +310,12 @@
                 )
                 for node in before - resource.current.pickable:
                     for stream, peer in self.peers_by_stream.items():
-                        line = stream.lines.get(key[0])
+                        subscription = stream.subscriptions.get(key[0])
                         if (
-                            line
+                            subscription
                             and stream.client
                             and self.front.cache_for(stream.client, key[0]) is cache
-                            and line.sent.get(name, -1) >= 0
+                            and subscription.sent.get(name, -1) >= 0
                         ):
                             peer.owed.setdefault((key[0], name), {})[node] = (
                                 resource.current.sequence,
@@ -352,8 +352,8 @@
         counts = [kind for _, kind in peer.pushed]
         assert all(counts.count(kind) <= MESSAGES for kind in set(counts)), counts
         if peer.stream is not None:
-            for line in peer.stream.lines.values():
-                assert len(line.flights) <= 8
+            for subscription in peer.stream.subscriptions.values():
+                assert len(subscription.in_flight) <= 8
 
     def tables_agree(self):
         """The sidecar's tables and the conductor's are one."""
--- a/tests/xds/test_decisions.py
+++ b/tests/xds/test_decisions.py
@@ -11,8 +11,9 @@
 from oatcart.xds.front import CLUSTER, ENDPOINTS, ROUTE
 from oatcart.xds.limits import RequestRejectedError
 from oatcart.xds.loads import Books, ClusterReport, Tally
-from oatcart.xds.pushes import ABSENT, Line, Refusal
+from oatcart.xds.push import Rejection
 from oatcart.xds.resource_cache import ResourceCache
+from oatcart.xds.subscription import TOLD_ABSENT, Subscription
 
 SHAPES = [(False, view.WHOLE), (True, view.WHOLE), (True, view.EACH), (False, view.SPREAD)]
 
@@ -265,75 +266,87 @@
 
 
 def test_of_two_refused_together_each_is_tried_alone():
-    cache, line = cache_of(x="ab", y="ab"), Line(True, False, "l")
-    line.change(["x", "y"], [], {}, "", None)
-    push = line.due(cache)
+    cache, subscription = cache_of(x="ab", y="ab"), Subscription(True, False, "l")
+    subscription.request_changes(["x", "y"], [], {}, "", None)
+    push = subscription.next_push(cache)
     assert {name for name, _ in push.items} == {"x", "y"}
-    assert line.change([], [], {}, push.nonce, "something is wrong") == Refusal(
+    assert subscription.request_changes([], [], {}, push.nonce, "something is wrong") == Rejection(
         "something is wrong", (), ("x", "y")
     )
-    alone = line.due(cache)
+    alone = subscription.next_push(cache)
     assert len(alone.items) == 1
     name, other = alone.items[0][0], {"x": "y", "y": "x"}[alone.items[0][0]]
-    assert line.change([], [], {}, alone.nonce, "wrong again").refused == (name,)
-    last = line.due(cache)
+    assert subscription.request_changes([], [], {}, alone.nonce, "wrong again").rejected == (name,)
+    last = subscription.next_push(cache)
     assert [one for one, _ in last.items] == [other]
-    line.change([], [], {}, last.nonce, None)
-    assert line.due(cache) is None and line.held == {other: cache.resources[other].current.sequence}
+    subscription.request_changes([], [], {}, last.nonce, None)
+    assert subscription.next_push(cache) is None and subscription.acknowledged == {
+        other: cache.resources[other].current.sequence
+    }
     cache.put(1.0, name, "other", "o")
-    assert [one for one, _ in line.due(cache).items] == [name]
+    assert [one for one, _ in subscription.next_push(cache).items] == [name]
 
 
 def test_who_is_named_in_a_refusal_is_refused_and_the_rest_is_held():
-    cache, line = cache_of(lookup="ab", fee="ab"), Line(True, False, "l")
-    line.change(["lookup", "fee"], [], {}, "", None)
-    push = line.due(cache)
-    assert line.change([], [], {}, push.nonce, "fee: no such thing").refused == ("fee",)
-    assert line.due(cache) is None and "lookup" in line.held and "fee" not in line.held
+    cache, subscription = cache_of(lookup="ab", fee="ab"), Subscription(True, False, "l")
+    subscription.request_changes(["lookup", "fee"], [], {}, "", None)
+    push = subscription.next_push(cache)
+    assert subscription.request_changes([], [], {}, push.nonce, "fee: no such thing").rejected == ("fee",)
+    assert (
+        subscription.next_push(cache) is None
+        and "lookup" in subscription.acknowledged
+        and "fee" not in subscription.acknowledged
+    )
 
 
 def test_stale_answers_say_nothing():
-    cache, line = cache_of(x="a"), Line(False, False, "l", may_wild=False)
-    line.ask(["x"], "", None)
-    first = line.due(cache)
+    cache, subscription = cache_of(x="a"), Subscription(False, False, "l", wildcard_allowed=False)
+    subscription.request_names(["x"], "", None)
+    first = subscription.next_push(cache)
     cache.put(1.0, "x", "b", "b", urgent=True)
-    second = line.due(cache)  # took a out, so it did not wait
-    assert line.ask(["x", "y"], "l.0", None) is False and "y" not in line.wanted
+    second = subscription.next_push(cache)  # took a out, so it did not wait
+    assert subscription.request_names(["x", "y"], "l.0", None) is False and "y" not in subscription.subscribed
     # the answer, not yet the names
-    assert line.ask(["x", "y"], first.nonce, None) is None and "y" not in line.wanted
-    assert line.held["x"] == first.items[0][1].sequence
-    line.ask(["x", "y"], second.nonce, "no")
-    assert "y" in line.wanted and line.held["x"] == first.items[0][1].sequence
-    assert line.due(cache) is None
+    assert (
+        subscription.request_names(["x", "y"], first.nonce, None) is None
+        and "y" not in subscription.subscribed
+    )
+    assert subscription.acknowledged["x"] == first.items[0][1].sequence
+    subscription.request_names(["x", "y"], second.nonce, "no")
+    assert "y" in subscription.subscribed and subscription.acknowledged["x"] == first.items[0][1].sequence
+    assert subscription.next_push(cache) is None
 
 
 def test_a_whole_push_that_was_refused_waits_for_other_contents():
-    cache, line = cache_of(x="a", y="a"), Line(False, True, "l")
-    line.ask([], "", None)
-    push = line.due(cache)
-    assert line.ask([], push.nonce, "no").refused == ("x", "y")
-    assert line.due(cache) is None
+    cache, subscription = cache_of(x="a", y="a"), Subscription(False, True, "l")
+    subscription.request_names([], "", None)
+    push = subscription.next_push(cache)
+    assert subscription.request_names([], push.nonce, "no").rejected == ("x", "y")
+    assert subscription.next_push(cache) is None
     cache.put(1.0, "y", "b", "b")
-    assert {name for name, _ in line.due(cache).items} == {"x", "y"}
+    assert {name for name, _ in subscription.next_push(cache).items} == {"x", "y"}
 
 
 def test_versions_of_an_earlier_stream_are_gone_on_from():
-    cache, line = cache_of(x="a", y="a"), Line(True, False, "l")
-    line.change(
+    cache, subscription = cache_of(x="a", y="a"), Subscription(True, False, "l")
+    subscription.request_changes(
         ["x", "y", "z"], [], {"x": cache.resources["x"].current.version, "y": "old", "z": "old"}, "", None
     )
-    push = line.due(cache)
+    push = subscription.next_push(cache)
     assert [name for name, _ in push.items] == ["y"] and push.removed == ("z",)
-    assert line.sent["z"] == ABSENT and line.held["x"] == cache.resources["x"].current.sequence
+    assert (
+        subscription.sent["z"] == TOLD_ABSENT
+        and subscription.acknowledged["x"] == cache.resources["x"].current.sequence
+    )
 
 
 def test_a_long_way_behind_all_is_looked_at():
-    cache, line = cache_of(x="a"), Line(True, True, "l")
-    line.change(["*"], [], {}, "", None)
-    line.change([], [], {}, line.due(cache).nonce, None)
+    cache, subscription = cache_of(x="a"), Subscription(True, True, "l")
+    subscription.request_changes(["*"], [], {}, "", None)
+    subscription.request_changes([], [], {}, subscription.next_push(cache).nonce, None)
     for at in range(20_000):
         cache.put(1.0, "x" if at % 2 else "y", str(at), "a")
-    assert {name for name, _ in line.due(cache).items} == {"x", "y"}
+    assert {name for name, _ in subscription.next_push(cache).items} == {"x", "y"}
 
 
 @given(st.lists(st.floats(0.01, 1e6), min_size=1, max_size=50))
@@ -422,12 +435,12 @@
 
 def test_an_endpoint_that_was_gone_for_a_while_is_told_gone_before_it_is_told_back():
     """Found by the machine: a resource that was dropped and came back had lost what nobody may skip."""
-    cache, line = cache_of(x="a"), Line(True, False, "l")
-    line.change(["x"], [], {}, "", None)
-    line.change([], [], {}, line.due(cache).nonce, None)
+    cache, subscription = cache_of(x="a"), Subscription(True, False, "l")
+    subscription.request_changes(["x"], [], {}, "", None)
+    subscription.request_changes([], [], {}, subscription.next_push(cache).nonce, None)
     cache.remove(1.0, "x")
     cache.put(1.5, "x", "b", "a")
-    gone = line.due(cache)
+    gone = subscription.next_push(cache)
     assert gone.removed == ("x",) and not gone.items
-    line.change([], [], {}, gone.nonce, None)
-    assert [name for name, _ in line.due(cache).items] == ["x"]
+    subscription.request_changes([], [], {}, gone.nonce, None)
+    assert [name for name, _ in subscription.next_push(cache).items] == ["x"]
--- a/tests/xds/test_wire_bytes.py
+++ b/tests/xds/test_wire_bytes.py
@@ -9,7 +9,7 @@
 from oatcart.xds import view
 from oatcart.xds.encode import Encoder
 from oatcart.xds.front import CLUSTER, ENDPOINTS, LISTENER, MEMBER, ROUTE
-from oatcart.xds.pushes import Push
+from oatcart.xds.push import Push
 from oatcart.xds.resource_cache import ResourceContent, digest
 
 ENDPOINT_A = view.Endpoint("n0", "127.0.0.1", 9000, "a", 40, view.HEALTHY)
