--- a/oatcart/xds/decode.py
+++ b/oatcart/xds/decode.py
@@ -7,7 +7,7 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 from google.protobuf.message import DecodeError
 
-from oatcart.xds import loads, view
+from oatcart.xds import client_load_reports, view
 from oatcart.xds.encode import TYPES
 from oatcart.xds.front import Ask, Node
 from oatcart.xds.limits import RequestRejectedError
@@ -98,8 +98,8 @@
     return found
 
 
-def _tally(stats: object) -> loads.Tally:
-    return loads.Tally(
+def _tally(stats: object) -> client_load_reports.RequestCounts:
+    return client_load_reports.RequestCounts(
         stats.total_successful_requests,
         stats.total_error_requests,
         stats.total_issued_requests,
@@ -108,7 +108,7 @@
     )
 
 
-def report(data: bytes) -> tuple[Node | None, list[loads.ClusterReport]]:
+def report(data: bytes) -> tuple[Node | None, list[client_load_reports.ClusterLoadReport]]:
     """A load report: who sends it, and per cluster what it met at each node and what it turned away."""
     try:
         message = lrs_pb2.LoadStatsRequest.FromString(data)
@@ -125,7 +125,7 @@
                 met.append((one.locality.sub_zone, _tally(one)))
             whole.append(_tally(one))
         found.append(
-            loads.ClusterReport(
+            client_load_reports.ClusterLoadReport(
                 cluster.cluster_name,
                 _seconds(cluster.load_report_interval),
                 met,
--- a/oatcart/xds/front.py
+++ b/oatcart/xds/front.py
@@ -18,6 +18,7 @@
 from oatcart.model import RequestClass, RetryPolicy
 from oatcart.routing_tables import RoutingTables, UpdatePart
 from oatcart.xds import view
+from oatcart.xds.client_load_reports import ClusterLoadReport, LoadReportReader
 from oatcart.xds.limits import (
     ClientLimits,
     PushBudget,
@@ -26,7 +27,6 @@
     check_names,
     push_priority,
 )
-from oatcart.xds.loads import Books, ClusterReport
 from oatcart.xds.push import Push, Rejection
 from oatcart.xds.resource_cache import ResourceCache, digest
 from oatcart.xds.subscription import NOT_SENT, Subscription
@@ -289,8 +289,8 @@
     def report(
         self,
         node: str,
-        books: Books,
-        reports: Iterable[ClusterReport],
+        reader: LoadReportReader,
+        reports: Iterable[ClusterLoadReport],
         place: Callable[[object], int | None],
         odd: Callable[[str], None],
     ) -> None:
@@ -299,7 +299,7 @@
         if client is None or not client.joined:
             return
         kinds = {name: at for at, (name, _) in enumerate(self.kinds)}
-        for told in books.read(reports, client.proxy, client.zone, kinds, place, odd):
+        for told in reader.read(reports, client.proxy, client.zone, kinds, place, odd):
             if isinstance(told, ProxyLoadReported):
                 _, kind, came, _, over = told
                 client.rates[kind] += (came / over - client.rates[kind]) / 2
--- a/oatcart/xds/server.py
+++ b/oatcart/xds/server.py
@@ -12,10 +12,10 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 
 from oatcart.xds import decode
+from oatcart.xds.client_load_reports import LoadReportReader
 from oatcart.xds.encode import Encoder
 from oatcart.xds.front import CLUSTER, ENDPOINTS, LISTENER, MEMBER, ROUTE, Ask, Front, Stream
 from oatcart.xds.limits import RequestRejectedError
-from oatcart.xds.loads import Books
 
 REQUEST_MOST = 1024 * 1024  # bytes of a request: what a client may bring of versions, as long as names may be
 FIRST_WITHIN = 5.0  # s from a stream's start until it has said what it wants
@@ -228,7 +228,7 @@
         """The life of a stream of load reports: the first says who it is, then each is taken or costs itself
         alone.
         """
-        books, node = Books(), None
+        reader, node = LoadReportReader(), None
         if self.reporting >= self.streams_most:
             context.set_code(grpc.StatusCode.RESOURCE_EXHAUSTED)
             return context.set_details(f"{self.streams_most} streams of load reports are read, no more")
@@ -253,7 +253,7 @@
                         return context.set_details(
                             "node.id: the first report of a stream has to say who sends it"
                         )
-                    self.front.report(node.id, books, reports, self.place, lambda odd: self.say("odd", odd))
+                    self.front.report(node.id, reader, reports, self.place, lambda odd: self.say("odd", odd))
                     self.kick()
         finally:
             self.reporting -= 1
--- a/tests/xds/test_both.py
+++ b/tests/xds/test_both.py
@@ -142,7 +142,7 @@
                 await call.write(report(None, "lookup", 0.2, **good).SerializeToString())
                 await asyncio.sleep(0.01)
             assert any("nobody" in line for line in table.lines)
-            assert any("9999 reqs done" in line for line in table.lines)
+            assert any("9999 requests completed" in line for line in table.lines)
             while client.endpoints("lookup")["n2"][1] != "UNHEALTHY":
                 await call.write(
                     report(None, "lookup", 0.2, **good | {"n2": (0, 20, 20, 0)}).SerializeToString()
--- a/tests/xds/test_decisions.py
+++ b/tests/xds/test_decisions.py
@@ -8,9 +8,9 @@
 from oatcart.events import EndpointLoadReported, ProxyLoadReported, UpdateAcknowledged
 from oatcart.model import EndpointState, RetryPolicy
 from oatcart.xds import view
+from oatcart.xds.client_load_reports import ClusterLoadReport, LoadReportReader, RequestCounts
 from oatcart.xds.front import CLUSTER, ENDPOINTS, ROUTE
 from oatcart.xds.limits import RequestRejectedError
-from oatcart.xds.loads import Books, ClusterReport, Tally
 from oatcart.xds.push import Rejection
 from oatcart.xds.resource_cache import ResourceCache
 from oatcart.xds.subscription import TOLD_ABSENT, Subscription
@@ -369,17 +369,19 @@
 
 
 def test_a_report_that_does_not_fit_costs_itself_alone():
-    odd, books = [], Books()
+    odd, reader = [], LoadReportReader()
     place = {"n0": 0, ("127.0.0.1", 9001): 1}.get
-    good = Tally(8, 2, 10, 3, {"cpu_utilization": (10, 4.0)})
+    good = RequestCounts(8, 2, 10, 3, {"cpu_utilization": (10, 4.0)})
 
     def read(*reports):
         odd.clear()
-        return books.read(reports, 9, 1, {"lookup": 0}, place, odd.append)
+        return reader.read(reports, 9, 1, {"lookup": 0}, place, odd.append)
 
     told = read(
-        ClusterReport("nobody", 1.0, [("n0", good)], [good], 0),
-        ClusterReport("lookup", 2.0, [("n0", good), ("n9", good), (("127.0.0.1", 9001), good)], [good], 5),
+        ClusterLoadReport("nobody", 1.0, [("n0", good)], [good], 0),
+        ClusterLoadReport(
+            "lookup", 2.0, [("n0", good), ("n9", good), (("127.0.0.1", 9001), good)], [good], 5
+        ),
     )
     assert [(type(one), one[0]) for one in told] == [
         (EndpointLoadReported, 0),
@@ -393,16 +395,18 @@
         2,
         2.0,
     )
-    back = good._replace(good=500)  # of 3 under way and 10 issued: a sum that ran backwards
-    told = read(ClusterReport("lookup", 2.0, [("n0", back), (("127.0.0.1", 9001), good)], [good], 0))
+    back = good._replace(succeeded=500)  # of 3 under way and 10 issued: a sum that ran backwards
+    told = read(ClusterLoadReport("lookup", 2.0, [("n0", back), (("127.0.0.1", 9001), good)], [good], 0))
     assert [(type(one), one[0]) for one in told] == [
         (EndpointLoadReported, 1),
         (ProxyLoadReported, 9),
     ] and "500" not in odd[0][:10]
-    assert not read(ClusterReport("lookup", -1.0, [("n0", good)], [good], 0)) and "over -1.0 s" in odd[0]
-    told = read(ClusterReport("lookup", 1.0, [("n0", good._replace(errored=2**63))], [good], 2**60))
+    assert not read(ClusterLoadReport("lookup", -1.0, [("n0", good)], [good], 0)) and "over -1.0 s" in odd[0]
+    told = read(ClusterLoadReport("lookup", 1.0, [("n0", good._replace(failed=2**63))], [good], 2**60))
     assert told == [] and len(odd) == 2
-    assert read(ClusterReport("lookup", 1.0, [("n0", good)], [good], 0))[0].__class__ is EndpointLoadReported
+    assert (
+        read(ClusterLoadReport("lookup", 1.0, [("n0", good)], [good], 0))[0].__class__ is EndpointLoadReported
+    )
 
 
 def test_withdrawn_is_unhealthy_and_comes_back():
@@ -412,9 +416,11 @@
     turns(stage, 2)
     for _ in range(12):
         for place in range(6):
-            tally = Tally(0 if place == 2 else 20, 20 if place == 2 else 0, 20, 0, {})
-            report = ClusterReport("lookup", STEP, [(f"n{place}", tally)], [tally], 0)
-            stage.front.report("p", Books(), [report], lambda name: int(name[1:]), lambda odd: None)
+            tally = RequestCounts(0 if place == 2 else 20, 20 if place == 2 else 0, 20, 0, {})
+            report = ClusterLoadReport("lookup", STEP, [(f"n{place}", tally)], [tally], 0)
+            stage.front.report(
+                "p", LoadReportReader(), [report], lambda name: int(name[1:]), lambda odd: None
+            )
         stage.turn()
     assert peer.view("lookup")["n2"][1] == view.UNHEALTHY and "n2" not in stage.sidecar_view(0)
     turns(stage, 12)
