--- a/tests/views/test_views_decisions.py
+++ b/tests/views/test_views_decisions.py
@@ -47,11 +47,12 @@
     stage.until(lambda: "new" in ids(stage.get("c0")), "what was decided")
 
 
-def long_decision(may_end: Event) -> RecordChanges:
+def long_decision(has_begun: Event, may_end: Event) -> RecordChanges:
     """Changes that keep the deciding thread busy until `may_end` is set, and change nothing."""
 
     def removed_endpoints() -> Iterator[str]:
-        assert may_end.wait(10.0)
+        has_begun.set()
+        assert may_end.wait(30.0)
         yield from ()
 
     return RecordChanges(removed_endpoints=removed_endpoints())
@@ -60,9 +61,10 @@
 def test_an_endpoint_that_goes_and_comes_back_during_one_decision_is_served_both_times(stage):
     """Failure: its removal was served before it was decided; decided together with its return it left the
     view as it was, so nothing was published, and the endpoint was missing until the view's next change."""
-    revision, may_end = stage.get("c0")["revision"], Event()
-    stage.role.decisions.submit(long_decision(may_end))
+    revision, has_begun, may_end = stage.get("c0")["revision"], Event(), Event()
+    stage.role.decisions.submit(long_decision(has_begun, may_end))
     try:
+        stage.until(has_begun.is_set, "the decision that later changes wait for")
         stage.discovery.drop("s-0")
         gone = stage.get("c0", f"?since={revision}&timeout_ms=4000")
         stage.discovery.put(endpoint_entry("s-0", up_since_ms=9))
