--- a/oatcart/scale/day_trial.py
+++ b/oatcart/scale/day_trial.py
@@ -194,6 +194,9 @@
             if is_cut(step.events[0]):
                 for event in step.events:
                     self._cut_or_join(event)
+                    if isinstance(event, RegionsCut):
+                        # a cut that was made late must not be shorter for it
+                        self._first = max(self._first, time.monotonic() - step.at_s)
             else:
                 self.make(step.events)
         self._wait_until(length_s)
--- a/tests/scale/test_scale_day.py
+++ b/tests/scale/test_scale_day.py
@@ -8,6 +8,7 @@
 from contextlib import suppress
 from dataclasses import replace
 from pathlib import Path
+from types import SimpleNamespace
 
 import orjson
 import pytest
@@ -19,7 +20,7 @@
 from oatcart.scale.day_deliveries import Cut, History, deliveries, drains
 from oatcart.scale.day_relay import DayClient, Word, entry_state
 from oatcart.scale.day_report import day_json, day_text
-from oatcart.scale.day_schedule import Change, Kind, ListedEndpoints, schedule
+from oatcart.scale.day_schedule import Change, Kind, ListedEndpoints, Step, schedule
 from oatcart.scale.day_trial import DayPlayer
 from oatcart.scale.day_views import UNBOUNDED, ExpectedViews
 from oatcart.scale.fault_plan import (
@@ -349,3 +350,30 @@
     assert "no such folder" in capsys.readouterr().err
     assert main(["day", str(file), "--quick"]) == 2
     assert "zone loss" in capsys.readouterr().err
+
+
+class CutPlayer(DayPlayer):
+    """A player that notes when it cuts and joins; its trial only gives samples."""
+
+    def _cut_off(self, event: RegionsCut) -> None:
+        self.since, self._cut = time.monotonic(), True
+
+    def _join(self, event: RegionsRejoined) -> None:
+        self.until = time.monotonic()
+
+
+class SampledTrial:
+    """A trial that does nothing."""
+
+    def sample(self) -> SimpleNamespace:
+        """A sample of now."""
+        return SimpleNamespace(at=time.monotonic())
+
+
+def test_a_cut_that_is_made_late_lasts_as_long_as_any() -> None:
+    """Failure: the join came at its time on the day's clock, so a cut was shorter by what it was late."""
+    delays = iter([0.15])  # the first sleep lasts longer, as on a busy machine
+    player = CutPlayer(SampledTrial(), lambda seconds: time.sleep(seconds + next(delays, 0.0)))
+    cut, join = RegionsCut(0.02, "a", "b"), RegionsRejoined(0.32, "a", "b")
+    player.play([Step(0.02, (cut,)), Step(0.32, (join,))], 0.33)
+    assert player.until - player.since >= 0.3
