--- a/oatcart/scale/module_rounds.py
+++ b/oatcart/scale/module_rounds.py
@@ -90,9 +90,10 @@
         return time.process_time() - began
 
     began = time.process_time()
-    roll = codec.decode_endpoint_list(parse_object(memoryview(body)))
+    endpoint_list = codec.decode_endpoint_list(parse_object(memoryview(body)))
     ready_core_s = time.process_time() - began
-    ready_core_s += one_round(START_S, hollow_peers.joins(), [EndpointListReceived(roll.whole, roll.entries)])
+    received = EndpointListReceived(endpoint_list.complete, endpoint_list.entries)
+    ready_core_s += one_round(START_S, hollow_peers.joins(), [received])
     ticks, settling = round((settle_s + quiet_s) / TICK_S), round(settle_s / TICK_S)
     took = [one_round(START_S + TICK_S * tick, hollow_peers.tick(), []) for tick in range(1, ticks + 1)][
         settling:
--- a/tests/xds/sim.py
+++ b/tests/xds/sim.py
@@ -28,8 +28,8 @@
 from oatcart.routing_tables import RoutingTables
 from oatcart.xds import view
 from oatcart.xds.front import CLUSTER, ENDPOINTS, MEMBER, ROUTE, Ask, Front, Node, new_life
-from oatcart.xds.limits import Budget, Gate
-from oatcart.xds.shelf import STEP_KEPT
+from oatcart.xds.limits import ClientLimits, PushBudget
+from oatcart.xds.resource_cache import WITHDRAWAL_RETENTION
 
 KINDS = [
     ("lookup", RequestClass(1.0, 0.5, Idempotency.IDEMPOTENT)),
@@ -181,9 +181,9 @@
     def check(self, kind, name, content):
         """Nobody who went out is met again before it was seen to be out."""
         for node, (seq, at) in list(self.owed.get((kind, name), {}).items()):
-            if content.seq >= seq:
-                kept = self.stage.now - at <= STEP_KEPT - 2 * STEP
-                assert node not in content.picks or not kept, f"{self.id} never saw {node} out"
+            if content.sequence >= seq:
+                kept = self.stage.now - at <= WITHDRAWAL_RETENTION - 2 * STEP
+                assert node not in content.pickable or not kept, f"{self.id} never saw {node} out"
                 del self.owed[kind, name][node]
 
     def view(self, kind):
@@ -234,8 +234,8 @@
             ZONES,
             8,
             new_life(self.life, 1),
-            Gate(50, 3, 100, self.pushes),
-            Budget(self.pushes),
+            ClientLimits(50, 3, 100, self.pushes),
+            PushBudget(self.pushes),
             False,
             say=lambda kind, text: self.said.append(text),
         )
@@ -300,21 +300,27 @@
 
     def note_outs(self):
         """Each peer owes a look at whoever went out of a list that it was sent."""
-        for key, shelf in self.front.shelves.items():
+        for key, cache in self.front.caches.items():
             if key[0] not in (ENDPOINTS, MEMBER):
                 continue
-            for name, item in shelf.items.items():
-                before, self.picks[key, name] = self.picks.get((key, name), frozenset()), item.now.picks
-                for node in before - item.now.picks:
+            for name, resource in cache.resources.items():
+                before, self.picks[key, name] = (
+                    self.picks.get((key, name), frozenset()),
+                    resource.current.pickable,
+                )
+                for node in before - resource.current.pickable:
                     for stream, peer in self.peers_by_stream.items():
-                        line = stream.lines.get(key[0])
+                        subscription = stream.subscriptions.get(key[0])
                         if (
-                            line
+                            subscription
                             and stream.client
-                            and self.front.shelf(stream.client, key[0]) is shelf
-                            and line.sent.get(name, -1) >= 0
+                            and self.front.cache_for(stream.client, key[0]) is cache
+                            and subscription.sent.get(name, -1) >= 0
                         ):
-                            peer.owed.setdefault((key[0], name), {})[node] = item.now.seq, self.now
+                            peer.owed.setdefault((key[0], name), {})[node] = (
+                                resource.current.sequence,
+                                self.now,
+                            )
 
     def rules(self, peer):
         for kind, (name, _) in enumerate(KINDS):
@@ -346,8 +352,8 @@
         counts = [kind for _, kind in peer.pushed]
         assert all(counts.count(kind) <= MESSAGES for kind in set(counts)), counts
         if peer.stream is not None:
-            for line in peer.stream.lines.values():
-                assert len(line.flights) <= 8
+            for subscription in peer.stream.subscriptions.values():
+                assert len(subscription.in_flight) <= 8
 
     def tables_agree(self):
         """The sidecar's tables and the conductor's are one."""
--- a/tests/xds/test_decisions.py
+++ b/tests/xds/test_decisions.py
@@ -8,11 +8,12 @@
 from oatcart.events import EndpointLoadReported, ProxyLoadReported, UpdateAcknowledged
 from oatcart.model import EndpointState, RetryPolicy
 from oatcart.xds import view
+from oatcart.xds.client_load_reports import ClusterLoadReport, LoadReportReader, RequestCounts
 from oatcart.xds.front import CLUSTER, ENDPOINTS, ROUTE
-from oatcart.xds.limits import Refused
-from oatcart.xds.loads import Books, ClusterReport, Tally
-from oatcart.xds.pushes import ABSENT, Line, Refusal
-from oatcart.xds.shelf import Shelf
+from oatcart.xds.limits import RequestRejectedError
+from oatcart.xds.push import Rejection
+from oatcart.xds.resource_cache import ResourceCache
+from oatcart.xds.subscription import TOLD_ABSENT, Subscription
 
 SHAPES = [(False, view.WHOLE), (True, view.WHOLE), (True, view.EACH), (False, view.SPREAD)]
 
@@ -113,13 +114,13 @@
     take = peer.take
     peer.take = lambda kind, push: (order.extend((kind, name) for name in push.removed), take(kind, push))
     peer.late = True
-    shelves = [
-        front.shelves[CLUSTER, view.WHOLE],
-        front.shelves[ENDPOINTS, 0, view.WHOLE],
-        front.shelves[ROUTE, 0],
+    caches = [
+        front.caches[CLUSTER, view.WHOLE],
+        front.caches[ENDPOINTS, 0, view.WHOLE],
+        front.caches[ROUTE, 0],
     ]
-    for shelf in shelves:
-        shelf.drop(stage.now, "fee")
+    for cache in caches:
+        cache.remove(stage.now, "fee")
     front.dirty[peer.stream] = None
     deliver(stage, peer)
     assert (CLUSTER, "fee") not in order
@@ -257,81 +258,95 @@
     assert [peer.view("lookup")["n0"][1] for peer in peers] == [view.DRAINING] * 6
 
 
-def shelf_of(**bodies):
-    shelf = Shelf()
+def cache_of(**bodies):
+    cache = ResourceCache()
     for name, body in bodies.items():
-        shelf.put(0.0, name, body, body)
-    return shelf
+        cache.put(0.0, name, body, body)
+    return cache
 
 
 def test_of_two_refused_together_each_is_tried_alone():
-    shelf, line = shelf_of(x="ab", y="ab"), Line(True, False, "l")
-    line.change(["x", "y"], [], {}, "", None)
-    push = line.due(shelf)
+    cache, subscription = cache_of(x="ab", y="ab"), Subscription(True, False, "l")
+    subscription.request_changes(["x", "y"], [], {}, "", None)
+    push = subscription.next_push(cache)
     assert {name for name, _ in push.items} == {"x", "y"}
-    assert line.change([], [], {}, push.nonce, "something is wrong") == Refusal(
+    assert subscription.request_changes([], [], {}, push.nonce, "something is wrong") == Rejection(
         "something is wrong", (), ("x", "y")
     )
-    alone = line.due(shelf)
+    alone = subscription.next_push(cache)
     assert len(alone.items) == 1
     name, other = alone.items[0][0], {"x": "y", "y": "x"}[alone.items[0][0]]
-    assert line.change([], [], {}, alone.nonce, "wrong again").refused == (name,)
-    last = line.due(shelf)
+    assert subscription.request_changes([], [], {}, alone.nonce, "wrong again").rejected == (name,)
+    last = subscription.next_push(cache)
     assert [one for one, _ in last.items] == [other]
-    line.change([], [], {}, last.nonce, None)
-    assert line.due(shelf) is None and line.held == {other: shelf.items[other].now.seq}
-    shelf.put(1.0, name, "other", "o")
-    assert [one for one, _ in line.due(shelf).items] == [name]
+    subscription.request_changes([], [], {}, last.nonce, None)
+    assert subscription.next_push(cache) is None and subscription.acknowledged == {
+        other: cache.resources[other].current.sequence
+    }
+    cache.put(1.0, name, "other", "o")
+    assert [one for one, _ in subscription.next_push(cache).items] == [name]
 
 
 def test_who_is_named_in_a_refusal_is_refused_and_the_rest_is_held():
-    shelf, line = shelf_of(lookup="ab", fee="ab"), Line(True, False, "l")
-    line.change(["lookup", "fee"], [], {}, "", None)
-    push = line.due(shelf)
-    assert line.change([], [], {}, push.nonce, "fee: no such thing").refused == ("fee",)
-    assert line.due(shelf) is None and "lookup" in line.held and "fee" not in line.held
+    cache, subscription = cache_of(lookup="ab", fee="ab"), Subscription(True, False, "l")
+    subscription.request_changes(["lookup", "fee"], [], {}, "", None)
+    push = subscription.next_push(cache)
+    assert subscription.request_changes([], [], {}, push.nonce, "fee: no such thing").rejected == ("fee",)
+    assert (
+        subscription.next_push(cache) is None
+        and "lookup" in subscription.acknowledged
+        and "fee" not in subscription.acknowledged
+    )
 
 
 def test_stale_answers_say_nothing():
-    shelf, line = shelf_of(x="a"), Line(False, False, "l", may_wild=False)
-    line.ask(["x"], "", None)
-    first = line.due(shelf)
-    shelf.put(1.0, "x", "b", "b", urgent=True)
-    second = line.due(shelf)  # took a out, so it did not wait
-    assert line.ask(["x", "y"], "l.0", None) is False and "y" not in line.wanted
+    cache, subscription = cache_of(x="a"), Subscription(False, False, "l", wildcard_allowed=False)
+    subscription.request_names(["x"], "", None)
+    first = subscription.next_push(cache)
+    cache.put(1.0, "x", "b", "b", urgent=True)
+    second = subscription.next_push(cache)  # took a out, so it did not wait
+    assert subscription.request_names(["x", "y"], "l.0", None) is False and "y" not in subscription.subscribed
     # the answer, not yet the names
-    assert line.ask(["x", "y"], first.nonce, None) is None and "y" not in line.wanted
-    assert line.held["x"] == first.items[0][1].seq
-    line.ask(["x", "y"], second.nonce, "no")
-    assert "y" in line.wanted and line.held["x"] == first.items[0][1].seq
-    assert line.due(shelf) is None
+    assert (
+        subscription.request_names(["x", "y"], first.nonce, None) is None
+        and "y" not in subscription.subscribed
+    )
+    assert subscription.acknowledged["x"] == first.items[0][1].sequence
+    subscription.request_names(["x", "y"], second.nonce, "no")
+    assert "y" in subscription.subscribed and subscription.acknowledged["x"] == first.items[0][1].sequence
+    assert subscription.next_push(cache) is None
 
 
 def test_a_whole_push_that_was_refused_waits_for_other_contents():
-    shelf, line = shelf_of(x="a", y="a"), Line(False, True, "l")
-    line.ask([], "", None)
-    push = line.due(shelf)
-    assert line.ask([], push.nonce, "no").refused == ("x", "y")
-    assert line.due(shelf) is None
-    shelf.put(1.0, "y", "b", "b")
-    assert {name for name, _ in line.due(shelf).items} == {"x", "y"}
+    cache, subscription = cache_of(x="a", y="a"), Subscription(False, True, "l")
+    subscription.request_names([], "", None)
+    push = subscription.next_push(cache)
+    assert subscription.request_names([], push.nonce, "no").rejected == ("x", "y")
+    assert subscription.next_push(cache) is None
+    cache.put(1.0, "y", "b", "b")
+    assert {name for name, _ in subscription.next_push(cache).items} == {"x", "y"}
 
 
 def test_versions_of_an_earlier_stream_are_gone_on_from():
-    shelf, line = shelf_of(x="a", y="a"), Line(True, False, "l")
-    line.change(["x", "y", "z"], [], {"x": shelf.items["x"].now.version, "y": "old", "z": "old"}, "", None)
-    push = line.due(shelf)
+    cache, subscription = cache_of(x="a", y="a"), Subscription(True, False, "l")
+    subscription.request_changes(
+        ["x", "y", "z"], [], {"x": cache.resources["x"].current.version, "y": "old", "z": "old"}, "", None
+    )
+    push = subscription.next_push(cache)
     assert [name for name, _ in push.items] == ["y"] and push.removed == ("z",)
-    assert line.sent["z"] == ABSENT and line.held["x"] == shelf.items["x"].now.seq
+    assert (
+        subscription.sent["z"] == TOLD_ABSENT
+        and subscription.acknowledged["x"] == cache.resources["x"].current.sequence
+    )
 
 
 def test_a_long_way_behind_all_is_looked_at():
-    shelf, line = shelf_of(x="a"), Line(True, True, "l")
-    line.change(["*"], [], {}, "", None)
-    line.change([], [], {}, line.due(shelf).nonce, None)
+    cache, subscription = cache_of(x="a"), Subscription(True, True, "l")
+    subscription.request_changes(["*"], [], {}, "", None)
+    subscription.request_changes([], [], {}, subscription.next_push(cache).nonce, None)
     for at in range(20_000):
-        shelf.put(1.0, "x" if at % 2 else "y", str(at), "a")
-    assert {name for name, _ in line.due(shelf).items} == {"x", "y"}
+        cache.put(1.0, "x" if at % 2 else "y", str(at), "a")
+    assert {name for name, _ in subscription.next_push(cache).items} == {"x", "y"}
 
 
 @given(st.lists(st.floats(0.01, 1e6), min_size=1, max_size=50))
@@ -345,26 +360,28 @@
 
 def test_gate_refuses_with_a_hint_and_keeps_no_record():
     stage = stage_of()
-    stage.front.gate.clients = 1
+    stage.front.limits.clients = 1
     peer_of(stage, "one")
-    with pytest.raises(Refused) as refused:
+    with pytest.raises(RequestRejectedError) as refused:
         peer_of(stage, "two")
-    assert refused.value.code == "RESOURCE_EXHAUSTED" and refused.value.after > 0
+    assert refused.value.code == "RESOURCE_EXHAUSTED" and refused.value.retry_after > 0
     assert list(stage.front.clients) == ["one"]
 
 
 def test_a_report_that_does_not_fit_costs_itself_alone():
-    odd, books = [], Books()
+    odd, reader = [], LoadReportReader()
     place = {"n0": 0, ("127.0.0.1", 9001): 1}.get
-    good = Tally(8, 2, 10, 3, {"cpu_utilization": (10, 4.0)})
+    good = RequestCounts(8, 2, 10, 3, {"cpu_utilization": (10, 4.0)})
 
     def read(*reports):
         odd.clear()
-        return books.read(reports, 9, 1, {"lookup": 0}, place, odd.append)
+        return reader.read(reports, 9, 1, {"lookup": 0}, place, odd.append)
 
     told = read(
-        ClusterReport("nobody", 1.0, [("n0", good)], [good], 0),
-        ClusterReport("lookup", 2.0, [("n0", good), ("n9", good), (("127.0.0.1", 9001), good)], [good], 5),
+        ClusterLoadReport("nobody", 1.0, [("n0", good)], [good], 0),
+        ClusterLoadReport(
+            "lookup", 2.0, [("n0", good), ("n9", good), (("127.0.0.1", 9001), good)], [good], 5
+        ),
     )
     assert [(type(one), one[0]) for one in told] == [
         (EndpointLoadReported, 0),
@@ -378,16 +395,18 @@
         2,
         2.0,
     )
-    back = good._replace(good=500)  # of 3 under way and 10 issued: a sum that ran backwards
-    told = read(ClusterReport("lookup", 2.0, [("n0", back), (("127.0.0.1", 9001), good)], [good], 0))
+    back = good._replace(succeeded=500)  # of 3 under way and 10 issued: a sum that ran backwards
+    told = read(ClusterLoadReport("lookup", 2.0, [("n0", back), (("127.0.0.1", 9001), good)], [good], 0))
     assert [(type(one), one[0]) for one in told] == [
         (EndpointLoadReported, 1),
         (ProxyLoadReported, 9),
     ] and "500" not in odd[0][:10]
-    assert not read(ClusterReport("lookup", -1.0, [("n0", good)], [good], 0)) and "over -1.0 s" in odd[0]
-    told = read(ClusterReport("lookup", 1.0, [("n0", good._replace(errored=2**63))], [good], 2**60))
+    assert not read(ClusterLoadReport("lookup", -1.0, [("n0", good)], [good], 0)) and "over -1.0 s" in odd[0]
+    told = read(ClusterLoadReport("lookup", 1.0, [("n0", good._replace(failed=2**63))], [good], 2**60))
     assert told == [] and len(odd) == 2
-    assert read(ClusterReport("lookup", 1.0, [("n0", good)], [good], 0))[0].__class__ is EndpointLoadReported
+    assert (
+        read(ClusterLoadReport("lookup", 1.0, [("n0", good)], [good], 0))[0].__class__ is EndpointLoadReported
+    )
 
 
 def test_withdrawn_is_unhealthy_and_comes_back():
@@ -397,9 +416,11 @@
     turns(stage, 2)
     for _ in range(12):
         for place in range(6):
-            tally = Tally(0 if place == 2 else 20, 20 if place == 2 else 0, 20, 0, {})
-            report = ClusterReport("lookup", STEP, [(f"n{place}", tally)], [tally], 0)
-            stage.front.report("p", Books(), [report], lambda name: int(name[1:]), lambda odd: None)
+            tally = RequestCounts(0 if place == 2 else 20, 20 if place == 2 else 0, 20, 0, {})
+            report = ClusterLoadReport("lookup", STEP, [(f"n{place}", tally)], [tally], 0)
+            stage.front.report(
+                "p", LoadReportReader(), [report], lambda name: int(name[1:]), lambda odd: None
+            )
         stage.turn()
     assert peer.view("lookup")["n2"][1] == view.UNHEALTHY and "n2" not in stage.sidecar_view(0)
     turns(stage, 12)
@@ -420,12 +441,12 @@
 
 def test_an_endpoint_that_was_gone_for_a_while_is_told_gone_before_it_is_told_back():
     """Found by the machine: a resource that was dropped and came back had lost what nobody may skip."""
-    shelf, line = shelf_of(x="a"), Line(True, False, "l")
-    line.change(["x"], [], {}, "", None)
-    line.change([], [], {}, line.due(shelf).nonce, None)
-    shelf.drop(1.0, "x")
-    shelf.put(1.5, "x", "b", "a")
-    gone = line.due(shelf)
+    cache, subscription = cache_of(x="a"), Subscription(True, False, "l")
+    subscription.request_changes(["x"], [], {}, "", None)
+    subscription.request_changes([], [], {}, subscription.next_push(cache).nonce, None)
+    cache.remove(1.0, "x")
+    cache.put(1.5, "x", "b", "a")
+    gone = subscription.next_push(cache)
     assert gone.removed == ("x",) and not gone.items
-    line.change([], [], {}, gone.nonce, None)
-    assert [name for name, _ in line.due(shelf).items] == ["x"]
+    subscription.request_changes([], [], {}, gone.nonce, None)
+    assert [name for name, _ in subscription.next_push(cache).items] == ["x"]
