--- a/oatcart/errors.py
+++ b/oatcart/errors.py
@@ -1,7 +1,7 @@
 """The errors that oatcart raises, in one hierarchy: a caller catches one kind, or `OatcartError` for all.
 
-A message names the field and the value that cannot be used; whoever logs it puts the peer or the file in
-front.
+A message names the field and the value that cannot be used; the caller may put the peer or the file in
+front. The simulator's frames have an error of their own, `oatcart.simhost.frames`.
 """
 
 import errno
--- a/oatcart/events.py
+++ b/oatcart/events.py
@@ -1,4 +1,4 @@
-"""Events that a round brings to the decisions, in the order of their coming.
+"""Events that a round brings to the decisions, in order of arrival.
 
 Hosts build them from their wire; the decisions match them by type. A round without events is the end of a
 wait requested with `schedule_round`.
@@ -15,7 +15,7 @@
 
     endpoint: int
     zone: int
-    started_at: float  # s of Unix time; 0: long ago
+    started_at: float  # s of the clock that rounds use, which is Unix time on sockets; 0: long ago
     state: EndpointState
     nominal_weight: float  # relative; 0 or less: not listed
 
@@ -76,7 +76,7 @@
 
 
 class ProxyLoadReported(NamedTuple):
-    """What requests of a class came to a proxy over a window."""
+    """The requests of a class that came to a proxy over a window."""
 
     proxy: int
     request_class: int
--- a/oatcart/model.py
+++ b/oatcart/model.py
@@ -74,17 +74,20 @@
 
 
 class DiscoverySettings(NamedTuple):
-    """How the endpoint list is had, and what it tells."""
+    """How the endpoint list is obtained, and what it contains."""
 
     must_watch: bool = False  # changes come only while a watch is open; else unasked
     lists_weights: bool = False  # entries have nominal weights
 
 
 class ChannelLimits(NamedTuple):
-    """What the update channel to the proxies carries."""
+    """What the update channel to the proxies carries, in lines.
+
+    A line is one change (a weight, admission, an ejection) that is sent to one proxy.
+    """
 
     line_rate: float = 1000.0  # lines/s
-    message_overhead: float = 0.0  # lines that each message counts beside its own
+    message_overhead: float = 0.0  # lines that each message counts besides its own
     max_queue: float = 0.0  # lines that may wait; 0: any number
     max_messages: int = 0  # messages to one proxy within the window; 0: any number
     message_window: float = 10.0  # s
@@ -100,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ControllerSettings:
-    """What a controller is started with, beside the seed of its random numbers."""
+    """What a controller is started with, besides the seed of its random numbers."""
 
     request_classes: tuple[RequestClass, ...]
     discovery: DiscoverySettings
--- a/oatcart/net/acceptor.py
+++ b/oatcart/net/acceptor.py
@@ -39,7 +39,7 @@
         self.tasks: dict[Stream, Task] = {}  # of all connections
         self.unidentified: dict[Stream, None] = {}  # oldest first
         self.collectors: dict[Stream, str] = {}  # zones by connection, oldest first
-        rounds.close_streams_by(self._close)
+        rounds.set_close_stream(self._close)
 
     def set_limit(self, descriptors: int) -> None:
         """Let the process use so many descriptors from now on; no open connection is closed for it."""
--- a/oatcart/net/assembly.py
+++ b/oatcart/net/assembly.py
@@ -21,8 +21,8 @@
 
 IDENTITY_FIELDS = ("name", "listen")  # a file in which these differ is another controller's
 RESTART_FIELDS = ("settings",)  # changed only by a restart
-# A watch waits for this part of the time after which discovery counts changes as known here without a call,
-# so that a watch that was lost is noticed well within it.
+# A watch waits for this part of the time within which discovery must be called (`askWithin`), so that a watch
+# that was lost is noticed well within it
 WATCH_WAIT_FRACTION = 0.5
 DEFAULT_POLL_WITHIN_S = 8.0  # that time, if the settings give none: half of it and 2 s are the protocol's 6 s
 DEFAULT_HEALTH_CHECK_TIMEOUT_S = 1.0  # if the settings give none: the next check comes a second later
@@ -42,7 +42,7 @@
     """Make all parts, run the first round and listen; raises InvalidConfigurationError.
 
     `signalled`: readable once the configuration is to be read again. `make_rounds`: makes a subclass of
-    `Rounds` that serves another front as well.
+    `Rounds` that serves another protocol as well.
     """
     settings = read_field(configuration, "settings", dict)
     controller_settings = read_field(configuration, "settings", read_socket_controller_settings)
--- a/oatcart/net/endpoint_list.py
+++ b/oatcart/net/endpoint_list.py
@@ -60,6 +60,10 @@
         if self.watch_enabled:
             self.set_watch(True)
 
+    def forget(self, endpoint: int) -> None:
+        """Drop the address of an endpoint."""
+        self.addresses.pop(endpoint, None)
+
     def receive(self, received: EndpointList, since: float = 0) -> None:
         """Take in a list, or the changes since a revision.
 
--- a/oatcart/net/rounds.py
+++ b/oatcart/net/rounds.py
@@ -46,7 +46,7 @@
         """Set what rounds call and what carries out their commands; before the first round."""
         self.decide, self.watcher, self.health_checker = decide, watcher, health_checker
 
-    def close_streams_by(self, close: Callable[[Stream], None]) -> None:
+    def set_close_stream(self, close: Callable[[Stream], None]) -> None:
         """Set what closes a stream; its task then calls `leave`."""
         self.close_stream = close
 
@@ -112,9 +112,9 @@
             self._send_updates()
         except Exception:
             self.logger.write("round", f"updates cannot be sent\n{traceback.format_exc()}")
-        for endpoint in forgotten:  # no update that is still to be encoded names it
+        for endpoint in forgotten:  # after the updates, as these name it by its id
             self.codec.release(endpoint)
-            self.watcher.addresses.pop(endpoint, None)
+            self.watcher.forget(endpoint)
 
     def _decide(self, unix_time: float) -> None:
         """An error over one event costs that event alone: the decisions are called again with the rest."""
--- a/oatcart/policy/assignment.py
+++ b/oatcart/policy/assignment.py
@@ -2,14 +2,14 @@
 
 from collections.abc import Mapping
 
-from oatcart.commands import NONCE_COUNT
+from oatcart.commands import covers
 from oatcart.events import ProxyJoined, UpdateAcknowledged
 from oatcart.policy.flow_control import ASSIGNMENT_SHARE, UpdateChannel
 from oatcart.policy.load_shedding import LoadShedding
 from oatcart.policy.publication import Publication
 from oatcart.policy.registry import EndpointRegistry
 from oatcart.policy.state import Proxy, Round, RoutingTable
-from oatcart.policy.subsetting import RoutingTables
+from oatcart.policy.subsetting import TableRegistry
 from oatcart.policy.workload import Workload
 
 
@@ -44,7 +44,7 @@
         if proxy is None:
             return
         for table in proxy.tables:
-            if (event.nonce - table.nonce) % NONCE_COUNT < NONCE_COUNT // 2:
+            if covers(event.nonce, table.nonce):
                 table.unacknowledged.discard(event.proxy)
 
     def all_assigned(self) -> bool:
@@ -59,7 +59,7 @@
         self,
         registry: EndpointRegistry,
         proxies: Mapping[int, Proxy],
-        tables: RoutingTables,
+        tables: TableRegistry,
         workload: Workload,
         shedding: LoadShedding,
         publication: Publication,
@@ -80,10 +80,10 @@
         Without a list, the tables that proxies hold already are better than ours.
         """
         listed = any(endpoint.listed for endpoint in self._registry.endpoints.values())
-        joining = {at: proxy for at, proxy in self._proxies.items() if listed and not proxy.assigned}
+        joining = {number: proxy for number, proxy in self._proxies.items() if listed and not proxy.assigned}
         self._choose_tables(joining)
         pairs = [(number, table) for number, proxy in joining.items() for table in proxy.tables]
-        self._tables.awaited = {table.number for _, table in pairs}
+        self._tables.await_tables({table.number for _, table in pairs})
         awaited = [self._tables.tables[number] for number in sorted(self._tables.awaited)]
         self._tables.assign_endpoints()
         for table in [table for table in awaited if not table.proxies]:
@@ -98,7 +98,7 @@
     def _choose_tables(self, joining: Mapping[int, Proxy]) -> None:
         """Chooses for each proxy, in turn, the tables with the fewest proxies.
 
-        A choice stands until the proxy has got a table of it, unless that has become too large to be sent.
+        A choice stands, unless one of its tables has become too large while the proxy has none of them yet.
         """
         profiles = sorted({(proxy.zone, proxy.configured_before) for proxy in joining.values()})
         choices = {profile: self._tables.choices(*profile, len(self._proxies)) for profile in profiles}
@@ -108,7 +108,7 @@
                 table.size > choice.max_size for table, choice in zip(proxy.tables, fitting, strict=False)
             )
             has_none = not any(number in table.proxies for table in proxy.tables)
-            if not proxy.tables or too_large and has_none:
+            if not proxy.tables or (too_large and has_none):
                 proxy.tables = [choice.tables[0] for choice in fitting]
                 for choice in fitting:
                     choice.tables.rotate(-1)
@@ -123,7 +123,7 @@
 
         While endpoints are removed, short tables go first: a proxy with tables is notified of removals.
         """
-        removals = any(endpoint.removal_sent for endpoint in self._registry.endpoints.values())
+        removals = any(endpoint.ejection_sent for endpoint in self._registry.endpoints.values())
         pairs.sort(key=lambda pair: (removals and len(pair[1].weights), -sum(joining[pair[0]].rates)))
         for number, table in pairs:
             if number in table.proxies:
@@ -137,5 +137,5 @@
     def _lines_of(self, table: RoutingTable, proxy: Proxy) -> int:
         """Counts the lines of a complete table: entries, admission, and whether endpoints may be used."""
         endpoints = self._registry.endpoints
-        notices = sum(proxy.configured_before or endpoints[at].removal_sent for at in table.weights)
+        notices = sum(proxy.configured_before or endpoints[at].ejection_sent for at in table.weights)
         return 1 + len(table.weights) + len(table.classes) + notices
--- a/oatcart/policy/controller.py
+++ b/oatcart/policy/controller.py
@@ -27,7 +27,7 @@
 from oatcart.policy.registry import EndpointRegistry
 from oatcart.policy.scoring import rescore
 from oatcart.policy.state import LONG_AGO, Round
-from oatcart.policy.subsetting import RoutingTables
+from oatcart.policy.subsetting import TableRegistry
 from oatcart.policy.telemetry import Telemetry
 from oatcart.policy.weighting import Weighting
 from oatcart.policy.workload import Workload
@@ -51,7 +51,7 @@
         self.telemetry = Telemetry(settings.report_period, classes)
         self.discovery = EndpointDiscovery(settings.discovery, uniform)
         self.outliers = OutlierDetection(self.telemetry, settings.health_checks_allowed)
-        self.routing = RoutingTables(settings, self.registry, uniform)
+        self.routing = TableRegistry(settings, self.registry, uniform)
         self.spillover = ZoneSpillover()
         self.workload = Workload(classes, self.registry, self.routing)
         self.shedding = LoadShedding(settings, self.telemetry, self.routing, self.workload, self.channel)
@@ -124,12 +124,12 @@
         Removals come before everything that needs the channel; restored endpoints come after the weights
         that they need.
         """
-        self._check_health(this_round.now)
+        self._update_ejections(this_round.now)
         self.workload.update()
         rescored = this_round.now >= self._next_rescore_at
         if rescored:
             self._next_rescore_at = this_round.now + RESCORE_S - CLOCK_ERROR_S
-            self._rescore(this_round)
+            self._run_rescore_steps(this_round)
         self.routing.assign_endpoints()
         if self.routing.has_subsets:
             for table in self.routing.used_tables():
@@ -143,13 +143,15 @@
         self.draining.restore_available(this_round)
         self.draining.forget_gone(this_round, all_assigned)
 
-    def _check_health(self, now: float) -> None:
+    def _update_ejections(self, now: float) -> None:
+        """Ejects and restores outliers, and lets the sums of load reports decay."""
         pools = self.routing.pools()
         self.outliers.check(self.registry.pool(), pools, now)
+        # the nominal period; a check that an endpoint list brings forward decays as much
         self.telemetry.decay(self.registry.endpoints.values(), CHECK_S)
         restore_empty_pools(pools)
 
-    def _rescore(self, this_round: Round) -> None:
+    def _run_rescore_steps(self, this_round: Round) -> None:
         """Updates what moves once a second: health checks, scores, spillover, admission."""
         ready = self.registry.pool()
         if self.settings.health_checks_allowed:
--- a/oatcart/policy/draining.py
+++ b/oatcart/policy/draining.py
@@ -10,12 +10,13 @@
 from oatcart.policy.flow_control import ASSIGNMENT_SHARE, OVERDUE_SHARE, URGENT_SHARE, UpdateChannel
 from oatcart.policy.registry import EndpointRegistry
 from oatcart.policy.state import Endpoint, Proxy, Round, RoutingTable
-from oatcart.policy.subsetting import RoutingTables
+from oatcart.policy.subsetting import TableRegistry
 
 MIN_REMOVALS = 4  # lines that justify a message, where not all fit
-OVERDUE_S = 1.0  # from the news of a drain until its removal may use the last messages of the cap; until then
-# drains wait for each other, as a message may carry many
-FORGET_AFTER_S = 30.0  # after an endpoint is gone; longer than any proxy takes to connect again
+# From the news of a drain until its removal may use the last messages of the cap; until then drains wait for
+# each other, as a message may carry many
+OVERDUE_S = 1.0
+FORGET_AFTER_S = 30.0  # least time since an endpoint became gone; longer than any proxy takes to reconnect
 
 
 class Draining:
@@ -25,7 +26,7 @@
         self,
         registry: EndpointRegistry,
         proxies: Mapping[int, Proxy],
-        tables: RoutingTables,
+        tables: TableRegistry,
         channel: UpdateChannel,
     ) -> None:
         """`proxies`: those that are joined, by number; all state is handed in."""
@@ -55,10 +56,10 @@
         due = {
             number: endpoint
             for number, endpoint in self._registry.endpoints.items()
-            if endpoint.listed and endpoint.unavailable and not endpoint.removal_sent
+            if endpoint.listed and endpoint.unavailable and not endpoint.ejection_sent
         }
         for number in self._reserve(due, URGENT_SHARE, this_round.now):
-            due[number].removal_sent_at = this_round.now
+            due[number].ejection_sent_at = this_round.now
             this_round.commands.set_ejected(number, True)
 
     def restore_available(self, this_round: Round) -> None:
@@ -69,7 +70,7 @@
         due = {
             number: endpoint
             for number, endpoint in self._registry.endpoints.items()
-            if endpoint.listed and not endpoint.unavailable and endpoint.removal_sent
+            if endpoint.listed and not endpoint.unavailable and endpoint.ejection_sent
         }
         for table in self._tables.tables.values():
             due = {
@@ -78,7 +79,7 @@
                 if table.weights.get(number, 0) <= table.unsent.get(number, inf)
             }
         for number in self._reserve(due, ASSIGNMENT_SHARE, this_round.now):
-            due[number].removal_sent_at = inf
+            due[number].ejection_sent_at = inf
             this_round.commands.set_ejected(number, False)
 
     def forget_gone(self, this_round: Round, all_assigned: bool) -> None:
@@ -98,6 +99,7 @@
             and endpoint.state_changed_at < now - FORGET_AFTER_S
             and not any(number in table.weights for table in self._tables.tables.values())
         ]
+        # the oldest waits twice as long, so that one message carries many
         if not any(endpoints[number].state_changed_at < now - 2 * FORGET_AFTER_S for number in expired):
             return
         fitting = self._channel.reserve(self._proxies, len(expired), ASSIGNMENT_SHARE, 1)
--- a/oatcart/policy/flow_control.py
+++ b/oatcart/policy/flow_control.py
@@ -1,7 +1,7 @@
 """Flow control: the budget of the update channel, which has a bounded queue and caps messages to a proxy.
 
 Every command is reserved here before it is given, as lines: each costs one for every proxy it goes to, each
-message its overhead beside. How fast the channel really is shows only in acknowledgements, so what they do
+message its overhead besides. How fast the channel really is shows only in acknowledgements, so what they do
 not prove gone counts as queued.
 """
 
@@ -13,9 +13,9 @@
 from oatcart.model import ChannelLimits
 from oatcart.policy.state import LONG_AGO, Proxy
 
-# Parts of the message cap that a reservation may fill, by what it is for; the rest is left to what is more
-# urgent. Of the queue, urgent and overdue reservations may fill all of its share below, others these parts of
-# what the channel sends within some seconds.
+# Parts of a proxy's message cap that a reservation may fill, by what it is for; the rest is left to what is
+# more urgent. Of the queue, URGENT and OVERDUE may fill QUEUE_SHARE; the others their part (NEW_ENTRIES:
+# QUEUE_SHARE) of what the channel sends within ACK_WAIT_S.
 WEIGHTS_SHARE = 0.5
 ASSIGNMENT_SHARE = 0.6  # tables of joined proxies, endpoints that return
 URGENT_SHARE = 0.7  # draining and ejected endpoints, admission
@@ -88,10 +88,10 @@
         Only a long queue that did not leave completely shows a channel slower than its line rate.
         """
         rate = self.limits.line_rate
-        left = self._acknowledged - self._acknowledged_then
+        departed = self._acknowledged - self._acknowledged_then
         long_queue = self._unacknowledged_then > rate / MAX_SLOWDOWN * ACK_LATE_S
-        slow = long_queue and left < self._unacknowledged_then
-        shown = left / (now - self._measured_at) if slow else rate
+        slow = long_queue and departed < self._unacknowledged_then
+        shown = departed / (now - self._measured_at) if slow else rate
         self._acknowledged_rate = min(rate, max(rate / MAX_SLOWDOWN, shown))
         self._measured_at = now
         self._acknowledged_then = self._acknowledged
@@ -113,17 +113,17 @@
         each line, how many proxies are notified with it whether its endpoint may be used, one line each.
         """
         first_messages = [one for one in proxies.values() if not one.sent_at or one.sent_at[-1] < self._now]
-        if not self._messages_left(first_messages, share):
+        if not self._may_message(first_messages, share):
             return 0
         overhead = len(first_messages) * (self.limits.message_overhead + 1)
-        costs = list(accumulate(len(proxies) + notice for notice in notices or [0] * lines))
+        cumulative_costs = list(accumulate(len(proxies) + notice for notice in notices or [0] * lines))
         if self.limits.max_queue and proxies:
-            available = self._queue_left(share) - overhead
-            fitting = sum(cost <= available for cost in costs)
+            available = self._queue_available(share) - overhead
+            fitting = sum(cost <= available for cost in cumulative_costs)
             if fitting < (minimum or lines):
                 return 0
             lines = fitting
-        cost = overhead + max(costs[:lines])
+        cost = overhead + max(cumulative_costs[:lines])
         self.queued += cost
         self._reserved += cost
         self._messages_of_round += len(first_messages)
@@ -131,7 +131,7 @@
             proxy.sent_at.append(self._now)
         return lines
 
-    def _messages_left(self, proxies: Collection[Proxy], share: float) -> bool:
+    def _may_message(self, proxies: Collection[Proxy], share: float) -> bool:
         """Whether each proxy may be sent one more message within its window; one is kept in reserve."""
         for proxy in proxies:
             while proxy.sent_at and proxy.sent_at[0] < self._now - self.limits.message_window:
@@ -140,7 +140,7 @@
                 return False
         return True
 
-    def _queue_left(self, share: float) -> float:
+    def _queue_available(self, share: float) -> float:
         """Returns the lines that fit in the queue, even if nothing unacknowledged has left it.
 
         What can wait may queue for some seconds only, as it would delay drains.
@@ -148,6 +148,7 @@
         left = self.limits.max_queue * QUEUE_SHARE - (self._reserved - self._acknowledged)
         if share in (URGENT_SHARE, OVERDUE_SHARE):
             return left
+        # only NEW_ENTRIES_SHARE is above URGENT_SHARE here
         share = share if share < URGENT_SHARE else QUEUE_SHARE
         by_rate = self._acknowledged_rate * ACK_WAIT_S
         return min(left, share * min(self.limits.max_queue, by_rate) - self.queued)
@@ -162,6 +163,7 @@
 
     def acknowledge(self, nonce: int) -> None:
         """Takes in an acknowledgement: what was sent before its round has left, and its part of the round."""
+        # rounds with messages have consecutive nonces, so the difference is the place in the list
         at = (nonce - self._rounds[0].nonce) % NONCE_COUNT if self._rounds else 0
         if at < len(self._rounds):
             del self._rounds[:at]
--- a/oatcart/policy/load_shedding.py
+++ b/oatcart/policy/load_shedding.py
@@ -11,7 +11,7 @@
 from oatcart.policy.retries import retries_pay, retry_policy
 from oatcart.policy.slow_start import admissible_share, success_ratio, warm_fraction
 from oatcart.policy.state import Endpoint, Round, RoutingTable
-from oatcart.policy.subsetting import RoutingTables
+from oatcart.policy.subsetting import TableRegistry
 from oatcart.policy.telemetry import FAILING_RATIO, Telemetry, error_ratio, median, median_error_ratio, strain
 from oatcart.policy.workload import Workload
 
@@ -35,7 +35,7 @@
         self,
         settings: ControllerSettings,
         telemetry: Telemetry,
-        tables: RoutingTables,
+        tables: TableRegistry,
         workload: Workload,
         channel: UpdateChannel,
     ) -> None:
@@ -49,7 +49,10 @@
         self._channel = channel
 
     def adjust(self, table: RoutingTable, now: float) -> None:
-        """Cuts or raises the admitted share of a table; to be called once a second."""
+        """Cuts or raises a table's admitted share and decides whether retries pay.
+
+        Called once a second, and with each endpoint list.
+        """
         pool = self._active(table)
         pool_strain = strain(pool, self._telemetry.latency_objective)
         failing = pool_strain > FAILING_STRAIN and fails_in_every_zone(pool)
--- a/oatcart/policy/locality.py
+++ b/oatcart/policy/locality.py
@@ -52,9 +52,10 @@
     def update(
         self, tables: Iterable[RoutingTable], ready: Collection[Endpoint], latency_objective: float
     ) -> None:
-        """Moves the weights by the strain of each zone against the rest; to be called once a second.
+        """Moves the weights by the strain of each zone against the rest.
 
-        `latency_objective` in seconds, the mean over the requests that come.
+        Called once a second, and with each endpoint list. `latency_objective` in seconds, the mean over the
+        requests that come.
         """
         tables = list(tables)
         self.bound_zones = {zone for table in tables for zone in table.zones}
--- a/oatcart/policy/outlier_detection.py
+++ b/oatcart/policy/outlier_detection.py
@@ -46,6 +46,7 @@
         for number, endpoint in ready.items():
             self._update_answer_share(endpoint, now)
             if endpoint.ejected:
+                # its ramp starts when the ejection ends, also if restore_empty_pools ends it
                 endpoint.ramp_started_at = now
                 if self._may_return(endpoint, now):
                     self.restore(endpoint, now, now)
@@ -107,7 +108,7 @@
 
 
 def restore_empty_pools(pools: Iterable[Pool]) -> None:
-    """Ends the ejections of a pool that has no other endpoint, so that evidence alone empties no table."""
+    """Panic mode: ends all ejections of a pool whose endpoints are all ejected."""
     for pool in pools:
         if all(endpoint.ejected for endpoint in pool.values()):
             for endpoint in pool.values():
--- a/oatcart/policy/publication.py
+++ b/oatcart/policy/publication.py
@@ -19,7 +19,7 @@
 from oatcart.policy.registry import EndpointRegistry
 from oatcart.policy.slow_start import ramp, warm_fraction
 from oatcart.policy.state import Proxy, Round, RoutingTable
-from oatcart.policy.subsetting import RoutingTables
+from oatcart.policy.subsetting import TableRegistry
 from oatcart.policy.weighting import Weighting
 
 MIN_CHANGE = 5.0  # points
@@ -56,7 +56,7 @@
         warm_up: WarmUpLimits,
         registry: EndpointRegistry,
         proxies: Mapping[int, Proxy],
-        tables: RoutingTables,
+        tables: TableRegistry,
         weighting: Weighting,
         channel: UpdateChannel,
     ) -> None:
@@ -99,8 +99,7 @@
             old, new = sent[at], target.get(at, 0)
             if (
                 (old > 0) != (new > 0)
-                or at in falling
-                and self._is_warming_up(at, now)
+                or (at in falling and self._is_warming_up(at, now))
                 or abs(new - old) > threshold * max(MIN_CHANGE, MIN_CHANGE_SHARE * old)
             ):
                 wanted[at] = new
@@ -113,9 +112,11 @@
         return 1.0 + min(MAX_CHANNEL_S, seconds)
 
     def _is_warming_up(self, endpoint: int, now: float) -> bool:
+        """Whether an endpoint does not have its full capacity yet."""
         return warm_fraction(self._registry.endpoints[endpoint], self._warm_up, now) < 1.0
 
     def _in_slow_start(self, endpoint: int, now: float) -> bool:
+        """Whether the ramp of an endpoint's weight is not over, after a start or an ejection."""
         return ramp(now - self._registry.endpoints[endpoint].ramp_started_at) < 1.0
 
     def _is_empty(self, table: RoutingTable, changes: WeightChanges) -> bool:
@@ -145,10 +146,10 @@
         if not due:
             return {}
         endpoints = self._registry.endpoints
-        due.sort(key=lambda at: (endpoints[at].removal_sent, changes.sent[at] > 0, -changes.size(at)))
-        removal_times = {endpoints[at].removal_sent_at for at in due}
+        due.sort(key=lambda at: (endpoints[at].ejection_sent, changes.sent[at] > 0, -changes.size(at)))
+        removal_times = {endpoints[at].ejection_sent_at for at in due}
         unaware = {removed_at: table.unaware_proxies(removed_at) for removed_at in removal_times}
-        notices = [0 if changes.sent[at] else unaware[endpoints[at].removal_sent_at] for at in due]
+        notices = [0 if changes.sent[at] else unaware[endpoints[at].ejection_sent_at] for at in due]
         fitting = self._channel.reserve(table.proxies, len(due), share, 1, notices)
         return {at: changes.wanted[at] for at in due[:fitting]}
 
--- a/oatcart/policy/scoring.py
+++ b/oatcart/policy/scoring.py
@@ -1,4 +1,4 @@
-"""Scores of endpoints: the paper's weighted sum (AADLB, 3.3), its cutoffs and its normalization.
+"""Scores of endpoints: the weighted sum of the paper (see docs/design.md), its cutoffs and normalization.
 
 A score is in points, 0 the worst and 100 the best. The paper's CPU and RAM count as one load here, bytes
 sent and received as one.
@@ -35,16 +35,16 @@
     return min(100.0, max(0.0, points))
 
 
-def weighted_sum(load: float, load_rise: float, duration: float, errors: float) -> float:
+def weighted_sum(load: float, load_rise: float, duration: float, error_ratio: float) -> float:
     """Returns the paper's weighted sum of an endpoint's normalized scores, in points.
 
-    `load` in percent, `load_rise` in percent points over the trend's window, mean `duration` in seconds,
-    `errors` as a ratio of the attempts.
+    `load` in percent, `load_rise` in percentage points over the trend's window, mean `duration` in seconds,
+    `error_ratio` of the attempts.
     """
     load_score = 100.0 if load < IDLE_LOAD else clamp(100.0 - load)
     trend_score = clamp(NEUTRAL_SCORE - load_rise)
     duration_score = clamp(100.0 - max(0.0, duration - QUICK_S) * DURATION_COST)
-    error_score = clamp(100.0 - errors * ERROR_COST)
+    error_score = clamp(100.0 - error_ratio * ERROR_COST)
     return (
         LOAD_PART * load_score
         + TREND_PART * trend_score
@@ -55,10 +55,11 @@
 
 
 def rescore(endpoints: Collection[Endpoint], lists_weights: bool) -> None:
-    """Sets the score of each ready endpoint; to be called once a second, which is the trend's unit.
+    """Sets the score of each ready endpoint.
 
-    An endpoint without reports gets the average. Where discovery lists nominal weights, a score is scaled by
-    the endpoint's weight over the mean one.
+    Called once a second, which is the trend's unit, and with each endpoint list. An endpoint without reports
+    gets the average. Where discovery lists nominal weights, a score is scaled by the endpoint's weight over
+    the mean one.
     """
     scores: dict[int, float] = {}
     for endpoint in endpoints:
--- a/oatcart/policy/slow_start.py
+++ b/oatcart/policy/slow_start.py
@@ -13,8 +13,9 @@
 RAMP_START_SHARE = 0.25  # of its weight that an endpoint has at the start of its ramp
 RAMP_S = 5.0  # length of the ramp
 RAMP_WARM_UPS = 2.0  # warm-ups that the ramp after a start lasts at most
-SAFE_SHARE = 0.25  # of the load that overloads a warming endpoint: proxies draw two and take the less loaded
-# one, and other controllers' proxies send to it too; each leaves a half
+# Of the load that overloads a warming endpoint: proxies use the power of two choices, and other controllers'
+# proxies send to it too; each leaves a half
+SAFE_SHARE = 0.25
 SAFE_DRAWS = 2.5  # times its present capacity that draws may send to a warming endpoint
 POOL_MARGIN = 1.2  # times the present capacity of a mostly warming pool that is admitted
 UNKNOWN_SUCCESS = 0.05  # success ratio that is assumed where nothing is reported, and the least
--- a/oatcart/policy/state.py
+++ b/oatcart/policy/state.py
@@ -1,7 +1,7 @@
 """Records of the state that the decisions keep: endpoints, proxies and routing tables.
 
-Times are seconds of the host's clock. Each field names the module that decides about it where it is not the
-record's own.
+Times are seconds of the host's clock. A comment that ends in the name of a module, or a line above a group
+of fields, says which module sets them.
 """
 
 from collections import deque
@@ -29,7 +29,7 @@
     zone: int = 0
     state: EndpointState = EndpointState.GONE
     state_changed_at: float = LONG_AGO  # when it became ready or ceased to be; LONG_AGO: never listed
-    started_at: float = 0.0  # Unix time; 0: long ago
+    started_at: float = 0.0  # 0: long ago
     nominal_weight: float = 1.0
     ramp_started_at: float = LONG_AGO  # slow_start
     # telemetry
@@ -43,16 +43,16 @@
     answer_share: float = 0.0  # its part of the fleet's answers
     fleet_answers_then: float = 0.0  # answers of all endpoints when this one last answered
     answered_at: float = 0.0
-    ejected: bool = False
+    ejected: bool = False  # as an outlier; for draining and gone endpoints see `unavailable`
     ejected_at: float = LONG_AGO
     passed_checks: int = 0  # health checks passed in a row
     # draining
-    removal_sent_at: float = inf  # when proxies were notified not to use it; inf: they may
+    ejection_sent_at: float = inf  # when proxies were notified not to use it; inf: they may
 
     @property
-    def removal_sent(self) -> bool:
+    def ejection_sent(self) -> bool:
         """Whether the proxies were notified not to use it, and not yet that they may again."""
-        return self.removal_sent_at < inf
+        return self.ejection_sent_at < inf
 
     @property
     def unavailable(self) -> bool:
@@ -70,7 +70,7 @@
     """A proxy that is joined to this controller."""
 
     zone: int
-    configured_before: bool  # by any controller, so it may keep endpoints from use that others removed
+    configured_before: bool  # it has tables of some controller, which may have ejected endpoints there
     joined_at: float
     rates: list[float]  # requests/s, by request class
     sent_at: deque[float] = field(default_factory=deque)  # of messages within the cap's window; flow_control
--- a/oatcart/policy/subsetting.py
+++ b/oatcart/policy/subsetting.py
@@ -15,9 +15,8 @@
 from oatcart.policy.registry import EndpointRegistry
 from oatcart.policy.state import Endpoint, RoutingTable
 
-DEADLINE_SHARE = (
-    0.5  # of the drain deadline that complete tables may take the channel; the rest is for change
-)
+# Of the drain deadline that sending complete tables may take; the rest is for changes
+DEADLINE_SHARE = 0.5
 MIN_SUBSET = 4  # endpoints; with fewer, two draws meet failing ones too often
 SUBSETS_PER_ENDPOINT = 2
 MAX_SIZE_FACTOR = 1.5  # a joining proxy is given no table larger than so many times the wanted size
@@ -30,7 +29,7 @@
     tables: deque[RoutingTable]  # those with the fewest proxies first
 
 
-class RoutingTables:
+class TableRegistry:
     """All routing tables, by number, and the endpoints of each."""
 
     def __init__(
@@ -48,6 +47,10 @@
         self.awaited: set[int] = set()  # numbers of tables that joining proxies are about to get
         self.has_subsets = False
 
+    def await_tables(self, numbers: set[int]) -> None:
+        """Sets which tables joining proxies are about to get; they count as in use."""
+        self.awaited = numbers
+
     def in_use(self, table: RoutingTable) -> bool:
         """Whether a table counts: a subset does only while proxies have it or are about to get it."""
         return table.complete or bool(table.proxies) or table.number in self.awaited
--- a/oatcart/policy/telemetry.py
+++ b/oatcart/policy/telemetry.py
@@ -96,8 +96,8 @@
 
     def _learn_capacity(self, endpoint: Endpoint, in_flight: float) -> None:
         """Raises the capacity to what is in flight on time, and lowers it while the endpoint is late."""
-        objective = ON_TIME_SHARE * self.latency_objective
-        late = endpoint.answers and endpoint.answer_seconds / endpoint.answers > objective
+        on_time = ON_TIME_SHARE * self.latency_objective
+        late = endpoint.answers and endpoint.answer_seconds / endpoint.answers > on_time
         if late:
             step = CAPACITY_STEP_DOWN * min(0.0, in_flight - endpoint.capacity)
             endpoint.capacity = max(MIN_CAPACITY, endpoint.capacity + step)
--- a/oatcart/policy/weighting.py
+++ b/oatcart/policy/weighting.py
@@ -5,7 +5,7 @@
 from oatcart.policy.locality import LOCAL_FACTOR, ZoneSpillover
 from oatcart.policy.slow_start import limit_warming_weights, ramp, warm_fraction
 from oatcart.policy.state import Endpoint, RoutingTable
-from oatcart.policy.subsetting import RoutingTables
+from oatcart.policy.subsetting import TableRegistry
 from oatcart.policy.workload import Workload
 
 
@@ -15,7 +15,7 @@
     def __init__(
         self,
         warm_up: WarmUpLimits,
-        tables: RoutingTables,
+        tables: TableRegistry,
         spillover: ZoneSpillover,
         workload: Workload,
         shedding: LoadShedding,
@@ -49,6 +49,7 @@
         """Returns what an endpoint's score is multiplied by: its ramp, its zone's weight, locality."""
         zone_weight = 1.0 if table.zones else self._spillover.weight(endpoint.zone)
         bound = endpoint.zone in self._spillover.bound_zones
+        # a zone that classes are bound to is relieved of other requests; any other only loses its preference
         factor = ramp(now - endpoint.ramp_started_at) * (zone_weight if bound else 1.0)
         if endpoint.zone in local_zones:
             factor *= 1.0 + (LOCAL_FACTOR - 1) * zone_weight
--- a/oatcart/policy/workload.py
+++ b/oatcart/policy/workload.py
@@ -5,14 +5,14 @@
 from oatcart.model import RequestClass
 from oatcart.policy.registry import EndpointRegistry
 from oatcart.policy.state import RoutingTable
-from oatcart.policy.subsetting import SUBSETS_PER_ENDPOINT, RoutingTables
+from oatcart.policy.subsetting import SUBSETS_PER_ENDPOINT, TableRegistry
 
 
 class Workload:
     """Offered work by table, in seconds of work a second: the rate times the latency objective."""
 
     def __init__(
-        self, request_classes: Sequence[RequestClass], registry: EndpointRegistry, tables: RoutingTables
+        self, request_classes: Sequence[RequestClass], registry: EndpointRegistry, tables: TableRegistry
     ) -> None:
         """`request_classes`: by number."""
         self._request_classes = request_classes
--- a/oatcart/routing_tables.py
+++ b/oatcart/routing_tables.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from oatcart.commands import ALL_TABLES, NONCE_COUNT
+from oatcart.commands import ALL_TABLES, NONCE_COUNT, covers
 from oatcart.model import RetryPolicy
 
 
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class RoutingTable:
+class TableContents:
     """One routing table, and what the round's commands changed in it."""
 
     weights: dict[int, float] = field(default_factory=dict)  # by endpoint, points, all above 0
@@ -92,7 +92,7 @@
 
     def __init__(self, class_count: int) -> None:
         self.all_classes = (1 << class_count) - 1
-        self.tables: dict[int, RoutingTable] = {}
+        self.tables: dict[int, TableContents] = {}
         self.proxies: dict[int, ProxyState] = {}
         self.ejected: set[int] = set()  # endpoints
         self.shared_admission: dict[int, Admission] = {}  # of all tables, by request class
@@ -126,7 +126,7 @@
     def clear_table(self, table: int) -> None:
         """Remove all weights and admission of a routing table."""
         proxies = self._table(table).proxies
-        self.tables[table] = RoutingTable(cleared=True, proxies=proxies)
+        self.tables[table] = TableContents(cleared=True, proxies=proxies)
         self.changes.tables.add(table)
 
     def assign_table(self, table: int, proxy: int, classes: int) -> None:
@@ -189,7 +189,7 @@
         last = self.proxies[proxy].last_nonce
         if last is None or nonce >= NONCE_COUNT:
             return False
-        return (last - nonce) % NONCE_COUNT < NONCE_COUNT // 2
+        return covers(last, nonce)
 
     def admission_of(self, table: int, request_class: int) -> Admission | None:
         """What is admitted of a class in a table; None where it was never set."""
@@ -210,10 +210,10 @@
                 yield proxy, tuple(parts)
         self._changes_sent()
 
-    def _table(self, number: int) -> RoutingTable:
-        return self.tables.setdefault(number, RoutingTable())
+    def _table(self, number: int) -> TableContents:
+        return self.tables.setdefault(number, TableContents())
 
-    def _changed_table(self, number: int) -> RoutingTable:
+    def _changed_table(self, number: int) -> TableContents:
         self.changes.tables.add(number)
         return self._table(number)
 
@@ -253,7 +253,7 @@
             endpoints += shared[key].endpoints
         if self.changes.shared_admission:
             changed = [one for one in bits_of(unassigned) if one in self.changes.shared_admission]
-            parts += self._admission_parts(RoutingTable(), changed)
+            parts += self._admission_parts(TableContents(), changed)
         parts = self._with_ejections(state, endpoints, parts)
         return self._with_nonce(state, parts)
 
@@ -272,7 +272,7 @@
         parts += self._admission_parts(table, [one for one in bits_of(classes) if one in admission])
         return TableParts(parts, [endpoint for endpoint, weight in weights.items() if weight > 0])
 
-    def _admission_parts(self, table: RoutingTable, request_classes: list[int]) -> list[UpdatePart]:
+    def _admission_parts(self, table: TableContents, request_classes: list[int]) -> list[UpdatePart]:
         """A part for each different admission; classes with the same share one."""
         classes_by_admission: dict[Admission, int] = {}
         for request_class in request_classes:
@@ -285,7 +285,7 @@
             for admission, classes in classes_by_admission.items()
         ]
 
-    def _effective_admission(self, table: RoutingTable, request_class: int) -> Admission:
+    def _effective_admission(self, table: TableContents, request_class: int) -> Admission:
         """The lower quota of the table's and the shared one, with the table's retry policy if it has one."""
         own = table.admission.get(request_class)
         shared = self.shared_admission.get(request_class)
--- a/oatcart/settings.py
+++ b/oatcart/settings.py
@@ -55,27 +55,27 @@
     Raises InvalidSettingError where a required number is missing, AttributeError, TypeError or ValueError
     where a value has another form.
     """
-    plane = settings.get("specifics") or {}
+    specifics = settings.get("specifics") or {}
     rules = settings.get("rules") or {}
     return ControllerSettings(
-        request_classes=_read_request_classes(settings, plane),
+        request_classes=_read_request_classes(settings, specifics),
         discovery=DiscoverySettings(
             must_watch=settings.get("membershipMode") == "subscribe",
             lists_weights=settings.get("weights", "off") != "off",
         ),
-        channel=_read_channel_limits(plane),
+        channel=_read_channel_limits(specifics),
         warm_up=_with_given(
             WarmUpLimits(),
             duration=read_seconds(rules, "cold"),
             initial_fraction=rules.get("coldShare"),
             overload_multiple=rules.get("tipMultiple"),
         ),
-        report_period=require_amount(plane, "period", "specifics", 0.0) / MS_PER_SECOND,
-        admission_mode=_ADMISSION_MODES.get(plane.get("admit"), AdmissionMode.NONE),
+        report_period=require_amount(specifics, "period", "specifics", 0.0) / MS_PER_SECOND,
+        admission_mode=_ADMISSION_MODES.get(specifics.get("admit"), AdmissionMode.NONE),
         cross_zone_price=(settings.get("penalties") or {}).get("crossZone", 0.0),
         health_checks_allowed=bool((settings.get("policyLimits") or {}).get("probes")),
         drain_deadline=read_seconds(rules, "stopSendingWithin", inf),
-        expected_proxies=plane.get("proxyCount", 0) / max(1, settings.get("balancers") or 1),
+        expected_proxies=specifics.get("proxyCount", 0) / max(1, settings.get("balancers") or 1),
     )
 
 
@@ -89,9 +89,9 @@
     return replace(controller, discovery=controller.discovery._replace(must_watch=True))
 
 
-def _read_request_classes(settings: dict, plane: dict) -> tuple[RequestClass, ...]:
+def _read_request_classes(settings: dict, specifics: dict) -> tuple[RequestClass, ...]:
     zones = settings.get("zones") or []
-    own_zone_only = plane.get("zoneBound") or []
+    own_zone_only = specifics.get("zoneBound") or []
     return tuple(
         RequestClass(
             priority_weight=grade.get("worth", 1.0),
@@ -110,17 +110,17 @@
     return tuple(zones.index(zone) if isinstance(zone, str) else int(zone) for zone in known)
 
 
-def _read_channel_limits(plane: dict) -> ChannelLimits:
-    line_rate = require_amount(plane, "pushRate", "specifics")
+def _read_channel_limits(specifics: dict) -> ChannelLimits:
+    line_rate = require_amount(specifics, "pushRate", "specifics")
     message_window = None  # required with a message cap alone
-    if plane.get("messagesMost"):
-        message_window = require_amount(plane, "updateWindow", "specifics") / MS_PER_SECOND
+    if specifics.get("messagesMost"):
+        message_window = require_amount(specifics, "updateWindow", "specifics") / MS_PER_SECOND
     return _with_given(
         ChannelLimits(),
         line_rate=line_rate,
-        message_overhead=plane.get("envelope"),
-        max_queue=plane.get("queueCap"),
-        max_messages=plane.get("messagesMost"),
+        message_overhead=specifics.get("envelope"),
+        max_queue=specifics.get("queueCap"),
+        max_messages=specifics.get("messagesMost"),
         message_window=message_window,
     )
 
--- a/oatcart/simhost/adapter.py
+++ b/oatcart/simhost/adapter.py
@@ -29,7 +29,7 @@
         return self._decoder.decode(record)
 
     def decide(self, now: float, events: Iterable[Event]) -> list[bytes]:
-        """Play one round at `now` (s); return its packed commands, with a fault after them if it failed."""
+        """Run one round at `now` (s); return its packed commands, with a fault after them if it failed."""
         records: list[bytes] = []
         encoder = CommandEncoder(self._number, self._decoder.endpoint_ids, records)
         try:
--- a/oatcart/simhost/command_encoding.py
+++ b/oatcart/simhost/command_encoding.py
@@ -80,7 +80,7 @@
         )
 
     def forget_endpoint(self, endpoint: int) -> None:
-        """Restore an endpoint that is gone; its number stays, as an instance does not outlive its day."""
+        """Restore an endpoint that is gone; its number stays, as an instance lasts one simulation run."""
         self.set_ejected(endpoint, False)
 
     def assign_table(self, table: int, proxy: int, classes: int) -> None:
@@ -127,7 +127,7 @@
 
 
 def encode_fault(instance: int, text: str) -> bytes:
-    """Pack a record that ends the simulated day, as the decisions of an instance have failed."""
+    """Pack a record that ends the simulation run, as the decisions of an instance have failed."""
     return _encode_text(CommandCode.FAULT, instance, text)
 
 
--- a/oatcart/xds/__main__.py
+++ b/oatcart/xds/__main__.py
@@ -15,7 +15,6 @@
 
 from oatcart.errors import InvalidConfigurationError
 from oatcart.net.configuration import read_configuration
-from oatcart.xds.configuration import Wrong
 from oatcart.xds.configuration import read as read_xds
 from oatcart.xds.serve import UNUSABLE, run
 
@@ -34,7 +33,7 @@
             from oatcart.trace import controller_tracing
 
             where = tracing.read(told.trace)
-    except (Wrong, InvalidConfigurationError) as error:
+    except InvalidConfigurationError as error:
         print(error, file=sys.stderr)
         return UNUSABLE
     if told.check:
--- a/oatcart/xds/configuration.py
+++ b/oatcart/xds/configuration.py
@@ -5,9 +5,10 @@
 
 from ruamel.yaml.comments import CommentedMap
 
-from oatcart.yaml_files import Wrong, address, boolean, duration, integer, load, name, table
+from oatcart.errors import InvalidConfigurationError
+from oatcart.yaml_files import address, boolean, duration, integer, load, name, table
 
-__all__ = ["Source", "Wrong", "Xds", "read"]
+__all__ = ["Source", "InvalidConfigurationError", "Xds", "read"]
 
 
 class Source(NamedTuple):
@@ -49,7 +50,7 @@
 
 
 def read(path: str | Path) -> Xds:
-    """The file's settings; raises Wrong with all that is wrong in it."""
+    """The file's settings; raises InvalidConfigurationError with all that is wrong in it."""
     wrong: list[str] = []
     told, where = load(path)
     if told is None:
@@ -64,5 +65,5 @@
         ]
         found["source"] = Source(**source) if not wrong else None
     if wrong:
-        raise Wrong("\n".join(wrong))
+        raise InvalidConfigurationError("\n".join(wrong))
     return Xds(**found)
--- a/oatcart/yaml_files.py
+++ b/oatcart/yaml_files.py
@@ -22,9 +22,6 @@
 MAX_NAME_LETTERS = 256
 PORTS = 65536
 
-# The name in packages that have not taken the new one.
-Wrong = InvalidConfigurationError
-
 
 def duration(value: object) -> float:
     """Parses a time with its unit, above 0 and up to an hour; returns seconds.
--- a/tests/xds/test_configuration.py
+++ b/tests/xds/test_configuration.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from oatcart.xds.configuration import Source, Wrong, Xds, read
+from oatcart.xds.configuration import InvalidConfigurationError, Source, Xds, read
 
 ROOT = Path(__file__).parents[2]
 
@@ -56,14 +56,14 @@
 )
 def test_errors_name_file_line_and_field(tmp_path, text, said):
     (tmp_path / "x.yaml").write_text(text)
-    with pytest.raises(Wrong) as wrong:
+    with pytest.raises(InvalidConfigurationError) as wrong:
         read(tmp_path / "x.yaml")
     for one in said:
         assert one in str(wrong.value), str(wrong.value)
 
 
 def test_a_file_that_is_not_there(tmp_path):
-    with pytest.raises(Wrong, match="none.yaml"):
+    with pytest.raises(InvalidConfigurationError, match="none.yaml"):
         read(tmp_path / "none.yaml")
 
 
