--- a/oatcart/scale/peers.py
+++ b/oatcart/scale/peers.py
@@ -26,7 +26,7 @@
 ANSWER_MS = 40.0, 160.0  # the range of mean durations: well under what makes the module lean away from a zone
 CONCURRENT_MOST = 8  # requests that an endpoint reports to hold
 ACKNOWLEDGED_AFTER_MS = 1000 * TICK_S
-MARK_KEY = b'"nonce_out":'
+NONCE_KEY = b'"nonce_out":'
 
 
 class PeerMessage(NamedTuple):
@@ -86,7 +86,7 @@
 
 
 class ControllerPeers:
-    """All peers of one controller. `keep_orders` applies orders to tables; else only marks are looked for."""
+    """All peers of one controller. `keep_orders`: updates are applied to tables, else searched for nonces."""
 
     def __init__(self, settings: PeerSettings, keep_orders: bool = False) -> None:
         self.settings, self.keep_orders = settings, keep_orders
@@ -120,7 +120,7 @@
         """All that is said in the next tick: acknowledgements, a part of the usage, sums of what was met."""
         tick = next(self._ticks)
         random = Random(self.settings.seed * 1_000_003 + tick)
-        return [*self._acknowledgements(), *self._usage(tick, random), *self._met(tick, random)]
+        return [*self._acknowledgements(), *self._usage(tick, random), *self._load_reports(tick, random)]
 
     def take(self, proxy: int, data: bytes) -> None:
         """Bytes that came on a proxy's stream; they are read with the next tick."""
@@ -136,16 +136,16 @@
         self.failing = set(endpoints)
 
     def _acknowledgements(self) -> list[PeerMessage]:
-        marks = {proxy: mark for proxy in self.tables if (mark := self._read(proxy)) is not None}
+        nonces = {proxy: nonce for proxy in self.tables if (nonce := self._read(proxy)) is not None}
         return [
             self._message(
-                proxy, {"msg": "applied", "sidecar": proxy, "version": mark, "lag_ms": ACKNOWLEDGED_AFTER_MS}
+                proxy, {"msg": "applied", "sidecar": proxy, "version": nonce, "lag_ms": ACKNOWLEDGED_AFTER_MS}
             )
-            for proxy, mark in marks.items()
+            for proxy, nonce in nonces.items()
         ]
 
     def _read(self, proxy: int) -> int | None:
-        """Reads whole lines of a stream; the last mark that was asked for."""
+        """Reads whole lines of a stream; the last nonce that was asked for."""
         unread = self._unread[proxy]
         end = unread.rfind(b"\n") + 1
         lines = bytes(unread[:end])
@@ -154,13 +154,13 @@
             return None
         self.traffic.messages_out += lines.count(b"\n")
         if not self.keep_orders:
-            return last_mark(lines)
-        mark = None
+            return last_nonce(lines)
+        nonce = None
         for line in lines.splitlines():
             order = orjson.loads(line)
             self.tables[proxy].apply(order, self.settings.routes)
-            mark = order.get("nonce_out", mark)
-        return mark
+            nonce = order.get("nonce_out", nonce)
+        return nonce
 
     def _usage(self, tick: int, random: Random) -> list[PeerMessage]:
         """Every proxy tells its usage once a period, a part of the proxies in each tick."""
@@ -182,12 +182,12 @@
             for route in self.settings.routes
         ]
 
-    def _met(self, tick: int, random: Random) -> list[PeerMessage]:
+    def _load_reports(self, tick: int, random: Random) -> list[PeerMessage]:
         """Sums of a part of the endpoints, in turn: one left out for long would be taken for silent."""
         first = self._sums_per_s * tick // TICKS_OF_PERIOD
         after_last = self._sums_per_s * (tick + 1) // TICKS_OF_PERIOD
-        met = [self._endpoints[place % len(self._endpoints)] for place in range(first, after_last)]
-        return [self._message(None, self._sum(endpoint, random)) for endpoint in met]
+        endpoints = [self._endpoints[place % len(self._endpoints)] for place in range(first, after_last)]
+        return [self._message(None, self._sum(endpoint, random)) for endpoint in endpoints]
 
     def _sum(self, endpoint: str, random: Random) -> dict:
         requests_per_s = self.settings.proxies * self.settings.requests_per_proxy
@@ -210,16 +210,16 @@
         return PeerMessage(proxy, self.settings.zone, line)
 
 
-def last_mark(lines: bytes) -> int | None:
-    """The last mark asked for in encoded orders, found without reading their tables.
+def last_nonce(lines: bytes) -> int | None:
+    """The last nonce asked for in encoded orders, found without reading their tables.
 
-    >>> last_mark(b'{"msg":"update","nonce_out":904}\\n{"msg":"update","nonce_out":905}\\n')
+    >>> last_nonce(b'{"msg":"update","nonce_out":904}\\n{"msg":"update","nonce_out":905}\\n')
     905
     """
-    at = lines.rfind(MARK_KEY)
+    at = lines.rfind(NONCE_KEY)
     if at < 0:
         return None
-    return int(lines[at + len(MARK_KEY) :].split(b"}", 1)[0].split(b",", 1)[0])
+    return int(lines[at + len(NONCE_KEY) :].split(b"}", 1)[0].split(b",", 1)[0])
 
 
 def collector_line(zone: str) -> bytes:
--- a/tests/scale/test_scale_hollow.py
+++ b/tests/scale/test_scale_hollow.py
@@ -11,7 +11,7 @@
 from oatcart.scale.discovery import Discovery
 from oatcart.scale.hollow import Hollows
 from oatcart.scale.metering import Meter, MeteredLoop, metered
-from oatcart.scale.peers import ControllerPeers, PeerSettings, ProxyTables, last_mark
+from oatcart.scale.peers import ControllerPeers, PeerSettings, ProxyTables, last_nonce
 
 ROUTES = 2
 PROXIES = 3
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize("keep_orders", [False, True])
-def test_a_mark_is_acknowledged_once_its_line_is_whole(keep_orders: bool) -> None:
+def test_a_nonce_is_acknowledged_once_its_line_is_whole(keep_orders: bool) -> None:
     one = ControllerPeers(peers(), keep_orders)
     line = b'{"msg":"update","endpoints":[["node-01",1.5]],"nonce_out":905}\n'
     one.take(1, line[:20])
@@ -157,8 +157,8 @@
     assert one.traffic.bytes_out == len(line) and one.traffic.messages_out == 1
 
 
-def test_without_a_mark_there_is_none() -> None:
-    assert last_mark(b'{"msg":"update","eject":["node-01"]}\n') is None
+def test_without_a_nonce_there_is_none() -> None:
+    assert last_nonce(b'{"msg":"update","eject":["node-01"]}\n') is None
 
 
 def test_a_proxy_holds_what_its_orders_say() -> None:
