--- a/tests/net/test_configuration_reload.py
+++ b/tests/net/test_configuration_reload.py
@@ -56,7 +56,7 @@
     monkeypatch.setenv("EDGE_CONFIG", str(tmp_path / "cfg"))
     with woken, waker:
         loop, rounds, acceptor = assemble(CONFIG, woken)
-        with acceptor.listener:
+        with acceptor.listener, loop.epoll:
             before = rounds.watcher.discovery, loop.connection_limit
             other = CONFIG | {"discovery": "127.0.0.1:2", "limits": {"sockets": 300}}
             for text, found in (
