--- a/tests/net/test_acceptor.py
+++ b/tests/net/test_acceptor.py
@@ -28,11 +28,11 @@
     listener.setblocking(False)
     one.loop.spawn(one.acceptor._accept(full))
     with listener, socket.create_connection(listener.getsockname()) as end:
-        one.until(lambda: "no capacity" in one.out.getvalue(), "a line in the log")
-        one.quiet()
+        one.wait_until(lambda: "no capacity" in one.log_output.getvalue(), "a line in the log")
+        one.settle()
         assert full.tries == 1
         one.now += ACCEPT_PAUSE_S
         end.sendall(b'{"msg":"ping"}\n')
-        one.quiet()
+        one.settle()
         assert end.recv(100) == b'{"msg":"pong"}\n'
         one.close()
--- a/tests/net/test_configuration_reload.py
+++ b/tests/net/test_configuration_reload.py
@@ -4,10 +4,11 @@
 import signal
 import socket
 
+import network_stage
 import pytest
-import stage
 from controller_process import CONFIG, controller, reloaded
 
+from oatcart.net.acceptor import RESERVED_DESCRIPTORS
 from oatcart.net.assembly import assemble
 
 
@@ -61,10 +62,10 @@
             other = CONFIG | {"discovery": "127.0.0.1:2", "limits": {"sockets": 300}}
             for text, found in (
                 (other | {field: "127.0.0.9:9"}, before),
-                (other, (("127.0.0.1", 2), 300 - stage.RESERVED_DESCRIPTORS)),
+                (other, (("127.0.0.1", 2), 300 - RESERVED_DESCRIPTORS)),
             ):
                 (tmp_path / "cfg").write_text(json.dumps(text))
                 waker.send(b"\x01")
-                for _ in range(stage.QUIET):
-                    loop.turn(stage.TURN)
+                for _ in range(network_stage.SETTLE_TURNS):
+                    loop.turn(network_stage.TURN_S)
                 assert (rounds.watcher.discovery, loop.connection_limit) == found
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -81,7 +81,7 @@
     end = stack.enter_context(socket.create_connection(one.listener.getsockname()))
     end.setblocking(False)
     end.sendall(said)
-    one.quiet()
+    one.settle()
     return end
 
 
@@ -99,7 +99,7 @@
         one.turn()
         assert [*one.rounds.streams] == [1, 2]
         assert not one.acceptor.unidentified
-        assert "connection of unidentified peer ended: timed out" in one.out.getvalue()
+        assert "connection of unidentified peer ended: timed out" in one.log_output.getvalue()
 
 
 def test_who_never_stops_is_late_all_the_same():
@@ -136,17 +136,17 @@
     dials be.
     """
     with ExitStack() as stack:
-        one, _ = stage_with(stack, room=2)
+        one, _ = stage_with(stack, connection_limit=2)
         oldest, next_one = dial_in(stack, one), dial_in(stack, one)
         newest = stack.enter_context(socket.create_connection(one.listener.getsockname()))
         oldest.sendall(JOINED % 1)  # behind the newest, so the acceptor's turn is first
         next_one.sendall(b'{"msg":"jo')
-        one.quiet()
+        one.settle()
         assert [*one.rounds.streams] == [1]
-        ended = one.out.getvalue().count("connection of unidentified peer ended: no capacity")
+        ended = one.log_output.getvalue().count("connection of unidentified peer ended: no capacity")
         assert ended == 1
         newest.sendall(JOINED % 2)
-        one.quiet()
+        one.settle()
         assert [*one.rounds.streams] == [1, 2]
 
 
@@ -156,8 +156,12 @@
     further round had told it."""
     with ExitStack() as stack:
         one, [end, other] = stage_with(stack, [1, 2])
-        for order in ("order set_weight 0 1 20", "order assign_table 0 1 0", "order assign_table 0 2 0"):
-            one.play(order)
+        for command in (
+            "command set_weight 0 1 20",
+            "command assign_table 0 1 0",
+            "command assign_table 0 2 0",
+        ):
+            one.play(command)
         one.codec.number_of("n0"), one.codec.number_of("n1")
         stream, sent = one.rounds.streams[1], []
 
@@ -177,10 +181,10 @@
         one.turn()
         assert [*one.rounds.streams] == [1, 2] and len(sent) == 1  # the rest waits until there is room
         one.turn()
-        one.quiet()
-        assert [*one.rounds.streams] == [2] and one.said[-1] == "left 1" and len(sent) == 2
-        one.play("order set_weight 0 0 5")
-        one.quiet()
+        one.settle()
+        assert [*one.rounds.streams] == [2] and one.events_seen[-1] == "ProxyLeft 1" and len(sent) == 2
+        one.play("command set_weight 0 0 5")
+        one.settle()
         assert len(sent) == 2 and b"n0" in other.recv(4096)
         assert end.recv(4096) == sent[0][: len(sent[0]) // 2] and end.recv(4096) == b""
 
@@ -192,11 +196,11 @@
         one, [end, _] = stage_with(stack, [1, 2])
         end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         end.close()
-        one.play("order request_ack 3 true")
+        one.play("command request_ack 3 true")
         one.rounds.run_if_due()  # the loop has not taken the reset in yet
         assert [*one.rounds.streams] == [*one.rounds.proxies] == [2]
         one.rounds.run_if_due()
-        assert one.said[-1] == "left 1"
+        assert one.events_seen[-1] == "ProxyLeft 1"
 
 
 def test_floods_of_strangers_cost_a_rejoining_fleet_nothing():
@@ -204,9 +208,9 @@
     call to discovery is open: every proxy joins, every stranger is closed by its deadline, and descriptors
     stay under the limit."""
     with ExitStack() as stack:
-        one, _ = stage_with(stack, room=80)
-        one.play("order watch_endpoints true")
-        one.play("asked /v1/servers?since=0&timeout_ms=0")
+        one, _ = stage_with(stack, connection_limit=80)
+        one.play("command watch_endpoints true")
+        one.play("expect_request /v1/servers?since=0&timeout_ms=0")
         strangers, proxies, most = [], [], 0
         for number in range(60):
             for text in b"", b'{"msg":"jo', b'{"msg":"ping"}\n' * 3, b"GET / HTTP/1.1\r\n\r\n", b"x" * 3000:
@@ -218,14 +222,14 @@
             proxies[-1].sendall(JOINED % number)
             one.turn()
             most = max(most, one.loop.connections)
-        one.quiet()
+        one.settle()
         assert sorted(one.rounds.streams) == [*range(60)] and most <= one.loop.connection_limit
         one.now += IDENTIFICATION_TIMEOUT_S
-        one.quiet()
+        one.settle()
         assert not one.acceptor.unidentified and len(one.acceptor.tasks) == 60
         for at, end in enumerate(strangers):
-            one.ends[at] = end
-            assert one.has_ended(at) or one.has_ended(at), at  # behind its pongs
-        one.play("order request_ack 5 true")
-        one.quiet()
+            one.connections[at] = end
+            assert one.is_closed(at) or one.is_closed(at), at  # behind its pongs
+        one.play("command request_ack 5 true")
+        one.settle()
         assert all(b'"nonce_out":5' in end.recv(4096) for end in proxies)
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -4,6 +4,7 @@
 import json
 import socket
 
+import network_stage
 import stage
 from controller_process import CONFIG, ROOT
 
@@ -24,8 +25,8 @@
         call, _ = desk.accept()
         with call, acceptor.listener:
             call.settimeout(5)
-            for _ in range(stage.QUIET):
-                loop.turn(stage.TURN)
+            for _ in range(network_stage.SETTLE_TURNS):
+                loop.turn(network_stage.TURN_S)
             assert call.recv(4096).startswith(b"GET /v1/servers?since=")
 
 
@@ -38,12 +39,12 @@
 
     with monkeypatch.context() as patch:
         patch.setattr(socket, "socket", full)
-        for line in ("order fetch_endpoints", "told unlisted") * 2:
+        for line in ("command fetch_endpoints", "expect_event EndpointListFailed") * 2:
             one.play(line)
-        for line in ("order watch_endpoints true", "told unlisted"):
+        for line in ("command watch_endpoints true", "expect_event EndpointListFailed"):
             one.play(line)
         assert one.rounds.watcher.watch_task is None  # Failure: it was noted as standing after it had ended
-    for line in ("order fetch_endpoints", "asked /v1/servers"):
+    for line in ("command fetch_endpoints", "expect_request /v1/servers"):
         one.play(line)
     one.close()
 
--- a/tests/net/test_short_days.py
+++ b/tests/net/test_short_days.py
@@ -7,6 +7,7 @@
 from pathlib import Path
 from statistics import median
 
+import network_stage
 import pytest
 import stage
 from live.discovery import Discovery, Member, listed
@@ -109,16 +110,16 @@
     data, one = JOINING + USAGE + PING, stage.Stage({})
     try:
         for cut in range(len(data) + 1):
-            one.said.clear()
-            one.play("dials p")
-            one.ends["p"].sendall(data[:cut])
-            one.turn(stage.TURN)
-            one.ends["p"].sendall(data[cut:])
-            assert one.until(lambda: one.line_from("p"), f"no pong, cut at {cut}") == {"msg": "pong"}
-            one.until(lambda: len(one.said) == 2, f"cut at {cut}")
-            assert one.said == ["joined 5 0 2.5 True", "came 5 1 19 1 1.0"], cut
+            one.events_seen.clear()
+            one.play("connect_at_once p")
+            one.connections["p"].sendall(data[:cut])
+            one.turn(network_stage.TURN_S)
+            one.connections["p"].sendall(data[cut:])
+            assert one.wait_until(lambda: one.next_message("p"), f"no pong, cut at {cut}") == {"msg": "pong"}
+            one.wait_until(lambda: len(one.events_seen) == 2, f"cut at {cut}")
+            assert one.events_seen == ["ProxyJoined 5 0 2.5 True", "ProxyLoadReported 5 1 19 1 1.0"], cut
             one.play("close p")
-            one.play("told left 5")
+            one.play("expect_event ProxyLeft 5")
     finally:
         one.close()
 
@@ -140,11 +141,11 @@
         end.connect(one.listener.getsockname())
         end.setblocking(False)
         end.sendall(JOINING.replace(b"5", b"%d" % number, 1))
-    one.quiet()
+    one.settle()
     one.rounds.streams[0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, NARROW)
     for node in range(WIDE):
         one.codec.number_of(f"s-{node:08x}")
-        one.play(f"order set_weight 0 {node} {node % 90 + 1}")
+        one.play(f"command set_weight 0 {node} {node % 90 + 1}")
     return one, *ends
 
 
@@ -166,9 +167,9 @@
             mark += 1
             assert mark < UNREAD_ROUNDS
             for line in (
-                "order assign_table 0 0 0",
-                "order assign_table 0 1 0",
-                f"order request_ack {mark} true",
+                "command assign_table 0 0 0",
+                "command assign_table 0 1 0",
+                f"command request_ack {mark} true",
             ):
                 one.play(line)
             one.turn()
@@ -193,18 +194,18 @@
             if 0 not in one.rounds.streams:
                 break
             for line in (
-                "order assign_table 0 0 0",
-                "order assign_table 0 1 0",
-                f"order request_ack {mark} true",
+                "command assign_table 0 0 0",
+                "command assign_table 0 1 0",
+                f"command request_ack {mark} true",
             ):
                 one.play(line)
             one.turn()
             assert len(stream.unsent) <= MAX_UNSENT_BYTES
             heard += taken(other, 1 << 22).count(b"\n")
-        one.quiet()
+        one.settle()
         heard += taken(other, 1 << 22).count(b"\n")
-        assert [*one.rounds.streams] == [1] and one.said[-1] == "left 0" and heard == mark
-        assert "left too much unread" in one.out.getvalue()
+        assert [*one.rounds.streams] == [1] and one.events_seen[-1] == "ProxyLeft 0" and heard == mark
+        assert "left too much unread" in one.log_output.getvalue()
 
 
 DOZENS = 24
--- a/tests/net/test_socket_wire_bytes.py
+++ b/tests/net/test_socket_wire_bytes.py
@@ -9,7 +9,7 @@
 from oatcart.routing_tables import UpdatePart
 
 LIST = (
-    'roll revision=41 complete=true members=[["s-1f","a","SERVING",0],["s-2e","a","SERVING",0],'
+    'known_list revision=41 complete=true members=[["s-1f","a","SERVING",0],["s-2e","a","SERVING",0],'
     '["s-3d","b","SERVING",0]]'
 )
 
@@ -29,44 +29,46 @@
 
     def read():
         with suppress(BlockingIOError):
-            found.extend(stage.ends[end].recv(65536))
+            found.extend(stage.connections[end].recv(65536))
         return len(found) >= size
 
-    stage.until(read, f"{size} bytes to {end}, {bytes(found)}")
-    stage.quiet()
+    stage.wait_until(read, f"{size} bytes to {end}, {bytes(found)}")
+    stage.settle()
     read()
     return bytes(found)
 
 
-def request_head(stage, order):
+def request_head(stage, command):
     """The bytes of the request that a command makes at discovery or at an endpoint."""
-    stage.play(f"order {order}")
+    stage.play(f"command {command}")
     found = bytearray()
 
     def read():
-        if not stage.calls:
+        if not stage.requests:
             try:
-                stage.calls.append(stage.desk.accept()[0])
-                stage.calls[0].setblocking(False)
+                stage.requests.append(stage.discovery_server.accept()[0])
+                stage.requests[0].setblocking(False)
             except BlockingIOError:
                 return False
         with suppress(BlockingIOError):
-            found.extend(stage.calls[0].recv(65536))
+            found.extend(stage.requests[0].recv(65536))
         return found.endswith(b"\r\n\r\n")
 
-    stage.until(read, order)
+    stage.wait_until(read, command)
     return bytes(found)
 
 
 def answer(stage, head, body):
     """Answers the open call."""
-    stage.calls[0].sendall(head + b"Content-Length: %d\r\n\r\n" % len(body) + body)
+    stage.requests[0].sendall(head + b"Content-Length: %d\r\n\r\n" % len(body) + body)
 
 
 def join(stage, end, standing):
-    stage.play(f"dial {end}")
-    stage.ends[end].sendall(b'{"msg":"joined","sidecar":5,"az":"b","share":6.5,"standing":%s}\n' % standing)
-    stage.quiet()
+    stage.play(f"connect {end}")
+    stage.connections[end].sendall(
+        b'{"msg":"joined","sidecar":5,"az":"b","share":6.5,"standing":%s}\n' % standing
+    )
+    stage.settle()
 
 
 def test_an_update_has_all_its_fields_in_this_order():
@@ -95,7 +97,7 @@
 def test_updates_on_a_stream_are_these_bytes(stage):
     """A proxy that was configured before gets two tables, then changes of each kind."""
     join(stage, "p", b"false")
-    for order in (
+    for command in (
         "set_weight 0 0 20.5",
         "set_weight 0 1 30",
         "set_weight 1 2 100",
@@ -106,7 +108,7 @@
         "assign_table 1 5 2",
         "request_ack 65535 false",
     ):
-        stage.play(f"order {order}")
+        stage.play(f"command {command}")
     expected = (
         b'{"msg":"update","routes":["lookup"],"full":true,"endpoints":[["s-1f",20.5],["s-2e",30]],'
         b'"eject":["s-2e"],"restore":["s-1f","s-3d"],"continued":true}\n'
@@ -115,14 +117,14 @@
         b'{"msg":"update","routes":["order"],"admit":1000000.0,"policy":1,"nonce_out":65535}\n'
     )
     assert sent_to(stage, "p", len(expected)) == expected
-    for order in (
+    for command in (
         "set_weight 0 0 0",
         "set_ejected 1 false",
         "set_ejected 2 true",
         "set_admission 65535 3 0.125 0",
         "request_ack 0 true",
     ):
-        stage.play(f"order {order}")
+        stage.play(f"command {command}")
     expected = (
         b'{"msg":"update","routes":["lookup"],"endpoints":[["s-1f",0]],"eject":["s-3d"],"restore":["s-2e"],'
         b'"continued":true}\n'
@@ -134,30 +136,30 @@
 
 def test_a_ping_is_answered_with_these_bytes(stage):
     join(stage, "p", b"true")
-    stage.ends["p"].sendall(b'{"msg":"ping"}\n')
+    stage.connections["p"].sendall(b'{"msg":"ping"}\n')
     assert sent_to(stage, "p", 15) == b'{"msg":"pong"}\n'
 
 
 def test_a_watch_is_asked_for_with_these_bytes(stage):
     """First without a wait, then with the time that news may take."""
-    host = "{}:{}".format(*stage.desk.getsockname()).encode()
+    host = "{}:{}".format(*stage.discovery_server.getsockname()).encode()
     head = b"GET /v1/servers?since=41&timeout_ms=%d HTTP/1.1\r\nHost: %s\r\n\r\n"
     assert request_head(stage, "watch_endpoints true") == head % (0, host)
     answer(stage, b"HTTP/1.1 200 OK\r\n", b'{"revision":41,"complete":false,"members":[]}')
-    assert request_head(stage, "note x") == head % (5000, host)
+    assert request_head(stage, "log x") == head % (5000, host)
 
 
 def test_the_complete_list_is_asked_for_with_these_bytes(stage):
-    host = "{}:{}".format(*stage.desk.getsockname()).encode()
+    host = "{}:{}".format(*stage.discovery_server.getsockname()).encode()
     assert request_head(stage, "fetch_endpoints") == b"GET /v1/servers HTTP/1.1\r\nHost: %s\r\n\r\n" % host
 
 
 @pytest.mark.parametrize(("reports", "path"), [(1, b"/load"), (0, b"/healthz")])
 def test_a_health_check_is_asked_for_with_these_bytes(reports, path):
-    one = sockets.Stage({"reports": reports})
+    one = sockets.Stage({"load_reports": reports})
     try:
         one.play(LIST)
-        host = "{}:{}".format(*one.desk.getsockname()).encode()
+        host = "{}:{}".format(*one.discovery_server.getsockname()).encode()
         assert request_head(one, "check_health 1") == b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (path, host)
     finally:
         one.close()
