--- a/tests/net/test_socket_wire_bytes.py
+++ b/tests/net/test_socket_wire_bytes.py
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def stage():
-    """The stage of `tests/net/scenarios` round scripted decisions, with three endpoints known."""
+    """The stage of `tests/net/scenarios`, with three endpoints known."""
     one = sockets.Stage({})
     one.play(LIST)
     yield one
