--- a/tests/live/__init__.py
+++ b/tests/live/__init__.py
@@ -1,1 +1,1 @@
-"""A real fleet over loopback for tests: conductor processes as deployed, and all that they speak with."""
+"""Controller processes over loopback, as deployed, and the peers that they communicate with."""
--- a/tests/live/discovery.py
+++ b/tests/live/discovery.py
@@ -1,4 +1,4 @@
-"""The discovery service of the tests: the list of nodes, whole or as changes, in pieces of any size."""
+"""A discovery service for tests: complete lists or changes, in pieces of any size."""
 
 import json
 import threading
@@ -8,22 +8,23 @@
 from typing import Self
 from urllib.parse import parse_qs, urlsplit
 
-from live.waiting import LOOK_EVERY
+from live.waiting import POLL_INTERVAL_S
 
 LOOPBACK = "127.0.0.1"
-WHOLE_ANSWER = 1 << 20  # bytes of a piece that no answer fills
+UNSPLIT = 1 << 20  # bytes; longer than any response
 
 
 @dataclass(slots=True)
-class Member:
-    """A node as the list has it; `started_ms` is Unix time, 0 for long ago."""
+class ListedEndpoint:
+    """An endpoint in a list; `started_ms` is Unix time, 0 for long ago."""
 
     name: str
     phase: str = "SERVING"
     started_ms: float = 0.0
-    changed_at: int = 1  # the revision that brought its last change
+    changed_at: int = 1  # the revision of its last change
 
     def entry(self) -> dict:
+        """Returns the endpoint as discovery and the configuration write it."""
         return {
             "id": self.name,
             "host_port": f"{LOOPBACK}:9",
@@ -34,48 +35,57 @@
         }
 
 
-def listed(members: Iterable[Member], revision: int = 1) -> dict:
-    """A whole list as discovery and the configuration write it."""
+def endpoint_list(members: Iterable[ListedEndpoint], revision: int = 1) -> dict:
+    """Returns a complete list as discovery and the configuration write it."""
     return {"revision": revision, "complete": True, "members": [member.entry() for member in members]}
 
 
 class QuietServer(ThreadingHTTPServer):
-    """Connections that a conductor ends in the middle of a call are no errors here."""
+    """A server that ignores errors: controllers may close connections during a request."""
 
     daemon_threads = True
 
     def handle_error(self, *_: object) -> None:
-        """Nothing."""
+        """Ignores the error."""
 
 
-class Discovery:
-    """The discovery service: answers a watch once something is newer, or once its wait is over."""
+class DiscoveryService:
+    """Responds to a watch when there is a newer revision, or at the end of its wait.
+
+    `complete_lists`: responds with complete lists to watches too; `piece_bytes`: size of the pieces in which
+    responses are written.
+    """
 
     def __init__(
-        self, members: Iterable[Member], whole_lists: bool = False, piece: int = WHOLE_ANSWER
+        self, members: Iterable[ListedEndpoint], complete_lists: bool = False, piece_bytes: int = UNSPLIT
     ) -> None:
         self.members = {member.name: member for member in members}
-        self.whole_lists, self.piece = whole_lists, piece
-        self.revision, self.calls = 1, 0
-        self.changed, self.closing = threading.Condition(), False
+        self.complete_lists = complete_lists
+        self.piece_bytes = piece_bytes
+        self.revision = 1
+        self.requests = 0
+        self.changed = threading.Condition()
+        self.closing = False
         self.server = QuietServer((LOOPBACK, 0), self._handler(), bind_and_activate=False)
         self.server.server_bind()  # refuses connections until `serve`
 
     @property
     def address(self) -> str:
+        """Returns `host:port`."""
         return "{}:{}".format(*self.server.server_address)
 
     def serve(self) -> Self:
+        """Starts to accept connections."""
         self.server.server_activate()
-        self.thread = threading.Thread(target=self.server.serve_forever, args=(LOOK_EVERY,), daemon=True)
+        self.thread = threading.Thread(target=self.server.serve_forever, args=(POLL_INTERVAL_S,), daemon=True)
         self.thread.start()
         return self
 
     def change(self, name: str, phase: str, started_ms: float = 0.0) -> None:
-        """A node's entry from now on; DELETED takes it off the list."""
+        """Changes an endpoint; DELETED removes it from the list."""
         with self.changed:
             self.revision += 1
-            self.members[name] = Member(name, phase, started_ms, self.revision)
+            self.members[name] = ListedEndpoint(name, phase, started_ms, self.revision)
             self.changed.notify_all()
 
     def __enter__(self) -> Self:
@@ -89,15 +99,17 @@
         self.thread.join()
         self.server.server_close()
 
-    def answer(self, since: int | None, wait: float) -> dict:
-        """The whole list, or what has changed since a revision, at the latest when the wait is over."""
+    def response(self, since: int | None, wait: float) -> dict:
+        """Returns the complete list, or changes since a revision, after at most `wait` s."""
         with self.changed:
-            self.calls += 1
+            self.requests += 1
             self.changed.wait_for(lambda: since is None or self.revision > since or self.closing, wait)
-            if since is None or self.whole_lists:
-                return listed((one for one in self.members.values() if one.phase != "DELETED"), self.revision)
-            newer = [one for one in self.members.values() if one.changed_at > since]
-            return listed(newer, self.revision) | {"complete": False}
+            if since is None or self.complete_lists:
+                return endpoint_list(
+                    (member for member in self.members.values() if member.phase != "DELETED"), self.revision
+                )
+            newer = [member for member in self.members.values() if member.changed_at > since]
+            return endpoint_list(newer, self.revision) | {"complete": False}
 
     def _handler(self) -> type[BaseHTTPRequestHandler]:
         discovery = self
@@ -106,15 +118,16 @@
             protocol_version = "HTTP/1.1"
             disable_nagle_algorithm = True
 
-            def do_GET(self) -> None:
+            def do_GET(self) -> None:  # noqa: N802
+                """Responds in pieces."""
                 query = {name: int(values[0]) for name, values in parse_qs(urlsplit(self.path).query).items()}
-                answer = discovery.answer(query.get("since"), query.get("timeout_ms", 0) / 1000)
-                body = json.dumps(answer).encode()
+                response = discovery.response(query.get("since"), query.get("timeout_ms", 0) / 1000)
+                body = json.dumps(response).encode()
                 data = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
-                for start in range(0, len(data), discovery.piece):
-                    self.wfile.write(data[start : start + discovery.piece])
+                for start in range(0, len(data), discovery.piece_bytes):
+                    self.wfile.write(data[start : start + discovery.piece_bytes])
 
             def log_message(self, *_: object) -> None:
-                """Nothing: a test prints what it needs itself."""
+                """Logs nothing."""
 
         return Handler
--- a/tests/live/process.py
+++ b/tests/live/process.py
@@ -1,4 +1,4 @@
-"""Conductor processes of the tests: `python -m oatcart` as it is deployed, on a port of loopback."""
+"""Controller processes for tests: `python -m oatcart` as deployed, on a loopback port."""
 
 import json
 import os
@@ -11,8 +11,8 @@
 from types import TracebackType
 from typing import Self
 
-from live.discovery import LOOPBACK, listed
-from live.waiting import PATIENCE
+from live.discovery import LOOPBACK, endpoint_list
+from live.waiting import TIMEOUT_S
 from oatcart.scale.ports import free_ports
 
 ROOT = Path(__file__).parent.parent.parent
@@ -28,73 +28,77 @@
 
 
 @dataclass(slots=True)
-class Conductor:
-    """A conductor process with a configuration file of its own in `folder`."""
+class ControllerProcess:
+    """A controller process with its own configuration file in `folder`."""
 
     folder: Path
     name: str = "n0"
-    discovery: str = f"{LOOPBACK}:1"  # nobody listens there
-    known: dict | None = field(default_factory=lambda: listed([]))
+    discovery: str = f"{LOOPBACK}:1"  # nothing listens there
+    known: dict | None = field(default_factory=lambda: endpoint_list([]))
     settings: dict = field(default_factory=lambda: SETTINGS)
-    sockets: int = 256
+    max_descriptors: int = 256
     port: int = 0
     process: subprocess.Popen | None = None
 
-    def write(self) -> None:
-        """The configuration as it stands; a running process reads it again at SIGHUP."""
+    def write_configuration(self) -> None:
+        """Writes the configuration file, which a running process reloads at SIGHUP."""
         table = {
             "name": self.name,
             "listen": f"{LOOPBACK}:{self.port}",
             "discovery": self.discovery,
             "seed": "8c1f",
-            "limits": {"sockets": self.sockets},
+            "limits": {"sockets": self.max_descriptors},
             "settings": self.settings,
         }
-        self._file().write_text(json.dumps(table | ({} if self.known is None else {"known": self.known})))
+        if self.known is not None:
+            table["known"] = self.known
+        self.configuration_path().write_text(json.dumps(table))
 
     def start(self, log: int = subprocess.PIPE) -> Self:
-        """Start the process with its log on a pipe of ours; it is ready once `ready` returns."""
+        """Starts the process with its log on a pipe or on the descriptor `log`."""
         self.port = self.port or free_ports(1)[0]
-        self.write()
+        self.write_configuration()
         self.process = subprocess.Popen(
             [sys.executable, "-m", "oatcart"],
             cwd=ROOT,
             stderr=log,
             text=True,
-            env=os.environ | {"EDGE_CONFIG": str(self._file())},
+            env=os.environ | {"EDGE_CONFIG": str(self.configuration_path())},
         )
         return self
 
-    def ready(self) -> Self:
-        """Wait for the line of a start that has listened."""
+    def wait_until_ready(self) -> Self:
+        """Waits for the log line that says that it listens."""
         line = self.process.stderr.readline()
         assert line.startswith(f"start: {self.name} listens at {LOOPBACK}:{self.port}"), line
         return self
 
-    def listens(self) -> bool:
-        """Whether it takes connections; for a log that cannot be read."""
+    def accepts_connections(self) -> bool:
+        """Whether it accepts connections; for tests that cannot read its log."""
         with socket.socket() as sock:
             return sock.connect_ex((LOOPBACK, self.port)) == 0
 
-    def send(self, number: int) -> None:
+    def send_signal(self, number: int) -> None:
+        """Sends a signal."""
         self.process.send_signal(number)
 
-    def end(self, number: int = signal.SIGKILL) -> int:
-        """End the process; its exit code."""
+    def stop(self, number: int = signal.SIGKILL) -> int:
+        """Sends a signal and returns the exit code."""
         self.process.send_signal(number)
-        code = self.process.wait(PATIENCE)
+        code = self.process.wait(TIMEOUT_S)
         if self.process.stderr is not None:
             self.process.stderr.close()
         return code
 
     def __enter__(self) -> Self:
-        return self.start().ready()
+        return self.start().wait_until_ready()
 
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         if self.process.returncode is None:
-            self.end()
+            self.stop()
 
-    def _file(self) -> Path:
+    def configuration_path(self) -> Path:
+        """Returns the path of the configuration file."""
         return self.folder / f"{self.name}.json"
--- a/tests/live/waiting.py
+++ b/tests/live/waiting.py
@@ -1,15 +1,15 @@
-"""Waits of the tests: bounded by patience alone, so that a busy machine fails none."""
+"""Waits for a condition with a generous timeout, so that a busy machine fails no test."""
 
 import time
 from collections.abc import Callable
 
-PATIENCE = 10.0  # s until something counts as never coming
-LOOK_EVERY = 0.01  # s between two looks at a condition
+TIMEOUT_S = 10.0  # after which a condition counts as never met
+POLL_INTERVAL_S = 0.01  # between two checks of a condition
 
 
-def until(met: Callable[[], object], what: str, within: float = PATIENCE) -> None:
-    """Look again and again until `met` holds; fail with `what` once the time is over."""
-    over = time.monotonic() + within
-    while not met():
-        assert time.monotonic() < over, f"in {within} s: {what}"
-        time.sleep(LOOK_EVERY)
+def wait_until(holds: Callable[[], object], expectation: str, timeout: float = TIMEOUT_S) -> None:
+    """Polls until the condition holds; raises AssertionError with the expectation after `timeout` s."""
+    deadline = time.monotonic() + timeout
+    while not holds():
+        assert time.monotonic() < deadline, f"in {timeout} s: {expectation}"
+        time.sleep(POLL_INTERVAL_S)
--- a/tests/net/test_log_unread.py
+++ b/tests/net/test_log_unread.py
@@ -1,4 +1,4 @@
-"""A conductor whose log nobody reads, or whose reader is gone, starts and serves all the same."""
+"""A controller whose log nobody reads, or whose reader is gone, starts and serves all the same."""
 
 import fcntl
 import os
@@ -8,10 +8,10 @@
 from pathlib import Path
 
 import pytest
-from live.discovery import listed
-from live.ends import End
-from live.process import ROOT, Conductor
-from live.waiting import PATIENCE, until
+from live.connections import Connection
+from live.discovery import endpoint_list
+from live.process import ROOT, ControllerProcess
+from live.waiting import TIMEOUT_S, wait_until
 
 from oatcart.scale.ports import free_ports
 
@@ -28,20 +28,20 @@
 
 def test_it_starts_and_answers_with_standard_error_closed(tmp_path: Path) -> None:
     """Failure: Python has no object for a closed standard error, and the first line ended the process."""
-    one = Conductor(tmp_path, known=listed([]))
+    one = ControllerProcess(tmp_path, known=endpoint_list([]))
     one.port = free_ports(1)[0]
-    one.write()
+    one.write_configuration()
     closed = f"exec {sys.executable} -m oatcart 2>&-"
     process = subprocess.Popen(
-        ["/bin/sh", "-c", closed], cwd=ROOT, env=os.environ | {"EDGE_CONFIG": str(one._file())}
+        ["/bin/sh", "-c", closed], cwd=ROOT, env=os.environ | {"EDGE_CONFIG": str(one.configuration_path())}
     )
     try:
-        until(lambda: one.listens(), "it does not listen")
-        with End(one.port) as end:
-            end.say("ping")
-            until(lambda: end.heard("pong"), "no answer")
+        wait_until(lambda: one.accepts_connections(), "it does not listen")
+        with Connection(one.port) as end:
+            end.send("ping")
+            wait_until(lambda: end.count_messages("pong"), "no answer")
         process.send_signal(signal.SIGTERM)
-        assert process.wait(PATIENCE) == 0
+        assert process.wait(TIMEOUT_S) == 0
     finally:
         process.kill()
 
@@ -52,15 +52,15 @@
     reader, writer = full_pipe()
     if reader_is_gone:
         os.close(reader)
-    one = Conductor(tmp_path, known=listed([])).start(writer)
+    one = ControllerProcess(tmp_path, known=endpoint_list([])).start(writer)
     try:
         os.close(writer)
-        until(lambda: one.listens(), "it does not listen")
-        with End(one.port) as odd, End(one.port) as end:
-            odd.write(b"what?\n")  # a line for the log
-            end.say("ping")
-            until(lambda: end.heard("pong"), "no answer")
-        assert one.end(signal.SIGTERM) == 0
+        wait_until(lambda: one.accepts_connections(), "it does not listen")
+        with Connection(one.port) as odd, Connection(one.port) as end:
+            odd.send_bytes(b"what?\n")  # a line for the log
+            end.send("ping")
+            wait_until(lambda: end.count_messages("pong"), "no answer")
+        assert one.stop(signal.SIGTERM) == 0
     finally:
         one.process.kill()
         if not reader_is_gone:
--- a/tests/net/test_short_days.py
+++ b/tests/net/test_short_days.py
@@ -10,77 +10,91 @@
 import network_stage
 import pytest
 import stage
-from live.discovery import Discovery, Member, listed
-from live.ends import READ_MOST, End, Proxy
-from live.process import SETTINGS, Conductor
-from live.waiting import until
+from live.connections import READ_BYTES, Connection, Proxy
+from live.discovery import DiscoveryService, ListedEndpoint, endpoint_list
+from live.process import SETTINGS, ControllerProcess
+from live.waiting import wait_until
 
 from oatcart.net.stream import MAX_UNSENT_BYTES
 
 NAMES = {f"n{number}" for number in range(5)}
 
 
-def members() -> list[Member]:
-    return [Member(name) for name in sorted(NAMES)]
+def members() -> list[ListedEndpoint]:
+    return [ListedEndpoint(name) for name in sorted(NAMES)]
 
 
-def pinged(*ends: End) -> None:
+def configured_controller(folder: Path, **settings: object) -> ControllerProcess:
+    """Returns a controller with the usual endpoints configured; it starts when its context is entered."""
+    return ControllerProcess(folder, known=endpoint_list(members()), **settings)
+
+
+def pinged(*ends: Connection) -> None:
     """Each of them is still open, and gets an answer."""
     for end in ends:
-        before = end.heard("pong")
-        end.say("ping")
-        until(lambda: end.heard("pong") > before, "no pong on a stream in use")
-        assert not end.ended
+        before = end.count_messages("pong")
+        end.send("ping")
+        wait_until(lambda: end.count_messages("pong") > before, "no pong on a stream in use")
+        assert not end.is_closed
 
 
 @pytest.mark.parametrize("order", ["drain, reload", "reload, drain", "reload, drain, reload"])
 def test_drains_that_cross_a_reload_are_told_on_streams_that_stay(tmp_path: Path, order: str) -> None:
     """SIGHUP names another discovery service while nodes drain: both tell of n1, only the new one of n2."""
     with ExitStack() as stack:
-        old, new = (stack.enter_context(Discovery(members())) for _ in range(2))
-        one = stack.enter_context(Conductor(tmp_path, discovery=old.address, known=listed(members())))
+        old, new = (stack.enter_context(DiscoveryService(members())) for _ in range(2))
+        one = stack.enter_context(configured_controller(tmp_path, discovery=old.address))
         proxies = [stack.enter_context(Proxy(one.port, number)) for number in range(2)]
         for proxy in proxies:
-            until(lambda: proxy.open_to() == NAMES, "no first table")
+            wait_until(lambda: proxy.usable_endpoints() == NAMES, "no first table")
         one.discovery = new.address
-        one.write()
+        one.write_configuration()
         new.change("n1", "DRAINING")
         for step in order.split(", "):
             if step == "reload":
-                one.send(signal.SIGHUP)
+                one.send_signal(signal.SIGHUP)
             else:
                 old.change("n1", "DRAINING")
                 new.change("n2", "DRAINING")
         for proxy in proxies:
-            until(lambda: proxy.open_to() == NAMES - {"n1", "n2"}, "a drain was not told")
+            wait_until(lambda: proxy.usable_endpoints() == NAMES - {"n1", "n2"}, "a drain was not told")
         new.change("n2", "SERVING")
         for proxy in proxies:
-            until(lambda: proxy.open_to() == NAMES - {"n1"}, "a node is back and not told")
+            wait_until(lambda: proxy.usable_endpoints() == NAMES - {"n1"}, "a node is back and not told")
         pinged(*proxies)
-        assert [proxy.whole_tables for proxy in proxies] == [1, 1]
+        assert [proxy.complete_tables for proxy in proxies] == [1, 1]
 
 
-@pytest.mark.parametrize("piece", [READ_MOST, 1])
-def test_whole_lists_in_place_of_changes_tell_who_drains_goes_and_returns(tmp_path: Path, piece: int) -> None:
+@pytest.mark.parametrize("piece_bytes", [READ_BYTES, 1])
+def test_whole_lists_in_place_of_changes_tell_who_drains_goes_and_returns(
+    tmp_path: Path, piece_bytes: int
+) -> None:
     """Every answer is the whole list; also with each byte of discovery and proxy in a piece of its own."""
     with ExitStack() as stack:
-        discovery = stack.enter_context(Discovery(members(), whole_lists=True, piece=piece))
-        one = stack.enter_context(Conductor(tmp_path, discovery=discovery.address, known=listed(members())))
-        proxy = stack.enter_context(Proxy(one.port, 3, piece))
-        until(lambda: proxy.open_to() == NAMES, "no first table")
+        discovery = stack.enter_context(
+            DiscoveryService(members(), complete_lists=True, piece_bytes=piece_bytes)
+        )
+        one = stack.enter_context(configured_controller(tmp_path, discovery=discovery.address))
+        proxy = stack.enter_context(Proxy(one.port, 3, piece_bytes))
+        wait_until(lambda: proxy.usable_endpoints() == NAMES, "no first table")
         discovery.change("n1", "DRAINING")
         discovery.change("n2", "DELETED")
-        until(lambda: proxy.open_to() == NAMES - {"n1", "n2"}, "who drains or is missing was not told")
+        wait_until(
+            lambda: proxy.usable_endpoints() == NAMES - {"n1", "n2"}, "a drain or removal was not sent"
+        )
         discovery.change("n3", "DELETED")
         discovery.change("n2", "SERVING", time.time() * 1000)
-        until(lambda: proxy.open_to() == NAMES - {"n1", "n3"}, "who is missing or has come back was not told")
-        calls, began = discovery.calls, time.monotonic()
+        wait_until(
+            lambda: proxy.usable_endpoints() == NAMES - {"n1", "n3"},
+            "a removal or return was not sent",
+        )
+        calls, began = discovery.requests, time.monotonic()
         time.sleep(0.5)
-        assert discovery.calls - calls <= 3 + (time.monotonic() - began), (
+        assert discovery.requests - calls <= 3 + (time.monotonic() - began), (
             "asked again and again with nothing new"
         )
         pinged(proxy)
-        assert proxy.whole_tables == 1, "a list that repeats what stands is told anew"
+        assert proxy.complete_tables == 1, "a list that repeats what stands is told anew"
 
 
 def test_a_process_killed_just_after_its_start_starts_again_at_its_address_with_its_list(
@@ -88,15 +102,18 @@
 ) -> None:
     """At each delay one is killed outright; the next has the port, though a connection that was closed there
     still lingers, is ready, and tells a proxy the list of the configuration while discovery is down."""
-    one = Conductor(tmp_path, known=listed(members()))
+    one = configured_controller(tmp_path)
     for delay in 0.0, 0.02, 0.05, 0.1, 0.15, 0.2, 0.3:
         one.start()
         time.sleep(delay)
-        one.end()
-        with one, Proxy(one.port, 1) as proxy, End(one.port) as nobody:
-            nobody.write(b"what?\n")
-            until(lambda: nobody.heard("pong") or nobody.ended, "nonsense was not answered by an end")
-            until(lambda: proxy.open_to() == NAMES, f"no table behind a kill after {delay} s")
+        one.stop()
+        with one, Proxy(one.port, 1) as proxy, Connection(one.port) as nobody:
+            nobody.send_bytes(b"what?\n")
+            wait_until(
+                lambda: nobody.count_messages("pong") or nobody.is_closed,
+                "malformed data was not refused",
+            )
+            wait_until(lambda: proxy.usable_endpoints() == NAMES, f"no table behind a kill after {delay} s")
             pinged(proxy)
 
 
@@ -229,38 +246,42 @@
     """All start at once. Beside warm nodes a cold one has at most the part of a warm one's weight that it
     surely stands; where all are cold, as much is let in as they stand, and a fifth at most beyond it."""
     started = time.time()
-    nodes = [Member(f"w{number}") for number in range(warm)]
-    nodes += [Member(f"c{number}", started_ms=started * 1000) for number in range(4)]
+    nodes = [ListedEndpoint(f"w{number}") for number in range(warm)]
+    nodes += [ListedEndpoint(f"c{number}", started_ms=started * 1000) for number in range(4)]
     with ExitStack() as stack:
         all_of_them = [
-            Conductor(tmp_path, f"n{number}", known=listed(nodes), settings=COLD_SETTINGS)
+            ControllerProcess(tmp_path, f"n{number}", known=endpoint_list(nodes), settings=COLD_SETTINGS)
             for number in range(DOZENS)
         ]
         for one in all_of_them:
             stack.push(one)
             one.start()
-        proxies = [stack.enter_context(Proxy(one.ready().port, at)) for at, one in enumerate(all_of_them)]
+        proxies = [
+            stack.enter_context(Proxy(one.wait_until_ready().port, at)) for at, one in enumerate(all_of_them)
+        ]
         for proxy in proxies:
-            until(
-                lambda: proxy.open_to() and (warm or proxy.level < 1.0),
-                f"conductor {proxy.number} serves nobody",
+            wait_until(
+                lambda: proxy.usable_endpoints() and (warm or proxy.admitted_share < 1.0),
+                f"controller {proxy.number} serves nobody",
             )
         for proxy in proxies:
-            assert proxy.lines.keys() <= {node.name for node in nodes}
-            weights = {warmth: [w for node, w in proxy.lines.items() if node[0] == warmth] for warmth in "wc"}
+            assert proxy.weights.keys() <= {node.name for node in nodes}
+            weights = {
+                warmth: [w for node, w in proxy.weights.items() if node[0] == warmth] for warmth in "wc"
+            }
             if warm:
                 assert len(weights["w"]) == warm, "a warm node is left out"
                 assert all(
                     weight <= max(1.0, stands(started) * median(weights["w"])) for weight in weights["c"]
                 )
             else:
-                assert len(weights["c"]) == 4 and 0.0 < proxy.level <= 1.2 * stands(started)
+                assert len(weights["c"]) == 4 and 0.0 < proxy.admitted_share <= 1.2 * stands(started)
         pinged(*proxies)
 
 
-def said_at_once(port: int, data: bytes, half_closed: bool = False) -> End:
-    end = End(port)
-    end.write(data)
+def said_at_once(port: int, data: bytes, half_closed: bool = False) -> Connection:
+    end = Connection(port)
+    end.send_bytes(data)
     if half_closed:
         end.sock.shutdown(socket.SHUT_WR)
     return end
@@ -270,13 +291,13 @@
     """Whole, cut, repeated and useless requests by the dozen, half of them while the process stands still and
     its backlog fills: none is left open without an answer, who is in use stays, none outlives the process."""
     with ExitStack() as stack:
-        one = stack.enter_context(Conductor(tmp_path, known=listed(members()), sockets=400))
+        one = stack.enter_context(configured_controller(tmp_path, max_descriptors=400))
         proxy = stack.enter_context(Proxy(one.port, 1))
-        until(lambda: proxy.open_to() == NAMES, "no first table")
+        wait_until(lambda: proxy.usable_endpoints() == NAMES, "no first table")
         asked, useless = [], []
         for stopped in False, True:
             if stopped:
-                one.send(signal.SIGSTOP)
+                one.send_signal(signal.SIGSTOP)
             for _ in range(12):
                 asked += [
                     said_at_once(one.port, PING),
@@ -291,31 +312,31 @@
                     said_at_once(one.port, b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
                     said_at_once(one.port, b'{"msg":"joined","sidecar":99,"az":"a","share":1}\n'),
                 ]
-        one.send(signal.SIGCONT)
+        one.send_signal(signal.SIGCONT)
         for end in asked + useless:
             stack.enter_context(end)
         for end in asked:
-            until(lambda: end.heard("pong") or end.ended, "a ping was left unanswered")
+            wait_until(lambda: end.count_messages("pong") or end.is_closed, "a ping was left unanswered")
         for end in useless:
-            until(lambda: end.heard("pong") or end.ended, "a connection of no use was left open")
+            wait_until(lambda: end.count_messages("pong") or end.is_closed, "a useless connection is open")
             assert not end.messages
-        assert sum(end.heard("pong") > 0 for end in asked) == len(asked), (
+        assert sum(end.count_messages("pong") > 0 for end in asked) == len(asked), (
             "a ping that came whole was not answered"
         )
         pinged(proxy)
-        assert one.end(signal.SIGTERM) == 0
+        assert one.stop(signal.SIGTERM) == 0
         for end in [*asked, proxy]:
-            until(lambda: end.heard("") or end.ended, "a connection outlived its process")
+            wait_until(lambda: end.count_messages("") or end.is_closed, "a connection outlived its process")
 
 
 def test_a_process_started_with_no_list_and_no_discovery_serves_once_there_is_one(tmp_path: Path) -> None:
     """While there is nothing to tell proxies keep what they hold; then all of them get a table."""
-    discovery = Discovery(members())  # refuses all connections until it serves
-    with Conductor(tmp_path, discovery=discovery.address, known=None) as one, ExitStack() as stack:
+    discovery = DiscoveryService(members())  # refuses all connections until it serves
+    with ControllerProcess(tmp_path, discovery=discovery.address, known=None) as one, ExitStack() as stack:
         proxies = [stack.enter_context(Proxy(one.port, number)) for number in range(3)]
         pinged(*proxies)
         time.sleep(0.6)  # beyond the first call that is made again
-        assert not any(proxy.open_to() or proxy.whole_tables for proxy in proxies)
+        assert not any(proxy.usable_endpoints() or proxy.complete_tables for proxy in proxies)
         stack.enter_context(discovery)
         for proxy in proxies:
-            until(lambda: proxy.open_to() == NAMES, f"proxy {proxy.number} is served by nobody")
+            wait_until(lambda: proxy.usable_endpoints() == NAMES, f"proxy {proxy.number} is served by nobody")
