--- a/tests/net/controller_process.py
+++ b/tests/net/controller_process.py
@@ -30,9 +30,9 @@
 
 @contextmanager
 def controller(folder, **changes):
-    """A process with these fields of the configuration changed, or left out where None; killed at the end."""
+    """Runs a process with these configuration fields changed, or left out where None; kills it at the end."""
     (folder / "cfg").write_text(
-        json.dumps({key: val for key, val in (CONFIG | changes).items() if val is not None})
+        json.dumps({field: value for field, value in (CONFIG | changes).items() if value is not None})
     )
     with subprocess.Popen(
         [sys.executable, "-m", "oatcart"],
@@ -47,10 +47,10 @@
             process.kill()  # a test that failed leaves it running
 
 
-def reloaded(one, folder, text):
-    """What the log says to a new text of the configuration."""
+def reloaded(process, folder, text):
+    """Reloads a new configuration text and returns the log line about it."""
     (folder / "cfg").write_text(text)
-    one.send_signal(signal.SIGHUP)
-    while not (line := one.stderr.readline()).startswith("reload: "):
+    process.send_signal(signal.SIGHUP)
+    while not (line := process.stderr.readline()).startswith("reload: "):
         assert line and not line.startswith("task: ")
     return line
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -1,61 +1,61 @@
-"""The endpoint list on sockets: when discovery is asked, and that a call that fails is made again."""
+"""The endpoint list on sockets: when it is requested, and that a request is repeated after a failure."""
 
 import errno
 import json
 import socket
 
 import network_stage
-import stage
 from controller_process import CONFIG, ROOT
+from stage import Stage
 
 from oatcart.net.assembly import assemble
 
 
-def test_a_list_told_to_come_unasked_is_watched_on_sockets():
-    """Failure: where the settings say that changes arrive by themselves nobody asked discovery, and no drain
-    was heard.
-    """
-    cfg = json.loads((ROOT / "examples" / "config.json").read_text())
-    woken, waker = socket.socketpair()
-    with socket.create_server(("127.0.0.1", 0)) as desk, woken, waker:
-        cfg |= {"listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{desk.getsockname()[1]}"}
-        cfg["settings"]["membershipMode"] = "automatic"
-        loop, _, acceptor = assemble(cfg, woken)
-        desk.settimeout(5)
-        call, _ = desk.accept()
-        with call, acceptor.listener:
-            call.settimeout(5)
+def test_endpoints_are_watched_if_membership_is_automatic():
+    """On sockets nothing sends changes by itself, whatever the settings say."""
+    configuration = json.loads((ROOT / "examples" / "config.json").read_text())
+    signal_reader, signal_writer = socket.socketpair()
+    with socket.create_server(("127.0.0.1", 0)) as discovery, signal_reader, signal_writer:
+        configuration |= {"listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{discovery.getsockname()[1]}"}
+        configuration["settings"]["membershipMode"] = "automatic"
+        loop, _, acceptor = assemble(configuration, signal_reader)
+        discovery.settimeout(5)
+        request, _ = discovery.accept()
+        with request, acceptor.listener:
+            request.settimeout(5)
             for _ in range(network_stage.SETTLE_TURNS):
                 loop.turn(network_stage.TURN_S)
-            assert call.recv(4096).startswith(b"GET /v1/servers?since=")
+            assert request.recv(4096).startswith(b"GET /v1/servers?since=")
 
 
-def test_a_call_that_fails_at_once_is_made_again(monkeypatch):
-    """Failure: a fetch for which there was no descriptor counted as under way for ever."""
-    one = stage.Stage({})
+def test_request_is_made_again_after_it_failed_at_once(monkeypatch):
+    """A request without a descriptor does not count as open."""
+    stage = Stage({})
 
     def full(*_):
         raise OSError(errno.EMFILE, "Too many open files")
 
     with monkeypatch.context() as patch:
         patch.setattr(socket, "socket", full)
-        for line in ("command fetch_endpoints", "expect_event EndpointListFailed") * 2:
-            one.play(line)
-        for line in ("command watch_endpoints true", "expect_event EndpointListFailed"):
-            one.play(line)
-        assert one.rounds.watcher.watch_task is None  # Failure: it was noted as standing after it had ended
-    for line in ("command fetch_endpoints", "expect_request /v1/servers"):
-        one.play(line)
-    one.close()
-
-
-def test_with_no_list_at_hand_discovery_is_asked_for_one():
-    """Failure: with no `known` in the configuration nothing asked for a first round until somebody joined."""
-    with socket.create_server(("127.0.0.1", 0)) as desk:
-        desk.settimeout(5)
-        woken, waker = socket.socketpair()
-        with woken, waker:
-            cfg = {key: value for key, value in CONFIG.items() if key != "known"}
-            loop, _, acceptor = assemble(cfg | {"discovery": f"127.0.0.1:{desk.getsockname()[1]}"}, woken)
+        for step in ("command fetch_endpoints", "expect_event EndpointListFailed") * 2:
+            stage.play(step)
+        for step in ("command watch_endpoints true", "expect_event EndpointListFailed"):
+            stage.play(step)
+        assert stage.rounds.watcher.watch_task is None
+    for step in ("command fetch_endpoints", "expect_request /v1/servers"):
+        stage.play(step)
+    stage.close()
+
+
+def test_discovery_is_requested_without_a_known_list():
+    """Without `known` in the configuration the first round is due at the start."""
+    with socket.create_server(("127.0.0.1", 0)) as discovery:
+        discovery.settimeout(5)
+        signal_reader, signal_writer = socket.socketpair()
+        with signal_reader, signal_writer:
+            configuration = {key: value for key, value in CONFIG.items() if key != "known"}
+            loop, _, acceptor = assemble(
+                configuration | {"discovery": f"127.0.0.1:{discovery.getsockname()[1]}"}, signal_reader
+            )
             with acceptor.listener:
-                desk.accept()[0].close()
+                discovery.accept()[0].close()
--- a/tests/net/test_net_codec.py
+++ b/tests/net/test_net_codec.py
@@ -20,18 +20,18 @@
     ],
 )
 def test_a_message_with_a_nested_value_is_invalid(message):
-    """Failure: the value was to be shown in the log by `repr`, whose RecursionError ended the connection."""
+    """The log line does not use `repr`, which raises RecursionError on it."""
     with pytest.raises(InvalidMessageError):
         Codec(["lookup"], ["a"], 4).decode_message(memoryview(message % NESTED))
 
 
 @pytest.mark.parametrize("field", ["locality", "phase", "id", "other"])
 def test_an_entry_with_a_nested_value_is_left_out_alone(field):
-    """Failure: the watch of the endpoint list ended with no event, and was never opened again."""
+    """The other entries of the list are decoded."""
     entry = {"id": "s-1", "locality": "a", "phase": "SERVING", field: orjson.loads(NESTED)}
-    usable = {"id": "s-2", "locality": "a", "phase": "SERVING"}
+    valid = {"id": "s-2", "locality": "a", "phase": "SERVING"}
     if field == "other":
         entry["phase"] = "SLEEPING"
-    message = {"revision": 1, "complete": True, "members": [entry, usable]}
+    message = {"revision": 1, "complete": True, "members": [entry, valid]}
     received = Codec(["lookup"], ["a"], 4).decode_endpoint_list(message)
     assert len(received.entries) == 1 and not received.complete and len(received.invalid_entries) == 1
--- a/tests/net/test_net_configuration.py
+++ b/tests/net/test_net_configuration.py
@@ -20,14 +20,14 @@
         ("limits", {}),
     ],
 )
-def test_what_cannot_be_used_is_named(tmp_path, field, value):
-    with controller(tmp_path, **{field: value}) as one:
-        said = one.stderr.read()
-        assert one.wait(10) == 2 and said.startswith(f"config: {field} ") and said.count("\n") == 1, said
+def test_invalid_field_is_named(tmp_path, field, value):
+    with controller(tmp_path, **{field: value}) as process:
+        log = process.stderr.read()
+        assert process.wait(10) == 2 and log.startswith(f"config: {field} ") and log.count("\n") == 1, log
 
 
 @pytest.mark.parametrize(
-    "part, field, named",
+    "section, field, named",
     [
         ("specifics", "pushRate", "specifics.pushRate"),
         ("specifics", "period", "specifics.period"),
@@ -35,17 +35,15 @@
         ("grades", "aim", "grades[0].aim"),
     ],
 )
-def test_a_figure_that_nothing_can_stand_in_for_is_named(tmp_path, part, field, named):
-    """Failure: a channel of 1,000 lines a second, sums each second and a target of 1 s were taken, of some
-    other deployment.
-    """
+def test_missing_figure_without_default_is_named(tmp_path, section, field, named):
+    """Figures of a deployment have no default values."""
     settings = json.loads(json.dumps(CONFIG["settings"]))
-    del (settings[part][0] if part == "grades" else settings[part])[field]
-    with controller(tmp_path, settings=settings) as one:
-        said = one.stderr.read()
+    del (settings[section][0] if section == "grades" else settings[section])[field]
+    with controller(tmp_path, settings=settings) as process:
+        log = process.stderr.read()
         assert (
-            one.wait(10) == 2
-            and said.startswith("config: settings ")
-            and named in said
-            and said.count("\n") == 1
+            process.wait(10) == 2
+            and log.startswith("config: settings ")
+            and named in log
+            and log.count("\n") == 1
         )
--- a/tests/net/test_rounds.py
+++ b/tests/net/test_rounds.py
@@ -13,13 +13,13 @@
 
 @pytest.mark.parametrize("clock", [100.0, 100.001, 615.3, 4096.1])
 def test_the_first_round_is_due_at_once(clock):
-    """Failure: at most times a clock less the gap, taken from that clock, was under the gap by a rounding,
-    and what a conductor decides at its start, to watch the list, waited for something else to happen."""
-    loop, came = Loop(lambda: clock, lambda error: None), []
+    """Also at times where a rounding makes the time since the last round less than the interval."""
+    loop = Loop(lambda: clock, lambda error: None)
+    received = []
     log = Log(loop.clock, io.StringIO())
     rounds = Rounds(loop, log, Codec(["lookup"], ["a"], 4), 0.002, 1000.0)
-    rounds.start(lambda now, arrivals, orders: came.extend(arrivals), None, None)
+    rounds.start(lambda now, events, commands: received.extend(events), None, None)
     rounds.add_event(EndpointListReceived(True, []))
     rounds.run_if_due()
-    assert came == [EndpointListReceived(True, [])] and type(came[0]) is EndpointListReceived
+    assert received == [EndpointListReceived(True, [])] and type(received[0]) is EndpointListReceived
     loop.epoll.close()
--- a/tests/net/test_signals.py
+++ b/tests/net/test_signals.py
@@ -1,6 +1,4 @@
-"""Signals at the points of a conductor's life where they cross something: struck by the process itself, so
-never by chance.
-"""
+"""Signals at critical points of a controller process, which sends them to itself at a known point."""
 
 import json
 import os
@@ -11,27 +9,27 @@
 import pytest
 from controller_process import CONFIG, ROOT
 
-STRUCK = """
+SELF_SIGNALLING = """
 import builtins, os, runpy, signal, socket, sys
 point, number = sys.argv[1], int(sys.argv[2])
 del sys.argv[1:]
-struck = []
+sent = []
 
-def strike():
-    if not struck:
-        struck.append(point)
+def signal_once():
+    if not sent:
+        sent.append(point)
         os.kill(os.getpid(), number)
 
 def before(owner, name):
-    usual = getattr(owner, name)
-    setattr(owner, name, lambda *args, **more: (strike(), usual(*args, **more))[1])
+    original = getattr(owner, name)
+    setattr(owner, name, lambda *args, **more: (signal_once(), original(*args, **more))[1])
 
 if point == "an import":
-    usual = builtins.__import__
+    original = builtins.__import__
     def imports(name, *args, **more):
         if name == "oatcart.policy":
-            strike()
-        return usual(name, *args, **more)
+            signal_once()
+        return original(name, *args, **more)
     builtins.__import__ = imports
 elif point == "the file":
     import json
@@ -41,18 +39,18 @@
 elif point == "a round":
     from oatcart import policy
     before(policy.Controller, "check")
-elif point == "telling":
+elif point == "sending updates":
     from oatcart.net import rounds
     before(rounds.Rounds, "_send_updates")
 runpy.run_module("oatcart", run_name="__main__")
 """
-POINTS = "an import", "the file", "listening", "a round", "telling"
+POINTS = "an import", "the file", "listening", "a round", "sending updates"
 
 
-def struck(folder, point, number):
+def self_signalling(folder, point, number):
     (folder / "cfg").write_text(json.dumps(CONFIG))
     return subprocess.Popen(
-        [sys.executable, "-c", STRUCK, point, str(int(number))],
+        [sys.executable, "-c", SELF_SIGNALLING, point, str(int(number))],
         cwd=ROOT,
         text=True,
         stderr=subprocess.PIPE,
@@ -61,22 +59,21 @@
 
 
 @pytest.mark.parametrize("point", POINTS)
-def test_told_to_end_at_any_point_it_ends_with_0_and_says_nothing(tmp_path, point):
-    with struck(tmp_path, point, signal.SIGTERM) as one:
-        said = one.stderr.read()
-        assert one.wait(10) == 0 and "Traceback" not in said and "start:" not in said
+def test_sigterm_at_any_point_ends_with_0(tmp_path, point):
+    """The log has neither a traceback nor the line of a start."""
+    with self_signalling(tmp_path, point, signal.SIGTERM) as process:
+        log = process.stderr.read()
+        assert process.wait(10) == 0 and "Traceback" not in log and "start:" not in log
 
 
 @pytest.mark.parametrize("point", POINTS)
-def test_told_to_read_again_at_any_point_it_starts_and_reads_once(tmp_path, point):
-    """Before the file is read first there is nothing to read again; from then on it is, once the conductor
-    serves.
-    """
-    with struck(tmp_path, point, signal.SIGHUP) as one:
-        assert "start: n0 listens" in one.stderr.readline()
-        while point != "an import" and not one.stderr.readline().startswith(
+def test_sighup_at_any_point_reloads_once_after_the_start(tmp_path, point):
+    """A signal before the first reading of the file causes no reload."""
+    with self_signalling(tmp_path, point, signal.SIGHUP) as process:
+        assert "start: n0 listens" in process.stderr.readline()
+        while point != "an import" and not process.stderr.readline().startswith(
             "reload: discovery at 127.0.0.1:1"
         ):
-            assert one.poll() is None
-        one.send_signal(signal.SIGTERM)
-        assert one.wait(10) == 0 and "reload" not in one.stderr.read()
+            assert process.poll() is None
+        process.send_signal(signal.SIGTERM)
+        assert process.wait(10) == 0 and "reload" not in process.stderr.read()
--- a/tests/net/test_stream.py
+++ b/tests/net/test_stream.py
@@ -1,4 +1,4 @@
-"""Streams of bytes on sockets."""
+"""Byte streams on sockets."""
 
 import socket
 
@@ -9,15 +9,17 @@
 from oatcart.net.stream import MAX_UNSENT_BYTES, Stream
 
 
-def test_what_is_left_unread_is_bounded():
+def test_unsent_bytes_are_bounded():
+    """A peer that does not read costs at most MAX_UNSENT_BYTES and one write."""
     ours, theirs = socket.socketpair()
     loop = Loop(lambda: 0.0, lambda error: None)
-    stream, sent = Stream(loop, ours), 0
-    with theirs, pytest.raises(ConnectionClosedError) as ended:
+    stream = Stream(loop, ours)
+    sent = 0
+    with theirs, pytest.raises(ConnectionClosedError) as closed:
         while sent < 100 * MAX_UNSENT_BYTES:
             stream.write(b"x" * 4096)
             sent += 4096
     assert (
-        ended.value.reason is CloseReason.SEND_BUFFER_FULL and len(stream.unsent) <= MAX_UNSENT_BYTES + 4096
+        closed.value.reason is CloseReason.SEND_BUFFER_FULL and len(stream.unsent) <= MAX_UNSENT_BYTES + 4096
     )
     stream.close()
