--- a/tests/net/test_short_days.py
+++ b/tests/net/test_short_days.py
@@ -1,4 +1,4 @@
-"""Short days over loopback, most on real processes; each was seen to fail with what it forces taken out."""
+"""Short runs of complete systems over loopback, most with real processes."""
 
 import signal
 import socket
@@ -21,6 +21,7 @@
 
 
 def members() -> list[ListedEndpoint]:
+    """Returns the usual endpoints."""
     return [ListedEndpoint(name) for name in sorted(NAMES)]
 
 
@@ -29,9 +30,9 @@
     return ControllerProcess(folder, known=endpoint_list(members()), **settings)
 
 
-def pinged(*ends: Connection) -> None:
-    """Each of them is still open, and gets an answer."""
-    for end in ends:
+def assert_responsive(*connections: Connection) -> None:
+    """Expects each connection to be open and to answer a ping."""
+    for end in connections:
         before = end.count_messages("pong")
         end.send("ping")
         wait_until(lambda: end.count_messages("pong") > before, "no pong on a stream in use")
@@ -39,8 +40,8 @@
 
 
 @pytest.mark.parametrize("order", ["drain, reload", "reload, drain", "reload, drain, reload"])
-def test_drains_that_cross_a_reload_are_told_on_streams_that_stay(tmp_path: Path, order: str) -> None:
-    """SIGHUP names another discovery service while nodes drain: both tell of n1, only the new one of n2."""
+def test_drains_during_a_reload_are_sent_on_open_streams(tmp_path: Path, order: str) -> None:
+    """A reload changes the discovery service while endpoints drain: both report n1, only the new one n2."""
     with ExitStack() as stack:
         old, new = (stack.enter_context(DiscoveryService(members())) for _ in range(2))
         one = stack.enter_context(configured_controller(tmp_path, discovery=old.address))
@@ -57,19 +58,19 @@
                 old.change("n1", "DRAINING")
                 new.change("n2", "DRAINING")
         for proxy in proxies:
-            wait_until(lambda: proxy.usable_endpoints() == NAMES - {"n1", "n2"}, "a drain was not told")
+            wait_until(lambda: proxy.usable_endpoints() == NAMES - {"n1", "n2"}, "a drain was not sent")
         new.change("n2", "SERVING")
         for proxy in proxies:
-            wait_until(lambda: proxy.usable_endpoints() == NAMES - {"n1"}, "a node is back and not told")
-        pinged(*proxies)
+            wait_until(lambda: proxy.usable_endpoints() == NAMES - {"n1"}, "a return was not sent")
+        assert_responsive(*proxies)
         assert [proxy.complete_tables for proxy in proxies] == [1, 1]
 
 
 @pytest.mark.parametrize("piece_bytes", [READ_BYTES, 1])
-def test_whole_lists_in_place_of_changes_tell_who_drains_goes_and_returns(
+def test_complete_lists_in_place_of_changes_bring_drains_removals_and_returns(
     tmp_path: Path, piece_bytes: int
 ) -> None:
-    """Every answer is the whole list; also with each byte of discovery and proxy in a piece of its own."""
+    """Every response is the complete list; also with each byte of discovery and proxy in its own piece."""
     with ExitStack() as stack:
         discovery = stack.enter_context(
             DiscoveryService(members(), complete_lists=True, piece_bytes=piece_bytes)
@@ -88,33 +89,33 @@
             lambda: proxy.usable_endpoints() == NAMES - {"n1", "n3"},
             "a removal or return was not sent",
         )
-        calls, began = discovery.requests, time.monotonic()
+        requests, started = discovery.requests, time.monotonic()
         time.sleep(0.5)
-        assert discovery.requests - calls <= 3 + (time.monotonic() - began), (
-            "asked again and again with nothing new"
+        assert discovery.requests - requests <= 3 + (time.monotonic() - started), (
+            "too many requests without changes"
         )
-        pinged(proxy)
-        assert proxy.complete_tables == 1, "a list that repeats what stands is told anew"
+        assert_responsive(proxy)
+        assert proxy.complete_tables == 1, "an unchanged list was sent again"
 
 
-def test_a_process_killed_just_after_its_start_starts_again_at_its_address_with_its_list(
+def test_process_killed_after_its_start_restarts_at_its_address_with_its_list(
     tmp_path: Path,
 ) -> None:
-    """At each delay one is killed outright; the next has the port, though a connection that was closed there
-    still lingers, is ready, and tells a proxy the list of the configuration while discovery is down."""
+    """Killed after each delay; the next one gets the port, even with a connection in TIME_WAIT, and sends
+    proxies the configured list while discovery is down."""
     one = configured_controller(tmp_path)
     for delay in 0.0, 0.02, 0.05, 0.1, 0.15, 0.2, 0.3:
         one.start()
         time.sleep(delay)
         one.stop()
-        with one, Proxy(one.port, 1) as proxy, Connection(one.port) as nobody:
-            nobody.send_bytes(b"what?\n")
+        with one, Proxy(one.port, 1) as proxy, Connection(one.port) as invalid:
+            invalid.send_bytes(b"what?\n")
             wait_until(
-                lambda: nobody.count_messages("pong") or nobody.is_closed,
+                lambda: invalid.count_messages("pong") or invalid.is_closed,
                 "malformed data was not refused",
             )
-            wait_until(lambda: proxy.usable_endpoints() == NAMES, f"no table behind a kill after {delay} s")
-            pinged(proxy)
+            wait_until(lambda: proxy.usable_endpoints() == NAMES, f"no table after a kill at {delay} s")
+            assert_responsive(proxy)
 
 
 JOINING = b'{"msg":"joined","sidecar":5,"az":"a","share":2.5,"standing":true}\n'
@@ -122,8 +123,8 @@
 PING = b'{"msg":"ping"}\n'
 
 
-def test_a_conversation_cut_at_any_byte_says_what_it_says_whole() -> None:
-    """A joining, a sum with a letter of two bytes and a ping, in two pieces that are read one by one."""
+def test_messages_cut_at_any_byte_are_decoded_as_if_complete() -> None:
+    """`joined`, `usage` with a two-byte character and `ping`, in two pieces that are read separately."""
     data, one = JOINING + USAGE + PING, stage.Stage({})
     try:
         for cut in range(len(data) + 1):
@@ -141,128 +142,130 @@
         one.close()
 
 
-NARROW = 4096  # bytes that either side's socket of the slow end holds, give or take
-WIDE = 2000  # lines of a table that take up some 40 KB
-PIECE = 9999  # bytes that the slow end reads at a time; no line ends with them
-PIECES_MOST = 2000  # after which the rest counts as never coming
-UNREAD_ROUNDS = 100  # of such tables: far beyond what is kept for who does not read
+SMALL_BUFFER_BYTES = 4096  # of the slow connection's sockets, about
+TABLE_ENTRIES = 2000  # about 40 KB
+PIECE_BYTES = 9999  # read at a time by the slow connection; no message ends there
+MAX_PIECES = 2000  # until the rest counts as missing
+MAX_ROUNDS = 100  # with such tables: far more than MAX_UNSENT_BYTES
 
 
-def wide_stage(stack: ExitStack) -> tuple[stage.Stage, socket.socket, socket.socket]:
-    """A stage with a wide table and two joined proxies, of which the first takes in little unread."""
+def stage_with_large_table(stack: ExitStack) -> tuple[stage.Stage, socket.socket, socket.socket]:
+    """Returns a stage with a large table and two joined proxies, of which the first has small buffers."""
     one = stage.Stage({})
     stack.callback(one.close)
     ends = [stack.enter_context(socket.socket()) for _ in range(2)]
-    ends[0].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, NARROW)
+    ends[0].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
     for number, end in enumerate(ends):
         end.connect(one.listener.getsockname())
         end.setblocking(False)
         end.sendall(JOINING.replace(b"5", b"%d" % number, 1))
     one.settle()
-    one.rounds.streams[0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, NARROW)
-    for node in range(WIDE):
-        one.codec.number_of(f"s-{node:08x}")
-        one.play(f"command set_weight 0 {node} {node % 90 + 1}")
+    one.rounds.streams[0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
+    for endpoint in range(TABLE_ENTRIES):
+        one.codec.number_of(f"s-{endpoint:08x}")
+        one.play(f"command set_weight 0 {endpoint} {endpoint % 90 + 1}")
     return one, *ends
 
 
-def taken(end: socket.socket, most: int) -> bytes:
+def read_available(end: socket.socket, max_bytes: int) -> bytes:
+    """Returns what can be read now; empty if nothing."""
     try:
-        return end.recv(most)
+        return end.recv(max_bytes)
     except BlockingIOError:
         return b""
 
 
-def test_orders_that_are_read_in_pieces_come_whole_and_in_order() -> None:
-    """More than the sockets hold, read a little at a time: the slow end hears what the quick one does."""
+def test_updates_read_in_pieces_arrive_complete_and_in_order() -> None:
+    """More than the sockets buffer, read in pieces: the slow connection receives what the fast one does."""
     with ExitStack() as stack:
-        one, slow, quick = wide_stage(stack)
-        read = {slow: b"", quick: b""}
+        one, slow, fast = stage_with_large_table(stack)
+        read = {slow: b"", fast: b""}
         stream = one.rounds.streams[0]
-        mark = 0
+        nonce = 0
         while len(stream.unsent) < MAX_UNSENT_BYTES // 2:
-            mark += 1
-            assert mark < UNREAD_ROUNDS
+            nonce += 1
+            assert nonce < MAX_ROUNDS
             for line in (
                 "command assign_table 0 0 0",
                 "command assign_table 0 1 0",
-                f"command request_ack {mark} true",
+                f"command request_ack {nonce} true",
             ):
                 one.play(line)
             one.turn()
-            read[quick] += taken(quick, 1 << 22)
-        for end in slow, quick:
-            for _ in range(PIECES_MOST):
-                if read[end].count(b"\n") == mark:
+            read[fast] += read_available(fast, 1 << 22)
+        for end in slow, fast:
+            for _ in range(MAX_PIECES):
+                if read[end].count(b"\n") == nonce:
                     break
                 one.turn()
-                read[end] += taken(end, PIECE)
-        assert not stream.unsent and read[slow].count(b'"nonce_out":') == mark
-        assert read[slow] == read[quick]
+                read[end] += read_available(end, PIECE_BYTES)
+        assert not stream.unsent and read[slow].count(b'"nonce_out":') == nonce
+        assert read[slow] == read[fast]
 
 
-def test_a_proxy_that_stops_reading_late_is_let_go_and_costs_the_others_nothing() -> None:
-    """It joined and was told; then it reads no more and says nothing. What waits for it is bounded."""
+def test_proxy_that_stops_reading_is_closed_and_others_get_all_updates() -> None:
+    """It joins, and an hour later reads no more; the unsent bytes for it are bounded."""
     with ExitStack() as stack:
-        one, _, other = wide_stage(stack)
+        one, _, other = stage_with_large_table(stack)
         one.now += 3600.0
-        stream, heard = one.rounds.streams[0], 0
-        for mark in range(UNREAD_ROUNDS):
+        stream = one.rounds.streams[0]
+        received = 0
+        for nonce in range(MAX_ROUNDS):
             if 0 not in one.rounds.streams:
                 break
             for line in (
                 "command assign_table 0 0 0",
                 "command assign_table 0 1 0",
-                f"command request_ack {mark} true",
+                f"command request_ack {nonce} true",
             ):
                 one.play(line)
             one.turn()
             assert len(stream.unsent) <= MAX_UNSENT_BYTES
-            heard += taken(other, 1 << 22).count(b"\n")
+            received += read_available(other, 1 << 22).count(b"\n")
         one.settle()
-        heard += taken(other, 1 << 22).count(b"\n")
-        assert [*one.rounds.streams] == [1] and one.events_seen[-1] == "ProxyLeft 0" and heard == mark
+        received += read_available(other, 1 << 22).count(b"\n")
+        assert [*one.rounds.streams] == [1] and one.events_seen[-1] == "ProxyLeft 0" and received == nonce
         assert "left too much unread" in one.log_output.getvalue()
 
 
-DOZENS = 24
-COLD_SHARE, WARM_AFTER = 0.2, 16.0  # of its capacity that a node has at its start; s until it has all of it
-COLD_SETTINGS = SETTINGS | {
-    "balancers": DOZENS,
-    "rules": SETTINGS["rules"] | {"cold": WARM_AFTER * 1000, "coldShare": COLD_SHARE, "tipMultiple": 4.0},
+CONTROLLERS = 24
+INITIAL_FRACTION = 0.2  # of an endpoint's capacity at its start
+WARM_UP_S = 16.0  # until it has its full capacity
+WARM_UP_SETTINGS = SETTINGS | {
+    "balancers": CONTROLLERS,
+    "rules": SETTINGS["rules"]
+    | {"cold": WARM_UP_S * 1000, "coldShare": INITIAL_FRACTION, "tipMultiple": 4.0},
     "specifics": SETTINGS["specifics"] | {"admit": "fraction"},
 }
 
 
-def stands(started: float) -> float:
-    """The share of its capacity that a node surely has now."""
-    return min(1.0, COLD_SHARE + (1.0 - COLD_SHARE) * (time.time() - started) / WARM_AFTER)
+def warm_fraction(started: float) -> float:
+    """Returns the part of its capacity that an endpoint has now."""
+    return min(1.0, INITIAL_FRACTION + (1.0 - INITIAL_FRACTION) * (time.time() - started) / WARM_UP_S)
 
 
 @pytest.mark.parametrize("warm", [4, 0])
-def test_a_few_dozen_processes_before_cold_nodes_all_serve_and_none_pushes_them_over(
-    tmp_path: Path, warm: int
-) -> None:
-    """All start at once. Beside warm nodes a cold one has at most the part of a warm one's weight that it
-    surely stands; where all are cold, as much is let in as they stand, and a fifth at most beyond it."""
+def test_many_controllers_do_not_overload_endpoints_that_warm_up(tmp_path: Path, warm: int) -> None:
+    """All start at once. Beside warm endpoints one that warms up has at most its warm fraction of their
+    median weight; where all warm up, the admitted share is at most 1.2 times that fraction."""
     started = time.time()
     nodes = [ListedEndpoint(f"w{number}") for number in range(warm)]
     nodes += [ListedEndpoint(f"c{number}", started_ms=started * 1000) for number in range(4)]
     with ExitStack() as stack:
-        all_of_them = [
-            ControllerProcess(tmp_path, f"n{number}", known=endpoint_list(nodes), settings=COLD_SETTINGS)
-            for number in range(DOZENS)
+        controllers = [
+            ControllerProcess(tmp_path, f"n{number}", known=endpoint_list(nodes), settings=WARM_UP_SETTINGS)
+            for number in range(CONTROLLERS)
         ]
-        for one in all_of_them:
+        for one in controllers:
             stack.push(one)
             one.start()
         proxies = [
-            stack.enter_context(Proxy(one.wait_until_ready().port, at)) for at, one in enumerate(all_of_them)
+            stack.enter_context(Proxy(one.wait_until_ready().port, at)) for at, one in enumerate(controllers)
         ]
         for proxy in proxies:
             wait_until(
                 lambda: proxy.usable_endpoints() and (warm or proxy.admitted_share < 1.0),
-                f"controller {proxy.number} serves nobody",
+                f"controller {proxy.number} serves no proxy",
             )
         for proxy in proxies:
             assert proxy.weights.keys() <= {node.name for node in nodes}
@@ -270,16 +273,18 @@
                 warmth: [w for node, w in proxy.weights.items() if node[0] == warmth] for warmth in "wc"
             }
             if warm:
-                assert len(weights["w"]) == warm, "a warm node is left out"
+                assert len(weights["w"]) == warm, "a warm endpoint is left out"
                 assert all(
-                    weight <= max(1.0, stands(started) * median(weights["w"])) for weight in weights["c"]
+                    weight <= max(1.0, warm_fraction(started) * median(weights["w"]))
+                    for weight in weights["c"]
                 )
             else:
-                assert len(weights["c"]) == 4 and 0.0 < proxy.admitted_share <= 1.2 * stands(started)
-        pinged(*proxies)
+                assert len(weights["c"]) == 4 and 0.0 < proxy.admitted_share <= 1.2 * warm_fraction(started)
+        assert_responsive(*proxies)
 
 
-def said_at_once(port: int, data: bytes, half_closed: bool = False) -> Connection:
+def connection_with(port: int, data: bytes, half_closed: bool = False) -> Connection:
+    """Returns a connection on which data was sent."""
     end = Connection(port)
     end.send_bytes(data)
     if half_closed:
@@ -287,56 +292,56 @@
     return end
 
 
-def test_whoever_asks_is_answered_or_its_connection_ended(tmp_path: Path) -> None:
-    """Whole, cut, repeated and useless requests by the dozen, half of them while the process stands still and
-    its backlog fills: none is left open without an answer, who is in use stays, none outlives the process."""
+def test_every_connection_is_answered_or_closed(tmp_path: Path) -> None:
+    """Complete, incomplete, repeated and invalid messages, half of them while the process is stopped and its
+    backlog fills: each connection is answered or closed, a proxy's stays, none outlives the process."""
     with ExitStack() as stack:
         one = stack.enter_context(configured_controller(tmp_path, max_descriptors=400))
         proxy = stack.enter_context(Proxy(one.port, 1))
         wait_until(lambda: proxy.usable_endpoints() == NAMES, "no first table")
-        asked, useless = [], []
+        valid, invalid = [], []
         for stopped in False, True:
             if stopped:
                 one.send_signal(signal.SIGSTOP)
             for _ in range(12):
-                asked += [
-                    said_at_once(one.port, PING),
-                    said_at_once(one.port, 3 * PING, half_closed=True),
-                    said_at_once(one.port, PING + PING[:5]),
-                    said_at_once(one.port, b'{"msg":"collector","az":"a"}\n' + PING),
+                valid += [
+                    connection_with(one.port, PING),
+                    connection_with(one.port, 3 * PING, half_closed=True),
+                    connection_with(one.port, PING + PING[:5]),
+                    connection_with(one.port, b'{"msg":"collector","az":"a"}\n' + PING),
                 ]
-                useless += [
-                    said_at_once(one.port, b""),
-                    said_at_once(one.port, b"", half_closed=True),
-                    said_at_once(one.port, PING[:5]),
-                    said_at_once(one.port, b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
-                    said_at_once(one.port, b'{"msg":"joined","sidecar":99,"az":"a","share":1}\n'),
+                invalid += [
+                    connection_with(one.port, b""),
+                    connection_with(one.port, b"", half_closed=True),
+                    connection_with(one.port, PING[:5]),
+                    connection_with(one.port, b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
+                    connection_with(one.port, b'{"msg":"joined","sidecar":99,"az":"a","share":1}\n'),
                 ]
         one.send_signal(signal.SIGCONT)
-        for end in asked + useless:
+        for end in valid + invalid:
             stack.enter_context(end)
-        for end in asked:
-            wait_until(lambda: end.count_messages("pong") or end.is_closed, "a ping was left unanswered")
-        for end in useless:
-            wait_until(lambda: end.count_messages("pong") or end.is_closed, "a useless connection is open")
+        for end in valid:
+            wait_until(lambda: end.count_messages("pong") or end.is_closed, "a ping was not answered")
+        for end in invalid:
+            wait_until(lambda: end.count_messages("pong") or end.is_closed, "an invalid connection is open")
             assert not end.messages
-        assert sum(end.count_messages("pong") > 0 for end in asked) == len(asked), (
-            "a ping that came whole was not answered"
+        assert sum(end.count_messages("pong") > 0 for end in valid) == len(valid), (
+            "a complete ping was not answered"
         )
-        pinged(proxy)
+        assert_responsive(proxy)
         assert one.stop(signal.SIGTERM) == 0
-        for end in [*asked, proxy]:
+        for end in [*valid, proxy]:
             wait_until(lambda: end.count_messages("") or end.is_closed, "a connection outlived its process")
 
 
-def test_a_process_started_with_no_list_and_no_discovery_serves_once_there_is_one(tmp_path: Path) -> None:
-    """While there is nothing to tell proxies keep what they hold; then all of them get a table."""
+def test_process_without_list_or_discovery_serves_once_there_is_one(tmp_path: Path) -> None:
+    """Until there is a list proxies are sent nothing; then all of them get a table."""
     discovery = DiscoveryService(members())  # refuses all connections until it serves
     with ControllerProcess(tmp_path, discovery=discovery.address, known=None) as one, ExitStack() as stack:
         proxies = [stack.enter_context(Proxy(one.port, number)) for number in range(3)]
-        pinged(*proxies)
-        time.sleep(0.6)  # beyond the first call that is made again
+        assert_responsive(*proxies)
+        time.sleep(0.6)  # longer than the first retry takes
         assert not any(proxy.usable_endpoints() or proxy.complete_tables for proxy in proxies)
         stack.enter_context(discovery)
         for proxy in proxies:
-            wait_until(lambda: proxy.usable_endpoints() == NAMES, f"proxy {proxy.number} is served by nobody")
+            wait_until(lambda: proxy.usable_endpoints() == NAMES, f"proxy {proxy.number} has no table")
