--- a/oatcart/scale/__main__.py
+++ b/oatcart/scale/__main__.py
@@ -6,12 +6,14 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from oatcart.scale.configuration import RunSettings, Settings, Wrong, read
+from oatcart.errors import InvalidConfigurationError
+from oatcart.scale.configuration import RunSettings, Settings
+from oatcart.scale.configuration_file import read
+from oatcart.scale.fault_plan import DayPlan, FaultPlanError, plan_day
 from oatcart.scale.fleet import FleetPlan, plan_fleet
 from oatcart.scale.measurement import DIMENSIONS, Measurement
 from oatcart.scale.report import json_report, text_report
 from oatcart.scale.slopes import QuantitySlope, analyse
-from oatcart.scale.troubles import DayPlan, TroublesError, plan_day
 
 FAILED = 1
 """Exit code where a run has failed, of which nothing is kept, or where something of a day did not hold."""
@@ -28,7 +30,7 @@
     parsed = _parser().parse_args(arguments)
     try:
         settings = read(parsed.file)
-    except Wrong as error:
+    except InvalidConfigurationError as error:
         print(error, file=sys.stderr)
         return UNUSABLE
     return parsed.command(settings, parsed)
@@ -64,7 +66,7 @@
     fleet = plan_fleet(settings.fleet, settings.seed)
     try:
         day = plan_day(fleet, settings.day, settings.seed)
-    except TroublesError as error:
+    except FaultPlanError as error:
         print(f"{parsed.file}: day: {error}", file=sys.stderr)
         return UNUSABLE
     print(fleet_summary(fleet))
@@ -80,15 +82,15 @@
     from oatcart.scale.children import ChildError
     from oatcart.scale.day import FULL, QUICK, play_day
     from oatcart.scale.day_report import day_json, day_text
-    from oatcart.scale.real import NotReady
-    from oatcart.scale.trial import DoesNotFit
+    from oatcart.scale.real import NotReadyError
+    from oatcart.scale.trial_settings import SizeLimitError
 
     try:
         result = play_day(settings, QUICK if parsed.quick else FULL, parsed.whole_list, report_progress)
-    except TroublesError as error:
+    except FaultPlanError as error:
         print(f"{parsed.file}: day: {error}", file=sys.stderr)
         return UNUSABLE
-    except (ChildError, NotReady, DoesNotFit) as error:
+    except (ChildError, NotReadyError, SizeLimitError) as error:
         print(f"the day has failed: {error}", file=sys.stderr)
         return FAILED
     print(day_text(result))
@@ -103,17 +105,17 @@
 
 
 def fleet_summary(fleet: FleetPlan) -> str:
-    """How the nodes of a fleet are spread."""
-    services = sorted((len(nodes), name) for name, nodes in fleet.nodes_by_service().items())
-    zones = sorted(len(nodes) for nodes in fleet.nodes_by_zone().values())
+    """How the endpoints of a fleet are spread."""
+    services = sorted((len(endpoints), name) for name, endpoints in fleet.endpoints_by_service().items())
+    zones = sorted(len(endpoints) for endpoints in fleet.endpoints_by_zone().values())
     largest = ", ".join(f"{name} {count:,}" for count, name in services[: -LARGEST_SHOWN - 1 : -1])
     return "\n".join(
         [
-            f"nodes: {len(fleet.nodes):,} in {len(services):,} services, {len(zones):,} zones, "
-            f"{len(fleet.nodes_by_rack()):,} racks and {len(fleet.regions):,} regions",
+            f"nodes: {len(fleet.endpoints):,} in {len(services):,} services, {len(zones):,} zones, "
+            f"{len(fleet.endpoints_by_rack()):,} racks and {len(fleet.regions):,} regions",
             f"largest services: {largest}; median {services[len(services) // 2][0]:,}",
             f"nodes of a zone: {zones[0]:,} to {zones[-1]:,}, median {zones[len(zones) // 2]:,}",
-            f"conductors: {len(fleet.conductors):,}, for {fleet.settings.services_per_conductor} services",
+            f"conductors: {len(fleet.controllers):,}, for {fleet.settings.services_per_conductor} services",
         ]
     )
 
--- a/oatcart/scale/day.py
+++ b/oatcart/scale/day.py
@@ -1,40 +1,40 @@
-"""The ordinary day of a fleet, played on one machine: every event becomes a change of the list of nodes.
+"""The ordinary day of a fleet, played on one machine: every event becomes a change of the list of endpoints.
 
-What is scaled: the fleet and the counts of events, to so many nodes; the conductors, to what the machine
+What is scaled: the fleet and the counts of events, to so many endpoints; the controllers, to what the machine
 bears; and the gaps between events, which are compressed. Not scaled are the delays of changes, which are
 measured in real time against the budget, and what `day_schedule.py` keeps long. A rack or a zone is lost as
-one revision of the list. What a cut between regions means here tells `day_trial.py`; which conductors a
+one revision of the list. What a cut between regions means here tells `day_trial.py`; which controllers a
 change concerns tells `day_deliveries.py`.
 
-Processor time of a hollow conductor in a single second is that of the process of all of them, its hollow
+Processor time of a hollow controller in a single second is that of the process of all of them, its hollow
 proxies too, divided by their number; that of the whole day is also read by its own meter. As the day is
 compressed, a second of it has many times the changes of a real one.
 """
 
 import time
-from collections.abc import Callable, Sequence
+from collections.abc import Callable
 from dataclasses import dataclass, replace
-from itertools import pairwise
-from statistics import fmean
 from typing import NamedTuple
 
 from oatcart.policy.draining import FORGET_AFTER_S
 from oatcart.scale.configuration import Settings
 from oatcart.scale.day_deliveries import Deliveries, Drains, History, deliveries, drains
+from oatcart.scale.day_loads import RoleLoad, metered_core_share, role_loads
 from oatcart.scale.day_schedule import Kind, schedule
-from oatcart.scale.day_trial import DayPlayer, DayTrial, Healing, Sample, WholeListTrial
-from oatcart.scale.figures import CONTROL_ROLE, HOLLOW_ROLE, REAL_ROLE, is_late, summed
+from oatcart.scale.day_trial import DayPlayer, DayTrial, Healing, WholeListTrial
+from oatcart.scale.fault_plan import plan_day
+from oatcart.scale.figures import is_late
 from oatcart.scale.fleet import FleetPlan
 from oatcart.scale.hollow import HeldTables
 from oatcart.scale.interrupts import noted_interrupts
-from oatcart.scale.trial import LOOK_EVERY_S, Reading, TrialSettings, running
-from oatcart.scale.troubles import plan_day
+from oatcart.scale.trial import LOOK_EVERY_S, Reading, running
+from oatcart.scale.trial_settings import TrialSettings
 
 LEAST_CUT_S = 5.0  # of a cut between regions, in real time
 KEPT_MOST_S = (
     2 * FORGET_AFTER_S + 2.0
-)  # that a conductor keeps a gone node, and as long as it takes to be told
-KNOWN_WITHIN_S = 10.0  # after the last change, until conductors know exactly their views
+)  # that a controller keeps a gone endpoint, and as long as it takes to be told
+KNOWN_WITHIN_S = 10.0  # after the last change, until controllers know exactly their views
 Progress = Callable[[str], None]
 
 
@@ -51,35 +51,17 @@
 
 QUICK = DayScale(nodes=1_000, hollow=10, real=1, time_compression=4_320.0)
 FULL = DayScale(nodes=2_000, hollow=24, real=2, time_compression=480.0, settle_s=3.0)
-WHOLE_LIST_MOST = 4  # hollow conductors that follow the whole list: each of them takes far more
-
-
-class Rates(NamedTuple):
-    """What a role takes in a span: share of a core, bytes and messages a second; of a conductor the mean."""
-
-    core_share: float
-    bytes_in_s: float
-    bytes_out_s: float
-    messages_in_s: float
-    messages_out_s: float
-
-
-class RoleLoad(NamedTuple):
-    """A role over the day; `worst` has of each figure the worst second, `zone_lost` that of a zone's loss."""
-
-    role: str
-    mean: Rates
-    worst: Rates
-    zone_lost: Rates | None
+WHOLE_LIST_MOST = 4  # hollow controllers that follow the whole list: each of them takes far more
 
 
 class EndState(NamedTuple):
-    """How conductors stand at the end of the day, of `conductors` in all.
+    """How controllers stand at the end of the day, of `conductors` in all.
 
-    `told`: were told exactly the list they ought to have. `known`: of `hollow` ones those that know all nodes
-    of it and no others but such as have left it lately, of which there are `kept` in all: a conductor keeps
-    the number of a gone node for up to a minute. `tables`: conductors whose proxies hold nodes of the list
-    alone. `unusable`: services of conductors with ready nodes in too few zones.
+    `told`: were told exactly the list they ought to have. `known`: of `hollow` ones those that know all
+    endpoints of it and no others but such as have left it lately, of which there are `kept` in all: a
+    controller keeps the number of a gone endpoint for up to a minute. `tables`: controllers whose proxies
+    hold endpoints of the list alone. `unusable`: services of controllers with ready endpoints in too few
+    zones.
     """
 
     conductors: int
@@ -95,7 +77,7 @@
 class DayResult:
     """One played day; times in seconds. `late_s`: the most by which a change was made late.
 
-    `hollow_late_s`: the most by which the process of hollow conductors was late with their reports;
+    `hollow_late_s`: the most by which the process of hollow controllers was late with their reports;
     `hollow_was_late` tells that this is more than their own longest round, so that delays are the machine's.
     """
 
@@ -151,7 +133,8 @@
 ) -> DayResult:
     """Plays the day of a file's fleet at a scale; all processes are ended when it returns or raises.
 
-    Raises TroublesError where so small a fleet has no room for the day, DoesNotFit, NotReady, ChildError.
+    Raises FaultPlanError where the day does not fit into so small a fleet, SizeLimitError, NotReadyError,
+    ChildError.
     """
     if whole_list:
         scale = replace(scale, hollow=min(scale.hollow, WHOLE_LIST_MOST))
@@ -181,7 +164,7 @@
 
 
 def trial_settings(settings: Settings, scale: DayScale) -> TrialSettings:
-    """The conductors and the fleet of a played day."""
+    """The controllers and the fleet of a played day."""
     return TrialSettings(
         fleet=replace(settings.fleet.scaled_to(scale.nodes), conductors=scale.hollow + scale.real),
         seed=settings.seed,
@@ -194,15 +177,15 @@
 
 
 def end_state(player: DayPlayer) -> EndState:
-    """How conductors stand once no more changes are made; they get some time to come to it."""
+    """How controllers stand once no more changes are made; they get some time to come to it."""
     trial = player.trial
     player.wait_settled(trial.names)
     until = time.monotonic() + KNOWN_WITHIN_S
     while True:
-        held, left = trial.held_tables(), nodes_left_since(trial, time.monotonic() - KEPT_MOST_S)
+        held, left = trial.held_tables(), endpoints_left_since(trial, time.monotonic() - KEPT_MOST_S)
         views = {name: trial.expected.view(name) for name in trial.names}
         known = [name for name in trial.hollow_names if is_known(held[name], views[name], left[name])]
-        tables = [name for name in trial.names if table_nodes(held[name]) <= views[name]]
+        tables = [name for name in trial.names if table_endpoints(held[name]) <= views[name]]
         if (known, tables) == (trial.hollow_names, trial.names) or time.monotonic() > until:
             break
         time.sleep(LOOK_EVERY_S)
@@ -222,26 +205,26 @@
     )
 
 
-def nodes_left_since(trial: DayTrial, since: float) -> dict[str, set[str]]:
-    """By conductor the nodes that it was told have left its list, since a moment."""
+def endpoints_left_since(trial: DayTrial, since: float) -> dict[str, set[str]]:
+    """By controller the endpoints that it was told have left its list, since a moment."""
     return {
-        name: {word.node for word in words if word.state is None and word.at >= since}
+        name: {word.endpoint for word in words if word.state is None and word.at >= since}
         for name, words in trial.relay.words().items()
     }
 
 
 def is_known(held: HeldTables, view: frozenset[str], left: set[str]) -> bool:
-    """Whether a hollow conductor knows all nodes of its view and no others but those that left it lately."""
+    """Whether a hollow controller knows its whole view, and no other endpoints but those that left lately."""
     return view <= set(held.known) <= view | left
 
 
-def table_nodes(held: HeldTables) -> set[str]:
-    """The nodes that a conductor's proxies may send to."""
+def table_endpoints(held: HeldTables) -> set[str]:
+    """The endpoints that a controller's proxies may send to."""
     return {
-        node
+        endpoint
         for table in held.tables.values()
         for weights in table["weights"].values()
-        for node, weight in weights.items()
+        for endpoint, weight in weights.items()
         if weight > 0
     }
 
@@ -280,88 +263,10 @@
     )
 
 
-def metered_core_share(before: Reading, after: Reading) -> float:
-    """Of the mean hollow conductor by its own meter, without its proxies; 0 where there are none."""
-    if not before.hollow or not after.hollow:
-        return 0.0
-    pairs = zip(before.hollow.conductors, after.hollow.conductors, strict=True)
-    return fmean(now.core_s - then.core_s for then, now in pairs) / (after.at - before.at)
-
-
-def role_loads(player: DayPlayer) -> list[RoleLoad]:
-    """What each role took, from the samples of the day."""
-    trial, samples = player.trial, player.samples
-    readers: dict[str, Callable[[Sample, Sample], Rates]] = {}
-    if trial.control:
-        readers[CONTROL_ROLE] = control_rates
-    if trial.hollow_names:
-        readers[HOLLOW_ROLE] = lambda then, now: conductor_rates(
-            then, now, trial.hollow_names, now.hollow_core_s - then.hollow_core_s
-        )
-    if trial.real_names:
-        readers[REAL_ROLE] = lambda then, now: conductor_rates(
-            then, now, trial.real_names, sum(now.real_core_s) - sum(then.real_core_s)
-        )
-    zone_losses = [change.at for change in player.changes if change.kind is Kind.ZONE_LOSS]
-    return [role_load(role, reader, samples, zone_losses) for role, reader in readers.items()]
-
-
-def role_load(
-    role: str,
-    reader: Callable[[Sample, Sample], Rates],
-    samples: Sequence[Sample],
-    zone_losses: Sequence[float],
-) -> RoleLoad:
-    """The mean and the worst seconds of one role."""
-    seconds = [(then, now) for then, now in pairwise(samples) if now.at - then.at >= LOOK_EVERY_S]
-    after_loss = [
-        reader(then, now)
-        for then, now in seconds
-        if any(then.at <= at + 1.0 and now.at >= at for at in zone_losses)
-    ]
-    return RoleLoad(
-        role,
-        reader(samples[0], samples[-1]),
-        worst([reader(then, now) for then, now in seconds]),
-        worst(after_loss) if after_loss else None,
-    )
-
-
-def worst(rates: Sequence[Rates]) -> Rates:
-    """Of each figure the largest."""
-    return Rates(*(max(figures) for figures in zip(*rates, strict=True)))
-
-
-def conductor_rates(then: Sample, now: Sample, names: Sequence[str], core_s: float) -> Rates:
-    """The mean conductor of some, which took so many core seconds together."""
-    shared = (now.at - then.at) * len(names)
-    traffic = summed(*({name: one.clients[name] for name in names} for one in (then, now)))
-    return Rates(
-        core_s / shared,
-        traffic.bytes_in / shared,
-        traffic.bytes_out / shared,
-        traffic.messages_in / shared,
-        traffic.messages_out / shared,
-    )
-
-
-def control_rates(then: Sample, now: Sample) -> Rates:
-    """The control role, with discovery and all conductors together."""
-    span_s = now.at - then.at
-    served, followed = summed(then.clients, now.clients), summed(then.source, now.source)
-    return Rates(
-        (now.control_core_s - then.control_core_s) / span_s,
-        (served.bytes_out + followed.bytes_in) / span_s,
-        (served.bytes_in + followed.bytes_out) / span_s,
-        (served.messages_out + followed.messages_in) / span_s,
-        (served.messages_in + followed.messages_out) / span_s,
-    )
-
-
 def fleet_counts(plan: FleetPlan) -> dict[str, int]:
     """The counts of the fleet as played."""
     return {
-        "nodes": len(plan.nodes),
+        "nodes": len(plan.endpoints),
         "services": len(plan.services),
         "zones": len(plan.zone_regions),
         "regions": len(plan.regions),
--- a/oatcart/scale/figures.py
+++ b/oatcart/scale/figures.py
@@ -14,18 +14,21 @@
 from oatcart.scale.hollow import HollowReading
 from oatcart.scale.measurement import Measurement
 from oatcart.scale.peers import TICK_S
-from oatcart.scale.real import NotReady
-from oatcart.scale.trial import DoesNotFit, Reading, Ready, Trial, TrialSettings, make_changes, running
+from oatcart.scale.real import NotReadyError
+from oatcart.scale.trial import Reading, Ready, Trial, make_changes, running
+from oatcart.scale.trial_settings import SizeLimitError, TrialSettings
 
 HOLLOW_ROLE, REAL_ROLE = "hollow_conductor", "conductor"
 DISCOVERY_ROLE, CONTROL_ROLE = "discovery", "control"
-LATE_MOST_S = TICK_S  # beside a conductor's own longest stretch: later, a process has no time for all of them
+LATE_MOST_S = (
+    TICK_S  # beside a controller's own longest stretch: later, a process has no time for all of them
+)
 MICROSECONDS = 1e6
 DELAY_MOST_US, DELAY_DIGITS = 120_000_000, 3  # of the histogram of delays
 
 
 class Delays(NamedTuple):
-    """Seconds from changes to conductors that have them."""
+    """Seconds from changes to controllers that have them."""
 
     median_s: float
     p99_s: float
@@ -35,7 +38,7 @@
 class Observed(NamedTuple):
     """What a trial has shown: readings before and after the measured span, and how late changes came.
 
-    `delays` has, by conductor, the seconds from each change until it had it.
+    `delays` has, by controller, the seconds from each change until it had it.
     """
 
     before: Reading
@@ -61,7 +64,7 @@
 
 
 class Traffic(NamedTuple):
-    """Bytes and messages a second, the mean over some conductors, as they see them."""
+    """Bytes and messages a second, the mean over some controllers, as they see them."""
 
     bytes_in_s: float
     bytes_out_s: float
@@ -72,7 +75,7 @@
 def play(
     settings: TrialSettings, dimension: str, size: float, kind: type[Trial] = Trial
 ) -> list[Measurement]:
-    """The measurements of one trial; raises DoesNotFit, NotReady, ChildError."""
+    """The measurements of one trial; raises SizeLimitError, NotReadyError, ChildError."""
     with running(settings, kind) as trial:
         trial.start()
         trial.join_peers()
@@ -93,39 +96,39 @@
         for one in specifications:
             try:
                 made.append((one, processes.enter_context(running(one.settings, one.kind))))
-            except DoesNotFit as error:
+            except SizeLimitError as error:
                 found += left_out(one, dimension, size, str(error))
         for one, trial in made:  # all processes are on their way by now
             try:
                 trial.start()
                 trial.join_peers()
                 started.append((one, trial))
-            except (DoesNotFit, NotReady) as error:
+            except (SizeLimitError, NotReadyError) as error:
                 found += left_out(one, dimension, size, str(error))
         first = specifications[0].settings
         if started:
             time.sleep(first.settle_s)
         try:
             observations = observe([trial for _, trial in started], first)
-        except DoesNotFit as error:
+        except SizeLimitError as error:
             return found + [gone for one, _ in started for gone in left_out(one, dimension, size, str(error))]
         for (one, trial), observed in zip(started, observations, strict=True):
             try:
                 found += [one.named(role) for role in measured(trial, observed, dimension, size)]
-            except NotReady as error:
+            except NotReadyError as error:
                 found += left_out(one, dimension, size, str(error))
     return found
 
 
 def left_out(one: Specification, dimension: str, size: float, why: str) -> list[Measurement]:
-    """The roles of conductors of a trial that did not fit."""
+    """The roles of controllers of a trial that did not fit."""
     settings = one.settings
     roles = [role for role, count in ((REAL_ROLE, settings.real), (HOLLOW_ROLE, settings.hollow)) if count]
     return [one.named(Measurement(dimension, size, role, left_out=why)) for role in roles]
 
 
 def observe(trials: Sequence[Trial], settings: TrialSettings) -> list[Observed]:
-    """A quiet span, then a span of changes; or one span in which changes are made. Raises DoesNotFit."""
+    """A quiet span, then a span of changes; or one span in which changes are made. Raises SizeLimitError."""
     if not trials:
         return []
     before = [trial.read() for trial in trials]
@@ -142,11 +145,11 @@
 def measured(trial: Trial, observed: Observed, dimension: str, size: float) -> list[Measurement]:
     """The measurement of each role that the trial had; a role that did not fit is left out and said so.
 
-    Raises NotReady where a change never came to some conductor.
+    Raises NotReadyError where a change never came to some controller.
     """
     delays = trial.wait_for_changes()
     if trial.hollows and is_late(trial.hollows.figures()):
-        delays |= dict.fromkeys(trial.hollow_names, [])  # they would be the process's, not a conductor's
+        delays |= dict.fromkeys(trial.hollow_names, [])  # they would be the process's, not a controller's
     observed = observed._replace(delays=delays)
     readers = {DISCOVERY_ROLE: discovery_measurement}
     if trial.real:
@@ -159,37 +162,39 @@
     for role, reader in readers.items():
         try:
             measurements.append(reader(trial, observed, dimension, size))
-        except DoesNotFit as error:
+        except SizeLimitError as error:
             measurements.append(Measurement(dimension, size, role, left_out=str(error)))
     return measurements
 
 
 def is_late(reading: HollowReading) -> bool:
-    """Whether the process of hollow conductors had no time for all of them since the reading before."""
-    return reading.late_s > LATE_MOST_S + max(one.longest_s for one in reading.conductors)
+    """Whether the process of hollow controllers had no time for all of them since the reading before."""
+    return reading.late_s > LATE_MOST_S + max(one.longest_s for one in reading.controllers)
 
 
 def hollow_measurement(trial: Trial, observed: Observed, dimension: str, size: float) -> Measurement:
-    """The mean hollow conductor; raises DoesNotFit where their process was late."""
+    """The mean hollow controller; raises SizeLimitError where their process was late."""
     before, after = observed.before.hollow, observed.after.hollow
     if is_late(after):
-        raise DoesNotFit(
+        raise SizeLimitError(
             f"the process of {trial.settings.hollow} hollow conductors was {after.late_s:.2f} s late"
         )
-    spent = [now.core_s - then.core_s for then, now in zip(before.conductors, after.conductors, strict=True)]
+    spent = [
+        now.core_s - then.core_s for then, now in zip(before.controllers, after.controllers, strict=True)
+    ]
     empty = Measurement(
         dimension,
         size,
         HOLLOW_ROLE,
         core_share=fmean(spent) / observed.span_s,
-        longest_round_s=max(one.longest_s for one in after.conductors),
+        longest_round_s=max(one.longest_s for one in after.controllers),
         resident_mb=(after.usage.resident_mb - trial.hollow_before_mb) / trial.settings.hollow,
     )
     return with_common(empty, trial.hollow_names, trial.ready, observed)
 
 
 def real_measurement(trial: Trial, observed: Observed, dimension: str, size: float) -> Measurement:
-    """The mean real conductor; its longest round cannot be read from outside."""
+    """The mean real controller; its longest round cannot be read from outside."""
     spent = [
         now.core_s - then.core_s for then, now in zip(observed.before.real, observed.after.real, strict=True)
     ]
@@ -206,7 +211,7 @@
 def with_common(
     measurement: Measurement, names: Sequence[str], ready: dict[str, Ready], observed: Observed
 ) -> Measurement:
-    """Adds what is read alike for hollow and real conductors: traffic, delays, readiness."""
+    """Adds what is read alike for hollow and real controllers: traffic, delays, readiness."""
     traffic = mean_traffic(observed, names)
     summary = summarised([delay for name in names for delay in observed.delays[name]])
     starts = [ready[name] for name in names]
@@ -240,7 +245,7 @@
 
 
 def control_measurement(trial: Trial, observed: Observed, dimension: str, size: float) -> Measurement:
-    """The control role: its process, and its traffic with discovery and all conductors together."""
+    """The control role: its process, and its traffic with discovery and all controllers together."""
     before, after = observed.before, observed.after
     served = summed(before.clients, after.clients)
     followed = summed(before.discovery.clients, after.discovery.clients)
@@ -271,7 +276,7 @@
 
 
 def mean_traffic(observed: Observed, names: Iterable[str]) -> Traffic:
-    """The mean control traffic of some conductors in the measured span."""
+    """The mean control traffic of some controllers in the measured span."""
     before, after = observed.before.clients, observed.after.clients
     means = {
         field: fmean(getattr(after[name], field) - getattr(before[name], field) for name in names)
--- a/oatcart/scale/module_rounds.py
+++ b/oatcart/scale/module_rounds.py
@@ -1,6 +1,6 @@
 """What rounds cost by themselves: the decision module, its tables and the codec, with no socket.
 
-For lists that exceed the protocol's 1 MiB, which conductors on sockets refuse. Time is virtual: the module
+For lists that exceed the protocol's 1 MiB, which controllers on sockets refuse. Time is virtual: the module
 is handed ticks of its fleet's time as fast as it takes them, so a fleet that would need more than a core
 can be measured. The process (`python -m oatcart.scale.module_rounds`) takes one command as in
 `children.py`.
@@ -21,7 +21,7 @@
 from oatcart.routing_tables import RoutingTables
 from oatcart.scale.children import Child, CommandReader, ignore_interrupts, resident_megabytes
 from oatcart.scale.hollow import peer_settings
-from oatcart.scale.peers import TICK_S, ConductorPeers, PeerMessage, PeerSettings
+from oatcart.scale.peers import TICK_S, ControllerPeers, PeerMessage, PeerSettings
 from oatcart.settings import read_socket_controller_settings
 
 START_S = 100.0  # virtual time at the start
@@ -30,7 +30,7 @@
 class CountingOrders(RoutingTables):
     """An order writer that encodes every message and hands its bytes to the hollow proxies."""
 
-    def __init__(self, codec: Codec, peers: ConductorPeers) -> None:
+    def __init__(self, codec: Codec, peers: ControllerPeers) -> None:
         super().__init__(len(codec.request_class_names))
         self.codec, self.peers = codec, peers
 
@@ -42,15 +42,20 @@
                 encoded[parts] = self.codec.encode_update(parts)
             self.peers.take(proxy, encoded[parts])
 
-    def check_health(self, node: int) -> None: ...
+    def check_health(self, endpoint: int) -> None:
+        """Does nothing: health checks are off."""
 
-    def watch_endpoints(self, on: bool) -> None: ...
+    def watch_endpoints(self, on: bool) -> None:
+        """Does nothing: the list does not change."""
 
-    def fetch_endpoints(self) -> None: ...
+    def fetch_endpoints(self) -> None:
+        """Does nothing: the list does not change."""
 
-    def schedule_round(self, after: float) -> None: ...
+    def schedule_round(self, after: float) -> None:
+        """Does nothing: a round follows at every tick."""
 
-    def log(self, text: str) -> None: ...
+    def log(self, text: str) -> None:
+        """Discards a line of the log."""
 
 
 class ModuleFigures(NamedTuple):
@@ -69,7 +74,7 @@
     """Reads a whole list, lets all proxies join, settles, measures quiet rounds; virtual seconds."""
     body = orjson.dumps({"revision": 1, "complete": True, "members": entries})
     before_mb = resident_megabytes(os.getpid())
-    hollow_peers = ConductorPeers(peers)
+    hollow_peers = ControllerPeers(peers)
     codec = Codec(peers.routes, settings["zones"], settings["specifics"]["proxyCount"])
     orders = CountingOrders(codec, hollow_peers)
     module = Controller(read_socket_controller_settings(settings), seed)
@@ -85,9 +90,10 @@
         return time.process_time() - began
 
     began = time.process_time()
-    roll = codec.decode_endpoint_list(parse_object(memoryview(body)))
+    endpoint_list = codec.decode_endpoint_list(parse_object(memoryview(body)))
     ready_core_s = time.process_time() - began
-    ready_core_s += one_round(START_S, hollow_peers.joins(), [EndpointListReceived(roll.whole, roll.entries)])
+    received = EndpointListReceived(endpoint_list.complete, endpoint_list.entries)
+    ready_core_s += one_round(START_S, hollow_peers.joins(), [received])
     ticks, settling = round((settle_s + quiet_s) / TICK_S), round(settle_s / TICK_S)
     took = [one_round(START_S + TICK_S * tick, hollow_peers.tick(), []) for tick in range(1, ticks + 1)][
         settling:
--- a/tests/net/test_socket_wire_bytes.py
+++ b/tests/net/test_socket_wire_bytes.py
@@ -5,6 +5,18 @@
 import pytest
 import stage as sockets
 
+from oatcart.events import (
+    EndpointEntry,
+    EndpointListFailed,
+    EndpointListReceived,
+    EndpointLoadReported,
+    HealthCheckCompleted,
+    ProxyJoined,
+    ProxyLeft,
+    ProxyLoadReported,
+    UpdateAcknowledged,
+)
+from oatcart.model import EndpointState, HealthCheckOutcome, LoadReport
 from oatcart.net.codec import Codec
 from oatcart.routing_tables import UpdatePart
 
@@ -14,17 +26,38 @@
 )
 
 
+class Stage(sockets.Stage):
+    """The stage of the socket scenarios, which also keeps the events that the decisions get."""
+
+    def __init__(self, settings):
+        self.events = []
+        super().__init__(settings)
+
+    def decide(self, now, events, commands):
+        """Keeps the events."""
+        kept = list(events)
+        self.events += kept
+        super().decide(now, kept, commands)
+
+    def events_after(self, send, data):
+        """Sends bytes and returns the events that follow."""
+        self.events = []
+        send(data)
+        self.wait_until(lambda: self.events, data)
+        return self.events
+
+
 @pytest.fixture
 def stage():
-    """The stage of `tests/net/scenarios`, with three endpoints known."""
-    one = sockets.Stage({})
+    """A stage with three endpoints known."""
+    one = Stage({})
     one.play(LIST)
     yield one
     one.close()
 
 
 def sent_to(stage, end, size):
-    """The bytes that the controller wrote to an end, `size` of them at least."""
+    """Returns the bytes that the controller sent to a connection, at least `size` of them."""
     found = bytearray()
 
     def read():
@@ -39,7 +72,7 @@
 
 
 def request_head(stage, command):
-    """The bytes of the request that a command makes at discovery or at an endpoint."""
+    """Returns the bytes of the request that a command makes at discovery or at an endpoint."""
     stage.play(f"command {command}")
     found = bytearray()
 
@@ -140,7 +173,7 @@
     assert sent_to(stage, "p", 15) == b'{"msg":"pong"}\n'
 
 
-def test_a_watch_is_asked_for_with_these_bytes(stage):
+def test_a_watch_is_requested_with_these_bytes(stage):
     """First without a wait, then with the time that news may take."""
     host = "{}:{}".format(*stage.discovery_server.getsockname()).encode()
     head = b"GET /v1/servers?since=41&timeout_ms=%d HTTP/1.1\r\nHost: %s\r\n\r\n"
@@ -149,17 +182,98 @@
     assert request_head(stage, "log x") == head % (5000, host)
 
 
-def test_the_complete_list_is_asked_for_with_these_bytes(stage):
+def test_the_complete_list_is_requested_with_these_bytes(stage):
     host = "{}:{}".format(*stage.discovery_server.getsockname()).encode()
     assert request_head(stage, "fetch_endpoints") == b"GET /v1/servers HTTP/1.1\r\nHost: %s\r\n\r\n" % host
 
 
 @pytest.mark.parametrize(("reports", "path"), [(1, b"/load"), (0, b"/healthz")])
-def test_a_health_check_is_asked_for_with_these_bytes(reports, path):
-    one = sockets.Stage({"load_reports": reports})
+def test_a_health_check_is_requested_with_these_bytes(reports, path):
+    one = Stage({"load_reports": reports})
     try:
         one.play(LIST)
         host = "{}:{}".format(*one.discovery_server.getsockname()).encode()
         assert request_head(one, "check_health 1") == b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (path, host)
     finally:
         one.close()
+
+
+def test_the_messages_of_a_proxy_are_received_with_all_fields(stage):
+    stage.play("connect p")
+    send = stage.connections["p"].sendall
+    joined = b'{"msg":"joined","sidecar":5,"az":"b","share":6.5,"standing":true}\n'
+    assert stage.events_after(send, joined) == [ProxyJoined(5, 1, 6.5, True)]
+    stage.play("command request_ack 700 true")
+    assert sent_to(stage, "p", 1) == b'{"msg":"update","nonce_out":700}\n'
+    applied = b'{"msg":"applied","sidecar":5,"version":700,"lag_ms":250.5}\n'
+    assert stage.events_after(send, applied) == [UpdateAcknowledged(5, 700, 0.2505)]
+    usage = b'{"msg":"usage","sidecar":5,"kind":"order","n":40,"bad":3,"window":1500}\n'
+    assert stage.events_after(send, usage) == [ProxyLoadReported(5, 1, 40, 3, 1.5)]
+    stage.events = []
+    stage.play("close p")
+    stage.wait_until(lambda: stage.events, "the end of the stream")
+    assert stage.events == [ProxyLeft(5)]
+
+
+@pytest.mark.parametrize(
+    "report",
+    [b'{"concurrent":7,"load_share":0.5,"depth":2}', b'{"inflight":7,"util":0.5,"queue":2,"lag":9}'],
+    ids=["names of the settings", "names of the protocol"],
+)
+def test_the_messages_of_a_collector_are_received_with_all_fields(stage, report):
+    stage.play("connect c")
+    send = stage.connections["c"].sendall
+    send(b'{"msg":"collector","az":"b"}\n')
+    heard = b'{"msg":"heard","host":"s-3d","az":"b","window":2000.0,"avg":125,"bad":4,"n":20,"report":%s}\n'
+    load = LoadReport(in_flight=7, utilization=0.5, queued=2)
+    assert stage.events_after(send, heard % report) == [EndpointLoadReported(2, 1, 2.0, 0.125, 4, 20, load)]
+    usage = b'{"msg":"usage","sidecar":63,"kind":"lookup","n":4,"bad":0,"window":1000}\n'
+    assert stage.events_after(send, usage) == [ProxyLoadReported(63, 0, 4, 0, 1.0)]
+    send(b'{"msg":"ping"}\n')
+    assert sent_to(stage, "c", 15) == b'{"msg":"pong"}\n'
+
+
+def test_a_list_of_endpoints_is_received_with_all_fields(stage):
+    """An endpoint in each state; of the last only the fields that may not be missing."""
+    request_head(stage, "watch_endpoints true")
+    members = (
+        b'{"id":"s-1f","host_port":"127.0.0.1:7001","locality":"a","phase":"DRAINING","size":2.5,'
+        b'"up_since_ms":0},'
+        b'{"id":"s-4c","host_port":"127.0.0.1:7004","locality":"b","phase":"SERVING","size":0.5,'
+        b'"up_since_ms":1764720000250.5},'
+        b'{"id":"s-2e","locality":"b","phase":"DELETED"}'
+    )
+    entries = [
+        EndpointEntry(0, 0, 0.0, EndpointState.DRAINING, 2.5),
+        EndpointEntry(3, 1, 1764720000.2505, EndpointState.READY, 0.5),
+        EndpointEntry(1, 1, 0.0, EndpointState.GONE, 1.0),
+    ]
+    for complete in (b"false", b"true"):
+        body = b'{"revision":%d,"complete":%s,"members":[%s]}' % (
+            42 + (complete == b"true"),
+            complete,
+            members,
+        )
+        found = stage.events_after(lambda data: answer(stage, b"HTTP/1.1 200 OK\r\n", data), body)
+        assert found == [EndpointListReceived(complete == b"true", entries)]
+        stage.settle()
+    found = stage.events_after(lambda data: answer(stage, b"HTTP/1.1 503 Service Unavailable\r\n", data), b"")
+    assert found == [EndpointListFailed()]
+
+
+@pytest.mark.parametrize(
+    ("head", "body", "outcome", "load"),
+    [
+        (
+            b"200 OK",
+            b'{"inflight":3,"util":0.25,"queue":1}',
+            HealthCheckOutcome.PASSED,
+            LoadReport(3, 0.25, 1),
+        ),
+        (b"503 X", b"", HealthCheckOutcome.FAILED, LoadReport(None, None, None)),
+    ],
+)
+def test_a_health_check_is_received_with_all_fields(stage, head, body, outcome, load):
+    request_head(stage, "check_health 1")
+    found = stage.events_after(lambda data: answer(stage, b"HTTP/1.1 %s\r\n" % head, data), body)
+    assert found == [HealthCheckCompleted(1, outcome, 0.0, load)]
--- a/tests/scale/test_scale_agreement.py
+++ b/tests/scale/test_scale_agreement.py
@@ -1,4 +1,4 @@
-"""Hollow conductors count only where they agree with real ones: both are compared, differences are seen."""
+"""Hollow controllers count only where they agree with real ones: both are compared, differences are seen."""
 
 from dataclasses import replace
 
@@ -7,7 +7,8 @@
 from oatcart.scale import agreement
 from oatcart.scale.agreement import Agreement, Compared, compare, none, same, within
 from oatcart.scale.configuration import FleetSettings
-from oatcart.scale.trial import Trial, TrialSettings
+from oatcart.scale.trial import Trial
+from oatcart.scale.trial_settings import TrialSettings
 
 SETTINGS = TrialSettings(
     fleet=FleetSettings().scaled_to(30),
@@ -16,7 +17,7 @@
     real=2,
     settle_s=0.5,
     quiet_s=5.0,  # long enough that one message more on the way is well under a tenth of all
-    warm_after_s=1.0,
+    warm_up_s=1.0,
     changes=4,
     changes_per_s=4.0,
 )
@@ -30,7 +31,7 @@
     return next(one for one in found.figures if one.name == name)
 
 
-def test_hollow_conductors_agree_with_real_ones() -> None:
+def test_hollow_controllers_agree_with_real_ones() -> None:
     found = compare(SETTINGS)
     assert found.agrees, found.text()
     assert CORE_RATIO[0] < found.core_ratio < CORE_RATIO[1]
@@ -41,8 +42,8 @@
     )
 
 
-def test_a_conductor_under_another_list_does_not_agree(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The real ones follow a list that lacks a node, and the comparison says so."""
+def test_a_controller_under_another_list_does_not_agree(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The real ones follow a list that lacks an endpoint, and the comparison says so."""
     whole = Trial.list_of
     monkeypatch.setattr(
         Trial, "list_of", lambda self, name: "short" if name.startswith("real") else whole(self, name)
@@ -50,7 +51,7 @@
     begin = Trial.start
 
     def start(self: Trial) -> None:
-        self.lists["short"] = self.plan.nodes[:-1]
+        self.lists["short"] = self.plan.endpoints[:-1]
         begin(self)
 
     monkeypatch.setattr(Trial, "start", start)
@@ -61,7 +62,7 @@
     assert not figure(found, "lines of tables at one of a pair only").agrees
 
 
-def test_unpaired_conductors_cannot_be_compared() -> None:
+def test_unpaired_controllers_cannot_be_compared() -> None:
     with pytest.raises(ValueError, match="paired"):
         compare(replace(SETTINGS, real=3))
 
--- a/tests/scale/test_scale_hollow.py
+++ b/tests/scale/test_scale_hollow.py
@@ -1,4 +1,4 @@
-"""Hollow conductors: what they follow, order, count, and how they meet failures."""
+"""Hollow controllers: what they follow, order, count, and how they meet failures."""
 
 import time
 from collections.abc import Callable, Iterator
@@ -7,20 +7,21 @@
 import pytest
 
 from oatcart.net.loop import Loop, Wait
-from oatcart.scale.conductor_settings import conductor_settings, route_names
+from oatcart.scale.controller_settings import controller_settings, route_names
 from oatcart.scale.discovery import Discovery
-from oatcart.scale.hollow import ConductorLoop, Hollows, Meter, metered
-from oatcart.scale.peers import ConductorPeers, PeerSettings, ProxyTables, last_mark
+from oatcart.scale.hollow import Hollows
+from oatcart.scale.metering import Meter, MeteredLoop, metered
+from oatcart.scale.peers import ControllerPeers, PeerSettings, ProxyTables, last_mark
 
 ROUTES = 2
 PROXIES = 3
-SETTINGS = conductor_settings(["a", "b"], ROUTES, PROXIES)
-NODES = tuple(f"node-{number:02}" for number in range(12))
+SETTINGS = controller_settings(["a", "b"], ROUTES, PROXIES)
+ENDPOINTS = tuple(f"node-{number:02}" for number in range(12))
 WITHIN_S = 10.0
 
 
-def entry(node: str, phase: str = "SERVING") -> dict:
-    return {"id": node, "host_port": "10.0.0.1:80", "locality": "a", "phase": phase, "size": 1.0}
+def entry(endpoint: str, phase: str = "SERVING") -> dict:
+    return {"id": endpoint, "host_port": "10.0.0.1:80", "locality": "a", "phase": phase, "size": 1.0}
 
 
 def wait_until(met: Callable[[], bool], what: str) -> None:
@@ -31,13 +32,13 @@
 
 
 def peers(seed: int = 1) -> PeerSettings:
-    return PeerSettings(seed, PROXIES, "a", route_names(ROUTES), NODES)
+    return PeerSettings(seed, PROXIES, "a", route_names(ROUTES), ENDPOINTS)
 
 
 @pytest.fixture
 def discovery() -> Iterator[Discovery]:
     with Discovery() as running:
-        running.change([entry(node) for node in NODES])
+        running.change([entry(endpoint) for endpoint in ENDPOINTS])
         yield running
 
 
@@ -49,53 +50,57 @@
 
 def start(discovery: Discovery, hollows: Hollows, count: int) -> None:
     ports = discovery.open([f"hollow-{number}" for number in range(count)])
-    hollows.start_conductors(SETTINGS, list(ports.values()), list(range(count)))
+    hollows.start_controllers(SETTINGS, list(ports.values()), list(range(count)))
     wait_until(
-        lambda: [one.known_nodes for one in hollows.figures().conductors] == [len(NODES)] * count, "no list"
+        lambda: [one.known_endpoints for one in hollows.figures().controllers] == [len(ENDPOINTS)] * count,
+        "no list",
     )
 
 
-def tables_name(hollows: Hollows, nodes: set[str]) -> bool:
-    """Whether every table of every proxy names these nodes and no others."""
+def tables_name(hollows: Hollows, endpoints: set[str]) -> bool:
+    """Whether every table of every proxy names these endpoints and no others."""
     tables = [
         table
         for one in hollows.orders()
         for held in one.tables.values()
         for table in [*held["weights"].values()]
     ]
-    return bool(tables) and all(set(table) == nodes for table in tables)
+    return bool(tables) and all(set(table) == endpoints for table in tables)
 
 
 def test_many_follow_one_list_and_each_change_comes_to_all(discovery: Discovery, hollows: Hollows) -> None:
     start(discovery, hollows, 40)
-    revision = discovery.change([entry(NODES[0], "DRAINING")])
-    wait_until(lambda: all(one.taken[-1][1] == revision for one in hollows.figures().conductors), "no change")
+    revision = discovery.change([entry(ENDPOINTS[0], "DRAINING")])
+    wait_until(
+        lambda: all(one.applied_revisions[-1][1] == revision for one in hollows.figures().controllers),
+        "no change",
+    )
     figures = hollows.figures()
-    assert all(0 < one.ready_core_s <= one.core_s and one.ready_after_s > 0 for one in figures.conductors)
+    assert all(0 < one.ready_core_s <= one.core_s and one.ready_after_s > 0 for one in figures.controllers)
     assert not figures.failures
 
 
-def test_proxies_are_ordered_all_ready_nodes_and_no_drained_one(
+def test_proxies_are_ordered_all_ready_endpoints_and_no_drained_one(
     discovery: Discovery, hollows: Hollows
 ) -> None:
     start(discovery, hollows, 2)
     hollows.join_peers([peers(), peers(2)], keep_orders=True)
-    wait_until(lambda: tables_name(hollows, set(NODES)), "no tables")
-    discovery.change([entry(NODES[3], "DRAINING")])
-    wait_until(lambda: tables_name(hollows, set(NODES) - {NODES[3]}), "still ordered")
-    figures = hollows.figures().conductors
+    wait_until(lambda: tables_name(hollows, set(ENDPOINTS)), "no tables")
+    discovery.change([entry(ENDPOINTS[3], "DRAINING")])
+    wait_until(lambda: tables_name(hollows, set(ENDPOINTS) - {ENDPOINTS[3]}), "still ordered")
+    figures = hollows.figures().controllers
     assert all(one.peer_bytes_in > 0 and one.peer_bytes_out > 0 for one in figures)
     assert all(one.peer_messages_out >= PROXIES for one in figures)
 
 
-def test_a_node_that_fails_is_shut_out_at_all_proxies(discovery: Discovery, hollows: Hollows) -> None:
+def test_an_endpoint_that_fails_is_shut_out_at_all_proxies(discovery: Discovery, hollows: Hollows) -> None:
     start(discovery, hollows, 1)
     hollows.join_peers([peers()], keep_orders=True)
-    hollows.fail([NODES[5]])
+    hollows.fail([ENDPOINTS[5]])
 
     def shut_out() -> bool:
         (held,) = hollows.orders()
-        return all(one["shut_out"] == [NODES[5]] for one in held.tables.values())
+        return all(one["shut_out"] == [ENDPOINTS[5]] for one in held.tables.values())
 
     wait_until(shut_out, "not shut out")
 
@@ -103,44 +108,46 @@
 def test_discovery_goes_away_and_returns(discovery: Discovery, hollows: Hollows) -> None:
     start(discovery, hollows, 5)
     discovery.outage(True)
-    revision = discovery.change([entry(NODES[0], "DRAINING")])
+    revision = discovery.change([entry(ENDPOINTS[0], "DRAINING")])
     time.sleep(0.3)
-    assert all(one.revision < revision for one in hollows.figures().conductors)
+    assert all(one.revision < revision for one in hollows.figures().controllers)
     discovery.outage(False)
     wait_until(
-        lambda: all(one.revision == revision for one in hollows.figures().conductors), "not followed anew"
+        lambda: all(one.revision == revision for one in hollows.figures().controllers), "not followed anew"
     )
     assert not hollows.figures().failures
 
 
 def test_a_tick_is_a_function_of_seed_and_tick() -> None:
-    one, same, other = ConductorPeers(peers()), ConductorPeers(peers()), ConductorPeers(peers(2))
+    one, same, other = ControllerPeers(peers()), ControllerPeers(peers()), ControllerPeers(peers(2))
     assert one.joins() == same.joins()
     ticks = [one.tick() for _ in range(4)]
     assert ticks == [same.tick() for _ in range(4)]
     assert ticks != [other.tick() for _ in range(4)]
 
 
-def test_every_proxy_and_every_node_is_reported_once_a_period() -> None:
-    one = ConductorPeers(peers())
+def test_every_proxy_and_every_endpoint_is_reported_once_a_period() -> None:
+    one = ControllerPeers(peers())
     told = [orjson.loads(message.line) for _ in range(4) for message in one.tick()]
-    assert sorted(line["host"] for line in told if line["msg"] == "heard") == sorted(NODES)
+    assert sorted(line["host"] for line in told if line["msg"] == "heard") == sorted(ENDPOINTS)
     usage = sorted((line["sidecar"], line["kind"]) for line in told if line["msg"] == "usage")
     assert usage == sorted((number, route) for number in range(PROXIES) for route in route_names(ROUTES))
     assert one.traffic.messages_in == len(told)
 
 
-def test_failing_nodes_fail_every_request_and_no_others() -> None:
-    one = ConductorPeers(peers())
-    one.fail([NODES[0]])
+def test_failing_endpoints_fail_every_request_and_no_others() -> None:
+    one = ControllerPeers(peers())
+    one.fail([ENDPOINTS[0]])
     told = [orjson.loads(message.line) for _ in range(4) for message in one.tick()]
     failed = {line["host"]: line["bad"] / line["n"] for line in told if line["msg"] == "heard"}
-    assert {node for node, share in failed.items() if share} == {NODES[0]} and failed[NODES[0]] == 1.0
+    assert {endpoint for endpoint, share in failed.items() if share} == {ENDPOINTS[0]} and failed[
+        ENDPOINTS[0]
+    ] == 1.0
 
 
 @pytest.mark.parametrize("keep_orders", [False, True])
 def test_a_mark_is_acknowledged_once_its_line_is_whole(keep_orders: bool) -> None:
-    one = ConductorPeers(peers(), keep_orders)
+    one = ControllerPeers(peers(), keep_orders)
     line = b'{"msg":"update","endpoints":[["node-01",1.5]],"nonce_out":905}\n'
     one.take(1, line[:20])
     assert b"applied" not in b"".join(message.line for message in one.tick())
@@ -186,7 +193,7 @@
 
     now = [0.0]
     loop = Loop(lambda: now[0], ended.append)
-    task = ConductorLoop(loop, Meter()).spawn(steps())
+    task = MeteredLoop(loop, Meter()).spawn(steps())
     now[0] = 1.0
     loop.turn(0.0)
     assert ended == [False] and not task.done
--- a/tests/scale/test_scale_runs.py
+++ b/tests/scale/test_scale_runs.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from oatcart.scale import runs, trial
+from oatcart.scale import runs, trial, trial_settings
 from oatcart.scale.children import Interrupted
 from oatcart.scale.configuration import FleetSettings, LimitSettings, RunSettings, Settings
 from oatcart.scale.figures import Delays, Observed, Specification, measured, play, play_beside, summarised
@@ -19,7 +19,8 @@
 from oatcart.scale.interrupts import noted_interrupts
 from oatcart.scale.measurement import Measurement
 from oatcart.scale.runs import measure, sizes_of
-from oatcart.scale.trial import DoesNotFit, TrialSettings, check_fits, make_changes, running
+from oatcart.scale.trial import make_changes, running
+from oatcart.scale.trial_settings import SizeLimitError, TrialSettings, check_fits
 
 SMALL = TrialSettings(
     FleetSettings().scaled_to(40), seed=1, hollow=2, real=1, settle_s=0.1, quiet_s=0.3, changes=3
@@ -50,7 +51,7 @@
 def test_a_list_over_the_protocols_limit_is_left_out_and_the_module_is_measured(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(trial, "MAX_MESSAGE_BYTES", 1_000)
+    monkeypatch.setattr(trial_settings, "MAX_MESSAGE_BYTES", 1_000)
     found = by_role(measure(settings_with({"nodes": (50,)}), True, None, lambda line: None))
     assert "list" in found["conductor"].left_out and "refused" in found["hollow_conductor"].left_out
     assert found["viewed_conductor"].left_out is None and found["control"].ready_core_s > 0
@@ -70,7 +71,7 @@
     assert all("16 request classes" in one.left_out for one in found)
 
 
-def test_routes_are_also_measured_at_what_conductors_can_have() -> None:
+def test_routes_are_also_measured_at_what_controllers_can_have() -> None:
     run = RunSettings(sizes={"routes": (2_300, 4_600)})
     assert sizes_of(run, None) == {"routes": [1, 2, 4, 8, 12, 16, 2_300, 4_600]}
     assert sizes_of(run, ["nodes"]) == {}
@@ -84,16 +85,16 @@
     ],
 )
 def test_what_is_over_a_limit_does_not_fit(settings: TrialSettings, why: str) -> None:
-    with pytest.raises(DoesNotFit, match=why):
+    with pytest.raises(SizeLimitError, match=why):
         check_fits(settings, 1_000)
 
 
 def test_memory_over_the_limit_does_not_fit_and_ends_the_trial() -> None:
-    with pytest.raises(DoesNotFit, match="memory"):
+    with pytest.raises(SizeLimitError, match="memory"):
         play(replace(SMALL, limits=LimitSettings(memory=20 << 20)), "nodes", 40)
 
 
-def test_hollow_conductors_in_a_full_process_are_left_out(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_hollow_controllers_in_a_full_process_are_left_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("oatcart.scale.figures.LATE_MOST_S", -10.0)
     found = by_role(play(SMALL, "nodes", 40))
     assert "late" in found["hollow_conductor"].left_out and found["conductor"].left_out is None
