--- a/tests/net/network_stage.py
+++ b/tests/net/network_stage.py
@@ -73,7 +73,7 @@
         health_checker = HealthChecker(
             self.loop, bool(settings.get("load_reports", 1)), 0.25, watcher.addresses, self.rounds.add_event
         )
-        self.rounds.start(self._decide, watcher, health_checker)
+        self.rounds.start(self.decide, watcher, health_checker)
         connection_limit = int(RESERVED_DESCRIPTORS + settings.get("connection_limit", 100))
         self.acceptor = Acceptor(self.loop, log, self.codec, self.rounds, connection_limit)
         self.listener = self.acceptor.listen(("127.0.0.1", 0))
@@ -96,7 +96,7 @@
     def _raise(self, error: Exception) -> None:
         raise error
 
-    def _decide(self, now: float, events: list[Event], commands: CommandWriter) -> None:
+    def decide(self, now: float, events: list[Event], commands: CommandWriter) -> None:
         """The scripted decisions: records the events, writes the pending commands."""
         if not self.rounds.events:
             self.events_seen.append(EMPTY_ROUND)
--- a/tests/net/test_socket_wire_bytes.py
+++ b/tests/net/test_socket_wire_bytes.py
@@ -27,19 +27,20 @@
 
 
 class Stage(sockets.Stage):
-    """The stage of `tests/net/scenarios` that also keeps the events as the decisions are handed them."""
+    """The stage of the socket scenarios, which also keeps the events that the decisions get."""
 
-    def __init__(self, cfg):
+    def __init__(self, settings):
         self.events = []
-        super().__init__(cfg)
+        super().__init__(settings)
 
-    def _decide(self, now, events, commands):
+    def decide(self, now, events, commands):
+        """Keeps the events."""
         kept = list(events)
         self.events += kept
-        super()._decide(now, kept, commands)
+        super().decide(now, kept, commands)
 
-    def take(self, send, data):
-        """The events that come of some bytes."""
+    def events_after(self, send, data):
+        """Sends bytes and returns the events that follow."""
         self.events = []
         send(data)
         self.wait_until(lambda: self.events, data)
@@ -48,7 +49,7 @@
 
 @pytest.fixture
 def stage():
-    """A stage round scripted decisions, with three endpoints known."""
+    """A stage with three endpoints known."""
     one = Stage({})
     one.play(LIST)
     yield one
@@ -56,7 +57,7 @@
 
 
 def sent_to(stage, end, size):
-    """The bytes that the controller wrote to an end, `size` of them at least."""
+    """Returns the bytes that the controller sent to a connection, at least `size` of them."""
     found = bytearray()
 
     def read():
@@ -71,7 +72,7 @@
 
 
 def request_head(stage, command):
-    """The bytes of the request that a command makes at discovery or at an endpoint."""
+    """Returns the bytes of the request that a command makes at discovery or at an endpoint."""
     stage.play(f"command {command}")
     found = bytearray()
 
@@ -172,7 +173,7 @@
     assert sent_to(stage, "p", 15) == b'{"msg":"pong"}\n'
 
 
-def test_a_watch_is_asked_for_with_these_bytes(stage):
+def test_a_watch_is_requested_with_these_bytes(stage):
     """First without a wait, then with the time that news may take."""
     host = "{}:{}".format(*stage.discovery_server.getsockname()).encode()
     head = b"GET /v1/servers?since=41&timeout_ms=%d HTTP/1.1\r\nHost: %s\r\n\r\n"
@@ -181,13 +182,13 @@
     assert request_head(stage, "log x") == head % (5000, host)
 
 
-def test_the_complete_list_is_asked_for_with_these_bytes(stage):
+def test_the_complete_list_is_requested_with_these_bytes(stage):
     host = "{}:{}".format(*stage.discovery_server.getsockname()).encode()
     assert request_head(stage, "fetch_endpoints") == b"GET /v1/servers HTTP/1.1\r\nHost: %s\r\n\r\n" % host
 
 
 @pytest.mark.parametrize(("reports", "path"), [(1, b"/load"), (0, b"/healthz")])
-def test_a_health_check_is_asked_for_with_these_bytes(reports, path):
+def test_a_health_check_is_requested_with_these_bytes(reports, path):
     one = Stage({"load_reports": reports})
     try:
         one.play(LIST)
@@ -197,17 +198,17 @@
         one.close()
 
 
-def test_the_messages_of_a_proxy_are_taken_with_all_fields(stage):
+def test_the_messages_of_a_proxy_are_received_with_all_fields(stage):
     stage.play("connect p")
-    say = stage.connections["p"].sendall
+    send = stage.connections["p"].sendall
     joined = b'{"msg":"joined","sidecar":5,"az":"b","share":6.5,"standing":true}\n'
-    assert stage.take(say, joined) == [ProxyJoined(5, 1, 6.5, True)]
+    assert stage.events_after(send, joined) == [ProxyJoined(5, 1, 6.5, True)]
     stage.play("command request_ack 700 true")
     assert sent_to(stage, "p", 1) == b'{"msg":"update","nonce_out":700}\n'
     applied = b'{"msg":"applied","sidecar":5,"version":700,"lag_ms":250.5}\n'
-    assert stage.take(say, applied) == [UpdateAcknowledged(5, 700, 0.2505)]
+    assert stage.events_after(send, applied) == [UpdateAcknowledged(5, 700, 0.2505)]
     usage = b'{"msg":"usage","sidecar":5,"kind":"order","n":40,"bad":3,"window":1500}\n'
-    assert stage.take(say, usage) == [ProxyLoadReported(5, 1, 40, 3, 1.5)]
+    assert stage.events_after(send, usage) == [ProxyLoadReported(5, 1, 40, 3, 1.5)]
     stage.events = []
     stage.play("close p")
     stage.wait_until(lambda: stage.events, "the end of the stream")
@@ -219,20 +220,20 @@
     [b'{"concurrent":7,"load_share":0.5,"depth":2}', b'{"inflight":7,"util":0.5,"queue":2,"lag":9}'],
     ids=["names of the settings", "names of the protocol"],
 )
-def test_the_messages_of_a_collector_are_taken_with_all_fields(stage, report):
+def test_the_messages_of_a_collector_are_received_with_all_fields(stage, report):
     stage.play("connect c")
-    say = stage.connections["c"].sendall
-    say(b'{"msg":"collector","az":"b"}\n')
+    send = stage.connections["c"].sendall
+    send(b'{"msg":"collector","az":"b"}\n')
     heard = b'{"msg":"heard","host":"s-3d","az":"b","window":2000.0,"avg":125,"bad":4,"n":20,"report":%s}\n'
     load = LoadReport(in_flight=7, utilization=0.5, queued=2)
-    assert stage.take(say, heard % report) == [EndpointLoadReported(2, 1, 2.0, 0.125, 4, 20, load)]
+    assert stage.events_after(send, heard % report) == [EndpointLoadReported(2, 1, 2.0, 0.125, 4, 20, load)]
     usage = b'{"msg":"usage","sidecar":63,"kind":"lookup","n":4,"bad":0,"window":1000}\n'
-    assert stage.take(say, usage) == [ProxyLoadReported(63, 0, 4, 0, 1.0)]
-    say(b'{"msg":"ping"}\n')
+    assert stage.events_after(send, usage) == [ProxyLoadReported(63, 0, 4, 0, 1.0)]
+    send(b'{"msg":"ping"}\n')
     assert sent_to(stage, "c", 15) == b'{"msg":"pong"}\n'
 
 
-def test_a_list_of_endpoints_is_taken_with_all_fields(stage):
+def test_a_list_of_endpoints_is_received_with_all_fields(stage):
     """An endpoint in each state; of the last only the fields that may not be missing."""
     request_head(stage, "watch_endpoints true")
     members = (
@@ -253,10 +254,10 @@
             complete,
             members,
         )
-        found = stage.take(lambda data: answer(stage, b"HTTP/1.1 200 OK\r\n", data), body)
+        found = stage.events_after(lambda data: answer(stage, b"HTTP/1.1 200 OK\r\n", data), body)
         assert found == [EndpointListReceived(complete == b"true", entries)]
         stage.settle()
-    found = stage.take(lambda data: answer(stage, b"HTTP/1.1 503 Service Unavailable\r\n", data), b"")
+    found = stage.events_after(lambda data: answer(stage, b"HTTP/1.1 503 Service Unavailable\r\n", data), b"")
     assert found == [EndpointListFailed()]
 
 
@@ -272,7 +273,7 @@
         (b"503 X", b"", HealthCheckOutcome.FAILED, LoadReport(None, None, None)),
     ],
 )
-def test_a_health_check_is_taken_with_all_fields(stage, head, body, outcome, load):
+def test_a_health_check_is_received_with_all_fields(stage, head, body, outcome, load):
     request_head(stage, "check_health 1")
-    found = stage.take(lambda data: answer(stage, b"HTTP/1.1 %s\r\n" % head, data), body)
+    found = stage.events_after(lambda data: answer(stage, b"HTTP/1.1 %s\r\n" % head, data), body)
     assert found == [HealthCheckCompleted(1, outcome, 0.0, load)]
