--- a/oatcart/scale/runs.py
+++ b/oatcart/scale/runs.py
@@ -220,6 +220,7 @@
                 interrupts.check()
                 progress(f"{dimension} {size:,}")
                 found = grown(size)
+                interrupts.check()  # it may have been hidden by an error of a process that ended over it
                 measurements += found
                 for one in found:
                     progress(f"  {line(one)}")
--- a/tests/scale/test_scale_runs.py
+++ b/tests/scale/test_scale_runs.py
@@ -6,6 +6,7 @@
 import sys
 import time
 from collections.abc import Callable
+from contextlib import suppress
 from dataclasses import replace
 from pathlib import Path
 
@@ -163,6 +164,20 @@
     assert not any(map(alive, children))
 
 
+def test_an_interrupt_hidden_by_an_error_of_a_size_ends_the_run(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Failure: seen once as a run that was ended with SIGTERM in its last size and left with code 0."""
+
+    def hidden(self: runs.Runs, size: int) -> list[Measurement]:
+        with suppress(Interrupted):
+            os.kill(os.getpid(), signal.SIGTERM)
+            time.sleep(1.0)
+        return []
+
+    monkeypatch.setattr(runs.Runs, "conductors", hidden)
+    with pytest.raises(Interrupted):
+        measure(settings_with({"conductors": (3,)}), True, None, print)
+
+
 def test_sigterm_is_the_callers_again_after_a_run() -> None:
     before = signal.getsignal(signal.SIGTERM)
     with pytest.raises(Interrupted), noted_interrupts():
