--- a/examples/disputed_fee.py
+++ b/examples/disputed_fee.py
@@ -25,7 +25,7 @@
 RECEIVED_SHARE = 0.9
 
 
-class Happening(NamedTuple):
+class ExampleEvent(NamedTuple):
     """What an instance records: when by the controller's clock, and the fields behind the time."""
 
     at: float
@@ -34,38 +34,38 @@
     fields: tuple
 
 
-def updates(rng: Random) -> Iterator[Happening]:
+def updates(rng: Random) -> Iterator[ExampleEvent]:
     """The controller's updates and their acknowledgements."""
     for nonce in range(UPDATES):
         at = BEGIN + nonce
         update = update_link(CONTROLLER, nonce)
-        yield Happening(at, CONTROLLER, RecordKind.MESSAGE_SENT, (update, "proxies"))
+        yield ExampleEvent(at, CONTROLLER, RecordKind.MESSAGE_SENT, (update, "proxies"))
         for number, proxy in enumerate(PROXIES):
             received_at = at + LEAST_DELAY + rng.expovariate(500)
             acknowledged_at = received_at + LEAST_DELAY + rng.expovariate(500)
             if rng.random() >= RECEIVED_SHARE:
                 continue
             acknowledgement = acknowledgement_link(CONTROLLER, nonce, number)
-            yield Happening(received_at, proxy, RecordKind.MESSAGE_RECEIVED, (update, CONTROLLER))
-            yield Happening(received_at, proxy, RecordKind.MESSAGE_SENT, (acknowledgement, CONTROLLER))
-            yield Happening(
+            yield ExampleEvent(received_at, proxy, RecordKind.MESSAGE_RECEIVED, (update, CONTROLLER))
+            yield ExampleEvent(received_at, proxy, RecordKind.MESSAGE_SENT, (acknowledgement, CONTROLLER))
+            yield ExampleEvent(
                 acknowledged_at, CONTROLLER, RecordKind.MESSAGE_RECEIVED, (acknowledgement, proxy)
             )
 
 
-def fees() -> Iterator[Happening]:
+def fees() -> Iterator[ExampleEvent]:
     """The two requests of one key."""
     for at, proxy, number, endpoint, outcome, duration in (
         (1100.430, "proxy-a", 41, "east-02", RequestOutcome.FAILED, 0.180),
         (1101.100, "proxy-b", 77, "east-05", RequestOutcome.SUCCEEDED, 0.061),
     ):
         fields = (number, KEY, proxy, "fee-charge", "east", endpoint, outcome, duration, 1, 3.0)
-        yield Happening(at, proxy, RecordKind.REQUEST, fields)
+        yield ExampleEvent(at, proxy, RecordKind.REQUEST, fields)
 
 
-def recorded(happening: Happening) -> Record:
+def to_record(event: ExampleEvent) -> Record:
     """The record that the instance makes of it, by its own clock."""
-    at, instance, kind, fields = happening
+    at, instance, kind, fields = event
     own_time = at + OFFSETS[instance] + DRIFTS[instance] * at
     names = (name for name, _ in FIELDS[kind])
     return Record(kind, dict(zip(names, (own_time, *fields), strict=True)))
@@ -73,11 +73,11 @@
 
 def main(folder: Path) -> None:
     """Write a trace of each instance."""
-    happenings = [*updates(Random(4)), *fees()]
+    events = [*updates(Random(4)), *fees()]
     folder.mkdir(parents=True, exist_ok=True)
     for instance in OFFSETS:
-        own = (happening for happening in happenings if happening.instance == instance)
-        records = map(recorded, sorted(own, key=lambda happening: happening.at))
+        own = (event for event in events if event.instance == instance)
+        records = map(to_record, sorted(own, key=lambda event: event.at))
         write_trace(str(folder / f"{instance}.oatrace"), {"instance": instance}, records, FIELDS)
 
 
--- a/oatcart/trace/clock_alignment.py
+++ b/oatcart/trace/clock_alignment.py
@@ -32,7 +32,7 @@
         return self.received - self.sent
 
 
-Directions = Mapping[tuple[str, str], Sequence[Message]]  # by sender and receiver
+MessagesByDirection = Mapping[tuple[str, str], Sequence[Message]]  # by sender and receiver
 
 
 @dataclass(slots=True)
@@ -64,11 +64,11 @@
             return max(self.end_bounds)
         at_first, at_last = self.end_bounds
         span = self.last - self.first
-        part = (at - self.first) / span
-        if 0.0 <= part <= 1.0:
-            return at_first + part * (at_last - at_first)
-        outside = self.first - at if part < 0 else at - self.last
-        return max(self.end_bounds) + outside * (sum(self.end_bounds) / span)
+        fraction = (at - self.first) / span
+        if 0.0 <= fraction <= 1.0:
+            return at_first + fraction * (at_last - at_first)
+        seconds_outside = self.first - at if fraction < 0 else at - self.last
+        return max(self.end_bounds) + seconds_outside * (sum(self.end_bounds) / span)
 
 
 @dataclass(slots=True)
@@ -82,7 +82,7 @@
     contradictions: list[str] = field(default_factory=list)
 
 
-class _Program(NamedTuple):
+class _LinearProgram(NamedTuple):
     """The constraints `matrix @ x <= limits`.
 
     `x` holds offset and drift of each instance, from the instance's column on, and last the slack that is
@@ -108,14 +108,14 @@
     directions: dict[tuple[str, str], list[Message]] = {}
     for message in messages:
         directions.setdefault((message.sender, message.receiver), []).append(message)
-    connected = _connected(reference, directions)
+    connected = _connected_instances(reference, directions)
     estimated = [name for name in spans if name != reference and name in connected]
     if not estimated:
         return aligned
-    columns = {name: 2 * place for place, name in enumerate(estimated)}
-    between = {pair: found for pair, found in directions.items() if connected.issuperset(pair)}
-    program = _constraints(columns, between, clocks)
-    solution = _most_slack(program)
+    columns = {name: 2 * index for index, name in enumerate(estimated)}
+    connecting = {pair: found for pair, found in directions.items() if connected.issuperset(pair)}
+    program = _constraints(columns, connecting, clocks)
+    solution = _maximize_slack(program)
     if solution is None:
         aligned.contradictions.append(
             "no straight clocks fit all messages: one was stepped; no order is claimed"
@@ -130,7 +130,7 @@
     return aligned
 
 
-def _connected(reference: str, directions: Directions) -> set[str]:
+def _connected_instances(reference: str, directions: MessagesByDirection) -> set[str]:
     """The instances that messages in both directions connect to the reference, directly or by others."""
     neighbours: dict[str, list[str]] = {}
     for sender, receiver in directions:
@@ -146,12 +146,12 @@
 
 
 def _constraints(
-    columns: dict[str, int], directions: Directions, clocks: Mapping[str, ClockEstimate]
-) -> _Program:
+    columns: dict[str, int], directions: MessagesByDirection, clocks: Mapping[str, ClockEstimate]
+) -> _LinearProgram:
     """A row a message: its sending, in the reference's time, was not after its receipt."""
     rows, limits = [], []
     for (sender, receiver), messages in directions.items():
-        for message in _tightest(messages):
+        for message in _least_delayed(messages):
             row = np.zeros(2 * len(columns) + 1)
             for name, at, sign in ((sender, message.sent, 1.0), (receiver, message.received, -1.0)):
                 if name in columns:
@@ -161,10 +161,10 @@
             rows.append(row)
             limits.append(message.delay)
     ranges = [(None, None), (-MAX_DRIFT, MAX_DRIFT)] * len(columns)
-    return _Program(columns, np.array(rows), np.array(limits), ranges)
+    return _LinearProgram(columns, np.array(rows), np.array(limits), ranges)
 
 
-def _tightest(messages: Sequence[Message]) -> Sequence[Message]:
+def _least_delayed(messages: Sequence[Message]) -> Sequence[Message]:
     """Of many messages the one with the least delay in each of MAX_MESSAGES parts; the others add little."""
     if len(messages) <= MAX_MESSAGES:
         return messages
@@ -174,7 +174,7 @@
     return [min(part, key=lambda message: message.delay) for part in parts]
 
 
-def _most_slack(program: _Program) -> np.ndarray | None:
+def _maximize_slack(program: _LinearProgram) -> np.ndarray | None:
     """The offsets and drifts that leave every message the most slack; None where none fit all messages."""
     objective = np.array([0.0] * len(program.ranges) + [-1.0])
     ranges = [*program.ranges, (0.0, None)]
@@ -182,7 +182,7 @@
     return best.x if best.success else None
 
 
-def _greatest_error(program: _Program, solution: np.ndarray, column: int, elapsed: float) -> float:
+def _greatest_error(program: _LinearProgram, solution: np.ndarray, column: int, elapsed: float) -> float:
     """By how many seconds a clock may be off, `elapsed` seconds from its middle, within the constraints."""
     shift = np.zeros(len(program.ranges) + 1)
     shift[column], shift[column + 1] = 1.0, elapsed
--- a/oatcart/trace/columns.py
+++ b/oatcart/trace/columns.py
@@ -91,7 +91,7 @@
         planes = np.frombuffer(column[3], np.uint8).reshape(MAX_WIDTH, count)
         return np.ascontiguousarray(planes.T).reshape(-1).view("<f8").tolist()
     if field_type == "name":
-        return [names[place] for place in decode_integers(column, count).tolist()]
+        return [names[index] for index in decode_integers(column, count).tolist()]
     return _decode_parts(field_type, column, count)
 
 
--- a/oatcart/trace/commands.py
+++ b/oatcart/trace/commands.py
@@ -17,7 +17,7 @@
 from oatcart.trace.records import FIELDS, FIELDS_MERGED, Record, RecordKind
 from oatcart.trace.replay import replay
 from oatcart.trace.selection import Selection, select
-from oatcart.trace.summary import repeatable_classes
+from oatcart.trace.summary import idempotent_classes
 from oatcart.trace.summary import summarize as summarize_records
 from oatcart.trace.timeline import Subject, timeline
 from oatcart.trace.trace_files import read_traces, write_trace
@@ -88,29 +88,29 @@
     """Requests by class, zone and endpoint; decisions by reason; rules that were seen broken."""
     records, missing, _ = read_traces(args.files, args.first, args.last)
     start = next((record.fields for record in records if record.kind == RecordKind.START), None)
-    found = summarize_records(records, repeatable_classes(start) if start else None)
-    print_result(found, _summary_lines(found), args.json)
-    return report_missing(missing) or (ExitCode.INCOMPLETE if found["breaches"] else ExitCode.OK)
+    summary = summarize_records(records, idempotent_classes(start) if start else None)
+    print_result(summary, _summary_lines(summary), args.json)
+    return report_missing(missing) or (ExitCode.INCOMPLETE if summary["breaches"] else ExitCode.OK)
 
 
-def _summary_lines(found: dict) -> list[str]:
+def _summary_lines(summary: dict) -> list[str]:
     """The lines that say a summary in words."""
-    counts = ", ".join(f"{count} {kind}" for kind, count in found["records"].items())
-    lines = [f"{found['first']:.3f} to {found['last']:.3f}; {counts}"]
-    for field, rows in found["reqs"].items():
+    counts = ", ".join(f"{count} {kind}" for kind, count in summary["records"].items())
+    lines = [f"{summary['first']:.3f} to {summary['last']:.3f}; {counts}"]
+    for field, rows in summary["reqs"].items():
         for name, figures in rows.items():
-            columns = "  ".join(f"{what} {value:g}" for what, value in sorted(figures.items()))
+            columns = "  ".join(f"{figure} {value:g}" for figure, value in sorted(figures.items()))
             lines.append(f"{field:5} {name or '-':20} {columns}")
-    lines += [f"decided {row['count']:8} {row['decision']} {row['reason']}" for row in found["decisions"]]
-    lines += [f"shed {count} {kind}" for kind, count in found["shed"].items()]
+    lines += [f"decided {row['count']:8} {row['decision']} {row['reason']}" for row in summary["decisions"]]
+    lines += [f"shed {count} {kind}" for kind, count in summary["shed"].items()]
     lines += [
-        f"the clock stepped by {step['stepped']:.3f} s at {step['at']:.3f}" for step in found["clock_steps"]
+        f"the clock stepped by {step['stepped']:.3f} s at {step['at']:.3f}" for step in summary["clock_steps"]
     ]
-    lines += [f"RULE {breach['rule']} BROKEN: {breach['what']}" for breach in found["breaches"]]
+    lines += [f"RULE {breach['rule']} BROKEN: {breach['what']}" for breach in summary["breaches"]]
     lines += [
-        f"in doubt: {doubt['kind']} {doubt['key']} was handed to nodes {len(doubt['ran'])} times: "
-        f"{'; '.join(doubt['ran'])}"
-        for doubt in found["doubts"]
+        f"in doubt: {repeated['kind']} {repeated['key']} was handed to nodes {len(repeated['ran'])} times: "
+        f"{'; '.join(repeated['ran'])}"
+        for repeated in summary["doubts"]
     ]
     return lines
 
@@ -149,7 +149,7 @@
 
 def _print_merge(args: argparse.Namespace, records: list[Record], clocks: AlignedClocks) -> None:
     """Print how the clocks relate, and how many places are uncertain."""
-    known = {
+    estimates = {
         name: {
             "offset_s": clock.offset,
             "drift_ppm": clock.drift * 1e6,
@@ -159,7 +159,7 @@
     }
     uncertain = sum(not record.fields["certain"] for record in records)
     result = {
-        "clocks": known,
+        "clocks": estimates,
         "contradictions": clocks.contradictions,
         "records": len(records),
         "uncertain": uncertain,
@@ -167,7 +167,7 @@
     lines = [
         f"{name}: offset {clock['offset_s']:+.6f} s, drift {clock['drift_ppm']:+.1f} ppm, "
         f"within {clock['bound_s']:.6f} s"
-        for name, clock in known.items()
+        for name, clock in estimates.items()
     ]
     lines += clocks.contradictions
     lines.append(f"{args.out}: {len(records)} records, the place of {uncertain} is not certain")
@@ -180,16 +180,16 @@
     # a secret that ends with this process, so that no two exports can be linked
     pseudonymizer = Pseudonymizer(secrets.token_bytes(32))
     instance = pseudonymizer.pseudonym("instance", metadata.get("instance", ""))
-    stripped = {"instance": instance, "stripped": True}
+    stripped_metadata = {"instance": instance, "stripped": True}
     if metadata.get("merged"):
-        stripped["merged"] = True
+        stripped_metadata["merged"] = True
     fields = FIELDS_MERGED if metadata.get("merged") else FIELDS
-    count = write_trace(args.out, stripped, map(pseudonymizer.replace, records), fields)
+    count = write_trace(args.out, stripped_metadata, map(pseudonymizer.replace, records), fields)
     replaced, dropped = pseudonymizer.replaced, pseudonymizer.dropped
     result = {"records": count, "replaced": replaced, "dropped": dropped}
     lines = [
         f"{args.out}: {count} records",
-        *(f"replaced {number} {sort}" for sort, number in replaced.items()),
+        *(f"replaced {number} {name_type}" for name_type, number in replaced.items()),
         *(f"dropped {number} {command}" for command, number in dropped.items() if number),
     ]
     print_result(result, lines, args.json)
--- a/oatcart/trace/controller_tracing.py
+++ b/oatcart/trace/controller_tracing.py
@@ -25,7 +25,7 @@
 
     `on_writer` gets the writer, which has to be started.
     """
-    instance = _file_name_of(configuration.get("name") or DEFAULT_INSTANCE)
+    instance = _file_name(configuration.get("name") or DEFAULT_INSTANCE)
 
     def make_traced_rounds(*args: object) -> Rounds:
         rounds = make_rounds(*args)
@@ -44,7 +44,7 @@
     return make_traced_rounds
 
 
-def _file_name_of(name: str) -> str:
+def _file_name(name: str) -> str:
     """A name with all that a file name may not hold replaced."""
     return "".join(character if character.isalnum() else "-" for character in name)
 
@@ -72,12 +72,12 @@
         )
         number_of = rounds.codec.number_of
 
-        def number_and_name(endpoint_id: str) -> int:
+        def number_and_record_name(endpoint_id: str) -> int:
             number = number_of(endpoint_id)
             recorder.name_endpoint(now(), number, endpoint_id)
             return number
 
-        rounds.codec.number_of = number_and_name
+        rounds.codec.number_of = number_and_record_name
         start(recorder.round, watcher, prober)
 
     rounds.start = start_recorded
--- a/oatcart/trace/decision_reasons.py
+++ b/oatcart/trace/decision_reasons.py
@@ -53,7 +53,7 @@
                 yield Decision("withdraw", reason) if ejected else Decision("let back", "returned")
             case (CommandName.SET_WEIGHT, _, _, weight):
                 yield Decision("line", "weight" if weight else "no line")
-            case (CommandName.SET_ADMISSION, _, _, level, _):
-                yield Decision("admit", "open" if level >= 1.0 else "cut")
+            case (CommandName.SET_ADMISSION, _, _, quota, _):
+                yield Decision("admit", "open" if quota >= 1.0 else "cut")
             case (name, *_):
                 yield Decision(name, "")
--- a/oatcart/trace/file_format.py
+++ b/oatcart/trace/file_format.py
@@ -116,8 +116,8 @@
         by_kind.setdefault(record[0], []).append(record)
     names: dict[str, int] = {}
     parts = [_encode_kind(kind, rows, fields[kind], names) for kind, rows in by_kind.items()]
-    places = {kind: place for place, kind in enumerate(by_kind)}
-    order = encode_integers(np.asarray([places[record[0]] for record in records], "<i8"))
+    kind_indexes = {kind: index for index, kind in enumerate(by_kind)}
+    order = encode_integers(np.asarray([kind_indexes[record[0]] for record in records], "<i8"))
     packed = msgpack.packb([list(names), parts, order])
     payload = zstandard.ZstdCompressor(level=ZSTD_LEVEL).compress(packed)
     times = [record[1] for record in records]
@@ -167,7 +167,7 @@
     `known` are the record kinds and fields of this version: other fields are left out, and those that the
     file lacks are missing. Raises CorruptTraceError.
     """
-    collects = gc.isenabled()
+    gc_was_enabled = gc.isenabled()
     gc.disable()  # thousands of live objects are made at once: collections among them double the time
     try:
         decompressor = zstandard.ZstdDecompressor()
@@ -183,23 +183,27 @@
     ) as error:
         raise CorruptTraceError(f"a block cannot be decoded: {error}") from None
     finally:
-        if collects:
+        if gc_was_enabled:
             gc.enable()
 
 
 def _decode_records(packed: bytes, known: Fields) -> tuple[list[Record], dict[str, int]]:
     """Decode the msgpack body of a block; see `decode_block`."""
     names, parts, order = msgpack.unpackb(packed, strict_map_key=False)
-    by_place, skipped, total = [], {}, 0
+    records_by_kind_index, skipped, total = [], {}, 0
     for kind, fields, count, columns in parts:
         total += count
         if kind in known:
-            by_place.append(iter(_decode_kind(kind, fields, count, columns, names, known[kind])))
+            records_by_kind_index.append(iter(_decode_kind(kind, fields, count, columns, names, known[kind])))
         else:
-            by_place.append(None)
+            records_by_kind_index.append(None)
             skipped[kind] = count
-    places = decode_integers(order, total).tolist()
-    records = [next(by_place[place]) for place in places if by_place[place] is not None]
+    kind_indexes = decode_integers(order, total).tolist()
+    records = [
+        next(records_by_kind_index[kind_index])
+        for kind_index in kind_indexes
+        if records_by_kind_index[kind_index] is not None
+    ]
     return records, skipped
 
 
@@ -214,12 +218,12 @@
     """Decode all records of one kind, with those of their fields that are known."""
     known_names = {name for name, _ in known}
     kept = [name in known_names for name, _ in fields]
-    titles = [name for name, _ in compress(fields, kept)]
+    kept_names = [name for name, _ in compress(fields, kept)]
     values = [
         decode_column(field_type, column, count, names)
         for (_, field_type), column in compress(zip(fields, columns, strict=True), kept)
     ]
-    return [Record(kind, dict(zip(titles, row, strict=False))) for row in zip(*values, strict=True)]
+    return [Record(kind, dict(zip(kept_names, row, strict=False))) for row in zip(*values, strict=True)]
 
 
 def encode_footer(index: Sequence[tuple]) -> bytes:
--- a/oatcart/trace/generate.py
+++ b/oatcart/trace/generate.py
@@ -67,7 +67,7 @@
 )
 
 
-class TableKeeper(CommandWriter):
+class RoutingTable(CommandWriter):
     """A command writer that keeps the latest weight of each endpoint, ejections, and nonces asked for."""
 
     def __init__(self) -> None:
@@ -90,7 +90,7 @@
         """See `CommandWriter`."""
         self.nonces.append(nonce)
 
-    def usable(self) -> list[int]:
+    def usable_endpoints(self) -> list[int]:
         """The endpoints that requests may go to."""
         return [
             endpoint
@@ -99,7 +99,7 @@
         ]
 
 
-class _Seen:
+class _EndpointStatistics:
     """What the proxies of a zone saw of an endpoint since the last report."""
 
     def __init__(self) -> None:
@@ -114,15 +114,15 @@
     def __init__(self, seed: int, request_rate: float) -> None:
         self.random = Random(seed)
         self.request_rate = request_rate  # requests/s of all proxies
-        self.tables = TableKeeper()
-        self.names = {place: f"{ZONES[place % 2]}-{place:02}" for place in range(ENDPOINTS)}
+        self.table = RoutingTable()
+        self.names = {number: f"{ZONES[number % 2]}-{number:02}" for number in range(ENDPOINTS)}
         self.request_counts = [0] * PROXIES
-        self.seen: dict[tuple[int, int], _Seen] = {}  # by endpoint and zone
+        self.statistics: dict[tuple[int, int], _EndpointStatistics] = {}  # by endpoint and zone
 
     def first_events(self) -> list[Event]:
         """The endpoint list, and the proxies that join."""
         entries = [
-            EndpointEntry(place, place % 2, 0.0, EndpointState.READY, 1.0) for place in range(ENDPOINTS)
+            EndpointEntry(number, number % 2, 0.0, EndpointState.READY, 1.0) for number in range(ENDPOINTS)
         ]
         rate = self.request_rate / PROXIES
         joined = [ProxyJoined(proxy, proxy % 2, rate, True) for proxy in range(PROXIES)]
@@ -131,23 +131,23 @@
     def load_reports(self) -> list[Event]:
         """What was seen since the last reports."""
         events: list[Event] = []
-        for (endpoint, zone), seen in sorted(self.seen.items()):
+        for (endpoint, zone), statistics in sorted(self.statistics.items()):
             load = LoadReport(None, self.random.uniform(0.2, 0.7), None)
-            mean = seen.duration / max(1, seen.succeeded)
-            attempts = seen.succeeded + seen.failed
+            mean = statistics.duration / max(1, statistics.succeeded)
+            attempts = statistics.succeeded + statistics.failed
             events.append(
-                EndpointLoadReported(endpoint, zone, REPORT_PERIOD, mean, seen.failed, attempts, load)
+                EndpointLoadReported(endpoint, zone, REPORT_PERIOD, mean, statistics.failed, attempts, load)
             )
         events += [
             ProxyLoadReported(proxy, 0, self.random.randrange(1, 8), 0, REPORT_PERIOD)
             for proxy in range(PROXIES)
         ]
-        self.seen.clear()
+        self.statistics.clear()
         return events
 
     def acknowledgements(self) -> list[Event]:
         """The acknowledgements of all proxies that the controller asked for since the last call."""
-        nonces, self.tables.nonces = self.tables.nonces, []
+        nonces, self.table.nonces = self.table.nonces, []
         return [
             UpdateAcknowledged(proxy, nonce, ACKNOWLEDGED_AFTER)
             for nonce in nonces
@@ -157,7 +157,7 @@
     def request(self, now: float) -> Iterator[tuple]:
         """The records of a request that comes now."""
         proxy = self.random.randrange(PROXIES)
-        name, _, request_class = self.random.choices(CLASSES, [one.share for one in CLASSES])[0]
+        name, _, request_class = self.random.choices(CLASSES, [generated.share for generated in CLASSES])[0]
         idempotent = request_class.idempotency == Idempotency.IDEMPOTENT
         self.request_counts[proxy] += 1
         common = {
@@ -168,10 +168,10 @@
             "kind": name,
         }
         attempts, endpoint, outcome, duration = 0, "", RequestOutcome.REJECTED, 0.0
-        usable = self.tables.usable()
-        while usable:
+        usable_endpoints = self.table.usable_endpoints()
+        while usable_endpoints:
             attempts += 1
-            endpoint, duration, failed = self._attempt(usable, proxy % 2)
+            endpoint, duration, failed = self._attempt(usable_endpoints, proxy % 2)
             outcome = RequestOutcome.FAILED if failed else RequestOutcome.SUCCEEDED
             if not (failed and attempts == 1 and idempotent):
                 break
@@ -188,18 +188,18 @@
             value=request_class.priority_weight,
         )
 
-    def _attempt(self, usable: list[int], zone: int) -> tuple[str, float, bool]:
+    def _attempt(self, usable_endpoints: list[int], zone: int) -> tuple[str, float, bool]:
         """Forward a request: the endpoint's name, the duration in seconds, whether it failed."""
-        weights = [self.tables.weights[endpoint] for endpoint in usable]
-        endpoint = self.random.choices(usable, weights)[0]
+        weights = [self.table.weights[endpoint] for endpoint in usable_endpoints]
+        endpoint = self.random.choices(usable_endpoints, weights)[0]
         duration = self.random.lognormvariate(-3.2, 0.5)
         failed = self.random.random() < FAILING_SHARE
-        seen = self.seen.setdefault((endpoint, zone), _Seen())
+        statistics = self.statistics.setdefault((endpoint, zone), _EndpointStatistics())
         if failed:
-            seen.failed += 1
+            statistics.failed += 1
         else:
-            seen.succeeded += 1
-            seen.duration += duration
+            statistics.succeeded += 1
+            statistics.duration += duration
         return self.names[endpoint], duration, failed
 
 
@@ -214,7 +214,7 @@
     pending: list[tuple] = []
     now = begin
     recorder = RoundRecorder(Controller(SETTINGS, seed).round, pending.append, lambda: now + UNIX_OFFSET)
-    yield start_record(now, instance, seed, SETTINGS, [one.name for one in CLASSES], ZONES)
+    yield start_record(now, instance, seed, SETTINGS, [generated.name for generated in CLASSES], ZONES)
     for endpoint, name in fleet.names.items():
         recorder.name_endpoint(now, endpoint, name)
     events = fleet.first_events()
@@ -231,7 +231,7 @@
             next_report += REPORT_PERIOD
             events += fleet.load_reports()
         events += fleet.acknowledgements()
-        recorder.round(now, iter(events), fleet.tables)
+        recorder.round(now, iter(events), fleet.table)
         events = []
         yield from pending
         pending.clear()
--- a/oatcart/trace/merge.py
+++ b/oatcart/trace/merge.py
@@ -13,7 +13,7 @@
 
 Traces = Mapping[str, Sequence[Record]]  # by instance
 # The fields that identify the event of a record, which several instances may have recorded
-IDENTITY = {RecordKind.REQUEST: ("proxy", "id"), RecordKind.ATTEMPT: ("proxy", "id", "number")}
+IDENTITY_FIELDS = {RecordKind.REQUEST: ("proxy", "id"), RecordKind.ATTEMPT: ("proxy", "id", "number")}
 
 
 def update_link(controller: str, nonce: int) -> bytes:
@@ -26,8 +26,8 @@
     return f"{controller}:applied:{nonce}:{proxy}".encode()
 
 
-def message_ends(instance: str, record: Record) -> Iterator[tuple[RecordKind, bytes]]:
-    """The message ends that a record shows: MESSAGE_SENT or MESSAGE_RECEIVED, and the message's name.
+def sends_and_receipts(instance: str, record: Record) -> Iterator[tuple[RecordKind, bytes]]:
+    """The sends and receipts that a record shows: MESSAGE_SENT or MESSAGE_RECEIVED, and the message's name.
 
     A round shows the acknowledgements that it asks for and those that it received.
     """
@@ -52,14 +52,14 @@
     sent: dict[bytes, tuple[str, float] | None] = {}
     for instance, records in traces.items():
         for record in records:
-            for end, link in message_ends(instance, record):
-                if end == RecordKind.MESSAGE_SENT:
+            for kind, link in sends_and_receipts(instance, record):
+                if kind == RecordKind.MESSAGE_SENT:
                     sent[link] = (instance, record.fields["at"]) if link not in sent else None
     messages = []
     for instance, records in traces.items():
         for record in records:
-            for end, link in message_ends(instance, record):
-                source = sent.get(link) if end == RecordKind.MESSAGE_RECEIVED else None
+            for kind, link in sends_and_receipts(instance, record):
+                source = sent.get(link) if kind == RecordKind.MESSAGE_RECEIVED else None
                 if source is not None and source[0] != instance:
                     sender, sent_at = source
                     messages.append(Message(sender, instance, sent_at, record.fields["at"]))
@@ -68,19 +68,19 @@
 
 def happened_before(one: Record, other: Record) -> bool | None:
     """Whether one merged record was before another; None where their error bounds leave it open."""
-    apart = other.fields["at"] - one.fields["at"]
+    difference = other.fields["at"] - one.fields["at"]
     if one.fields["instance"] == other.fields["instance"]:
-        return apart >= 0
-    return None if abs(apart) <= one.fields["bound"] + other.fields["bound"] else apart > 0
+        return difference >= 0
+    return None if abs(difference) <= one.fields["bound"] + other.fields["bound"] else difference > 0
 
 
 @dataclass(slots=True, eq=False)
 class _Row:
-    """A record on its way into the merged order, which is by `time`, `tie`, `place`."""
+    """A record on its way into the merged order, which is by `time`, `tie_breaker`, `position`."""
 
     time: float  # s of the reference's clock
-    tie: int  # the instance's place, plus a multiple of the number of instances
-    place: int  # within the instance
+    tie_breaker: int  # the instance's position, plus a multiple of the number of instances
+    position: int  # within the instance
     instance: int
     name: str
     record: Record
@@ -98,9 +98,9 @@
     """
     clocks = align_clocks(_spans(traces), messages_between(traces), reference)
     rows = _rows(traces, clocks)
-    _put_causes_first(rows, len(traces))
-    rows.sort(key=lambda row: (row.time, row.tie, row.place))
-    return _join_witnesses(rows), clocks
+    _move_receipts_after_sends(rows, len(traces))
+    rows.sort(key=lambda row: (row.time, row.tie_breaker, row.position))
+    return _merge_duplicates(rows), clocks
 
 
 def _spans(traces: Traces) -> dict[str, tuple[float, float]]:
@@ -117,70 +117,78 @@
     rows = []
     for instance, (name, records) in enumerate(traces.items()):
         clock, time = clocks.by_instance[name], -inf
-        for place, record in enumerate(records):
+        for position, record in enumerate(records):
             at = record.fields["at"]
             time = max(time, clock.to_reference(at))  # a clock that was stepped back reorders nothing
-            ends = list(message_ends(name, record))
-            sent = [link for end, link in ends if end == RecordKind.MESSAGE_SENT]
-            received = [link for end, link in ends if end == RecordKind.MESSAGE_RECEIVED]
+            messages = list(sends_and_receipts(name, record))
+            sent = [link for kind, link in messages if kind == RecordKind.MESSAGE_SENT]
+            received = [link for kind, link in messages if kind == RecordKind.MESSAGE_RECEIVED]
             bound = clock.error_bound(at)
-            rows.append(_Row(time, instance, place, instance, name, record, bound, sent, received))
+            rows.append(_Row(time, instance, position, instance, name, record, bound, sent, received))
     return rows
 
 
-def _put_causes_first(rows: list[_Row], instances: int) -> None:
+def _move_receipts_after_sends(rows: list[_Row], instances: int) -> None:
     """Move each receipt that lies before its sending up to it, and what its instance recorded after it.
 
     Needed where the estimated clocks do not fit all messages. The rows of an instance are in their order.
     """
-    causes: dict[bytes, _Row | None] = {}
+    sends: dict[bytes, _Row | None] = {}
     for row in rows:
         for link in row.sent:
-            causes[link] = row if link not in causes else None
+            sends[link] = row if link not in sends else None
     for _ in range(instances + 2):  # a move may make others necessary, from instance to instance
         previous = [(-inf, 0)] * instances
         moved = False
         for row in rows:
-            least = previous[row.instance]
+            earliest = previous[row.instance]
             for link in row.received:
-                cause = causes.get(link)
-                if cause is not None and cause is not row:
-                    least = max(least, (cause.time, cause.tie + instances))
-            if (row.time, row.tie) < least:
-                row.time, least_tie = least
-                rounds_up = -(-(least_tie - row.instance) // instances)
-                row.tie = row.instance + instances * rounds_up
+                send = sends.get(link)
+                if send is not None and send is not row:
+                    earliest = max(earliest, (send.time, send.tie_breaker + instances))
+            if (row.time, row.tie_breaker) < earliest:
+                row.time, earliest_tie_breaker = earliest
+                increments = -(-(earliest_tie_breaker - row.instance) // instances)
+                row.tie_breaker = row.instance + instances * increments
                 moved = True
-            previous[row.instance] = row.time, row.tie
+            previous[row.instance] = row.time, row.tie_breaker
         if not moved:
             return
 
 
-def _join_witnesses(rows: list[_Row]) -> list[Record]:
+def _merge_duplicates(rows: list[_Row]) -> list[Record]:
     """The merged records of the rows, one for all that agree."""
     merged: list[Record] = []
-    known: dict[tuple, list[tuple[Record, dict]]] = {}  # by identity, with the fields that have to agree
+    # with the fields that have to agree
+    records_by_identity: dict[tuple, list[tuple[Record, dict]]] = {}
     for row in rows:
         fields = row.record.fields
         identity = _identity(row.record)
         content = {name: value for name, value in fields.items() if name not in ("at", "instance")}
         if identity is not None:
-            twin = next((other for other, theirs in known.get(identity, ()) if theirs == content), None)
-            if twin is not None:
-                twin.fields["witnesses"].append(row.name)
+            duplicate = next(
+                (
+                    other
+                    for other, other_content in records_by_identity.get(identity, ())
+                    if other_content == content
+                ),
+                None,
+            )
+            if duplicate is not None:
+                duplicate.fields["witnesses"].append(row.name)
                 continue
         record = Record(row.record.kind, fields | _merged_fields(row))
         if merged and happened_before(merged[-1], record) is None:
             record.fields["certain"] = 0
         if identity is not None:
-            known.setdefault(identity, []).append((record, content))
+            records_by_identity.setdefault(identity, []).append((record, content))
         merged.append(record)
     return merged
 
 
 def _identity(record: Record) -> tuple | None:
     """What identifies the event of a record; None where no other instance records the same."""
-    names = IDENTITY.get(record.kind)
+    names = IDENTITY_FIELDS.get(record.kind)
     return names and (record.kind, *(record.fields.get(name) for name in names))
 
 
--- a/oatcart/trace/pseudonyms.py
+++ b/oatcart/trace/pseudonyms.py
@@ -7,7 +7,7 @@
 from oatcart.trace.round_codec import CommandName
 
 PSEUDONYM_LENGTH = 12  # hex digits; enough that a million names do not collide
-# By field, what it names; equal names of one sort get equal pseudonyms
+# By field, what it names; equal names of one type get equal pseudonyms
 NAME_FIELDS = {
     "proxy": "proxy",
     "node": "node",
@@ -24,7 +24,7 @@
 
     The pseudonyms are keyed hashes under a secret of this export: equal names stay equal within it, and
     cannot be linked to those of another export. Request classes, outcomes and errors stay, as they identify
-    nobody. `replaced` and `dropped` count what was done, by sort of name and by command.
+    nobody. `replaced` and `dropped` count what was done, by type of name and by command.
     """
 
     def __init__(self, secret: bytes) -> None:
@@ -32,19 +32,19 @@
         self.replaced: Counter[str] = Counter()
         self.dropped: Counter[str] = Counter()
 
-    def pseudonym(self, sort: str, value: str | bytes) -> str:
-        """The pseudonym of a name or key among those of its sort."""
+    def pseudonym(self, name_type: str, value: str | bytes) -> str:
+        """The pseudonym of a name or key among those of its type."""
         data = value if isinstance(value, bytes) else value.encode()
-        self.replaced[sort] += 1
-        digest = blake2b(data, key=self.secret, person=sort.encode()[:16], digest_size=16)
+        self.replaced[name_type] += 1
+        digest = blake2b(data, key=self.secret, person=name_type.encode()[:16], digest_size=16)
         return digest.hexdigest()[:PSEUDONYM_LENGTH]
 
     def replace(self, record: Record) -> Record:
         """The record without names, keys and free text."""
         fields = dict(record.fields)
-        for field, sort in NAME_FIELDS.items():
+        for field, name_type in NAME_FIELDS.items():
             if fields.get(field):
-                fields[field] = self.pseudonym(sort, fields[field])
+                fields[field] = self.pseudonym(name_type, fields[field])
         for field in KEY_FIELDS:
             if fields.get(field):
                 fields[field] = self.pseudonym(field, fields[field]).encode()
--- a/oatcart/trace/reader.py
+++ b/oatcart/trace/reader.py
@@ -16,7 +16,7 @@
 SEARCH_BYTES = 1 << 20  # read at a time in search of the next block
 
 
-def _no_progress(done: int, total: int) -> None:
+def _ignore_progress(done: int, total: int) -> None:
     """Report nothing."""
 
 
@@ -69,12 +69,12 @@
 
     def _read_footer(self) -> list[IndexEntry]:
         """The index from the footer; raises CorruptTraceError where there is no intact one."""
-        room = self.length - self.first_block_offset
-        size = min(room, FOOTER_READ_BYTES)
+        available = self.length - self.first_block_offset
+        size = min(available, FOOTER_READ_BYTES)
         try:
             index, _ = file_format.decode_footer(self._read_at(self.length - size, size))
         except FooterIncompleteError as error:
-            if error.size > room:
+            if error.size > available:
                 raise CorruptTraceError("the footer's length is wrong") from None
             index, _ = file_format.decode_footer(self._read_at(self.length - error.size, error.size))
         return index
@@ -89,12 +89,12 @@
                     gap_start = offset
                 offset = self._find_block(offset + 1)
                 continue
-            self._note_gap(gap_start, offset)
+            self._add_gap(gap_start, offset)
             gap_start = None
             length = file_format.BLOCK_HEADER.size + header.length
             index.append(IndexEntry(offset, length, header.count, header.first, header.last))
             offset += length
-        self._note_gap(gap_start, self.length)
+        self._add_gap(gap_start, self.length)
         return index
 
     def _intact_block_at(self, offset: int) -> BlockHeader | None:
@@ -106,7 +106,7 @@
         block = self._read_at(offset, file_format.BLOCK_HEADER.size + header.length)
         return header if file_format.is_intact(block, 0, header) else None
 
-    def _note_gap(self, start: int | None, end: int) -> None:
+    def _add_gap(self, start: int | None, end: int) -> None:
         """Add the bytes from `start` to `end` to what is missing; None: there are none."""
         if start is not None:
             self.missing.append(f"bytes {start} to {end} hold no intact block")
@@ -126,7 +126,7 @@
         self,
         first: float = -inf,
         last: float = inf,
-        progress: Callable[[int, int], None] = _no_progress,
+        progress: Callable[[int, int], None] = _ignore_progress,
     ) -> Iterator[Record]:
         """The records from `first` up to but not at `last`, in the order of the file.
 
@@ -138,11 +138,11 @@
             progress(done, len(self.index))
             if entry.last < first or entry.first >= last:
                 continue
-            found = self._read_block(entry)
+            block_records = self._read_block(entry)
             if first <= entry.first and entry.last < last:
-                yield from found
+                yield from block_records
             else:
-                yield from (record for record in found if first <= record.fields["at"] < last)
+                yield from (record for record in block_records if first <= record.fields["at"] < last)
 
     def _read_block(self, entry: IndexEntry) -> list[Record]:
         """The records of a block; none where it is damaged."""
--- a/oatcart/trace/record_queue.py
+++ b/oatcart/trace/record_queue.py
@@ -54,12 +54,12 @@
         """Queue a record. A full queue sheds one: of the rank to be shed first, the newest."""
         rank = SHED_ORDER.get(record[0], SHED_FIRST)
         if self.size >= self.max_records:
-            first_to_go = max(rank for rank, queue in self._waiting.items() if queue)
-            if first_to_go <= rank:
+            shed_rank = max(rank for rank, queue in self._waiting.items() if queue)
+            if shed_rank <= rank:
                 self._count_shed(record, QUEUE_FULL)
                 return
-            _, victim = self._waiting[first_to_go].pop()
-            self._count_shed(victim, QUEUE_FULL)
+            _, removed = self._waiting[shed_rank].pop()
+            self._count_shed(removed, QUEUE_FULL)
             self.size -= 1
         self._accepted += 1
         self._waiting[rank].append((self._accepted, record))
--- a/oatcart/trace/recorder.py
+++ b/oatcart/trace/recorder.py
@@ -19,7 +19,7 @@
 Decide = Callable[[float, Events, CommandWriter], None]  # one round of the decisions
 
 
-def _keep_nothing(events: list[Event]) -> None:
+def _discard_events(events: list[Event]) -> None:
     """Give nothing back to the host."""
 
 
@@ -27,7 +27,7 @@
     """Stands between a host and the decisions' `round`, and records each call.
 
     `put` takes records as a `Writer` does; `unix_clock` is asked now and then. Where the decisions raise over
-    an event, those behind it go to `give_back`, as the host has them decided on in its next round.
+    an event, those behind it go to `requeue`, as the host has them decided on in its next round.
     """
 
     def __init__(
@@ -35,12 +35,12 @@
         decide: Decide,
         put: Callable[[tuple], None],
         unix_clock: Callable[[], float],
-        give_back: Callable[[list[Event]], None] = _keep_nothing,
+        requeue: Callable[[list[Event]], None] = _discard_events,
     ) -> None:
         self._decide = decide
         self._put = put
         self._unix_clock = unix_clock
-        self._give_back = give_back
+        self._requeue = requeue
         self._rounds = 0
         self._names: dict[int, str] = {}  # by endpoint
         self._clock_recorded_at: float | None = None
@@ -48,19 +48,19 @@
 
     def round(self, now: float, events: Events, commands: CommandWriter) -> None:
         """Have the decisions made and record them; raises what they raise."""
-        taken = list(events)
-        rest = iter(taken)
+        received = list(events)
+        remaining = iter(received)
         log = CommandLog(commands)
         try:
-            self._decide(now, rest, log)
+            self._decide(now, remaining, log)
         except Exception:
-            if not_taken := list(rest):
-                del taken[-len(not_taken) :]
-                self._give_back(not_taken)
+            if unprocessed := list(remaining):
+                del received[-len(unprocessed) :]
+                self._requeue(unprocessed)
             raise
         finally:
             self._rounds += 1
-            self._put((RecordKind.ROUND, now, self._rounds, encode_events(taken), log.stored))
+            self._put((RecordKind.ROUND, now, self._rounds, encode_events(received), log.stored))
             if self._clock_recorded_at is None or now - self._clock_recorded_at >= CLOCK_INTERVAL:
                 self._record_clock(now)
 
--- a/oatcart/trace/replay.py
+++ b/oatcart/trace/replay.py
@@ -34,7 +34,7 @@
         if kind == RecordKind.START:
             replayer.start(fields)
         elif kind == RecordKind.ROUND:
-            difference = replayer.play(fields)
+            difference = replayer.replay_round(fields)
             if difference:
                 break
     return ReplayResult(replayer.rounds, replayer.commands, difference)
@@ -58,7 +58,7 @@
             self._incarnation = incarnation
             self._last_number = 0
 
-    def play(self, fields: dict) -> str:
+    def replay_round(self, fields: dict) -> str:
         """Replay a round; returns how its commands differ from the recorded ones, or ""."""
         number, expected = fields["number"], fields["orders"]
         if self._controller is None:
@@ -77,8 +77,8 @@
 
 
 def _first_difference(expected: Sequence[tuple], actual: Sequence[tuple]) -> int:
-    """The place of the first command that differs."""
-    for place, (one, other) in enumerate(zip(expected, actual, strict=False)):
-        if one != other:
-            return place
+    """The index of the first command that differs."""
+    for index, (recorded, replayed) in enumerate(zip(expected, actual, strict=False)):
+        if recorded != replayed:
+            return index
     return min(len(expected), len(actual))
--- a/oatcart/trace/summary.py
+++ b/oatcart/trace/summary.py
@@ -16,10 +16,10 @@
 SIGNIFICANT_DIGITS = 2
 PERCENTILES = (50, 99)
 GROUPED_BY = ("kind", "zone", "node")
-RUNS_TWICE = 2  # the number of the operators' rule that a request not safe to repeat runs once
+RUN_ONCE_RULE = 2  # the number of the operators' rule that a request not safe to repeat runs once
 
 
-def repeatable_classes(start: dict) -> dict[str, bool]:
+def idempotent_classes(start: dict) -> dict[str, bool]:
     """By request class, whether its requests may run more than once; from a start record's fields."""
     names = start["names"].get("kinds", ())
     classes = map(decode_request_class, start["records"]["kinds"])
@@ -29,14 +29,14 @@
     }
 
 
-def summarize(records: Iterable[Record], repeatable: Mapping[str, bool] | None = None) -> dict:
+def summarize(records: Iterable[Record], idempotent: Mapping[str, bool] | None = None) -> dict:
     """A summary in the form that the command prints as JSON.
 
-    `repeatable` says by request class whether its requests may run more than once; those of other classes
+    `idempotent` says by request class whether its requests may run more than once; those of other classes
     may not if they carry an idempotency key. Of these `breaches` lists the keys that several requests were
     answered for, `doubts` those that were sent to endpoints more than once, whatever came of it.
     """
-    summary = _Summary(repeatable or {})
+    summary = _Summary(idempotent or {})
     for record in records:
         summary.add(record)
     return summary.result()
@@ -73,8 +73,8 @@
 class _Summary:
     """The sums over the records added so far."""
 
-    def __init__(self, repeatable: Mapping[str, bool]) -> None:
-        self.repeatable = repeatable
+    def __init__(self, idempotent: Mapping[str, bool]) -> None:
+        self.idempotent = idempotent
         self.first = inf
         self.last = -inf
         self.kinds: Counter[str] = Counter()
@@ -104,13 +104,13 @@
         elif kind == RecordKind.CLOCK and fields["stepped"]:
             self.clock_steps.append({"at": fields["at"], "stepped": fields["stepped"]})
 
-    def _runs_once(self, fields: dict) -> bool:
+    def _must_run_once(self, fields: dict) -> bool:
         """Whether a request or attempt carries a key under which nothing may run twice."""
-        return bool(fields["key"]) and not self.repeatable.get(fields["kind"], False)
+        return bool(fields["key"]) and not self.idempotent.get(fields["kind"], False)
 
     def _add_attempt(self, fields: dict) -> None:
         """Note under its key that an endpoint was sent it; a request's record is its last attempt."""
-        if not fields["node"] or not self._runs_once(fields):
+        if not fields["node"] or not self._must_run_once(fields):
             return
         ended = fields.get("ending") or fields.get("outcome")
         attempt = f"{fields['proxy']}:{fields['id']} at {fields['node']} {ended}"
@@ -120,7 +120,7 @@
         """Count a request by class, zone and endpoint."""
         for field, groups in self.groups.items():
             groups[fields[field]].add(fields)
-        if fields["outcome"] == RequestOutcome.SUCCEEDED and self._runs_once(fields):
+        if fields["outcome"] == RequestOutcome.SUCCEEDED and self._must_run_once(fields):
             self.answered[fields["kind"], fields["key"]].append(fields)
 
     def _breaches(self) -> list[dict]:
@@ -130,7 +130,7 @@
             if len({(request["proxy"], request["id"]) for request in requests}) > 1:
                 what = f"{request_class} {key.hex()} was done {len(requests)} times"
                 times = [request["at"] for request in requests]
-                breaches.append({"rule": RUNS_TWICE, "what": what, "at": times})
+                breaches.append({"rule": RUN_ONCE_RULE, "what": what, "at": times})
         return breaches
 
     def result(self) -> dict:
--- a/oatcart/trace/timeline.py
+++ b/oatcart/trace/timeline.py
@@ -40,12 +40,12 @@
             names[fields["number"]] = fields["name"]
         elif kind in (RecordKind.REQUEST, RecordKind.ATTEMPT):
             if subject.includes(fields):
-                what = _attempt(fields) if kind == RecordKind.ATTEMPT else _request(fields)
-                lines.append(f"{_time(fields)} {what}{_witnesses(fields)}")
+                text = _attempt(fields) if kind == RecordKind.ATTEMPT else _request(fields)
+                lines.append(f"{_time(fields)} {text}{_witnesses(fields)}")
         elif kind == RecordKind.ROUND and subject.endpoint:
-            who = f"{_time(fields)} {fields.get('instance', 'round')} {fields['number']}"
-            for what in _decisions_about(subject.endpoint, record, names, states):
-                lines.append(f"{who}: {what}{_witnesses(fields)}")
+            source = f"{_time(fields)} {fields.get('instance', 'round')} {fields['number']}"
+            for text in _decisions_about(subject.endpoint, record, names, states):
+                lines.append(f"{source}: {text}{_witnesses(fields)}")
         if fields.get("certain") == 0 and lines and lines[-1].startswith(_time(fields)):
             lines[-1] += UNCERTAIN
     return lines
@@ -78,8 +78,8 @@
     endpoint: str, round_record: Record, names: dict[int, str], states: EndpointStates
 ) -> Iterator[str]:
     """The decisions of a round about one endpoint."""
-    taken = decisions(round_record, states)
-    for command, (_, reason) in zip(round_record.fields["orders"], taken, strict=True):
+    round_decisions = decisions(round_record, states)
+    for command, (_, reason) in zip(round_record.fields["orders"], round_decisions, strict=True):
         match command:
             case (CommandName.SET_WEIGHT, table, number, weight) if names.get(number) == endpoint:
                 yield f"{endpoint} weight {weight:g} in table {table} ({reason})"
--- a/oatcart/trace/write_policy.py
+++ b/oatcart/trace/write_policy.py
@@ -85,7 +85,7 @@
         self.retry_after = FIRST_RETRY_AFTER
         self.failing = False
 
-    def may_try(self, now: float) -> bool:
+    def may_use_disk(self, now: float) -> bool:
         """Whether the disk may be used."""
         return now >= self.retry_at
 
--- a/oatcart/trace/writer.py
+++ b/oatcart/trace/writer.py
@@ -186,9 +186,9 @@
     def write_due(self, final: bool = False) -> None:
         """Write, sync and rotate as far as it is due; `final`: write all that is queued and end the file."""
         now = self.clock()
-        if not self.backoff.may_try(now) and not final:
+        if not self.backoff.may_use_disk(now) and not final:
             return
-        while records := self._take_due(now, final):
+        while records := self._take_due_records(now, final):
             if not self._write_block(now, records):
                 return
         if self._file is None:
@@ -196,10 +196,10 @@
         if final or self.schedule.rotation_due(now, self._file.size):
             self._end_file()
         elif self.schedule.sync_due(now):
-            self._try_disk(now, self._file.sync)
+            self._run_disk_operation(now, self._file.sync)
             self.schedule.last_sync_at = now
 
-    def _take_due(self, now: float, final: bool) -> list[tuple]:
+    def _take_due_records(self, now: float, final: bool) -> list[tuple]:
         """The records of the next block, if one is due."""
         with self._lock:
             due = self.schedule.block_due(now, self.queue.size)
@@ -215,7 +215,7 @@
                 self._open_file(now)
             self._file.append_block(records)
 
-        if not self._try_disk(now, append):
+        if not self._run_disk_operation(now, append):
             with self._lock:
                 self.queue.shed_unwritten(records)
             return False
@@ -224,7 +224,7 @@
             self.log(LOG_TOPIC, line)
         return True
 
-    def _try_disk(self, now: float, operation: Callable[[], None]) -> bool:
+    def _run_disk_operation(self, now: float, operation: Callable[[], None]) -> bool:
         """Whether a disk operation worked. A failure closes the file, which is read as a truncated one."""
         try:
             operation()
@@ -257,7 +257,7 @@
 
     def _end_file(self) -> None:
         """Write the footer and close the file."""
-        self._try_disk(self.clock(), self._file.append_footer)
+        self._run_disk_operation(self.clock(), self._file.append_footer)
         self._close_file()
 
     def _close_file(self) -> None:
--- a/tests/trace/stored_traces.py
+++ b/tests/trace/stored_traces.py
@@ -64,21 +64,25 @@
     """The exit code and both outputs of each command, and the digests of files without fitted clocks."""
     for name in (ONE, TWO, PROXY, ALL):
         shutil.copy(DATA / name, folder / name)
-    told, here = {}, Path.cwd()
+    outcomes, here = {}, Path.cwd()
     os.chdir(folder)
     try:
         with mock.patch.object(secrets, "token_bytes", lambda size: SECRET):
-            for words in COMMANDS:
+            for arguments in COMMANDS:
                 out, err = io.StringIO(), io.StringIO()
                 with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
-                    code = main(words)
-                told[" ".join(words)] = [code, out.getvalue().splitlines(), err.getvalue().splitlines()]
+                    code = main(arguments)
+                outcomes[" ".join(arguments)] = [
+                    code,
+                    out.getvalue().splitlines(),
+                    err.getvalue().splitlines(),
+                ]
     finally:
         os.chdir(here)
     for name in DIGESTED:
         data = (folder / f"{name}.oatrace").read_bytes()
-        told[name] = [len(data), hashlib.sha256(data).hexdigest()]
-    return told
+        outcomes[name] = [len(data), hashlib.sha256(data).hexdigest()]
+    return outcomes
 
 
 def write_expected() -> None:
--- a/tests/trace/test_record_queue.py
+++ b/tests/trace/test_record_queue.py
@@ -4,7 +4,7 @@
 from oatcart.trace.records import RecordKind as Kind
 
 
-def test_what_is_shed_is_never_what_is_wanted_more():
+def test_a_full_queue_sheds_the_least_important_records_first():
     queue = RecordQueue(3)
     kinds = [Kind.REQUEST, Kind.ATTEMPT, Kind.ROUND, Kind.START, Kind.ROUND, Kind.ROUND, Kind.REQUEST]
     for at, kind in enumerate(kinds):
--- a/tests/trace/test_round_codec.py
+++ b/tests/trace/test_round_codec.py
@@ -63,19 +63,19 @@
 ]
 
 
-def through_file(value):
+def round_trip(value):
     """The value as a file gives it back."""
     return msgpack.unpackb(msgpack.packb(value), use_list=False)
 
 
 @pytest.mark.parametrize(("event", "stored"), EVENTS, ids=lambda value: type(value).__name__)
-def test_an_event_is_stored_under_its_old_name_and_read_back(event, stored):
-    assert through_file(encode_events([event])) == (stored,)
+def test_an_event_keeps_its_stored_name_and_is_read_back(event, stored):
+    assert round_trip(encode_events([event])) == (stored,)
     found = decode_event(stored)
     assert found == event and type(found) is type(event)
 
 
-def test_enums_and_load_reports_are_read_back_as_such():
+def test_enums_and_load_reports_are_read_back_with_their_types():
     listed = decode_event(EVENTS[0][1])
     assert type(listed.entries[0]) is EndpointEntry
     assert type(listed.entries[0].state) is EndpointState
@@ -89,10 +89,10 @@
 
 
 @pytest.mark.parametrize(("method", "fields", "stored"), COMMANDS)
-def test_a_command_is_stored_under_its_old_name(method, fields, stored):
+def test_a_command_keeps_its_stored_name(method, fields, stored):
     log = CommandLog()
     getattr(log, method)(*fields)
-    assert through_file(log.stored) == (stored,)
+    assert round_trip(log.stored) == (stored,)
 
 
 def test_every_command_is_stored_and_has_a_name():
@@ -104,10 +104,10 @@
 def test_every_command_is_passed_on():
     for method, fields, _ in COMMANDS:
         calls = []
-        target = type("Target", (), {method: lambda self, *taken: calls.append(taken)})()
+        target = type("Target", (), {method: lambda self, *arguments: calls.append(arguments)})()
         getattr(CommandLog(target), method)(*fields)
         assert calls == [fields]
 
 
 def test_settings_are_read_back():
-    assert decode_settings(through_file(encode_settings(generate.SETTINGS))) == generate.SETTINGS
+    assert decode_settings(round_trip(encode_settings(generate.SETTINGS))) == generate.SETTINGS
--- a/tests/trace/test_stored_traces.py
+++ b/tests/trace/test_stored_traces.py
@@ -16,8 +16,8 @@
     return json.loads(EXPECTED.read_text())
 
 
-@pytest.mark.parametrize("command", [" ".join(words) for words in COMMANDS])
-def test_a_command_ends_and_prints_as_it_did(outcomes, expected, command):
+@pytest.mark.parametrize("command", [" ".join(arguments) for arguments in COMMANDS])
+def test_a_command_exits_and_prints_as_recorded(outcomes, expected, command):
     assert outcomes[command] == expected[command]
 
 
@@ -34,5 +34,5 @@
     assert line == "344 rounds played again, 924 orders: identical"
 
 
-def test_nothing_is_expected_that_is_not_run(outcomes, expected):
+def test_every_expected_outcome_is_produced(outcomes, expected):
     assert outcomes.keys() == expected.keys()
--- a/tests/trace/test_trace_commands.py
+++ b/tests/trace/test_trace_commands.py
@@ -50,7 +50,7 @@
     return [one.fields for one in records if one.kind == Kind.REQUEST]
 
 
-def test_an_export_holds_no_name_and_no_key_and_two_cannot_be_linked(generated, tmp_path, capsys):
+def test_an_export_holds_no_names_or_keys_and_two_exports_cannot_be_linked(generated, tmp_path, capsys):
     exports = [tmp_path / "x", tmp_path / "y"]
     for export in exports:
         assert command.main(["strip", str(generated), "--out", str(export)]) == 0
@@ -61,16 +61,18 @@
     assert all(name in original for name in names)
     # a short one may stand there by chance; none of these is under 2 bytes
     assert [name for name in names if name in found and len(name) > 2] == []
-    old, one, two = read(generated), read(exports[0]), read(exports[1])
-    assert len(old) == len(one) == len(two)
-    proxies = [{fields["proxy"] for fields in requests(records)} for records in (old, one, two)]
+    original_records, first, second = read(generated), read(exports[0]), read(exports[1])
+    assert len(original_records) == len(first) == len(second)
+    proxies = [
+        {fields["proxy"] for fields in requests(records)} for records in (original_records, first, second)
+    ]
     assert len(proxies[1]) == len(proxies[0])
     assert not proxies[1] & proxies[2]
-    stays = [
+    unchanged = [
         [(fields["kind"], fields["outcome"], fields["took"]) for fields in requests(records)]
-        for records in (old, one)
+        for records in (original_records, first)
     ]
-    assert stays[0] == stays[1]
+    assert unchanged[0] == unchanged[1]
 
 
 def test_free_text_is_dropped_from_an_export():
@@ -96,7 +98,7 @@
     assert {"decision": "line", "reason": "weight"}.items() <= first_weight.items()
 
 
-def test_a_cut_keeps_what_was_asked_for_and_overwrites_nothing(generated, tmp_path):
+def test_a_cut_keeps_the_selected_records_and_overwrites_no_file(generated, tmp_path):
     out = tmp_path / "cut"
     span = ["--from", "1005", "--to", "1006", "--kind", "fee-charge"]
     assert command.main(["cut", str(generated), *span, "--out", str(out)]) == 0
@@ -114,7 +116,7 @@
     assert "round 1: " + endpoint in capsys.readouterr().out
 
 
-def test_arguments_and_files_that_cannot_be_used_end_with_2(generated, tmp_path):
+def test_unusable_arguments_and_files_exit_with_2(generated, tmp_path):
     for arguments in (
         ["show", str(generated), "--key", "zz"],
         ["show", str(generated), "--req", "p"],
@@ -123,7 +125,7 @@
         assert command.main(arguments) == 2
 
 
-def test_a_damaged_file_ends_with_1(generated, tmp_path):
+def test_a_damaged_file_exits_with_1(generated, tmp_path):
     damaged = tmp_path / "damaged"
     data = bytearray(generated.read_bytes())
     data[len(data) // 2] ^= 1
--- a/tests/trace/test_trace_file_format.py
+++ b/tests/trace/test_trace_file_format.py
@@ -42,7 +42,7 @@
 
 @given(RECORDS)
 @settings(max_examples=150, deadline=None, derandomize=True)
-def test_what_is_written_is_read(records):
+def test_decoded_records_equal_the_encoded_ones(records):
     block = file_format.encode_block(7, records)
     header = file_format.decode_block_header(block)
     assert file_format.is_intact(block, 0, header)
@@ -66,7 +66,7 @@
     assert "colour" not in found[0].fields
 
 
-def test_a_reader_takes_records_of_an_older_version_without_their_later_fields():
+def test_records_of_an_older_version_lack_the_fields_added_later():
     older = {RecordKind.REQUEST: FIELDS[RecordKind.REQUEST][:-2]}
     block = file_format.encode_block(0, [request(1.0)[:-2]], older)
     (found, *_), _ = file_format.decode_block(payload(block))
@@ -76,13 +76,13 @@
 def test_a_header_of_a_newer_format_or_of_another_file_is_rejected():
     header = file_format.encode_header({"a": 1})
     assert file_format.decode_header(header) == ({"a": 1}, len(header))
-    ahead = header[:8] + struct.pack("<H", file_format.VERSION + 1) + header[10:]
+    newer = header[:8] + struct.pack("<H", file_format.VERSION + 1) + header[10:]
     with pytest.raises(CorruptTraceError, match=f"version {file_format.VERSION + 1}"):
-        file_format.decode_header(ahead)
+        file_format.decode_header(newer)
     with pytest.raises(CorruptTraceError, match="not a trace file"):
         file_format.decode_header(b"something else altogether")
 
 
-def test_a_record_that_does_not_fit_its_kind_is_an_error_here_and_now():
+def test_encoding_a_record_with_too_few_fields_raises():
     with pytest.raises(CorruptTraceError, match="req has 2 fields"):
         file_format.encode_block(0, [(RecordKind.REQUEST, 1.0, 2)])
--- a/tests/trace/test_trace_merge.py
+++ b/tests/trace/test_trace_merge.py
@@ -31,15 +31,15 @@
     ends = []
     for number in range(count):
         at, delay = rng.uniform(0, 1000), 0.001 + rng.expovariate(200)
-        link, forth = b"m%d" % number, rng.random() < 0.5
-        ends.append((at, 0 if forth else 1, Kind.MESSAGE_SENT, link))
+        link, from_first = b"m%d" % number, rng.random() < 0.5
+        ends.append((at, 0 if from_first else 1, Kind.MESSAGE_SENT, link))
         if rng.random() > lost:
-            ends.append((at + delay, 1 if forth else 0, Kind.MESSAGE_RECEIVED, link))
+            ends.append((at + delay, 1 if from_first else 0, Kind.MESSAGE_RECEIVED, link))
     traces = {"a": [], "b": []}
-    for at, place, kind, link in sorted(ends):
-        instance = "ab"[place]
+    for at, index, kind, link in sorted(ends):
+        instance = "ab"[index]
         true[instance, kind, link] = at
-        traces[instance].append(record(kind, clock(at) if place else at, link, "x"))
+        traces[instance].append(record(kind, clock(at) if index else at, link, "x"))
     return traces, true
 
 
@@ -48,7 +48,7 @@
     return true[fields["instance"], merged_record.kind, fields["link"]]
 
 
-def test_two_clocks_three_seconds_apart_that_drift_are_put_together():
+def test_two_drifting_clocks_three_seconds_apart_are_aligned():
     traces, true = exchange(1)
     merged, clocks = merge(traces, "a")
     assert not clocks.contradictions
@@ -70,14 +70,14 @@
     st.sampled_from([0.0, 0.0, -4.0, 7.0]),
 )
 @settings(max_examples=25, deadline=None, derandomize=True)
-def test_no_effect_is_before_its_cause_and_no_claim_is_wrong(seed, offset, drift, lost, step):
+def test_no_receipt_precedes_its_send_and_no_claimed_order_is_wrong(seed, offset, drift, lost, step):
     """Also where a clock was stepped, so that no straight line fits."""
     traces, true = exchange(seed, offset, drift, lost, 80, step)
     merged, clocks = merge(traces, "a")
-    places = {(one.kind, one.fields["link"]): place for place, one in enumerate(merged)}
-    for kind, link in places:
+    positions = {(one.kind, one.fields["link"]): position for position, one in enumerate(merged)}
+    for kind, link in positions:
         if kind == Kind.MESSAGE_RECEIVED:
-            assert places[Kind.MESSAGE_SENT, link] < places[Kind.MESSAGE_RECEIVED, link]
+            assert positions[Kind.MESSAGE_SENT, link] < positions[Kind.MESSAGE_RECEIVED, link]
     for instance, records in traces.items():  # an instance's own order stays
         links = [one.fields["link"] for one in merged if one.fields["instance"] == instance]
         assert links == [one.fields["link"] for one in records]
@@ -88,7 +88,7 @@
                 assert true_time(true, one) <= true_time(true, other) + 2e-6
 
 
-def test_where_nothing_connects_two_instances_no_order_is_claimed():
+def test_no_order_is_claimed_between_unconnected_instances():
     traces = {
         "a": [record(Kind.CLOCK, 1.0, 2.0, 0.0)],
         "b": [record(Kind.CLOCK, 9.0, 2.0, 0.0)],
@@ -104,7 +104,7 @@
     assert clocks.by_instance["b"].end_bounds[0] == inf
 
 
-def test_between_unconnected_instances_no_order_is_claimed_at_any_time_of_theirs():
+def test_the_error_bound_of_an_unconnected_instance_is_infinite_at_any_time():
     traces = {
         name: [record(Kind.CLOCK, float(at), 2.0, 0.0) for at in range(first, 40, 2)]
         for first, name in enumerate("ab")
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("empty", ["a", "b", "c"])
-def test_an_instance_without_records_is_merged_too(empty):
+def test_an_instance_without_records_is_merged(empty):
     records = [record(Kind.CLOCK, 1.0, 2.0, 0.0), record(Kind.CLOCK, 2.0, 3.0, 0.0)]
     traces = {name: [] if name == empty else records for name in "abc"}
     merged, clocks = merge(traces, "a")
@@ -137,7 +137,7 @@
     assert [one.fields["at"] for one in merged] == [1.0, 1.0, 2.0, 2.0]
 
 
-def test_one_event_seen_by_two_becomes_one_with_both_and_a_disagreement_stays():
+def test_equal_records_of_one_request_are_merged_and_different_ones_are_kept():
     traces = {
         "a": [record(*request(1.0, 1, b"k")), record(*request(2.0, 2, b"l"))],
         "b": [record(*request(1.5, 1, b"k")), record(*request(2.5, 2, b"l", outcome="errored"))],
@@ -150,7 +150,7 @@
     ]
 
 
-def test_merge_as_a_command(tmp_path, capsys):
+def test_the_merge_command(tmp_path, capsys):
     traces, _ = exchange(3)
     paths = []
     for name, records in traces.items():
--- a/tests/trace/test_trace_reader.py
+++ b/tests/trace/test_trace_reader.py
@@ -13,7 +13,7 @@
         return trace.index, trace.first_block_offset
 
 
-def test_a_string_table_grows_in_mid_file_and_a_minute_is_found(tmp_path):
+def test_string_tables_differ_by_block_and_only_matching_blocks_are_read(tmp_path):
     with TraceReader(write_blocks(tmp_path)) as trace:
         endpoints = [record.fields["node"] for record in trace.records() if record.kind == RecordKind.REQUEST]
         assert endpoints == ["n0", "n1", "n2", "n3"]
@@ -23,7 +23,7 @@
         assert not trace.missing and trace.has_footer and trace.metadata["instance"] == "n0"
 
 
-def test_a_file_truncated_at_any_byte_gives_every_complete_block(tmp_path):
+def test_a_file_truncated_at_any_byte_yields_every_complete_block(tmp_path):
     path = write_blocks(tmp_path / "complete")
     data = path.read_bytes()
     index, begin = index_of(path)
@@ -43,7 +43,7 @@
             assert times(truncated) == (found, [])
 
 
-def test_a_flipped_bit_costs_its_block_alone(tmp_path):
+def test_a_flipped_bit_loses_only_its_block(tmp_path):
     path = write_blocks(tmp_path / "intact")
     data = path.read_bytes()
     index, begin = index_of(path)
@@ -55,6 +55,6 @@
                 TraceReader(damaged)
             continue
         found, missing = times(damaged)
-        hit = [entry for entry in index if entry.offset <= at < entry.offset + entry.length]
-        assert found == [entry.first for entry in index if entry not in hit for _ in range(2)], at
+        damaged_entries = [entry for entry in index if entry.offset <= at < entry.offset + entry.length]
+        assert found == [entry.first for entry in index if entry not in damaged_entries for _ in range(2)], at
         assert missing, at
--- a/tests/trace/test_trace_recorder.py
+++ b/tests/trace/test_trace_recorder.py
@@ -46,13 +46,13 @@
     async def run():
         async with xds_table.Table(xds_table.nodes(6)) as table:
             client = await subscribed(table, "c", True, "whole")
-            places = table.one.rounds.codec.endpoint_numbers
+            endpoint_numbers = table.one.rounds.codec.endpoint_numbers
             table.one.rounds.add_event(ProxyLoadReported(8, "not a class", 1, 0, 1.0))
             for turn in range(8):
-                for name, place in places.items():
+                for name, number in endpoint_numbers.items():
                     errors = 20 if name == "n2" else 0
                     load = LoadReport(None, 0.3, None)
-                    report = EndpointLoadReported(place, 0, 1.0, 0.05 + turn / 100, errors, 20, load)
+                    report = EndpointLoadReported(number, 0, 1.0, 0.05 + turn / 100, errors, 20, load)
                     table.one.rounds.add_event(report)
                 table.one.nested.kick()
                 await asyncio.sleep(0.05)
@@ -90,7 +90,7 @@
     assert replay(without_start).difference == "the start record is missing"
 
 
-def test_a_controller_starts_again_from_its_start_record():
+def test_a_controller_is_recreated_from_its_start_record():
     settings = ControllerSettings(
         request_classes=tuple(generated.request_class for generated in generate.CLASSES),
         discovery=DiscoverySettings(),
@@ -110,7 +110,7 @@
     controller.round(0.0, iter(()), DiscardedCommands())
 
 
-def test_a_clock_that_is_stepped_is_recorded():
+def test_a_clock_step_is_recorded():
     records, unix_times = [], iter((1000.0, 1060.0, 1090.0))
     controller = new_controller({"seed": 1, "records": start_records()})
     recorder = RoundRecorder(controller.round, records.append, lambda: next(unix_times))
--- a/tests/trace/test_trace_writer.py
+++ b/tests/trace/test_trace_writer.py
@@ -11,7 +11,7 @@
 from oatcart.trace.writer import FileStore
 
 
-def test_a_writer_goes_on_in_a_new_file_and_repairs_the_old(tmp_path):
+def test_a_restarted_writer_opens_a_new_file_and_repairs_the_old_one(tmp_path):
     old = write_blocks(tmp_path, end=False)
     old.write_bytes(old.read_bytes()[:-5])
     writer = make_writer(tmp_path, Clock(500.0))
@@ -26,12 +26,12 @@
 class FailingStore(FileStore):
     """A disk whose n-th operation fails, or writes in part first."""
 
-    def __init__(self, at, partly=False, forever=False):
-        self.left, self.partly, self.forever = at, partly, forever
+    def __init__(self, at, partial=False, forever=False):
+        self.operations_left, self.partial, self.forever = at, partial, forever
 
     def _use(self):
-        self.left -= 1
-        if self.left == 0 or self.forever and self.left < 0:
+        self.operations_left -= 1
+        if self.operations_left == 0 or self.forever and self.operations_left < 0:
             raise OSError(28, "No space left on device")
 
     def open(self, path):
@@ -42,7 +42,7 @@
         try:
             self._use()
         except OSError:
-            if self.partly:
+            if self.partial:
                 super().write(descriptor, data[: len(data) // 2])
             raise
         super().write(descriptor, data)
@@ -69,11 +69,11 @@
     return found, shed
 
 
-@pytest.mark.parametrize("partly", [False, True])
+@pytest.mark.parametrize("partial", [False, True])
 @pytest.mark.parametrize("at", range(1, 12))
-def test_a_disk_that_fails_at_any_operation_loses_only_what_is_recorded_as_shed(tmp_path, at, partly):
+def test_a_disk_that_fails_at_any_operation_loses_only_what_is_recorded_as_shed(tmp_path, at, partial):
     clock, put = Clock(), []
-    writer = make_writer(tmp_path, clock, store=FailingStore(at, partly))
+    writer = make_writer(tmp_path, clock, store=FailingStore(at, partial))
     for turn in range(12):
         clock.now = 100.0 + 6 * turn
         writer.put(request(clock.now, turn))
@@ -88,14 +88,14 @@
     assert len(writer.logged) <= 2
 
 
-def test_a_disk_that_stays_full_is_logged_once_and_tried_ever_more_rarely(tmp_path):
+def test_a_disk_that_stays_full_is_logged_once_and_retried_less_and_less_often(tmp_path):
     clock, store = Clock(), FailingStore(1, forever=True)
     writer = make_writer(tmp_path, clock, store=store)
     for turn in range(2000):
         clock.now += 1.0
         writer.put(request(clock.now, turn))
         writer.write_due()
-    assert len(writer.logged) == 1 and -store.left < 20
+    assert len(writer.logged) == 1 and -store.operations_left < 20
     store.forever = False
     clock.now += 1000
     writer.put(request(clock.now))
@@ -108,7 +108,7 @@
     assert found[0].fields["count"] + requests == 2001
 
 
-def test_a_flood_sheds_samples_before_decisions_and_says_what(tmp_path):
+def test_a_full_queue_sheds_requests_before_rounds_and_records_what_was_shed(tmp_path):
     clock = Clock()
     writer = make_writer(tmp_path, clock, max_queued_records=1000)
     for at in range(10_000):
@@ -127,7 +127,7 @@
     assert shed[0]["since"] < shed[0]["until"] <= clock.now
 
 
-def test_files_end_by_size_and_time_and_the_oldest_go(tmp_path):
+def test_files_rotate_by_size_and_age_and_the_oldest_are_deleted(tmp_path):
     clock = Clock()
     writer = make_writer(tmp_path, clock, max_file_bytes=2000, max_file_age=100.0, max_total_bytes=6000)
     writer.start_records = [(Kind.START, 100.0, "n0", 1, {}, "t", {})]
--- a/tests/trace/test_write_policy.py
+++ b/tests/trace/test_write_policy.py
@@ -11,7 +11,7 @@
     backoff = DiskBackoff()
     assert "tried again in 1 s" in backoff.failed(10.0, "full")
     assert backoff.failed(11.0, "full") is None
-    assert not backoff.may_try(12.9)
-    assert backoff.may_try(13.0)
+    assert not backoff.may_use_disk(12.9)
+    assert backoff.may_use_disk(13.0)
     assert backoff.succeeded()
     assert backoff.succeeded() is None
--- a/tests/trace/trace_helpers.py
+++ b/tests/trace/trace_helpers.py
@@ -13,8 +13,8 @@
 
 def request(at, id=1, key=b"", request_class="lookup", endpoint="n1", outcome="done", proxy="p1", attempts=1):
     """A request as a writer takes it."""
-    place = (proxy, request_class, "east", endpoint)
-    return (RecordKind.REQUEST, at, id, key, *place, outcome, 0.05, attempts, 1.0)
+    location = (proxy, request_class, "east", endpoint)
+    return (RecordKind.REQUEST, at, id, key, *location, outcome, 0.05, attempts, 1.0)
 
 
 class Clock:
