--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -1,9 +1,9 @@
-"""What traces cost: `python -m benchmarks.trace` (three minutes).
+"""Measure the cost of traces: `python -m benchmarks.trace` (three minutes).
 
-A generated hour of requests and rounds is written as a trace and, as this run's baseline, as zstd-compressed
-JSON lines. A minute is found and read in both, and in a trace a sixth as long; the writer's CPU time is set
-against the hour; rounds with the recorder are timed against rounds without, in pairs. Prints a table; the
-last line is one JSON object.
+A generated hour of requests and rounds is written as a trace and, as the baseline, as zstd-compressed JSON
+lines. A minute is found and read in both, and in a trace a sixth as long. The writer's CPU time is given as a
+share of the hour. Rounds are timed in pairs, with the recorder and without. Prints a table; the last line is
+one JSON object.
 """
 
 import argparse
@@ -36,7 +36,7 @@
 SEED = 11
 BEGIN = 1000.0  # s
 MINUTE = 60.0  # s
-READS = 7  # times that a minute is read; the median is shown
+READS = 7  # number of times that a minute is read; the median is shown
 RECORDED_ROUNDS = 400
 RECORDER_PAIRS = 9
 ONE_FILE = Limits(max_file_bytes=1 << 40, max_file_age=1e9)
@@ -52,7 +52,7 @@
 
 
 class MinuteRead(NamedTuple):
-    """A minute that was read: seconds, records, bytes."""
+    """The seconds that reading a minute took, and the numbers of records and bytes read."""
 
     seconds: float
     records: int
@@ -60,7 +60,7 @@
 
 
 class RoundTimes(NamedTuple):
-    """The median over pairs of the times' ratio, and of a round's time with the recorder and without, us."""
+    """Medians over pairs: the ratio of times, and a round's time with and without the recorder in us."""
 
     ratio: float
     recorded: float
@@ -68,7 +68,7 @@
 
 
 class JsonLines:
-    """The baseline: each record a line of JSON in one zstd stream."""
+    """The baseline: each record as a line of JSON in one zstd stream."""
 
     def __init__(self, file: BinaryIO) -> None:
         self._stream = zstandard.ZstdCompressor(level=ZSTD_LEVEL).stream_writer(file)
@@ -85,7 +85,7 @@
 
 
 def write(folder: Path, seconds: float, request_rate: float, baseline: JsonLines | None = None) -> Written:
-    """Write a generated trace; the time that making its records takes is not counted."""
+    """Write a generated trace; the CPU time does not include generating its records."""
     now = BEGIN
     writer = Writer(folder, "n0", {}, lambda: now, lambda topic, text: print(text, file=sys.stderr), ONE_FILE)
     cpu_time, count, next_poll = 0.0, 0, BEGIN
@@ -108,7 +108,7 @@
 
 
 def read_minute(path: Path, at: float) -> MinuteRead:
-    """Open a trace, find and read the minute from a time on; the median of some times."""
+    """Open a trace, find and read the minute that begins at a time; return the median time of READS runs."""
     times = []
     for _ in range(READS):
         started_at = time.perf_counter()
@@ -120,7 +120,7 @@
 
 
 def read_minute_in_new_process(path: Path, at: float) -> MinuteRead:
-    """The same in a process of its own, as whoever asks for a minute has it."""
+    """Read a minute in a new process, as a user who asks for a minute does."""
     output = subprocess.run(
         [sys.executable, "-m", "benchmarks.trace", "--minute", str(path), str(at)],
         check=True,
@@ -131,7 +131,7 @@
 
 
 def read_baseline_minute(path: Path, at: float) -> MinuteRead:
-    """The same from JSON lines, which have to be read from the start on."""
+    """Read a minute from JSON lines, which have to be read from the start of the file."""
     started_at, found = time.perf_counter(), 0
     with open(path, "rb") as file:
         stream = zstandard.ZstdDecompressor().stream_reader(file)
@@ -146,7 +146,7 @@
 
 
 def generated_rounds(request_rate: float) -> tuple[dict, list[tuple[float, list[Event]]]]:
-    """The fields of a start record, and the times and events of the rounds behind it."""
+    """Return the fields of a start record, and the times and events of the rounds after it."""
     start, rounds = {}, []
     duration = RECORDED_ROUNDS * generate.ROUND_INTERVAL
     for kind, *values in generate.generate_records(SEED, duration, request_rate):
@@ -159,7 +159,7 @@
 
 
 def time_rounds(start: dict, rounds: list, commands: CommandWriter, recorded: bool) -> float:
-    """The mean time of a round in microseconds, with the recorder or without."""
+    """Return the mean time of a round in microseconds, with the recorder or without."""
     controller, records = new_controller(start), []
     decide = controller.round
     if recorded:
@@ -172,7 +172,7 @@
 
 
 def time_recorder(request_rate: float) -> RoundTimes:
-    """What the recorder adds to a round."""
+    """Measure the time of a round with the recorder and without."""
     start, rounds = generated_rounds(request_rate)
     commands = DiscardedCommands()
     pairs = [
@@ -187,7 +187,7 @@
 
 
 def measure(folder: Path, seconds: float, request_rate: float) -> dict:
-    """All figures, as the last line prints them."""
+    """Return all figures, as the last line prints them."""
     baseline_path = folder / "baseline"
     with open(baseline_path, "wb") as file:
         baseline = JsonLines(file)
@@ -222,7 +222,7 @@
 
 
 def print_table(figures: dict) -> None:
-    """The figures for people."""
+    """Print the figures as a table."""
     print(
         f"{figures['seconds']:g} s at {figures['reqs']:g} requests/s, {figures['records']} records; "
         "figures on generated records"
@@ -243,7 +243,7 @@
 
 
 def main() -> int:
-    """Measure and print; returns 1 where trace and baseline disagree about a minute's records."""
+    """Measure and print; return 1 if trace and baseline hold different numbers of records for the minute."""
     parser = argparse.ArgumentParser(prog="benchmarks.trace", description=__doc__)
     parser.add_argument("--seconds", type=float, default=3600.0)
     parser.add_argument("--reqs", type=float, default=500.0, help="requests/s")
--- a/benchmarks/trace_layouts.py
+++ b/benchmarks/trace_layouts.py
@@ -1,8 +1,8 @@
-"""How a block may be laid out: `python -m benchmarks.trace_layouts` (some seconds).
+"""Compare layouts of a block: `python -m benchmarks.trace_layouts` (some seconds).
 
-The same generated records in rows (msgpack, with and without a trained zstd dictionary) and in columns, by
-block size: bytes a record, and the time to read a block of each. Prints a table; the last line is one JSON
-object.
+The same generated records are encoded in rows (msgpack, with and without a trained zstd dictionary) and in
+columns, by block size. Prints a table of the bytes per record and the time to read a block; the last line is
+one JSON object.
 """
 
 import io
@@ -19,7 +19,7 @@
 
 BLOCK_SIZES = (256, 1024, 4096, 16384)  # records
 DICTIONARY_BYTES = 64 * 1024
-SAMPLE_ROWS = 64  # rows of one sample for the dictionary
+SAMPLE_ROWS = 64  # rows per sample for training the dictionary
 
 
 def decode_rows(block: bytes) -> None:
@@ -34,7 +34,7 @@
 
 
 def mean_time(decode: Callable[[bytes], None], blocks: Sequence[bytes]) -> float:
-    """The mean time to decode a block, in ms."""
+    """Return the mean time to decode a block, in ms."""
     started_at = time.perf_counter()
     for block in blocks:
         decode(block)
@@ -44,7 +44,7 @@
 def measure(
     records: Sequence[tuple], dictionary: zstandard.ZstdCompressionDict, size: int
 ) -> dict[str, float]:
-    """Bytes a record of each layout, and ms to read a block, with `size` records a block."""
+    """Return the bytes per record and the ms to read a block of `size` records, for each layout."""
     plain = zstandard.ZstdCompressor(level=ZSTD_LEVEL)
     trained = zstandard.ZstdCompressor(level=ZSTD_LEVEL, dict_data=dictionary)
     parts = [records[start : start + size] for start in range(0, len(records), size)]
@@ -61,7 +61,7 @@
 
 
 def main() -> int:
-    """Measure and print."""
+    """Measure all block sizes and print the results."""
     records = list(generate.generate_records(11, 60.0, 500.0))
     rows = [msgpack.packb(record) for record in records]
     samples = [b"".join(rows[start : start + SAMPLE_ROWS]) for start in range(0, len(rows), SAMPLE_ROWS)]
--- a/examples/disputed_fee.py
+++ b/examples/disputed_fee.py
@@ -1,7 +1,8 @@
 """Writes three traces of one disputed fee into a folder: `python examples/disputed_fee.py FOLDER`.
 
-A controller and two proxies whose clocks are some seconds apart. A litigant's app sent one fee twice, through
-both proxies; the first saw its connection reset after it had forwarded the request.
+The traces are those of a controller and two proxies, whose clocks differ by some seconds. A client sent one
+fee twice, through both proxies; the connection of the first proxy was reset after it had forwarded the
+request.
 """
 
 import sys
@@ -17,16 +18,16 @@
 KEY = bytes.fromhex("5fee0001")
 CONTROLLER = "n0"
 PROXIES = ("proxy-a", "proxy-b")
-OFFSETS = {"n0": 0.0, "proxy-a": 3.2, "proxy-b": -1.7}  # s by which each clock is ahead of the controller's
-DRIFTS = {"n0": 0.0, "proxy-a": 60e-6, "proxy-b": -40e-6}  # s a second
+OFFSETS = {"n0": 0.0, "proxy-a": 3.2, "proxy-b": -1.7}  # s that each clock is ahead of the controller's
+DRIFTS = {"n0": 0.0, "proxy-a": 60e-6, "proxy-b": -40e-6}  # s per s
 BEGIN = 1000.0  # s
-UPDATES = 300  # one a second
+UPDATES = 300  # one per s
 LEAST_DELAY = 0.002  # s
 RECEIVED_SHARE = 0.9
 
 
 class ExampleEvent(NamedTuple):
-    """What an instance records: when by the controller's clock, and the fields behind the time."""
+    """An event to record: its time by the controller's clock, and the fields after the time."""
 
     at: float
     instance: str
@@ -35,7 +36,7 @@
 
 
 def updates(rng: Random) -> Iterator[ExampleEvent]:
-    """The controller's updates and their acknowledgements."""
+    """Return the controller's updates and their acknowledgements."""
     for nonce in range(UPDATES):
         at = BEGIN + nonce
         update = update_link(CONTROLLER, nonce)
@@ -54,7 +55,7 @@
 
 
 def fees() -> Iterator[ExampleEvent]:
-    """The two requests of one key."""
+    """Return the two requests with one idempotency key."""
     for at, proxy, number, endpoint, outcome, duration in (
         (1100.430, "proxy-a", 41, "east-02", RequestOutcome.FAILED, 0.180),
         (1101.100, "proxy-b", 77, "east-05", RequestOutcome.SUCCEEDED, 0.061),
@@ -64,7 +65,7 @@
 
 
 def to_record(event: ExampleEvent) -> Record:
-    """The record that the instance makes of it, by its own clock."""
+    """Return the record of an event, with the time by the clock of its instance."""
     at, instance, kind, fields = event
     own_time = at + OFFSETS[instance] + DRIFTS[instance] * at
     names = (name for name, _ in FIELDS[kind])
@@ -72,7 +73,7 @@
 
 
 def main(folder: Path) -> None:
-    """Write a trace of each instance."""
+    """Write a trace for each instance."""
     events = [*updates(Random(4)), *fees()]
     folder.mkdir(parents=True, exist_ok=True)
     for instance in OFFSETS:
--- a/oatcart/trace/__init__.py
+++ b/oatcart/trace/__init__.py
@@ -1,1 +1,1 @@
-"""Trace files: the events, decisions and requests of an instance on disk; docs/trace.md has the format."""
+"""Trace files, which hold the events, decisions and requests of an instance; docs/trace.md has the format."""
--- a/oatcart/trace/clock_alignment.py
+++ b/oatcart/trace/clock_alignment.py
@@ -1,9 +1,9 @@
 """Estimates how the clocks of several instances relate, from the messages between them. Does no I/O.
 
-Each instance's clock is taken to differ from the reference's by an offset and a constant drift. A message
-that one instance sent and another received was sent before it was received; together these constraints are
-linear. A linear program finds the offsets and drifts that leave every message the most slack, and further
-ones find how far the time of an instance could be off while all constraints hold.
+Each clock is assumed to differ from the reference clock by an offset and a constant drift. A message is sent
+before it is received, which gives a linear constraint for each message. A linear program finds the offsets
+and drifts that maximize the least slack of all messages. Further linear programs find how large the error of
+an instance's time can be while all constraints hold.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -14,8 +14,8 @@
 import numpy as np
 from scipy.optimize import linprog
 
-MAX_DRIFT = 1e-3  # s a second; no working clock drifts faster
-MAX_MESSAGES = 4000  # of one direction between two instances that become constraints
+MAX_DRIFT = 1e-3  # s per s; no working clock drifts faster
+MAX_MESSAGES = 4000  # per direction between two instances, that become constraints
 
 
 class Message(NamedTuple):
@@ -28,7 +28,7 @@
 
     @property
     def delay(self) -> float:
-        """The received less the sent time, in seconds: the delay, and what one clock is ahead."""
+        """The received time minus the sent time, in seconds: the delay plus the difference of the clocks."""
         return self.received - self.sent
 
 
@@ -37,10 +37,11 @@
 
 @dataclass(slots=True)
 class ClockEstimate:
-    """How an instance's clock relates to the reference's, with its records from `first` to `last` seconds.
+    """How an instance's clock relates to the reference clock; its records lie between `first` and `last`.
 
-    The reference's time is `time + offset + drift * (time - middle)`. `end_bounds`: by how many seconds it
-    may be off at `first` and at `last`; inf where no messages connect the instance to the reference.
+    All times are in seconds. The reference time is `time + offset + drift * (time - middle)`. `end_bounds`
+    are the greatest errors of it at `first` and at `last`; inf where no messages connect the instance to the
+    reference.
     """
 
     offset: float = 0.0
@@ -51,14 +52,14 @@
     end_bounds: tuple[float, float] = (0.0, 0.0)
 
     def to_reference(self, at: float) -> float:
-        """The reference's time at a time of this clock, both in seconds."""
+        """Convert a time of this clock to the reference clock, both in seconds."""
         return at + self.offset + self.drift * (at - self.middle)
 
     def error_bound(self, at: float) -> float:
-        """By how many seconds `to_reference` may be off.
+        """Return the greatest error of `to_reference`, in seconds.
 
-        The true bound is convex between the ends, so that a straight line over it is safe; beyond the ends
-        it grows with the drift that the constraints leave open.
+        Between the ends the true bound is convex, so linear interpolation never underestimates it. Beyond the
+        ends it grows with the drift that the constraints leave undetermined.
         """
         if self.last <= self.first or inf in self.end_bounds:
             return max(self.end_bounds)
@@ -75,7 +76,7 @@
 class AlignedClocks:
     """The estimate for each instance.
 
-    `contradictions` says in words where no offsets and drifts fit all messages, as where a clock was stepped.
+    `contradictions` describes where no offsets and drifts satisfy all messages, as after a clock step.
     """
 
     by_instance: dict[str, ClockEstimate] = field(default_factory=dict)
@@ -85,8 +86,8 @@
 class _LinearProgram(NamedTuple):
     """The constraints `matrix @ x <= limits`.
 
-    `x` holds offset and drift of each instance, from the instance's column on, and last the slack that is
-    left to every message. `ranges` are those of x but for the slack.
+    `x` holds the offset and the drift of each instance, starting at the instance's column, and ends with the
+    least slack of all messages. `ranges` are the allowed ranges of `x` without the slack.
     """
 
     columns: dict[str, int]
@@ -98,7 +99,7 @@
 def align_clocks(
     spans: Mapping[str, tuple[float, float]], messages: Iterable[Message], reference: str
 ) -> AlignedClocks:
-    """Estimate the clocks of some instances; `spans`: the least and greatest time of each, in seconds."""
+    """Estimate the clocks of instances; `spans` holds the least and greatest time of each, in seconds."""
     clocks = {
         name: ClockEstimate(middle=(first + last) / 2, first=first, last=last, end_bounds=(inf, inf))
         for name, (first, last) in spans.items()
@@ -118,7 +119,7 @@
     solution = _maximize_slack(program)
     if solution is None:
         aligned.contradictions.append(
-            "no straight clocks fit all messages: one was stepped; no order is claimed"
+            "no offsets and constant drifts fit all messages: a clock was stepped; the order is not certain"
         )
         return aligned
     for name, column in columns.items():
@@ -131,7 +132,7 @@
 
 
 def _connected_instances(reference: str, directions: MessagesByDirection) -> set[str]:
-    """The instances that messages in both directions connect to the reference, directly or by others."""
+    """Return the instances that two-way messages connect to the reference, directly or through others."""
     neighbours: dict[str, list[str]] = {}
     for sender, receiver in directions:
         if (receiver, sender) in directions:
@@ -148,7 +149,7 @@
 def _constraints(
     columns: dict[str, int], directions: MessagesByDirection, clocks: Mapping[str, ClockEstimate]
 ) -> _LinearProgram:
-    """A row a message: its sending, in the reference's time, was not after its receipt."""
+    """Return one row per message: in reference time it was not sent after it was received."""
     rows, limits = [], []
     for (sender, receiver), messages in directions.items():
         for message in _least_delayed(messages):
@@ -165,7 +166,7 @@
 
 
 def _least_delayed(messages: Sequence[Message]) -> Sequence[Message]:
-    """Of many messages the one with the least delay in each of MAX_MESSAGES parts; the others add little."""
+    """Return the message with the least delay of each of MAX_MESSAGES parts; the others add little."""
     if len(messages) <= MAX_MESSAGES:
         return messages
     ordered = sorted(messages, key=lambda message: message.sent)
@@ -175,7 +176,7 @@
 
 
 def _maximize_slack(program: _LinearProgram) -> np.ndarray | None:
-    """The offsets and drifts that leave every message the most slack; None where none fit all messages."""
+    """Return the offsets and drifts with the greatest least slack; None where none fit all messages."""
     objective = np.array([0.0] * len(program.ranges) + [-1.0])
     ranges = [*program.ranges, (0.0, None)]
     best = linprog(objective, program.matrix, program.limits, bounds=ranges)
@@ -183,7 +184,7 @@
 
 
 def _greatest_error(program: _LinearProgram, solution: np.ndarray, column: int, elapsed: float) -> float:
-    """By how many seconds a clock may be off, `elapsed` seconds from its middle, within the constraints."""
+    """Return the greatest error, in seconds, that the constraints allow `elapsed` seconds from the middle."""
     shift = np.zeros(len(program.ranges) + 1)
     shift[column], shift[column + 1] = 1.0, elapsed
     estimate = solution @ shift
--- a/oatcart/trace/columns.py
+++ b/oatcart/trace/columns.py
@@ -1,8 +1,8 @@
 """Encodes and decodes the columns of a block: all values of one field, stored together.
 
-An encoded column is the list [coding, least, width, planes] and, for DELTA, the first value after them. The
-planes hold byte 0 of all numbers, then byte 1 of all, and so on, which zstd compresses best. `docs/trace.md`
-has the grammar.
+An encoded column is the list [coding, least, width, planes], followed by the first value for DELTA. `planes`
+holds byte 0 of all numbers, then byte 1 of all numbers, and so on, which zstd compresses best.
+`docs/trace.md` has the grammar.
 """
 
 from collections.abc import Sequence
@@ -11,21 +11,21 @@
 import msgpack
 import numpy as np
 
-MICROSECONDS = 1e6  # in a second
-MAX_WIDTH = 8  # bytes of a number
-INFINITE = np.iinfo("<i8").max  # in a column of microseconds
+MICROSECONDS = 1e6  # per s
+MAX_WIDTH = 8  # bytes per number
+INFINITE = np.iinfo("<i8").max  # stands for infinity in a column of microseconds
 
 
 class ColumnCoding(IntEnum):
     """How the numbers of a column are stored."""
 
-    DIRECT = 0  # each less the least of the column
-    DELTA = 1  # the difference from the one before, less the least difference
-    FLOAT64 = 2  # all 64 bits
+    DIRECT = 0  # each value minus the least value of the column
+    DELTA = 1  # the difference from the previous value, minus the least difference
+    FLOAT64 = 2  # all 64 bits of a float
 
 
 def encode_integers(values: np.ndarray) -> list:
-    """Encode 64-bit integers, DIRECT or DELTA, whichever needs fewer bytes a number."""
+    """Encode 64-bit integers, as DIRECT or DELTA, whichever needs fewer bytes per number."""
     if not len(values):
         return [ColumnCoding.DIRECT, 0, 1, b""]
     direct = [ColumnCoding.DIRECT, *_pack(values)]
@@ -37,11 +37,11 @@
 
 
 def _pack(values: np.ndarray) -> list:
-    """[least, width, planes] of some integers in the fewest bytes a number."""
+    """Return [least, width, planes] of integers, with the fewest bytes per number."""
     least = int(values.min())
     spread = int(values.max()) - least
     width = next((size for size in range(1, MAX_WIDTH) if spread < 1 << 8 * size), MAX_WIDTH)
-    shifted = (values - np.int64(least)).astype("<u8")  # may wrap; decode_integers wraps back
+    shifted = (values - np.int64(least)).astype("<u8")  # may overflow; decode_integers reverses it
     planes = shifted.view(np.uint8).reshape(-1, MAX_WIDTH)[:, :width].T
     return [least, width, planes.tobytes()]
 
@@ -64,8 +64,8 @@
 def encode_column(field_type: str, values: Sequence, names: dict[str, int]) -> list:
     """Encode the values of one field.
 
-    `field_type` is one of those that `records` describes. `names` is the block's string table, from string to
-    place; strings that it lacks are added to it.
+    `field_type` is one of the types that `records` describes. `names` is the block's string table, which maps
+    strings to indexes; strings that are not in it are added.
     """
     if field_type == "us":
         return encode_integers(_to_microseconds(np.asarray(values, "<f8")))
@@ -96,7 +96,7 @@
 
 
 def _to_microseconds(seconds: np.ndarray) -> np.ndarray:
-    """Whole microseconds of durations in seconds; INFINITE for an infinite one."""
+    """Convert seconds to whole microseconds; INFINITE stands for an infinite time."""
     infinite = np.isposinf(seconds)
     microseconds = np.rint(np.where(infinite, 0.0, seconds) * MICROSECONDS).astype("<i8")
     microseconds[infinite] = INFINITE
@@ -104,12 +104,12 @@
 
 
 def _to_seconds(microseconds: np.ndarray) -> np.ndarray:
-    """The reverse of `_to_microseconds`."""
+    """Convert whole microseconds back to seconds."""
     return np.where(microseconds == INFINITE, np.inf, microseconds / MICROSECONDS)
 
 
 def _decode_parts(field_type: str, column: list, count: int) -> list:
-    """Decode a column of byte strings or of msgpack values, whose lengths come first."""
+    """Decode a column of byte strings or of msgpack values, which starts with their lengths."""
     *lengths, data = column
     values, start = [], 0
     for length in decode_integers(lengths, count).tolist():
--- a/oatcart/trace/commands.py
+++ b/oatcart/trace/commands.py
@@ -1,6 +1,6 @@
 """The commands of `python -m oatcart.trace`: each prints its result and returns the exit code.
 
-All raise OSError and CorruptTraceError for files that cannot be used.
+All raise OSError or CorruptTraceError for files that cannot be read or written.
 """
 
 import argparse
@@ -27,12 +27,12 @@
     """The exit code of a command."""
 
     OK = 0
-    INCOMPLETE = 1  # something is missing, broken or different
+    INCOMPLETE = 1  # records are missing, a rule was broken, or a replay differed
     UNUSABLE = 2  # a file or an argument cannot be used
 
 
 def print_result(result: object, lines: Iterable[str], as_json: bool) -> None:
-    """Print a result as one JSON object, or else the lines that say the same in words."""
+    """Print a result as one JSON object, or else as the lines of text for it."""
     if as_json:
         print(json.dumps(result, default=_as_json))
         return
@@ -41,25 +41,25 @@
 
 
 def _as_json(value: object) -> str:
-    """A value that JSON has no form for: bytes in hex, others as text."""
+    """Convert a value that JSON cannot represent: bytes to hex, others to text."""
     return value.hex() if isinstance(value, bytes) else str(value)
 
 
 def report_missing(missing: list[str]) -> ExitCode:
-    """Print to standard error what could not be read."""
+    """Print to standard error what could not be read; return the exit code."""
     for line in missing:
         print(f"missing: {line}", file=sys.stderr)
     return ExitCode.INCOMPLETE if missing else ExitCode.OK
 
 
 def reject_argument(message: str) -> ExitCode:
-    """Print to standard error which argument cannot be used, and why."""
+    """Print to standard error why an argument is invalid; return the exit code."""
     print(message, file=sys.stderr)
     return ExitCode.UNUSABLE
 
 
 def check(args: argparse.Namespace) -> ExitCode:
-    """What is intact in each file, what is missing, and whether its rounds are replayed identically."""
+    """Print what is intact in each file, what is missing, and whether its rounds are replayed identically."""
     code = ExitCode.OK
     for path in args.files:
         records, missing, metadata = read_traces([path])
@@ -85,7 +85,7 @@
 
 
 def summarize(args: argparse.Namespace) -> ExitCode:
-    """Requests by class, zone and endpoint; decisions by reason; rules that were seen broken."""
+    """Print requests by class, zone and endpoint, decisions by reason, and rules that were broken."""
     records, missing, _ = read_traces(args.files, args.first, args.last)
     start = next((record.fields for record in records if record.kind == RecordKind.START), None)
     summary = summarize_records(records, idempotent_classes(start) if start else None)
@@ -94,7 +94,7 @@
 
 
 def _summary_lines(summary: dict) -> list[str]:
-    """The lines that say a summary in words."""
+    """Return the lines of text for a summary."""
     counts = ", ".join(f"{count} {kind}" for kind, count in summary["records"].items())
     lines = [f"{summary['first']:.3f} to {summary['last']:.3f}; {counts}"]
     for field, rows in summary["reqs"].items():
@@ -116,7 +116,7 @@
 
 
 def cut(args: argparse.Namespace) -> ExitCode:
-    """Write a part of a trace, by time, endpoint, proxy or request class."""
+    """Write the part of a trace that matches a time span, endpoints, proxies or request classes."""
     records, missing, metadata = read_traces(args.files)
     selection = Selection(args.first, args.last, set(args.node), set(args.proxy), set(args.kind))
     fields = FIELDS_MERGED if metadata.get("merged") else FIELDS
@@ -139,7 +139,7 @@
         missing += contents.missing
     reference = args.reference or next(iter(traces))
     if reference not in traces:
-        return reject_argument(f"--reference: {reference} is none of {', '.join(traces)}")
+        return reject_argument(f"--reference: got {reference}, expected one of {', '.join(traces)}")
     records, clocks = merge(traces, reference)
     metadata = {"merged": list(traces), "reference": reference, "instance": reference}
     write_trace(args.out, metadata, records, FIELDS_MERGED)
@@ -148,7 +148,7 @@
 
 
 def _print_merge(args: argparse.Namespace, records: list[Record], clocks: AlignedClocks) -> None:
-    """Print how the clocks relate, and how many places are uncertain."""
+    """Print how the clocks relate, and for how many records the position is uncertain."""
     estimates = {
         name: {
             "offset_s": clock.offset,
@@ -177,7 +177,7 @@
 def strip(args: argparse.Namespace) -> ExitCode:
     """Write a trace without names, keys and free text, for outsiders."""
     records, missing, metadata = read_traces(args.files)
-    # a secret that ends with this process, so that no two exports can be linked
+    # a new secret for each export, never stored, so that the pseudonyms of two exports cannot be linked
     pseudonymizer = Pseudonymizer(secrets.token_bytes(32))
     instance = pseudonymizer.pseudonym("instance", metadata.get("instance", ""))
     stripped_metadata = {"instance": instance, "stripped": True}
@@ -203,12 +203,12 @@
     if args.req:
         proxy, _, number = args.req.rpartition(":")
         if not proxy or not number.isdigit():
-            return reject_argument(f"--req: {args.req!r} is not PROXY:NUMBER")
+            return reject_argument(f"--req: expected PROXY:NUMBER, got {args.req!r}")
         request = proxy, int(number)
     try:
         key = bytes.fromhex(args.key)
     except ValueError:
-        return reject_argument(f"--key: {args.key!r} is not in hex")
+        return reject_argument(f"--key: expected hex digits, got {args.key!r}")
     lines = timeline(records, Subject(key, request, args.node))
-    print_result({"events": lines}, lines or ["nothing was seen of it"], args.json)
+    print_result({"events": lines}, lines or ["no events recorded"], args.json)
     return report_missing(missing)
--- a/oatcart/trace/configuration.py
+++ b/oatcart/trace/configuration.py
@@ -1,4 +1,4 @@
-"""Reads and checks `deploy/trace.yaml`: where traces go and what they may take."""
+"""Reads and checks `deploy/trace.yaml`: the folder for traces and their limits."""
 
 from pathlib import Path
 from typing import NamedTuple
@@ -11,7 +11,7 @@
 
 
 class TraceSettings(NamedTuple):
-    """Where trace files go; the folder is made where it is missing."""
+    """The folder for trace files, which is created if it is missing, and their limits."""
 
     folder: str
     limits: Limits = Limits()
@@ -37,7 +37,7 @@
 def read(path: str | Path) -> TraceSettings:
     """Read the settings file.
 
-    Raises InvalidConfigurationError with a line for each fault, which names file, line and key.
+    Raises InvalidConfigurationError with one line for each fault, which names the file, the line and the key.
     """
     faults: list[str] = []
     document, where = load(path)
@@ -47,7 +47,7 @@
     limits = Limits(**{LIMITS[key]: value for key, value in values.items() if key in LIMITS})
     if not faults and limits.max_total_bytes < limits.max_file_bytes:
         line = document.lc.key("budget" if "budget" in values else "file_size")[0]
-        faults.append(f"{where(line)}: budget holds not even one file of file_size")
+        faults.append(f"{where(line)}: budget: expected at least file_size")
     if faults:
         raise InvalidConfigurationError("\n".join(faults))
     return TraceSettings(values["folder"], limits)
--- a/oatcart/trace/controller_tracing.py
+++ b/oatcart/trace/controller_tracing.py
@@ -1,4 +1,4 @@
-"""Makes a controller on sockets write traces. `python -m oatcart` imports none of this."""
+"""Adds tracing to a controller on sockets. `python -m oatcart` does not import this module."""
 
 import os
 import signal
@@ -11,8 +11,8 @@
 from oatcart.trace.recorder import RoundRecorder, start_record
 from oatcart.trace.writer import Writer
 
-FLUSH_TIMEOUT = 1.0  # s for the last records to be written when the process is told to end
-DEFAULT_INSTANCE = "conductor"  # where the configuration has no name
+FLUSH_TIMEOUT = 1.0  # s to write the last records when the process is told to terminate
+DEFAULT_INSTANCE = "conductor"  # used where the configuration has no name
 
 
 def trace_controller(
@@ -21,9 +21,9 @@
     settings: TraceSettings,
     on_writer: Callable[[Writer], None],
 ) -> Callable[..., Rounds]:
-    """A maker of rounds for `net.assembly.assemble` that records all calls of the decisions.
+    """Return a factory of rounds for `net.assembly.assemble` that records each round of the controller.
 
-    `on_writer` gets the writer, which has to be started.
+    `on_writer` is called with the writer, which the caller has to start.
     """
     instance = _file_name(configuration.get("name") or DEFAULT_INSTANCE)
 
@@ -45,12 +45,12 @@
 
 
 def _file_name(name: str) -> str:
-    """A name with all that a file name may not hold replaced."""
+    """Return a name with all characters replaced that a file name may not contain."""
     return "".join(character if character.isalnum() else "-" for character in name)
 
 
 def _record_rounds(rounds: Rounds, writer: Writer, configuration: dict) -> None:
-    """Put a recorder between the rounds and the decisions once these are known, and name the endpoints."""
+    """Put a recorder between the rounds and the controller when the rounds start; record endpoint ids."""
     start = rounds.start
 
     def now() -> float:
@@ -84,9 +84,9 @@
 
 
 def flush_on_termination(writer: Writer) -> None:
-    """From now on SIGTERM and SIGINT write the last records before the process ends.
+    """Handle SIGTERM and SIGINT from now on: write the last records, then exit.
 
-    That takes FLUSH_TIMEOUT at most.
+    Writing takes FLUSH_TIMEOUT at most.
     """
 
     def flush_and_exit(*_: object) -> None:
--- a/oatcart/trace/decision_reasons.py
+++ b/oatcart/trace/decision_reasons.py
@@ -1,4 +1,4 @@
-"""Says why the decisions of a recorded round were taken, as far as its events and those before tell."""
+"""Derives the reasons for the decisions of a recorded round from its events and those of earlier rounds."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -9,20 +9,20 @@
 
 
 class Decision(NamedTuple):
-    """A command by the name under which it is printed, and why it was given, where that can be told."""
+    """A command by the name under which it is printed, and its reason, or "" where the reason is unknown."""
 
     name: str
     reason: str
 
 
 class EndpointStates:
-    """The state of each endpoint as discovery last listed it."""
+    """The state of each endpoint in the last endpoint list from discovery."""
 
     def __init__(self) -> None:
         self._states: dict[int, EndpointState] = {}
 
     def update(self, round_record: Record) -> None:
-        """Take over the endpoint lists among the events of a round."""
+        """Apply the endpoint lists among the events of a round."""
         for event in round_record.fields["arrivals"]:
             if event[0] != EventName.ENDPOINT_LIST_RECEIVED:
                 continue
@@ -32,7 +32,7 @@
             self._states.update({entry.endpoint: entry.state for entry in received.entries})
 
     def state(self, endpoint: int) -> EndpointState:
-        """The state of an endpoint; GONE where it is not listed."""
+        """Return the state of an endpoint; GONE where it is not listed."""
         return self._states.get(endpoint, EndpointState.GONE)
 
 
@@ -44,7 +44,7 @@
 
 
 def decisions(round_record: Record, states: EndpointStates) -> Iterator[Decision]:
-    """The decisions of a round, one a command; `states` are those after the rounds before it."""
+    """Return the decisions of a round, one per command; `states` must reflect all earlier rounds."""
     states.update(round_record)
     for command in round_record.fields["orders"]:
         match command:
--- a/oatcart/trace/file_format.py
+++ b/oatcart/trace/file_format.py
@@ -6,9 +6,10 @@
     payload = zstd(msgpack of [names, [[kind, fields, count, columns]...], order])
     footer = "OTX1" zstd(msgpack of [[offset, length, count, first, last]...]), u64 xxh64, u32 length, "OTXE"
 
-All numbers are little-endian; `length` is that of the payload in bytes, `count` the number of records,
-`first` and `last` the least and greatest time of a block in seconds. A block's checksum covers its header's
-fields and the payload. A block stands alone: its string table and the fields of its records are in it.
+All numbers are little-endian; `length` is the length of the payload in bytes, `count` the number of records,
+`first` and `last` the least and greatest time of a block in seconds. A block's checksum covers the fields of
+its header and the payload. Each block can be decoded alone: it contains its string table and the fields of
+its records.
 """
 
 import gc
@@ -29,7 +30,7 @@
 BLOCK_MAGIC = b"OTB1"
 FOOTER_MAGIC = b"OTX1"
 END_MAGIC = b"OTXE"
-VERSION = 1  # a reader rejects a higher one; fields and record kinds may come and go within a version
+VERSION = 1  # readers reject higher ones; fields and record kinds may be added or removed within a version
 FILE_HEADER = struct.Struct("<8sHI")  # magic, version, length
 BLOCK_HEADER = struct.Struct("<4sIIddQQ")  # magic, the fields of BlockHeader
 BLOCK_FIELDS = struct.Struct("<IIddQ")  # the fields of BlockHeader before its checksum
@@ -40,19 +41,19 @@
 MAX_PAYLOAD_BYTES = 64 << 20
 MAX_UNCOMPRESSED_BYTES = 512 << 20
 
-Fields = Mapping[str, Sequence[tuple[str, str]]]  # by record kind, the names and types of its fields
+Fields = Mapping[str, Sequence[tuple[str, str]]]  # by record kind: the name and type of each field
 
 
 class CorruptTraceError(ValueError):
-    """The bytes are not a trace, or are damaged; the message says which part."""
+    """The data is not a trace or is damaged; the message names the part."""
 
 
 class FooterIncompleteError(CorruptTraceError):
-    """More bytes of the file's end are needed to decode the footer."""
+    """Decoding the footer needs more bytes from the end of the file."""
 
     def __init__(self, size: int) -> None:
-        """Take the footer's length in bytes."""
-        super().__init__(f"the footer has {size} bytes")
+        """Set `size`, the length of the footer in bytes."""
+        super().__init__(f"the footer has {size} bytes, but fewer were given")
         self.size = size
 
 
@@ -68,7 +69,7 @@
 
 
 class IndexEntry(NamedTuple):
-    """A block in a file's index: offset and length in bytes (with its header), records, times in seconds."""
+    """A block in a file's index: offset and length (with header) in bytes, record count, times in seconds."""
 
     offset: int
     length: int
@@ -78,38 +79,40 @@
 
 
 def index_entry(offset: int, block: bytes) -> IndexEntry:
-    """The index entry of an encoded block that is written at an offset."""
+    """Return the index entry for an encoded block that is written at an offset."""
     header = decode_block_header(block)
     return IndexEntry(offset, len(block), header.count, header.first, header.last)
 
 
 def encode_header(metadata: dict) -> bytes:
-    """Encode a file's header. `metadata`: instance name, time of opening and the like, msgpack types."""
+    """Encode a file's header. `metadata` holds the instance name, opening time etc. in msgpack types."""
     body = msgpack.packb(metadata)
     checked = FILE_HEADER.pack(FILE_MAGIC, VERSION, len(body)) + body
     return checked + CHECKSUM.pack(xxhash.xxh64_intdigest(checked))
 
 
 def decode_header(data: bytes) -> tuple[dict, int]:
-    """Decode a file's header: its metadata and the offset of the first block. Raises CorruptTraceError."""
+    """Decode a file's header; return metadata and offset of the first block. Raises CorruptTraceError."""
     if len(data) < FILE_HEADER.size or data[:8] != FILE_MAGIC:
         raise CorruptTraceError("this is not a trace file")
     _, version, length = FILE_HEADER.unpack_from(data)
     if version > VERSION:
-        raise CorruptTraceError(f"version {version} of the format; this reader knows {VERSION}")
+        raise CorruptTraceError(
+            f"unsupported format version {version}; the highest supported one is {VERSION}"
+        )
     end = FILE_HEADER.size + length
     if length > MAX_METADATA_BYTES or len(data) < end + CHECKSUM.size:
-        raise CorruptTraceError("the file's header is truncated")
+        raise CorruptTraceError("the file header is truncated")
     if CHECKSUM.unpack_from(data, end)[0] != xxhash.xxh64_intdigest(data[:end]):
-        raise CorruptTraceError("the file's header fails its checksum")
+        raise CorruptTraceError("checksum mismatch in the file header")
     return msgpack.unpackb(data[FILE_HEADER.size : end]), end + CHECKSUM.size
 
 
 def encode_block(number: int, records: Sequence[tuple], fields: Fields = FIELDS) -> bytes:
-    """Encode a block of at least one record, in their order.
+    """Encode a block of one or more records, in the order given.
 
-    A record is its kind and the values of its fields, in the order that `fields` gives. Raises
-    CorruptTraceError where a record has another number of values.
+    A record consists of its kind and the values of its fields, in the order of `fields`. Raises
+    CorruptTraceError where a record has a different number of values.
     """
     by_kind: dict[str, list] = {}
     for record in records:
@@ -129,10 +132,10 @@
 def _encode_kind(
     kind: str, rows: Sequence[tuple], fields: Sequence[tuple[str, str]], names: dict[str, int]
 ) -> list:
-    """Encode all records of one kind: the kind, its fields, their number, a column a field."""
+    """Encode all records of one kind as [kind, fields, record count, one column per field]."""
     _, *columns = zip(*rows, strict=True)
     if len(columns) != len(fields):
-        raise CorruptTraceError(f"a record of kind {kind} has {len(columns)} fields, not {len(fields)}")
+        raise CorruptTraceError(f"a record of kind {kind} has {len(columns)} fields, expected {len(fields)}")
     encoded = [
         encode_column(field_type, column, names)
         for (_, field_type), column in zip(fields, columns, strict=True)
@@ -143,16 +146,16 @@
 def decode_block_header(data: bytes, offset: int = 0) -> BlockHeader:
     """Decode the header of the block at an offset. Raises CorruptTraceError."""
     if len(data) - offset < BLOCK_HEADER.size:
-        raise CorruptTraceError("a block's header is truncated")
+        raise CorruptTraceError("the block header is truncated")
     magic, *values = BLOCK_HEADER.unpack_from(data, offset)
     header = BlockHeader(*values)
     if magic != BLOCK_MAGIC or header.length > MAX_PAYLOAD_BYTES:
-        raise CorruptTraceError("no block begins here")
+        raise CorruptTraceError("no valid block header at this offset")
     return header
 
 
 def is_intact(data: bytes, offset: int, header: BlockHeader) -> bool:
-    """Whether the block at an offset is complete and matches its checksum."""
+    """Return whether the block at an offset is complete and matches its checksum."""
     start = offset + BLOCK_HEADER.size
     payload = data[start : start + header.length]
     if len(payload) != header.length:
@@ -162,13 +165,13 @@
 
 
 def decode_block(payload: bytes, known: Fields = FIELDS_MERGED) -> tuple[list[Record], dict[str, int]]:
-    """Decode a block's payload: its records in order, and the number skipped of each unknown kind.
+    """Decode a block's payload; return its records in order, and how many of each unknown kind were skipped.
 
-    `known` are the record kinds and fields of this version: other fields are left out, and those that the
-    file lacks are missing. Raises CorruptTraceError.
+    `known` holds the record kinds and fields of this version. Fields that are not in it are left out of the
+    records, as are known fields that the file does not have. Raises CorruptTraceError.
     """
     gc_was_enabled = gc.isenabled()
-    gc.disable()  # thousands of live objects are made at once: collections among them double the time
+    gc.disable()  # collections while thousands of live objects are created double the time
     try:
         decompressor = zstandard.ZstdDecompressor()
         packed = decompressor.decompress(payload, max_output_size=MAX_UNCOMPRESSED_BYTES)
@@ -188,7 +191,7 @@
 
 
 def _decode_records(packed: bytes, known: Fields) -> tuple[list[Record], dict[str, int]]:
-    """Decode the msgpack body of a block; see `decode_block`."""
+    """Decode the uncompressed msgpack body of a block, with the result of `decode_block`."""
     names, parts, order = msgpack.unpackb(packed, strict_map_key=False)
     records_by_kind_index, skipped, total = [], {}, 0
     for kind, fields, count, columns in parts:
@@ -215,7 +218,7 @@
     names: list[str],
     known: Sequence[tuple[str, str]],
 ) -> list[Record]:
-    """Decode all records of one kind, with those of their fields that are known."""
+    """Decode all records of one kind, with only those of their fields that are in `known`."""
     known_names = {name for name, _ in known}
     kept = [name in known_names for name, _ in fields]
     kept_names = [name for name, _ in compress(fields, kept)]
@@ -234,9 +237,10 @@
 
 
 def decode_footer(end: bytes) -> tuple[list[IndexEntry], int]:
-    """Decode the footer from the last bytes of a file: the index, and the footer's length in bytes.
+    """Decode the footer from the last bytes of a file; return the index and the footer's length in bytes.
 
-    Raises FooterIncompleteError where `end` holds its last part only, CorruptTraceError where there is none.
+    Raises FooterIncompleteError where `end` holds only a part of the footer, and CorruptTraceError where
+    there is no intact footer.
     """
     if len(end) < FOOTER_TAIL.size:
         raise CorruptTraceError("no footer")
@@ -249,6 +253,6 @@
     start = len(end) - size
     body = end[start + len(FOOTER_MAGIC) : -FOOTER_TAIL.size]
     if not end.startswith(FOOTER_MAGIC, start) or xxhash.xxh64_intdigest(body) != checksum:
-        raise CorruptTraceError("the footer fails its checksum")
+        raise CorruptTraceError("checksum mismatch in the footer")
     entries = msgpack.unpackb(zstandard.ZstdDecompressor().decompress(body))
     return [IndexEntry(*entry) for entry in entries], size
--- a/oatcart/trace/generate.py
+++ b/oatcart/trace/generate.py
@@ -1,6 +1,7 @@
 """Generates the trace of a small fleet from a seed, for tests and benchmarks.
 
-No model of load: the rounds are those of a real controller, the requests are drawn by its tables' weights.
+Load is not modelled: a real controller decides the rounds, and endpoints are drawn by the weights that it
+sets.
 """
 
 from collections.abc import Iterator
@@ -34,7 +35,7 @@
 
 
 class GeneratedClass(NamedTuple):
-    """A request class: its name, its share of the requests, what the controller knows of it."""
+    """A request class: its name, its share of the requests, and its settings at the controller."""
 
     name: str
     share: float
@@ -68,7 +69,7 @@
 
 
 class RoutingTable(CommandWriter):
-    """A command writer that keeps the latest weight of each endpoint, ejections, and nonces asked for."""
+    """A command writer that keeps the latest weight of each endpoint, ejections and requested nonces."""
 
     def __init__(self) -> None:
         self.weights: dict[int, float] = {}
@@ -76,22 +77,22 @@
         self.nonces: list[int] = []
 
     def set_weight(self, table: int, endpoint: int, weight: float) -> None:
-        """See `CommandWriter`."""
+        """Keep the weight of an endpoint."""
         self.weights[endpoint] = weight
 
     def set_ejected(self, endpoint: int, ejected: bool) -> None:
-        """See `CommandWriter`."""
+        """Keep whether an endpoint is ejected."""
         if ejected:
             self.ejected.add(endpoint)
         else:
             self.ejected.discard(endpoint)
 
     def request_ack(self, nonce: int, all_proxies: bool) -> None:
-        """See `CommandWriter`."""
+        """Keep a nonce that proxies have to acknowledge."""
         self.nonces.append(nonce)
 
     def usable_endpoints(self) -> list[int]:
-        """The endpoints that requests may go to."""
+        """Return the endpoints that requests may be forwarded to."""
         return [
             endpoint
             for endpoint, weight in self.weights.items()
@@ -100,16 +101,16 @@
 
 
 class _EndpointStatistics:
-    """What the proxies of a zone saw of an endpoint since the last report."""
+    """The results of a zone's attempts at an endpoint since the last report."""
 
     def __init__(self) -> None:
         self.succeeded = 0
         self.failed = 0
-        self.duration = 0.0  # s, of the attempts that did not fail
+        self.duration = 0.0  # s, sum over the attempts that succeeded
 
 
 class _Fleet:
-    """Proxies that forward requests by the controller's tables and report what they see."""
+    """Proxies that forward requests by the controller's routing table and send load reports."""
 
     def __init__(self, seed: int, request_rate: float) -> None:
         self.random = Random(seed)
@@ -120,7 +121,7 @@
         self.statistics: dict[tuple[int, int], _EndpointStatistics] = {}  # by endpoint and zone
 
     def first_events(self) -> list[Event]:
-        """The endpoint list, and the proxies that join."""
+        """Return the first endpoint list, and a join event for each proxy."""
         entries = [
             EndpointEntry(number, number % 2, 0.0, EndpointState.READY, 1.0) for number in range(ENDPOINTS)
         ]
@@ -129,7 +130,7 @@
         return [EndpointListReceived(True, entries), *joined]
 
     def load_reports(self) -> list[Event]:
-        """What was seen since the last reports."""
+        """Return the load reports since the last call."""
         events: list[Event] = []
         for (endpoint, zone), statistics in sorted(self.statistics.items()):
             load = LoadReport(None, self.random.uniform(0.2, 0.7), None)
@@ -146,7 +147,7 @@
         return events
 
     def acknowledgements(self) -> list[Event]:
-        """The acknowledgements of all proxies that the controller asked for since the last call."""
+        """Return the acknowledgements that the controller requested since the last call, of all proxies."""
         nonces, self.table.nonces = self.table.nonces, []
         return [
             UpdateAcknowledged(proxy, nonce, ACKNOWLEDGED_AFTER)
@@ -155,7 +156,7 @@
         ]
 
     def request(self, now: float) -> Iterator[tuple]:
-        """The records of a request that comes now."""
+        """Return the records of a request that is received at `now`."""
         proxy = self.random.randrange(PROXIES)
         name, _, request_class = self.random.choices(CLASSES, [generated.share for generated in CLASSES])[0]
         idempotent = request_class.idempotency == Idempotency.IDEMPOTENT
@@ -189,7 +190,7 @@
         )
 
     def _attempt(self, usable_endpoints: list[int], zone: int) -> tuple[str, float, bool]:
-        """Forward a request: the endpoint's name, the duration in seconds, whether it failed."""
+        """Forward a request; return the endpoint's name, the duration in seconds, and whether it failed."""
         weights = [self.table.weights[endpoint] for endpoint in usable_endpoints]
         endpoint = self.random.choices(usable_endpoints, weights)[0]
         duration = self.random.lognormvariate(-3.2, 0.5)
@@ -206,9 +207,9 @@
 def generate_records(
     seed: int, duration: float, request_rate: float, instance: str = "n0", begin: float = 1000.0
 ) -> Iterator[tuple]:
-    """The records of `duration` seconds, in order of time, as a `Writer` takes them.
+    """Return the records of `duration` seconds in order of time, in the form that `Writer.put` takes.
 
-    `request_rate` is in requests/s of all proxies, `begin` the first time in seconds.
+    `request_rate` is in requests/s over all proxies; `begin` is the first time in seconds.
     """
     fleet = _Fleet(seed, request_rate)
     pending: list[tuple] = []
--- a/oatcart/trace/merge.py
+++ b/oatcart/trace/merge.py
@@ -1,6 +1,7 @@
 """Merges the traces of several instances into one, in the clock of one of them. Does no I/O.
 
-An order between records of two instances is claimed only where the error bounds of their clocks support it.
+The order of two records of different instances is marked as certain only where the error bounds of their
+clocks allow no other order.
 """
 
 from collections.abc import Iterator, Mapping, Sequence
@@ -12,24 +13,24 @@
 from oatcart.trace.round_codec import CommandName, EventName
 
 Traces = Mapping[str, Sequence[Record]]  # by instance
-# The fields that identify the event of a record, which several instances may have recorded
+# The fields that identify a request or attempt, which several instances may have recorded
 IDENTITY_FIELDS = {RecordKind.REQUEST: ("proxy", "id"), RecordKind.ATTEMPT: ("proxy", "id", "number")}
 
 
 def update_link(controller: str, nonce: int) -> bytes:
-    """The stored name of the message that asks for the acknowledgement of a nonce."""
+    """Return the stored name of the message that requests the acknowledgement of a nonce."""
     return f"{controller}:mark:{nonce}".encode()
 
 
 def acknowledgement_link(controller: str, nonce: int, proxy: int) -> bytes:
-    """The stored name of a proxy's acknowledgement of a nonce."""
+    """Return the stored name of a proxy's acknowledgement of a nonce."""
     return f"{controller}:applied:{nonce}:{proxy}".encode()
 
 
 def sends_and_receipts(instance: str, record: Record) -> Iterator[tuple[RecordKind, bytes]]:
-    """The sends and receipts that a record shows: MESSAGE_SENT or MESSAGE_RECEIVED, and the message's name.
+    """Return (MESSAGE_SENT or MESSAGE_RECEIVED, message name) for each send and receipt in a record.
 
-    A round shows the acknowledgements that it asks for and those that it received.
+    A round contains the acknowledgements that it requested and those that it received.
     """
     if record.kind in (RecordKind.MESSAGE_SENT, RecordKind.MESSAGE_RECEIVED):
         yield RecordKind(record.kind), record.fields["link"]
@@ -45,9 +46,9 @@
 
 
 def messages_between(traces: Traces) -> list[Message]:
-    """The messages that both ends recorded.
+    """Return the messages of which both the send and the receipt were recorded.
 
-    A name that was sent twice is left out, as nonces run round and the receipts cannot be told apart.
+    Names that were sent twice are left out: nonces are reused, and the receipts cannot be told apart.
     """
     sent: dict[bytes, tuple[str, float] | None] = {}
     for instance, records in traces.items():
@@ -67,7 +68,7 @@
 
 
 def happened_before(one: Record, other: Record) -> bool | None:
-    """Whether one merged record was before another; None where their error bounds leave it open."""
+    """Return whether one merged record precedes another; None where the error bounds allow both orders."""
     difference = other.fields["at"] - one.fields["at"]
     if one.fields["instance"] == other.fields["instance"]:
         return difference >= 0
@@ -76,25 +77,26 @@
 
 @dataclass(slots=True, eq=False)
 class _Row:
-    """A record on its way into the merged order, which is by `time`, `tie_breaker`, `position`."""
+    """A record to merge; rows are sorted by `time`, `tie_breaker`, `position`."""
 
     time: float  # s of the reference's clock
-    tie_breaker: int  # the instance's position, plus a multiple of the number of instances
+    tie_breaker: int  # the instance's index, plus a multiple of the number of instances
     position: int  # within the instance
-    instance: int
-    name: str
+    instance: int  # its index
+    name: str  # of the instance
     record: Record
     bound: float  # s
-    sent: list[bytes]
+    sent: list[bytes]  # names of messages
     received: list[bytes]
 
 
 def merge(traces: Traces, reference: str) -> tuple[list[Record], AlignedClocks]:
     """Merge traces into the clock of the instance `reference`.
 
-    The merged records have the fields MERGED_FIELDS. What several instances recorded alike, apart from the
-    time, becomes one record with all of them as witnesses; otherwise all records stay. The records of an
-    instance stay in their order, whatever its clock did, and no receipt is before its sending.
+    Merging adds MERGED_FIELDS. Records of one request or attempt by several instances that are equal except
+    for the time become one record with all these instances as witnesses; all other records are kept. The
+    records of one instance stay in their order, even where its clock was stepped, and no receipt precedes its
+    send.
     """
     clocks = align_clocks(_spans(traces), messages_between(traces), reference)
     rows = _rows(traces, clocks)
@@ -104,7 +106,7 @@
 
 
 def _spans(traces: Traces) -> dict[str, tuple[float, float]]:
-    """The least and greatest time of each instance's records, in seconds."""
+    """Return the least and greatest time of each instance's records, in seconds."""
     spans = {}
     for name, records in traces.items():
         times = [record.fields["at"] for record in records]
@@ -113,13 +115,13 @@
 
 
 def _rows(traces: Traces, clocks: AlignedClocks) -> list[_Row]:
-    """A row a record, in the order of instances and, within one, of its records."""
+    """Return one row per record, in the order of instances and of the records within each."""
     rows = []
     for instance, (name, records) in enumerate(traces.items()):
         clock, time = clocks.by_instance[name], -inf
         for position, record in enumerate(records):
             at = record.fields["at"]
-            time = max(time, clock.to_reference(at))  # a clock that was stepped back reorders nothing
+            time = max(time, clock.to_reference(at))  # keeps the order where a clock was stepped back
             messages = list(sends_and_receipts(name, record))
             sent = [link for kind, link in messages if kind == RecordKind.MESSAGE_SENT]
             received = [link for kind, link in messages if kind == RecordKind.MESSAGE_RECEIVED]
@@ -129,15 +131,16 @@
 
 
 def _move_receipts_after_sends(rows: list[_Row], instances: int) -> None:
-    """Move each receipt that lies before its sending up to it, and what its instance recorded after it.
+    """Move each receipt that precedes its send to just after it, and the later rows of its instance with it.
 
-    Needed where the estimated clocks do not fit all messages. The rows of an instance are in their order.
+    This is needed where the estimated clocks do not fit all messages. The rows of each instance must be in
+    their order.
     """
     sends: dict[bytes, _Row | None] = {}
     for row in rows:
         for link in row.sent:
             sends[link] = row if link not in sends else None
-    for _ in range(instances + 2):  # a move may make others necessary, from instance to instance
+    for _ in range(instances + 2):  # a move may require moves in other instances
         previous = [(-inf, 0)] * instances
         moved = False
         for row in rows:
@@ -157,9 +160,9 @@
 
 
 def _merge_duplicates(rows: list[_Row]) -> list[Record]:
-    """The merged records of the rows, one for all that agree."""
+    """Return the merged records of the rows, with one record for all equal ones."""
     merged: list[Record] = []
-    # with the fields that have to agree
+    # each record with the fields that have to be equal
     records_by_identity: dict[tuple, list[tuple[Record, dict]]] = {}
     for row in rows:
         fields = row.record.fields
@@ -187,13 +190,13 @@
 
 
 def _identity(record: Record) -> tuple | None:
-    """What identifies the event of a record; None where no other instance records the same."""
+    """Return what identifies a request or attempt; None for records that only one instance makes."""
     names = IDENTITY_FIELDS.get(record.kind)
     return names and (record.kind, *(record.fields.get(name) for name in names))
 
 
 def _merged_fields(row: _Row) -> dict:
-    """The fields that a merge adds or replaces."""
+    """Return the fields that a merge adds or replaces."""
     return {
         "at": row.time,
         "bound": row.bound,
--- a/oatcart/trace/pseudonyms.py
+++ b/oatcart/trace/pseudonyms.py
@@ -1,4 +1,4 @@
-"""Replaces names and keys by pseudonyms, for a trace that is handed to outsiders."""
+"""Replaces names and keys by pseudonyms, for a trace that is given to outsiders."""
 
 from collections import Counter
 from hashlib import blake2b
@@ -7,7 +7,7 @@
 from oatcart.trace.round_codec import CommandName
 
 PSEUDONYM_LENGTH = 12  # hex digits; enough that a million names do not collide
-# By field, what it names; equal names of one type get equal pseudonyms
+# The type of the name in each field; equal names of one type get equal pseudonyms
 NAME_FIELDS = {
     "proxy": "proxy",
     "node": "node",
@@ -22,9 +22,9 @@
 class Pseudonymizer:
     """Replaces the names and keys of records, and drops free text.
 
-    The pseudonyms are keyed hashes under a secret of this export: equal names stay equal within it, and
-    cannot be linked to those of another export. Request classes, outcomes and errors stay, as they identify
-    nobody. `replaced` and `dropped` count what was done, by type of name and by command.
+    The pseudonyms are hashes keyed with a secret of this export: equal names get equal pseudonyms within it,
+    which cannot be linked to those of another export. Request classes, outcomes and errors are kept, as they
+    identify nobody. `replaced` counts by type of name, `dropped` by command.
     """
 
     def __init__(self, secret: bytes) -> None:
@@ -33,14 +33,14 @@
         self.dropped: Counter[str] = Counter()
 
     def pseudonym(self, name_type: str, value: str | bytes) -> str:
-        """The pseudonym of a name or key among those of its type."""
+        """Return the pseudonym of a name or key of a type."""
         data = value if isinstance(value, bytes) else value.encode()
         self.replaced[name_type] += 1
         digest = blake2b(data, key=self.secret, person=name_type.encode()[:16], digest_size=16)
         return digest.hexdigest()[:PSEUDONYM_LENGTH]
 
     def replace(self, record: Record) -> Record:
-        """The record without names, keys and free text."""
+        """Return the record with names and keys replaced, and without free text."""
         fields = dict(record.fields)
         for field, name_type in NAME_FIELDS.items():
             if fields.get(field):
@@ -59,12 +59,12 @@
         return Record(record.kind, fields)
 
     def _replace_start_names(self, names: dict) -> dict:
-        """The names of a start record: those of request classes stay."""
+        """Return the names of a start record with zone names replaced; names of request classes are kept."""
         zones = [self.pseudonym("zone", zone) for zone in names.get("zones", ())]
         return {"kinds": names.get("kinds", ()), "zones": zones}
 
     def _without_free_text(self, commands: list[tuple]) -> list[tuple]:
-        """The stored commands of a round but its log lines."""
+        """Return the stored commands of a round without its log lines."""
         kept = [command for command in commands if command[0] != CommandName.LOG]
         self.dropped[CommandName.LOG] += len(commands) - len(kept)
         return kept
--- a/oatcart/trace/reader.py
+++ b/oatcart/trace/reader.py
@@ -1,4 +1,4 @@
-"""Reads trace files, truncated and damaged ones too: every intact block, and what is missing in words."""
+"""Reads all intact blocks of trace files, truncated and damaged ones too, and describes what is missing."""
 
 import fcntl
 import os
@@ -12,27 +12,27 @@
 from oatcart.trace.records import Record
 
 HEADER_READ_BYTES = 64 * 1024
-FOOTER_READ_BYTES = 64 * 1024  # the footer of an hour has a tenth of it
-SEARCH_BYTES = 1 << 20  # read at a time in search of the next block
+FOOTER_READ_BYTES = 64 * 1024  # ten times the footer of an hour
+SEARCH_BYTES = 1 << 20  # read at a time when searching for the next block
 
 
 def _ignore_progress(done: int, total: int) -> None:
-    """Report nothing."""
+    """Do nothing; the default for `progress`."""
 
 
 class TraceReader:
     """An open trace file, and a context manager that closes it.
 
-    `index` has an entry a block, `has_footer` says whether it was found in the file or rebuilt. `missing`
-    grows by a line for each part that could not be read, `skipped` counts the records of unknown kinds,
-    `bytes_read` all that was read from the file.
+    `index` has one entry per block; `has_footer` tells whether it was read from the footer or rebuilt.
+    `missing` has one line for each part that could not be read, `skipped` counts the records of unknown
+    kinds, and `bytes_read` all bytes read from the file.
     """
 
     def __init__(self, path: Path | str) -> None:
         """Open a file, read its header and index. Raises OSError, and CorruptTraceError for a bad header."""
         self.path = Path(path)
-        self.file = open(self.path, "rb")  # noqa: SIM115 - it lives as long as this does
-        fcntl.flock(self.file, fcntl.LOCK_SH)  # so that the writer does not delete it meanwhile
+        self.file = open(self.path, "rb")  # noqa: SIM115 - open as long as the reader
+        fcntl.flock(self.file, fcntl.LOCK_SH)  # keeps the writer from deleting the file
         self.missing: list[str] = []
         self.skipped: Counter[str] = Counter()
         self.bytes_read = 0
@@ -53,13 +53,13 @@
         self.file.close()
 
     def _read_at(self, offset: int, size: int) -> bytes:
-        """Up to `size` bytes from an offset."""
+        """Read up to `size` bytes at an offset."""
         data = os.pread(self.file.fileno(), size, offset)
         self.bytes_read += len(data)
         return data
 
     def _read_index(self) -> list[IndexEntry]:
-        """The index from the footer; where there is none, from the blocks."""
+        """Return the index from the footer or, without an intact footer, from the blocks."""
         try:
             return self._read_footer()
         except CorruptTraceError as error:
@@ -68,19 +68,19 @@
             return self.rebuild_index()
 
     def _read_footer(self) -> list[IndexEntry]:
-        """The index from the footer; raises CorruptTraceError where there is no intact one."""
+        """Return the index from the footer. Raises CorruptTraceError where there is no intact footer."""
         available = self.length - self.first_block_offset
         size = min(available, FOOTER_READ_BYTES)
         try:
             index, _ = file_format.decode_footer(self._read_at(self.length - size, size))
         except FooterIncompleteError as error:
             if error.size > available:
-                raise CorruptTraceError("the footer's length is wrong") from None
+                raise CorruptTraceError("invalid footer length") from None
             index, _ = file_format.decode_footer(self._read_at(self.length - error.size, error.size))
         return index
 
     def rebuild_index(self) -> list[IndexEntry]:
-        """The index from the intact blocks themselves; what lies between them is added to `missing`."""
+        """Return an index made from the intact blocks; the gaps between them are added to `missing`."""
         index, offset, gap_start = [], self.first_block_offset, None
         while offset < self.length:
             header = self._intact_block_at(offset)
@@ -98,7 +98,7 @@
         return index
 
     def _intact_block_at(self, offset: int) -> BlockHeader | None:
-        """The header of the block at an offset; None where no intact block is there."""
+        """Return the header of the block at an offset; None where there is no intact block."""
         try:
             header = file_format.decode_block_header(self._read_at(offset, file_format.BLOCK_HEADER.size))
         except CorruptTraceError:
@@ -107,18 +107,18 @@
         return header if file_format.is_intact(block, 0, header) else None
 
     def _add_gap(self, start: int | None, end: int) -> None:
-        """Add the bytes from `start` to `end` to what is missing; None: there are none."""
+        """Add the bytes from `start` to `end` to `missing`; nothing if `start` is None."""
         if start is not None:
             self.missing.append(f"bytes {start} to {end} hold no intact block")
 
     def _find_block(self, offset: int) -> int:
-        """The next offset at which a block may begin; the file's length if none does."""
+        """Return the next offset at which a block may begin, or the file's length if there is none."""
         while offset < self.length:
             data = self._read_at(offset, SEARCH_BYTES)
             found = data.find(file_format.BLOCK_MAGIC)
             if found >= 0:
                 return offset + found
-            # the magic may lie across two reads
+            # the magic number may span two reads
             offset += max(1, len(data) - len(file_format.BLOCK_MAGIC) + 1)
         return self.length
 
@@ -128,11 +128,11 @@
         last: float = inf,
         progress: Callable[[int, int], None] = _ignore_progress,
     ) -> Iterator[Record]:
-        """The records from `first` up to but not at `last`, in the order of the file.
+        """Return the records from `first` up to, but not including, `last`, in the order of the file.
 
-        Both are seconds of the instance's clock. Only the blocks that may hold such records are read; those
-        that are damaged are added to `missing`. `progress` is called with the number of blocks gone through
-        and of all blocks.
+        Both are seconds of the instance's clock. Only blocks that may hold such records are read; damaged
+        ones are added to `missing`. `progress` is called with the number of blocks processed and the total
+        number.
         """
         for done, entry in enumerate(self.index):
             progress(done, len(self.index))
@@ -145,12 +145,12 @@
                 yield from (record for record in block_records if first <= record.fields["at"] < last)
 
     def _read_block(self, entry: IndexEntry) -> list[Record]:
-        """The records of a block; none where it is damaged."""
+        """Return the records of a block, or none if it is damaged."""
         data = self._read_at(entry.offset, entry.length)
         try:
             header = file_format.decode_block_header(data)
             if not file_format.is_intact(data, 0, header):
-                raise CorruptTraceError("it fails its checksum")
+                raise CorruptTraceError("checksum mismatch")
             records, skipped = file_format.decode_block(data[file_format.BLOCK_HEADER.size :])
         except CorruptTraceError as error:
             span = f"from {entry.first:.3f} to {entry.last:.3f}"
@@ -161,10 +161,10 @@
 
 
 def repair_footer(path: Path) -> str:
-    """Give a file that ended without a footer its own, behind its last intact block.
+    """Write the missing footer of a file, after its last intact block.
 
-    Returns what was done in words, or "" where nothing was needed. The caller knows that nobody writes the
-    file. Raises OSError, and CorruptTraceError where it has no header.
+    Return a description of the repair, or "" where none was needed. No process may be writing to the file.
+    Raises OSError, and CorruptTraceError where the file has no valid header.
     """
     with TraceReader(path) as trace:
         if trace.has_footer:
--- a/oatcart/trace/record_queue.py
+++ b/oatcart/trace/record_queue.py
@@ -1,6 +1,6 @@
-"""Which records wait to be written, and which are shed where too many do. Does no I/O and reads no clock.
+"""Queues records to be written, and sheds some when the queue is full. Does no I/O and reads no clock.
 
-Tracing must not delay serving, so the queue is bounded; what is shed is counted, and the counts are written
+Tracing must not delay serving, so the queue is bounded. Shed records are counted, and the counts are written
 as records themselves.
 """
 
@@ -10,8 +10,8 @@
 
 from oatcart.trace.records import RecordKind, make_record
 
-# Where the queue is full the highest number is shed first: a replay needs every round, and what each record
-# means depends on starts, clocks and names, while requests are samples
+# When the queue is full, records with the highest number are shed first: a replay needs every round, other
+# records cannot be interpreted without starts, clocks and names, and requests are only samples
 SHED_ORDER: Mapping[str, int] = {
     RecordKind.SHED: 0,
     RecordKind.START: 0,
@@ -24,14 +24,14 @@
     RecordKind.REQUEST: 4,
 }
 SHED_FIRST = max(SHED_ORDER.values())
-# Why records were shed, as it is stored
+# Stored reasons for which records were shed
 QUEUE_FULL = "no room"
 DISK_FAILED = "disk"
 
 
 @dataclass(slots=True)
 class ShedRecords:
-    """Records of one kind that were shed: how many, their least and greatest time in seconds, and why."""
+    """Shed records of one kind: their number, least and greatest time in seconds, and the reason."""
 
     count: int
     since: float
@@ -40,18 +40,18 @@
 
 
 class RecordQueue:
-    """Records that wait to be written, and counts of those shed since the last `take`."""
+    """Records waiting to be written, and counts of those shed since the last `take`."""
 
     def __init__(self, max_records: int) -> None:
-        """Hold `max_records` at most."""
+        """Create a queue of at most `max_records`."""
         self.max_records = max_records
         self.size = 0
         self.shed: dict[str, ShedRecords] = {}  # by record kind
         self._waiting: dict[int, deque] = {rank: deque() for rank in range(SHED_FIRST + 1)}
-        self._accepted = 0  # of all time; gives each record its place in their order
+        self._accepted = 0  # total number, which orders the records
 
     def put(self, record: tuple) -> None:
-        """Queue a record. A full queue sheds one: of the rank to be shed first, the newest."""
+        """Queue a record. A full queue sheds the newest record of the highest rank, which may be this one."""
         rank = SHED_ORDER.get(record[0], SHED_FIRST)
         if self.size >= self.max_records:
             shed_rank = max(rank for rank, queue in self._waiting.items() if queue)
@@ -77,10 +77,10 @@
             shed.until = max(shed.until, at)
 
     def take(self, now: float, limit: int) -> list[tuple]:
-        """Remove and return up to `limit` records in the order in which they were put.
+        """Remove and return up to `limit` records; those returned are in the order in which they were put.
 
-        Records of what was shed since the last call, at the time `now` in seconds, come first and beside the
-        limit.
+        Records that count what was shed since the last call, at the time `now` in seconds, come first and do
+        not count towards the limit.
         """
         shed = [
             make_record(
@@ -104,7 +104,7 @@
         return shed + [record for _, record in taken]
 
     def shed_unwritten(self, records: Iterable[tuple]) -> None:
-        """Count records that were taken and could not be written; counts among them are counted again."""
+        """Count records that were taken but could not be written; add the counts that are among them."""
         for record in records:
             if record[0] != RecordKind.SHED:
                 self._count_shed(record, DISK_FAILED)
--- a/oatcart/trace/recorder.py
+++ b/oatcart/trace/recorder.py
@@ -1,4 +1,4 @@
-"""Records the rounds of the decisions: events as they came, commands as given, in full precision."""
+"""Records the rounds of a controller: events as received and commands as given, in full precision."""
 
 from collections.abc import Callable
 from hashlib import blake2b
@@ -13,21 +13,22 @@
 from oatcart.trace.round_codec import encode_events, encode_settings
 
 CLOCK_INTERVAL = 60.0  # s between two clock records
-MIN_CLOCK_STEP = 0.05  # s of change between Unix time and the instance's clock; less is its drift
+MIN_CLOCK_STEP = 0.05  # s of change between Unix time and the instance's clock; smaller changes are drift
 DIGEST_BYTES = 8
 
-Decide = Callable[[float, Events, CommandWriter], None]  # one round of the decisions
+Decide = Callable[[float, Events, CommandWriter], None]  # one round of the controller
 
 
 def _discard_events(events: list[Event]) -> None:
-    """Give nothing back to the host."""
+    """Discard events that were not processed; the default for `requeue`."""
 
 
 class RoundRecorder:
-    """Stands between a host and the decisions' `round`, and records each call.
+    """Wraps the `round` method of a controller and records each call.
 
-    `put` takes records as a `Writer` does; `unix_clock` is asked now and then. Where the decisions raise over
-    an event, those behind it go to `requeue`, as the host has them decided on in its next round.
+    `put` takes records like `Writer.put`; `unix_clock` is read every CLOCK_INTERVAL. Where the controller
+    raises an exception for an event, the events after it are passed to `requeue`, so that the caller can
+    process them in its next round.
     """
 
     def __init__(
@@ -47,7 +48,7 @@
         self._unix_offset = 0.0  # s from the instance's clock to Unix time, as last recorded
 
     def round(self, now: float, events: Events, commands: CommandWriter) -> None:
-        """Have the decisions made and record them; raises what they raise."""
+        """Run a round of the controller and record it; raises what the controller raises."""
         received = list(events)
         remaining = iter(received)
         log = CommandLog(commands)
@@ -65,13 +66,13 @@
                 self._record_clock(now)
 
     def name_endpoint(self, now: float, endpoint: int, name: str) -> None:
-        """Record which id an endpoint's number stands for from now on, unless it is known."""
+        """Record the id that an endpoint's number stands for from now on, unless it is recorded already."""
         if self._names.get(endpoint) != name:
             self._names[endpoint] = name
             self._put(make_record(RecordKind.ENDPOINT_NAME, at=now, what="node", number=endpoint, name=name))
 
     def _record_clock(self, now: float) -> None:
-        """Record the instance's clock beside Unix time, and by how much one of them was stepped."""
+        """Record the instance's clock and Unix time, and by how much one of them was stepped."""
         unix = self._unix_clock()
         change = unix - now - self._unix_offset
         stepped = 0.0
@@ -85,9 +86,9 @@
 def start_record(
     now: float, instance: str, seed: int, settings: ControllerSettings, classes: list[str], zones: list[str]
 ) -> tuple:
-    """The record of what a controller was started with, from which a replay starts another one.
+    """Return the record of a controller's settings and seed, from which a replay starts another controller.
 
-    `classes` and `zones` are the names of request classes and zones, in the order of their numbers.
+    `classes` and `zones` are the names of request classes and zones, ordered by their numbers.
     """
     return make_record(
         RecordKind.START,
@@ -101,7 +102,7 @@
 
 
 def decisions_digest() -> str:
-    """A digest of the decisions' source in hex, which says which version decided."""
+    """Return a hex digest of the source of `oatcart.policy`, which identifies the version that decided."""
     digest = blake2b(digest_size=DIGEST_BYTES)
     for file in sorted(Path(policy.__file__).parent.glob("*.py")):
         digest.update(file.read_bytes())
--- a/oatcart/trace/records.py
+++ b/oatcart/trace/records.py
@@ -1,13 +1,14 @@
 """The kinds of records in a trace and their fields. Does no I/O.
 
-A file describes its own records; these are what this version writes. Kinds and fields keep their stored names
-for ever, as files of older versions hold them: `req` is a request, `try` an attempt, `node` an endpoint,
-`kind` a request class, `took` a duration, `tries` the number of attempts, `value` a priority weight, and the
-`orders` of a round are the commands of the decisions.
-
-A field's type says how it is stored: `us` a time or duration in whole microseconds (seconds in the code),
-`int`, `float` (all 64 bits), `name` (a string in the block's string table), `bytes`, `any` (msgpack: numbers,
-strings, sequences, None). Times are seconds of the instance's own clock, by which blocks are found.
+Each file describes its own records; these are the ones that this version writes. The stored names of kinds
+and fields never change, as files of older versions contain them: `req` is a request, `try` an attempt, `node`
+an endpoint, `kind` a request class, `took` a duration, `tries` the number of attempts, `value` a priority
+weight, `arrivals` are the events of a round and `orders` its commands.
+
+The type of a field determines how it is stored: `us` is a time or duration in whole microseconds (seconds in
+the code), `int`, `float` (all 64 bits), `name` (a string in the block's string table), `bytes`, `any`
+(msgpack: numbers, strings, sequences, None). Times are seconds of the instance's own clock; blocks are
+indexed by them.
 """
 
 from collections.abc import Mapping
@@ -18,11 +19,11 @@
 class RecordKind(StrEnum):
     """The stored name of each kind of record."""
 
-    ROUND = "round"  # one call of the decisions: its events and its commands
+    ROUND = "round"  # one round of the controller: its events and its commands
     REQUEST = "req"  # a request that has ended
-    ATTEMPT = "try"  # an attempt that another one followed
-    START = "start"  # what the instance was started with
-    CLOCK = "clock"  # the instance's clock beside Unix time
+    ATTEMPT = "try"  # an attempt that was followed by another one
+    START = "start"  # settings and seed with which the instance was started
+    CLOCK = "clock"  # the instance's clock and Unix time at one moment
     ENDPOINT_NAME = "name"  # the id that a number stands for from now on
     MESSAGE_SENT = "out"
     MESSAGE_RECEIVED = "in"
@@ -39,7 +40,7 @@
 
 FieldTypes = tuple[tuple[str, str], ...]  # the name and type of each field, in order
 
-# `at` comes first everywhere: when it happened, by the instance's clock
+# The first field of every kind is `at`, the time by the instance's clock
 FIELDS: Mapping[str, FieldTypes] = {
     RecordKind.ROUND: (("at", "float"), ("number", "int"), ("arrivals", "any"), ("orders", "any")),
     RecordKind.REQUEST: (
@@ -71,7 +72,7 @@
         ("instance", "name"),
         ("seed", "any"),
         ("records", "any"),
-        ("text", "name"),  # digest of the decisions' source
+        ("text", "name"),  # digest of the controller's source
         ("names", "any"),
     ),
     RecordKind.ENDPOINT_NAME: (("at", "float"), ("what", "name"), ("number", "int"), ("name", "name")),
@@ -87,8 +88,8 @@
         ("why", "name"),
     ),
 }
-# Fields that a merge adds: who recorded it, by how much its time may be off, all who did, and whether its
-# place after the record before it is certain
+# Fields that a merge adds: the instance that recorded it, the greatest error of its time, all instances that
+# recorded it, and whether its order relative to the previous record is certain
 MERGED_FIELDS: FieldTypes = (
     ("instance", "name"),
     ("bound", "us"),
@@ -102,14 +103,14 @@
 
 
 class Record(NamedTuple):
-    """A record as a reader returns it: its kind, and its fields by stored name."""
+    """A record as a reader returns it: its kind, and its field values by stored name."""
 
     kind: str
     fields: dict
 
 
 def make_record(kind: str, /, **fields: object) -> tuple:
-    """A record as a writer takes it: its kind, then the values of its fields in their order.
+    """Return a record as a writer takes it: its kind, then the values of its fields in their order.
 
     Raises KeyError where a field is missing.
 
--- a/oatcart/trace/replay.py
+++ b/oatcart/trace/replay.py
@@ -11,7 +11,7 @@
 
 
 class ReplayResult(NamedTuple):
-    """Rounds replayed, commands compared, and the first difference in words, or ""."""
+    """The number of rounds replayed and of commands compared, and the first difference as text, or ""."""
 
     rounds: int
     commands: int
@@ -19,14 +19,14 @@
 
 
 def new_controller(start: dict) -> Controller:
-    """A controller as it was started, from the fields of a start record."""
+    """Return a controller with the settings and seed of a start record's fields."""
     return Controller(decode_settings(start["records"]), start["seed"])
 
 
 def replay(records: Iterable[Record]) -> ReplayResult:
-    """Replay the rounds among some records, up to the first difference.
+    """Replay the rounds among the records, up to the first difference.
 
-    Rounds before a start record, or behind others that are missing, prove nothing and count as a difference.
+    A round before any start record or after a missing round cannot be compared and counts as a difference.
     """
     replayer = _Replayer()
     difference = ""
@@ -41,7 +41,7 @@
 
 
 class _Replayer:
-    """A controller that is handed recorded rounds; counts the rounds and the commands compared."""
+    """Replays recorded rounds on a controller; counts the rounds and the commands compared."""
 
     def __init__(self) -> None:
         self.rounds = 0
@@ -51,7 +51,7 @@
         self._last_number = 0
 
     def start(self, fields: dict) -> None:
-        """Start a new controller; each file of one controller begins with the same record."""
+        """Start a new controller, unless the record repeats the last one, as each file begins with it."""
         incarnation = fields["at"], fields["instance"]
         if incarnation != self._incarnation:
             self._controller = new_controller(fields)
@@ -59,7 +59,7 @@
             self._last_number = 0
 
     def replay_round(self, fields: dict) -> str:
-        """Replay a round; returns how its commands differ from the recorded ones, or ""."""
+        """Replay a round; return how its commands differ from the recorded ones, or ""."""
         number, expected = fields["number"], fields["orders"]
         if self._controller is None:
             return "the start record is missing"
@@ -67,7 +67,7 @@
             return f"rounds are missing before number {number}"
         self._last_number = number
         log = CommandLog()
-        with suppress(Exception):  # the decisions raised then as well, and gave the commands before that
+        with suppress(Exception):  # raised when recorded too, after giving the commands that are compared
             self._controller.round(fields["at"], map(decode_event, fields["arrivals"]), log)
         self.rounds += 1
         self.commands += len(log.stored)
@@ -77,7 +77,7 @@
 
 
 def _first_difference(expected: Sequence[tuple], actual: Sequence[tuple]) -> int:
-    """The index of the first command that differs."""
+    """Return the index of the first command that differs."""
     for index, (recorded, replayed) in enumerate(zip(expected, actual, strict=False)):
         if recorded != replayed:
             return index
--- a/oatcart/trace/requests.py
+++ b/oatcart/trace/requests.py
@@ -1,4 +1,4 @@
-"""Records the requests of a proxy, for a proxy or what stands in for one. Does no I/O."""
+"""Records the requests of a proxy; used by proxies and simulated proxies. Does no I/O."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -19,9 +19,9 @@
 
 
 class RequestRecorder:
-    """Records the requests of one proxy, by numbers that it gives them; all times are the proxy's, in s.
+    """Records the requests of one proxy and numbers them; all times are seconds of the proxy's clock.
 
-    `put` takes records as a `Writer` does.
+    `put` takes records like `Writer.put`.
     """
 
     def __init__(self, proxy: str, zone: str, put: Callable[[tuple], None]) -> None:
@@ -32,20 +32,20 @@
         self._count = 0
 
     def request_received(self, request_class: str, key: bytes = b"", priority_weight: float = 1.0) -> int:
-        """Note a request; returns its number. `key`: its idempotency key, if it has one."""
+        """Register a request and return its number; `key` is its idempotency key, if it has one."""
         self._count += 1
         self.open[self._count] = _OpenRequest(request_class, key, priority_weight)
         return self._count
 
     def attempt_started(self, number: int, endpoint: str, at: float) -> None:
-        """Note that a request is forwarded to an endpoint, the first time or after `attempt_failed`."""
+        """Register that a request is forwarded to an endpoint, the first time or after `attempt_failed`."""
         request = self.open[number]
         request.attempts += 1
         request.endpoint = endpoint
         request.attempt_started_at = at
 
     def attempt_failed(self, number: int, error: str, at: float) -> None:
-        """Record an attempt that another one will follow; the last one ends with `request_ended`."""
+        """Record an attempt that another one will follow; the last attempt ends with `request_ended`."""
         request = self.open[number]
         self._put(
             make_record(
@@ -63,7 +63,7 @@
         )
 
     def request_ended(self, number: int, outcome: RequestOutcome, at: float) -> None:
-        """Record a request that has ended; without an attempt it was answered by the proxy itself."""
+        """Record a request that has ended; one without an attempt was answered by the proxy itself."""
         request = self.open.pop(number)
         started_at = request.attempt_started_at if request.attempts else at
         self._put(
--- a/oatcart/trace/round_codec.py
+++ b/oatcart/trace/round_codec.py
@@ -1,7 +1,7 @@
 """Maps the events and commands of a recorded round, and a controller's settings, to their stored form.
 
 Events and commands are stored as sequences: the stored name, then the fields. The names and the order of the
-fields stay as they are for ever, as trace files of older versions hold them.
+fields never change, as trace files of older versions contain them.
 """
 
 from collections.abc import Iterable, Sequence
@@ -35,7 +35,7 @@
 
 
 class EventName(StrEnum):
-    """The stored name of each event that the decisions are handed."""
+    """The stored name of each event type that a controller takes."""
 
     ENDPOINT_LIST_RECEIVED = "listed"
     ENDPOINT_LIST_FAILED = "unlisted"
@@ -48,7 +48,7 @@
 
 
 class CommandName(StrEnum):
-    """The stored name of each command of the decisions, which is a method of `CommandWriter`."""
+    """The stored name of each command of a controller; commands are the methods of `CommandWriter`."""
 
     SET_WEIGHT = "line"
     CLEAR_TABLE = "blank"
@@ -78,13 +78,13 @@
 
 
 def encode_events(events: Iterable[Event]) -> list[tuple]:
-    """The stored form of some events; the fields of each type are in their stored order."""
+    """Return the stored form of events; the fields of each event type already are in their stored order."""
     names = NAMES_BY_TYPE
-    return [(names[type(event)],) + event for event in events]  # concatenation is the fastest form
+    return [(names[type(event)],) + event for event in events]  # concatenation is the fastest way
 
 
 def decode_event(stored: Sequence) -> Event:
-    """The event of a stored form. Raises KeyError for an unknown name, ValueError for an unknown state."""
+    """Decode a stored event. Raises KeyError for an unknown name, ValueError for an unknown enum value."""
     name, *fields = stored
     if name == EventName.ENDPOINT_LIST_RECEIVED:
         complete, entries = fields
@@ -104,7 +104,7 @@
 
 
 def encode_settings(settings: ControllerSettings) -> dict:
-    """The stored form of a controller's settings."""
+    """Return the stored form of a controller's settings."""
     return {
         "kinds": [tuple(request_class) for request_class in settings.request_classes],
         "roll": tuple(settings.discovery),
@@ -120,7 +120,7 @@
 
 
 def decode_settings(stored: dict) -> ControllerSettings:
-    """The settings of a stored form. Raises KeyError for a missing part, ValueError for an unknown mode."""
+    """Decode stored settings. Raises KeyError for a missing key, ValueError for an unknown enum value."""
     return ControllerSettings(
         request_classes=tuple(decode_request_class(fields) for fields in stored["kinds"]),
         discovery=DiscoverySettings(*stored["roll"]),
@@ -136,7 +136,7 @@
 
 
 def decode_request_class(stored: Sequence) -> RequestClass:
-    """The request class of a stored form."""
+    """Decode a stored request class."""
     priority_weight, latency_objective, idempotency, own_zone_only, zones = stored
     return RequestClass(
         priority_weight, latency_objective, Idempotency(idempotency), own_zone_only, tuple(zones)
--- a/oatcart/trace/run.py
+++ b/oatcart/trace/run.py
@@ -1,4 +1,4 @@
-"""`python -m oatcart.trace.run deploy/trace.yaml`: a controller on sockets that writes traces.
+"""Run a controller on sockets that writes traces: `python -m oatcart.trace.run deploy/trace.yaml`.
 
 The controller is configured by `EDGE_CONFIG`, as with `python -m oatcart`.
 """
@@ -18,9 +18,9 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run until the process is told to end; returns an exit code where a configuration is invalid."""
+    """Run until the process is terminated; return an exit code if a configuration is invalid."""
     parser = argparse.ArgumentParser(prog="oatcart.trace.run", description=__doc__)
-    parser.add_argument("file", help="where traces go, YAML")
+    parser.add_argument("file", help="settings file of traces, YAML")
     args = parser.parse_args(arguments)
     writers = []
     try:
--- a/oatcart/trace/selection.py
+++ b/oatcart/trace/selection.py
@@ -1,4 +1,4 @@
-"""Selects the part of a trace that concerns a span of time and some endpoints, proxies or classes."""
+"""Selects the records of a time span and of some endpoints, proxies or request classes."""
 
 from collections.abc import Iterable, Iterator, Set
 from math import inf
@@ -8,7 +8,7 @@
 
 
 class Selection(NamedTuple):
-    """What is kept: from `first` up to but not at `last`, in seconds; an empty set keeps all."""
+    """What to keep: times from `first` up to, but not including, `last` in seconds; empty sets keep all."""
 
     first: float = -inf
     last: float = inf
@@ -18,9 +18,10 @@
 
 
 def select(records: Iterable[Record], selection: Selection) -> Iterator[Record]:
-    """The records of a selection.
+    """Return the records of a selection.
 
-    Rounds are kept complete, as half of one cannot be replayed; starts and names are kept of any time.
+    Rounds are kept complete, as part of a round cannot be replayed. Start records and endpoint names are kept
+    whatever their time.
     """
     for record in records:
         if record.kind in (RecordKind.START, RecordKind.ENDPOINT_NAME) or _is_selected(record, selection):
@@ -28,7 +29,7 @@
 
 
 def _is_selected(record: Record, selection: Selection) -> bool:
-    """Whether a record is of the span and, if a request or attempt, of the names selected."""
+    """Return whether a record is in the time span and, for requests and attempts, has selected names."""
     fields = record.fields
     if not selection.first <= fields["at"] < selection.last:
         return False
--- a/oatcart/trace/summary.py
+++ b/oatcart/trace/summary.py
@@ -1,4 +1,4 @@
-"""Summarises a trace: outcomes of requests, decisions by reason, rules that were seen broken."""
+"""Summarises a trace: outcomes of requests, decisions by reason, rules that were broken."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Mapping
@@ -11,16 +11,16 @@
 from oatcart.trace.records import Record, RecordKind, RequestOutcome
 from oatcart.trace.round_codec import decode_request_class
 
-MICROSECONDS = 1e6  # in a second
-MAX_DURATION = 3_600_000_000  # us; longer ones count as that
+MICROSECONDS = 1e6  # per s
+MAX_DURATION = 3_600_000_000  # us; longer durations are counted as this one
 SIGNIFICANT_DIGITS = 2
 PERCENTILES = (50, 99)
 GROUPED_BY = ("kind", "zone", "node")
-RUN_ONCE_RULE = 2  # the number of the operators' rule that a request not safe to repeat runs once
+RUN_ONCE_RULE = 2  # number of the rule for operators: a request that is not idempotent runs once
 
 
 def idempotent_classes(start: dict) -> dict[str, bool]:
-    """By request class, whether its requests may run more than once; from a start record's fields."""
+    """Return by request class whether it is idempotent, from the fields of a start record."""
     names = start["names"].get("kinds", ())
     classes = map(decode_request_class, start["records"]["kinds"])
     return {
@@ -30,11 +30,11 @@
 
 
 def summarize(records: Iterable[Record], idempotent: Mapping[str, bool] | None = None) -> dict:
-    """A summary in the form that the command prints as JSON.
+    """Return a summary in the form that the command prints as JSON.
 
-    `idempotent` says by request class whether its requests may run more than once; those of other classes
-    may not if they carry an idempotency key. Of these `breaches` lists the keys that several requests were
-    answered for, `doubts` those that were sent to endpoints more than once, whatever came of it.
+    `idempotent` tells by request class whether its requests may run more than once. Requests of other classes
+    that carry an idempotency key must run once. Of their keys `breaches` lists those for which several
+    requests succeeded, and `doubts` those that were sent to endpoints more than once, whatever the outcome.
     """
     summary = _Summary(idempotent or {})
     for record in records:
@@ -46,11 +46,13 @@
     """The requests of one class, zone or endpoint."""
 
     def __init__(self) -> None:
-        self.counts: Counter[str] = Counter()  # by outcome; `value`: the priority weight of those answered
+        self.counts: Counter[str] = (
+            Counter()
+        )  # by outcome; `value` is the sum of the priority weights of those that succeeded
         self.durations: HdrHistogram | None = None  # us
 
     def add(self, fields: dict) -> None:
-        """Count a request; durations of those that succeeded alone."""
+        """Count a request, with its duration if it succeeded."""
         self.counts[fields["outcome"]] += 1
         if fields["outcome"] != RequestOutcome.SUCCEEDED:
             self.counts["value"] += 0.0
@@ -62,7 +64,7 @@
         self.durations.record_value(max(1, min(MAX_DURATION, duration)))
 
     def figures(self) -> dict:
-        """Counts by outcome, the priority weight earned, and percentiles of the duration in ms."""
+        """Return counts by outcome, the sum of priority weights, and percentiles of the duration in ms."""
         figures = dict(self.counts)
         if self.durations is not None:
             for percent in PERCENTILES:
@@ -71,7 +73,7 @@
 
 
 class _Summary:
-    """The sums over the records added so far."""
+    """The totals of the records added so far."""
 
     def __init__(self, idempotent: Mapping[str, bool]) -> None:
         self.idempotent = idempotent
@@ -87,7 +89,7 @@
         self.answered: dict[tuple, list[dict]] = defaultdict(list)  # by class and key
 
     def add(self, record: Record) -> None:
-        """Take a record into the sums of its kind."""
+        """Add a record to the totals of its kind."""
         kind, fields = record
         self.kinds[kind] += 1
         if kind in (RecordKind.REQUEST, RecordKind.ATTEMPT, RecordKind.ROUND):
@@ -105,11 +107,11 @@
             self.clock_steps.append({"at": fields["at"], "stepped": fields["stepped"]})
 
     def _must_run_once(self, fields: dict) -> bool:
-        """Whether a request or attempt carries a key under which nothing may run twice."""
+        """Return whether a request or attempt has an idempotency key and must not run twice."""
         return bool(fields["key"]) and not self.idempotent.get(fields["kind"], False)
 
     def _add_attempt(self, fields: dict) -> None:
-        """Note under its key that an endpoint was sent it; a request's record is its last attempt."""
+        """Add an attempt to those of its key; a request record stands for the last attempt."""
         if not fields["node"] or not self._must_run_once(fields):
             return
         ended = fields.get("ending") or fields.get("outcome")
@@ -124,7 +126,7 @@
             self.answered[fields["kind"], fields["key"]].append(fields)
 
     def _breaches(self) -> list[dict]:
-        """The keys for which more than one request was answered."""
+        """Return the keys for which more than one request succeeded."""
         breaches = []
         for (request_class, key), requests in self.answered.items():
             if len({(request["proxy"], request["id"]) for request in requests}) > 1:
@@ -134,7 +136,7 @@
         return breaches
 
     def result(self) -> dict:
-        """The summary; its keys are those of the JSON output."""
+        """Return the summary; its keys are those of the JSON output."""
         return {
             "first": self.first,
             "last": self.last,
--- a/oatcart/trace/timeline.py
+++ b/oatcart/trace/timeline.py
@@ -1,4 +1,4 @@
-"""Lists the events of one request, idempotency key or endpoint, a line each."""
+"""Lists the events of one request, idempotency key or endpoint, one per line."""
 
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
@@ -11,14 +11,14 @@
 
 
 class Subject(NamedTuple):
-    """Whose events are listed; empty fields name nobody."""
+    """What to list the events of; empty fields match nothing."""
 
     key: bytes = b""  # an idempotency key
     request: tuple[str, int] | None = None  # proxy and number
     endpoint: str = ""
 
     def includes(self, fields: dict) -> bool:
-        """Whether a request or attempt of these fields is the subject's."""
+        """Return whether a request or attempt with these fields matches the subject."""
         return bool(
             self.key
             and fields["key"] == self.key
@@ -30,7 +30,7 @@
 
 
 def timeline(records: Iterable[Record], subject: Subject) -> list[str]:
-    """The lines of a subject. Two attempts are two lines, and two requests with one key are two requests."""
+    """Return the lines of a subject, one per request and attempt, also for requests that share a key."""
     lines: list[str] = []
     names: dict[int, str] = {}  # by endpoint
     states = EndpointStates()
@@ -77,7 +77,7 @@
 def _decisions_about(
     endpoint: str, round_record: Record, names: dict[int, str], states: EndpointStates
 ) -> Iterator[str]:
-    """The decisions of a round about one endpoint."""
+    """Return the text of each decision of a round about one endpoint."""
     round_decisions = decisions(round_record, states)
     for command, (_, reason) in zip(round_record.fields["orders"], round_decisions, strict=True):
         match command:
--- a/oatcart/trace/trace_files.py
+++ b/oatcart/trace/trace_files.py
@@ -1,4 +1,4 @@
-"""Reads all records of some trace files, and writes records that were read as a new trace file."""
+"""Reads all records of trace files, and writes records that were read to a new trace file."""
 
 import sys
 import time
@@ -11,13 +11,13 @@
 from oatcart.trace.records import FieldTypes, Record
 from oatcart.trace.write_policy import BLOCK_RECORDS
 
-PROGRESS_AFTER = 1.0  # s of reading from which progress is shown
-# By field type, the value of a field that a record lacks
+PROGRESS_AFTER = 1.0  # s of reading a file until progress is shown
+# By field type, the value for a field that is missing in a record
 DEFAULTS = {"us": 0.0, "float": 0.0, "int": 0, "name": "", "bytes": b"", "any": None}
 
 
 class TraceContents(NamedTuple):
-    """What was read: the records in order, what is missing in words, the first file's metadata."""
+    """The records in order, a line for each missing part, and the first file's metadata."""
 
     records: list[Record]
     missing: list[str]
@@ -25,9 +25,10 @@
 
 
 def read_traces(paths: Iterable[str], first: float = -inf, last: float = inf) -> TraceContents:
-    """Read files of one instance one after the other; see `TraceReader.records` for `first` and `last`.
+    """Read the files of one instance one after the other: the times from `first` up to `last`, exclusive.
 
-    Raises OSError, and CorruptTraceError where a file has no header.
+    Both are seconds of the instance's clock. Raises OSError, and CorruptTraceError where a file has no valid
+    header.
     """
     records, missing, metadata = [], [], {}
     for path in paths:
@@ -35,15 +36,14 @@
             records += trace.records(first, last, Progress(path, sys.stderr.isatty()))
             missing += [f"{path}: {what}" for what in trace.missing]
             missing += [
-                f"{path}: {count} records of kind {kind}, unknown here"
-                for kind, count in trace.skipped.items()
+                f"{path}: {count} records of unknown kind {kind}" for kind, count in trace.skipped.items()
             ]
             metadata = metadata or trace.metadata
     return TraceContents(records, missing, metadata)
 
 
 class Progress:
-    """Shows on a terminal how far a file has been read, once that takes a while."""
+    """Shows on a terminal how much of a file has been read, if reading takes longer than PROGRESS_AFTER."""
 
     def __init__(self, path: str, shown: bool) -> None:
         self.path = path
@@ -52,7 +52,7 @@
         self.percent = 0
 
     def __call__(self, done: int, total: int) -> None:
-        """Note that one more than `done` of `total` blocks was read."""
+        """Show the progress once `done` of `total` blocks are read and the next one is requested."""
         percent = 100 * (done + 1) // total
         if not self.shown or percent == self.percent:
             return
@@ -65,10 +65,10 @@
 def write_trace(
     path: str, metadata: dict, records: Iterable[Record], fields: Mapping[str, FieldTypes]
 ) -> int:
-    """Write a trace file; returns the number of its records.
+    """Write a trace file; return the number of its records.
 
-    `fields` are those of each record kind; what a record lacks of them gets the type's default. Raises
-    FileExistsError where the file is there already.
+    `fields` holds the fields of each record kind; fields that a record does not have get the default of their
+    type. Raises FileExistsError where the file exists already.
     """
     count, index, rows = 0, [], []
     with open(path, "xb") as file:
@@ -92,6 +92,6 @@
 
 
 def _row(record: Record, fields: FieldTypes) -> tuple:
-    """A record as `encode_block` takes it."""
+    """Return a record in the form that `encode_block` takes."""
     values = (record.fields.get(name, DEFAULTS[field_type]) for name, field_type in fields)
     return (record.kind, *values)
--- a/oatcart/trace/writer.py
+++ b/oatcart/trace/writer.py
@@ -1,6 +1,6 @@
-"""Writes trace files in a thread of its own, so that whoever puts a record never waits for a disk.
+"""Writes trace files in a thread of its own, so that a caller that puts a record never waits for a disk.
 
-No failure of a disk is raised: tracing stops, says so in the log, and is tried again.
+Disk failures are not raised: tracing stops, logs the failure, and is retried later.
 """
 
 import fcntl
@@ -23,17 +23,17 @@
 )
 
 SUFFIX = ".oatrace"
-POLL_INTERVAL = 0.2  # s between two looks of the thread at what is due
+POLL_INTERVAL = 0.2  # s between two checks by the thread for due operations
 LOG_TOPIC = "trace"
 
 
 class FileStore:
-    """The disk operations of a writer; all raise OSError. Tests replace it by one that fails."""
+    """The disk operations of a writer; all raise OSError. Tests use a subclass whose operations fail."""
 
     def open(self, path: Path) -> int:
-        """Create a file that only its owner may read; returns its descriptor, with a shared lock."""
+        """Create a file that only its owner may read; return its descriptor, with a shared lock."""
         descriptor = os.open(path, os.O_CREAT | os.O_EXCL | os.O_WRONLY, 0o600)
-        fcntl.flock(descriptor, fcntl.LOCK_SH)  # a writer that deletes old files needs an exclusive one
+        fcntl.flock(descriptor, fcntl.LOCK_SH)  # `in_use` finds this lock, so that the file is not deleted
         return descriptor
 
     def write(self, descriptor: int, data: bytes) -> None:
@@ -43,7 +43,7 @@
             rest = rest[os.write(descriptor, rest) :]
 
     def sync(self, descriptor: int) -> None:
-        """Wait until the disk keeps what was written."""
+        """Flush the written data to disk."""
         os.fdatasync(descriptor)
 
     def close(self, descriptor: int) -> None:
@@ -52,7 +52,7 @@
 
 
 def in_use(path: Path) -> bool:
-    """Whether somebody writes or reads the file; True as well where it cannot be opened."""
+    """Return whether a process writes or reads the file; True also if the file cannot be opened."""
     try:
         descriptor = os.open(path, os.O_RDONLY)
     except OSError:
@@ -76,12 +76,12 @@
         self.size = 0  # bytes
 
     def _append(self, data: bytes) -> None:
-        """Write at the end."""
+        """Append data to the file."""
         self._store.write(self._descriptor, data)
         self.size += len(data)
 
     def append_header(self, metadata: dict) -> None:
-        """Begin the file."""
+        """Write the header, which comes first in the file."""
         self._append(file_format.encode_header(metadata))
 
     def append_block(self, records: Sequence[tuple]) -> None:
@@ -92,11 +92,11 @@
         self._index.append(entry)
 
     def sync(self) -> None:
-        """Wait until the disk keeps what was written."""
+        """Flush the written data to disk."""
         self._store.sync(self._descriptor)
 
     def append_footer(self) -> None:
-        """End the file with its index."""
+        """Write the footer, which holds the index, and sync."""
         self._append(file_format.encode_footer(self._index))
         self.sync()
 
@@ -108,9 +108,9 @@
 class Writer:
     """Writes the records of one instance.
 
-    Folder and limits are those of the settings. `metadata` goes into each file's header; `clock` is the
-    instance's, `unix_clock` Unix time, both in seconds; `log` takes a topic and a line. `start_records` are
-    put first into every file, so that each can be read alone.
+    `folder` and `limits` come from the settings. `metadata` is written to each file's header. `clock` returns
+    the instance's time and `unix_clock` Unix time, both in seconds. `log` takes a topic and a line. Each file
+    begins with `start_records`, so that it can be read alone.
     """
 
     def __init__(
@@ -148,15 +148,16 @@
             self.queue.put(record)
 
     def start(self) -> None:
-        """Repair files that an earlier incarnation did not end, and start the thread."""
+        """Repair files that an earlier incarnation did not finish, and start the thread."""
         self._repair_old_files()
         self._thread = threading.Thread(target=self._run, name="trace", daemon=True)
         self._thread.start()
 
     def stop(self, timeout: float | None = None) -> None:
-        """Write what is queued and end the file.
+        """Write all queued records and finish the file.
 
-        Where the thread does not end within `timeout` seconds, the file is left to the next start's repair.
+        If the thread does not end within `timeout` seconds, the file is left unfinished and is repaired at
+        the next start.
         """
         self._stopping.set()
         if self._thread is not None:
@@ -166,25 +167,25 @@
         self.write_due(final=True)
 
     def _run(self) -> None:
-        """The thread's work until the writer is stopped."""
+        """Write what is due until the writer is stopped; runs in the thread."""
         while not self._stopping.wait(POLL_INTERVAL):
             self.write_due()
 
     def _files(self) -> list[Path]:
-        """The instance's trace files, the oldest first."""
+        """Return the instance's trace files, the oldest first."""
         return sorted(self.folder.glob(f"{self.instance}-*{SUFFIX}"))
 
     def _repair_old_files(self) -> None:
-        """Give files that ended without a footer their own, but those that others write or read."""
+        """Write the missing footers of unfinished files, except of files that a process writes or reads."""
         for path in self._files():
             try:
                 if not in_use(path) and (result := repair_footer(path)):
                     self.log(LOG_TOPIC, f"{path.name}: {result}")
             except (OSError, file_format.CorruptTraceError) as error:
-                self.log(LOG_TOPIC, f"{path.name} is left as it is: {error}")
+                self.log(LOG_TOPIC, f"{path.name} was not repaired: {error}")
 
     def write_due(self, final: bool = False) -> None:
-        """Write, sync and rotate as far as it is due; `final`: write all that is queued and end the file."""
+        """Write, sync and rotate if due; with `final`, write all queued records and finish the file."""
         now = self.clock()
         if not self.backoff.may_use_disk(now) and not final:
             return
@@ -200,7 +201,7 @@
             self.schedule.last_sync_at = now
 
     def _take_due_records(self, now: float, final: bool) -> list[tuple]:
-        """The records of the next block, if one is due."""
+        """Return the records of the next block, if one is due."""
         with self._lock:
             due = self.schedule.block_due(now, self.queue.size)
             if due or final and (self.queue.size or self.queue.shed):
@@ -208,7 +209,7 @@
             return []
 
     def _write_block(self, now: float, records: list[tuple]) -> bool:
-        """Write a block; records that cannot be written are counted as shed. Returns whether it worked."""
+        """Write a block and return whether that succeeded; records that cannot be written count as shed."""
 
         def append() -> None:
             if self._file is None:
@@ -225,7 +226,7 @@
         return True
 
     def _run_disk_operation(self, now: float, operation: Callable[[], None]) -> bool:
-        """Whether a disk operation worked. A failure closes the file, which is read as a truncated one."""
+        """Run a disk operation; return whether it succeeded. A failure closes the file without a footer."""
         try:
             operation()
             return True
@@ -236,7 +237,7 @@
             return False
 
     def _open_file(self, now: float) -> None:
-        """Make room on the disk and begin a file; raises OSError."""
+        """Delete old files and open a new one; raises OSError."""
         self.folder.mkdir(parents=True, exist_ok=True)
         self._delete_old_files()
         self._files_opened += 1
@@ -250,7 +251,7 @@
             self._file.append_block(self.start_records)
 
     def _delete_old_files(self) -> None:
-        """Delete what exceeds the limits; raises OSError."""
+        """Delete the oldest files beyond the size limit; raises OSError."""
         files = [StoredFile(path.name, path.stat().st_size, in_use(path)) for path in self._files()]
         for name in files_to_delete(files, self.limits.max_total_bytes):
             (self.folder / name).unlink(missing_ok=True)
@@ -268,4 +269,4 @@
         try:
             file.close()
         except OSError as error:
-            self.log(LOG_TOPIC, f"a trace file cannot be closed: {error.strerror}")
+            self.log(LOG_TOPIC, f"cannot close a trace file: {error.strerror}")
--- a/tests/trace/make_stored_traces.py
+++ b/tests/trace/make_stored_traces.py
@@ -1,8 +1,9 @@
-"""Makes the stored traces under `data/`, by the package's own recorder and writer.
+"""Writes the stored traces under `data/` with the package's own recorder and writer.
 
-`PYTHONPATH=. python tests/trace/make_stored_traces.py` was run once, on the version before any name changed;
-the files are test data and stay as they are, so that every later version is held to them. This follows the
-names of the package and shows how the files came about. Events and commands are in the stored form.
+`PYTHONPATH=. python tests/trace/make_stored_traces.py` was run once, with the version before identifiers were
+renamed. The files are test data that must not change, so that every later version is tested against them.
+This module documents how they were made and follows renames in the package. Events and commands are in the
+stored form.
 """
 
 import contextlib
@@ -36,26 +37,26 @@
 ENDPOINTS, PROXIES, CLASSES = 6, 6, 3
 GONE, READY, DRAINING = 0, 1, 2
 NAMES = {number: f"{'east' if number % 2 == 0 else 'west'}-{number:02}" for number in range(ENDPOINTS + 1)}
-OFFSET, DRIFT = 3.2, 60e-6  # s, s a second: the clock of proxy-a to that of n0
+OFFSET, DRIFT = 3.2, 60e-6  # s, s per s: the clock of proxy-a relative to that of n0
 
 
 class AnsweringWriter(CommandWriter):
-    """A command writer that keeps what has to be answered."""
+    """A command writer that keeps the commands that need an answer."""
 
     def __init__(self) -> None:
         self.nonces: list[int] = []
         self.health_checks: list[int] = []
 
     def request_ack(self, nonce: int, all_proxies: bool) -> None:
-        """See `CommandWriter`."""
+        """Keep a nonce to acknowledge."""
         self.nonces.append(nonce)
 
     def check_health(self, endpoint: int) -> None:
-        """See `CommandWriter`."""
+        """Keep an endpoint to check."""
         self.health_checks.append(endpoint)
 
     def answers(self, now: float) -> list[tuple]:
-        """The stored events that answer all commands since the last call."""
+        """Return the stored events that answer all commands since the last call."""
         events = [("applied", proxy, nonce, 0.0625) for nonce in self.nonces for proxy in range(PROXIES)]
         outcome = 0 if now > BEGIN + 8 else 4
         events += [("probed", one, outcome, 0.03125, (None, None, None)) for one in self.health_checks]
@@ -69,7 +70,7 @@
 
 
 def report(rng: Random, now: float, endpoint: int) -> tuple | None:
-    """What the proxies of the endpoint's zone met at it; None where it is silent or not there."""
+    """Return the load report of the endpoint's zone; None where the endpoint is unresponsive or gone."""
     seconds = now - BEGIN
     if (
         endpoint == 1
@@ -94,7 +95,7 @@
 
 
 def changes(now: float) -> list[tuple]:
-    """What else comes at a time: the list, proxies, a failed call, an event that cannot be used."""
+    """Return other events at a time: endpoint lists, proxies, a failed discovery call, an invalid event."""
     entries = [(number, number % 2, 0.0, READY, 1.0 + number % 3) for number in range(ENDPOINTS)]
     warming_up = (6, 0, BEGIN + 25, READY, 2.0)
     complete_list = [entries[0], entries[1], entries[2], entries[5], warming_up]
@@ -133,7 +134,7 @@
 
 
 def reports(rng: Random, now: float) -> list[tuple]:
-    """The stored events of the load reports at a time."""
+    """Return the stored events of the load reports at a time."""
     if (now - BEGIN) % REPORT_PERIOD:
         return []
     events = [one for number in NAMES if (one := report(rng, now, number))]
@@ -146,7 +147,7 @@
 
 
 def controller_records() -> list[tuple]:
-    """The records of a controller that lives through every kind of event."""
+    """Return the records of a controller that receives every kind of event."""
     records, rng, commands = [], Random(7), AnsweringWriter()
     classes = ["lookup", "slot-update", "fee-charge"]
     records.append(start_record(BEGIN, "n0", 0x5EED, SETTINGS, classes, ["east", "west"]))
@@ -165,17 +166,17 @@
         events = [*remaining, *map(decode_event, stored)]
         remaining.clear()
         unix = 1.7e9 + now - BEGIN + (0.5 if now > BEGIN + 30 else 0.0)
-        with contextlib.suppress(TypeError):  # of the event that cannot be used
+        with contextlib.suppress(TypeError):  # raised for the invalid event
             recorder.round(now, iter(events), commands)
         now += ROUND_INTERVAL
-    # n0 has seen a request of proxy-a too
+    # n0 also records a request of proxy-a
     seen = ("proxy-a", "lookup", "east", "east-00", "done", 0.05, 1, 1.0)
     records.append((Kind.REQUEST, BEGIN + 40, 21, b"", *seen))
     return sorted(records, key=lambda record: record[1])
 
 
 def proxy_records(rounds: list[tuple]) -> list[tuple]:
-    """The requests of proxy-a by its own clock, and the updates that it met and acknowledged (number 0)."""
+    """Return the requests of proxy-a (number 0), and its updates and acknowledgements, by its own clock."""
     rng, records = Random(8), []
 
     def proxy_time(at: float) -> float:
@@ -241,7 +242,7 @@
         1.0,
     )
     records = [record for record in records if record[0] != Kind.REQUEST or record[2] != 21] + [seen]
-    for number, at in ((301, 60.5), (302, 61.5)):  # one key, done twice
+    for number, at in ((301, 60.5), (302, 61.5)):  # two requests with one key succeed
         fee = ("fee-charge", "east", "east-02", "done", 0.061, 1, 3.0)
         records.append((Kind.REQUEST, proxy_time(BEGIN + at), number, b"\x5f\xee\x10\x01", "proxy-a", *fee))
     records += [("clock", proxy_time(BEGIN), 1.7e9, 0.0), ("clock", proxy_time(BEGIN + 60), 1.7e9 + 61, 1.0)]
@@ -249,7 +250,7 @@
 
 
 def every_name() -> list[tuple]:
-    """One record of each kind, one event and one order of each name, drawn up by hand; no recorded run."""
+    """Return records of each kind, with each event and command, which no controller produced."""
     load = (3.0, 0.5, None)
     events = [
         ("listed", True, [(0, 0, 0.0, READY, 1.0), (2, 0, 990.0, DRAINING, 2.0)]),
@@ -309,7 +310,7 @@
 def write(
     name: str, instance: str, records: list[tuple], starts: list[tuple], max_queued: int = 100_000
 ) -> None:
-    """One file by the package's writer, whose clock is that of the records."""
+    """Write a file with the package's writer, whose clock follows the times of the records."""
     folder, clock = Path(tempfile.mkdtemp()), [records[0][1]]
     writer = Writer(
         folder,
@@ -332,7 +333,7 @@
 
 
 def write_traces() -> None:
-    """All the files of `data/`, by the package's own recorder and writer."""
+    """Write all files under `data/`."""
     controller = controller_records()
     start, rest = controller[0], controller[1:]
     write(ONE, "n0", [one for one in rest if one[1] < ROTATE_AT], [start])
--- a/tests/trace/stored_traces.py
+++ b/tests/trace/stored_traces.py
@@ -1,8 +1,8 @@
 """Runs the commands of `python -m oatcart.trace` on the stored traces under `data/`.
 
-Only the command line is used, so that this stays as it is whatever the package's names become.
-`PYTHONPATH=. python tests/trace/stored_traces.py` wrote `expected.json`, once, on the version before any name
-changed.
+Only the command line is used, so that this module does not depend on names within the package.
+`expected.json` was written once, by `PYTHONPATH=. python tests/trace/stored_traces.py`, with the version
+before identifiers were renamed.
 """
 
 import contextlib
@@ -20,7 +20,7 @@
 
 DATA = Path(__file__).parent / "data"
 EXPECTED = DATA / "expected.json"
-SECRET = bytes(range(32))  # of `strip`, in place of a random one
+SECRET = bytes(range(32))  # for `strip`, in place of a random secret
 ONE, TWO, PROXY, ALL = "n0-1.oatrace", "n0-2.oatrace", "proxy-a.oatrace", "all-names.oatrace"
 CUT = ["--from", "1010", "--to", "1040", "--kind", "fee-charge", "--node", "east-02", "--proxy", "proxy-a"]
 COMMANDS = [
@@ -57,11 +57,17 @@
     ["strip", "merged.oatrace", "--out", "strip-merged.oatrace"],
     ["summary", "strip-merged.oatrace"],
 ]
-DIGESTED = ("cut-n0", "cut-proxy", "strip-n0", "strip-proxy", "strip-all")  # those of no fitted clocks
+DIGESTED = (
+    "cut-n0",
+    "cut-proxy",
+    "strip-n0",
+    "strip-proxy",
+    "strip-all",
+)  # files whose bytes do not depend on fitted clocks
 
 
 def run(folder: Path) -> dict:
-    """The exit code and both outputs of each command, and the digests of files without fitted clocks."""
+    """Return the exit code, stdout and stderr of each command, and the digests of the DIGESTED files."""
     for name in (ONE, TWO, PROXY, ALL):
         shutil.copy(DATA / name, folder / name)
     outcomes, here = {}, Path.cwd()
@@ -86,7 +92,7 @@
 
 
 def write_expected() -> None:
-    """Write what the commands print and write."""
+    """Write the current outcomes to `expected.json`."""
     with tempfile.TemporaryDirectory() as folder:
         EXPECTED.write_text(json.dumps(run(Path(folder)), indent=1, ensure_ascii=False) + "\n")
 
--- a/tests/trace/test_record_queue.py
+++ b/tests/trace/test_record_queue.py
@@ -1,4 +1,4 @@
-"""Which records a full queue sheds."""
+"""Tests of which records a full queue sheds."""
 
 from oatcart.trace.record_queue import RecordQueue
 from oatcart.trace.records import RecordKind as Kind
--- a/tests/trace/test_round_codec.py
+++ b/tests/trace/test_round_codec.py
@@ -1,4 +1,4 @@
-"""Events, commands and settings in their stored form, there and back."""
+"""Tests of encoding and decoding events, commands and settings."""
 
 import msgpack
 import pytest
@@ -64,7 +64,7 @@
 
 
 def round_trip(value):
-    """The value as a file gives it back."""
+    """Return the value as it is read back from a file."""
     return msgpack.unpackb(msgpack.packb(value), use_list=False)
 
 
--- a/tests/trace/test_stored_traces.py
+++ b/tests/trace/test_stored_traces.py
@@ -1,4 +1,4 @@
-"""Traces that the version before the renaming wrote are read, cut, merged and replayed as it did."""
+"""Tests that traces of an earlier version are read, cut, merged and replayed as by that version."""
 
 import json
 
--- a/tests/trace/test_trace_commands.py
+++ b/tests/trace/test_trace_commands.py
@@ -1,4 +1,4 @@
-"""The commands on a generated trace, and exports without identities."""
+"""Tests of the commands on a generated trace, and of exports without names and keys."""
 
 import json
 
@@ -17,7 +17,7 @@
 
 @pytest.fixture(scope="module")
 def generated(tmp_path_factory):
-    """A trace file of 20 generated seconds."""
+    """Return a trace file of 20 generated seconds."""
     path = tmp_path_factory.mktemp("generated") / "n0.oatrace"
     records = (record(*values) for values in generate.generate_records(5, 20.0, 200.0))
     write_trace(str(path), {"instance": "n0"}, records, FIELDS)
@@ -25,7 +25,7 @@
 
 
 def unpacked(path):
-    """All that the file holds, unpacked: what a search for names goes through."""
+    """Return the file header and all block payloads, uncompressed, so that they can be searched for names."""
     data = path.read_bytes()
     with TraceReader(path) as trace:
         parts = [data[: trace.first_block_offset]]
@@ -36,7 +36,7 @@
 
 
 def names_in(records):
-    """Every name and key that an export must not hold."""
+    """Return all names and keys, which an export must not contain."""
     for one in records:
         for field in ("proxy", "node", "zone", "instance", "to", "of", "name"):
             if isinstance(value := one.fields.get(field), str) and value:
@@ -59,7 +59,7 @@
     assert len(names) > 200
     original, found = unpacked(generated), unpacked(exports[0])
     assert all(name in original for name in names)
-    # a short one may stand there by chance; none of these is under 2 bytes
+    # names of 2 bytes may occur by chance and are not checked; none is shorter
     assert [name for name in names if name in found and len(name) > 2] == []
     original_records, first, second = read(generated), read(exports[0]), read(exports[1])
     assert len(original_records) == len(first) == len(second)
--- a/tests/trace/test_trace_configuration.py
+++ b/tests/trace/test_trace_configuration.py
@@ -1,4 +1,4 @@
-"""The settings file of traces."""
+"""Tests of the settings file of traces."""
 
 import pytest
 
@@ -19,12 +19,12 @@
     [
         ("file_size: 64\n", "t.yaml:1: file_size: 64 has no unit"),
         ("room: 1000\n", "folder is missing"),
-        ("folder: x\nbudget: 1MiB\n", "t.yaml:2: budget holds not even one"),
+        ("folder: x\nbudget: 1MiB\n", "t.yaml:2: budget: expected at least file_size"),
         ("folder: x\nrom: 5\n", "t.yaml:2: rom is not known; did you mean room?"),
         ("", "no table of keys"),
     ],
 )
-def test_a_fault_in_the_file_is_named_with_its_line(tmp_path, text, fault):
+def test_a_fault_in_the_file_is_reported_with_its_line(tmp_path, text, fault):
     path = tmp_path / "t.yaml"
     path.write_text(text)
     with pytest.raises(InvalidConfigurationError) as error:
--- a/tests/trace/test_trace_file_format.py
+++ b/tests/trace/test_trace_file_format.py
@@ -1,4 +1,4 @@
-"""The parts of a trace file: round trips, other versions, records that do not fit."""
+"""Tests of the parts of a trace file: round trips, other versions, invalid records."""
 
 import struct
 
@@ -57,12 +57,12 @@
     newer = {
         **FIELDS,
         RecordKind.REQUEST: (*FIELDS[RecordKind.REQUEST], ("colour", "name")),
-        "ghost": (("at", "us"), ("what", "any")),
+        "newer": (("at", "us"), ("what", "any")),
     }
-    records = [(*request(1.0), "red"), ("ghost", 2.0, [1]), (RecordKind.CLOCK, 3.0, 4.0, 0.0)]
+    records = [(*request(1.0), "red"), ("newer", 2.0, [1]), (RecordKind.CLOCK, 3.0, 4.0, 0.0)]
     found, skipped = file_format.decode_block(payload(file_format.encode_block(0, records, newer)))
     assert [record.kind for record in found] == [RecordKind.REQUEST, RecordKind.CLOCK]
-    assert skipped == {"ghost": 1}
+    assert skipped == {"newer": 1}
     assert "colour" not in found[0].fields
 
 
--- a/tests/trace/test_trace_generate.py
+++ b/tests/trace/test_trace_generate.py
@@ -1,4 +1,4 @@
-"""The generated trace depends on its seed alone."""
+"""Tests that a generated trace depends only on its seed."""
 
 from oatcart.trace import generate
 from oatcart.trace.records import RecordKind as Kind
--- a/tests/trace/test_trace_merge.py
+++ b/tests/trace/test_trace_merge.py
@@ -1,4 +1,4 @@
-"""Merging by causal pairs: clocks that are off, drift or are stepped, and what is claimed of orders."""
+"""Tests of merging: clocks with offsets, drifts and steps, and which orders are claimed as certain."""
 
 import json
 from math import inf
@@ -19,9 +19,9 @@
 
 
 def exchange(seed, offset=3.0, drift=200e-6, lost=0.3, count=400, step=0.0):
-    """Two instances that exchange messages over 1,000 s of true time; the second's clock is off.
+    """Exchange messages between two instances over 1,000 s of true time; the second clock has an error.
 
-    Returns their traces, and the true time of each message end.
+    Return their traces, and the true time of each send and receipt.
     """
     rng, true = Random(seed), {}
 
@@ -71,14 +71,14 @@
 )
 @settings(max_examples=25, deadline=None, derandomize=True)
 def test_no_receipt_precedes_its_send_and_no_claimed_order_is_wrong(seed, offset, drift, lost, step):
-    """Also where a clock was stepped, so that no straight line fits."""
+    """Holds also where a clock was stepped, so that no offset and constant drift fit all messages."""
     traces, true = exchange(seed, offset, drift, lost, 80, step)
     merged, clocks = merge(traces, "a")
     positions = {(one.kind, one.fields["link"]): position for position, one in enumerate(merged)}
     for kind, link in positions:
         if kind == Kind.MESSAGE_RECEIVED:
             assert positions[Kind.MESSAGE_SENT, link] < positions[Kind.MESSAGE_RECEIVED, link]
-    for instance, records in traces.items():  # an instance's own order stays
+    for instance, records in traces.items():  # the order within an instance is kept
         links = [one.fields["link"] for one in merged if one.fields["instance"] == instance]
         assert links == [one.fields["link"] for one in records]
     if step == 0.0:
--- a/tests/trace/test_trace_reader.py
+++ b/tests/trace/test_trace_reader.py
@@ -1,4 +1,4 @@
-"""Reading traces that are whole, truncated at any byte, or damaged by any flipped bit."""
+"""Tests of reading traces that are complete, truncated at any byte, or damaged by any flipped bit."""
 
 import pytest
 from trace_helpers import times, write_blocks
@@ -19,7 +19,7 @@
         assert endpoints == ["n0", "n1", "n2", "n3"]
         before = trace.bytes_read
         assert [record.fields["at"] for record in trace.records(110.0, 120.0)] == [110.0, 110.0]
-        assert trace.bytes_read - before == trace.index[1].length  # that block alone
+        assert trace.bytes_read - before == trace.index[1].length  # only that block is read
         assert not trace.missing and trace.has_footer and trace.metadata["instance"] == "n0"
 
 
@@ -37,7 +37,7 @@
         found, missing = times(truncated)
         complete = [entry for entry in index if entry.offset + entry.length <= size]
         assert found == [at for entry in complete for at in [entry.first] * 2], size
-        assert missing  # it says that something is
+        assert missing  # names what was not read
         if size % 7 == 0:
             repair_footer(truncated)
             assert times(truncated) == (found, [])
--- a/tests/trace/test_trace_recorder.py
+++ b/tests/trace/test_trace_recorder.py
@@ -1,4 +1,4 @@
-"""Recording a controller's rounds, and replaying them on another one."""
+"""Tests of recording a controller's rounds and replaying them on another controller."""
 
 import asyncio
 
@@ -28,9 +28,9 @@
 
 
 def record_on_loopback(folder, monkeypatch):
-    """The records of a controller with proxies and xDS clients on loopback.
+    """Return the records of a controller with proxies and xDS clients on loopback.
 
-    Reports, a drain, an ejection and an event that the decisions raise over come to it.
+    It receives load reports, drains one endpoint, ejects another, and raises an exception for one event.
     """
     writers = []
     make_controller = xds_table.Conductor
@@ -66,7 +66,7 @@
 
 
 def with_another_command(records, number):
-    """The records, with one command more in a round."""
+    """Return the records with an additional command in one round."""
     for one in records:
         if one.kind == Kind.ROUND and one.fields["number"] == number:
             commands = (*one.fields["orders"], ("wake", 9.0))
@@ -120,6 +120,6 @@
 
 
 def start_records():
-    """The stored settings of a generated trace."""
+    """Return the stored settings of a generated trace."""
     first = next(generate.generate_records(1, 1.0, 1.0))
     return dict(zip((name for name, _ in FIELDS[Kind.START]), first[1:], strict=True))["records"]
--- a/tests/trace/test_trace_requests.py
+++ b/tests/trace/test_trace_requests.py
@@ -1,4 +1,4 @@
-"""Recording the requests of a proxy, and what summary and timeline say of their attempts."""
+"""Tests of recording the requests of a proxy, and of their attempts in summary and timeline."""
 
 from trace_helpers import record, request
 
--- a/tests/trace/test_trace_writer.py
+++ b/tests/trace/test_trace_writer.py
@@ -1,4 +1,4 @@
-"""Writing traces: rotation, deletion, floods, disks that fail, clocks that step back."""
+"""Tests of writing traces: rotation, deletion, a full queue, disks that fail, clocks that step back."""
 
 import struct
 
@@ -24,7 +24,7 @@
 
 
 class FailingStore(FileStore):
-    """A disk whose n-th operation fails, or writes in part first."""
+    """A disk whose operation number `at` fails; with `partial`, a failing write writes half of its data."""
 
     def __init__(self, at, partial=False, forever=False):
         self.operations_left, self.partial, self.forever = at, partial, forever
@@ -53,7 +53,7 @@
 
 
 def read_despite_failures(folder):
-    """The times of the records found, and the number of those recorded as shed."""
+    """Return the times of the records found, and the number of records counted as shed."""
     found, shed = [], 0
     for path in sorted(folder.iterdir()):
         try:
@@ -65,7 +65,7 @@
                     else:
                         found.append(record.fields["at"])
         except CorruptTraceError:
-            assert path.stat().st_size < 64  # a header that was never complete
+            assert path.stat().st_size < 64  # the header was never completed
     return found, shed
 
 
--- a/tests/trace/trace_helpers.py
+++ b/tests/trace/trace_helpers.py
@@ -7,18 +7,18 @@
 
 
 def record(kind, *values):
-    """A record as a reader returns it, of the values of its fields."""
+    """Return a record as a reader does, from the values of its fields."""
     return Record(kind, dict(zip((name for name, _ in FIELDS[kind]), values, strict=True)))
 
 
 def request(at, id=1, key=b"", request_class="lookup", endpoint="n1", outcome="done", proxy="p1", attempts=1):
-    """A request as a writer takes it."""
+    """Return a request in the form that a writer takes."""
     location = (proxy, request_class, "east", endpoint)
     return (RecordKind.REQUEST, at, id, key, *location, outcome, 0.05, attempts, 1.0)
 
 
 class Clock:
-    """A clock that a test sets."""
+    """A clock whose time a test sets."""
 
     def __init__(self, now=100.0):
         self.now = now
@@ -28,7 +28,7 @@
 
 
 def make_writer(folder, clock, store=None, **limits):
-    """A writer whose log lines are in `logged`."""
+    """Return a writer whose log lines are collected in `logged`."""
     lines = []
     writer = Writer(
         folder, "n0", {"site": "x"}, clock, lambda topic, text: lines.append(text), Limits(**limits), store
@@ -38,7 +38,7 @@
 
 
 def write_blocks(folder, blocks=4, end=True):
-    """The path of a file of some blocks, two records each, a name more in each block."""
+    """Write a file of blocks with two records each, and a new endpoint name in each; return its path."""
     clock = Clock()
     writer = make_writer(folder, clock)
     for number in range(blocks):
@@ -56,12 +56,12 @@
 
 
 def times(path):
-    """The times of all records in a file, and what is missing in it."""
+    """Return the times of all records in a file, and the descriptions of missing parts."""
     with TraceReader(path) as trace:
         return [record.fields["at"] for record in trace.records()], trace.missing
 
 
 def read(path):
-    """All records of a file."""
+    """Return all records of a file."""
     with TraceReader(path) as trace:
         return list(trace.records())
