--- a/oatcart/trace/timeline.py
+++ b/oatcart/trace/timeline.py
@@ -40,34 +40,34 @@
             names[fields["number"]] = fields["name"]
         elif kind in (RecordKind.REQUEST, RecordKind.ATTEMPT):
             if subject.includes(fields):
-                text = _attempt(fields) if kind == RecordKind.ATTEMPT else _request(fields)
-                lines.append(f"{_time(fields)} {text}{_witnesses(fields)}")
+                text = _format_attempt(fields) if kind == RecordKind.ATTEMPT else _format_request(fields)
+                lines.append(f"{_format_time(fields)} {text}{_format_witnesses(fields)}")
         elif kind == RecordKind.ROUND and subject.endpoint:
-            source = f"{_time(fields)} {fields.get('instance', 'round')} {fields['number']}"
+            source = f"{_format_time(fields)} {fields.get('instance', 'round')} {fields['number']}"
             for text in _decisions_about(subject.endpoint, record, names, states):
-                lines.append(f"{source}: {text}{_witnesses(fields)}")
-        if fields.get("certain") == 0 and lines and lines[-1].startswith(_time(fields)):
+                lines.append(f"{source}: {text}{_format_witnesses(fields)}")
+        if fields.get("certain") == 0 and lines and lines[-1].startswith(_format_time(fields)):
             lines[-1] += UNCERTAIN
     return lines
 
 
-def _time(fields: dict) -> str:
+def _format_time(fields: dict) -> str:
     bound = f" ±{fields['bound']:.6f}" if "bound" in fields else ""
     return f"{fields['at']:.6f}{bound}"
 
 
-def _witnesses(fields: dict) -> str:
+def _format_witnesses(fields: dict) -> str:
     return f" seen by {', '.join(fields['witnesses'])}" if fields.get("witnesses") else ""
 
 
-def _attempt(fields: dict) -> str:
+def _format_attempt(fields: dict) -> str:
     return (
         f"{fields['proxy']}:{fields['id']} {fields['kind']} try {fields['number']} at {fields['node']} "
         f"ended {fields['ending']} after {fields['took'] * 1000:.3f} ms"
     )
 
 
-def _request(fields: dict) -> str:
+def _format_request(fields: dict) -> str:
     return (
         f"{fields['proxy']}:{fields['id']} {fields['kind']} {fields['outcome']} "
         f"by {fields['node'] or 'no node'}, {fields['tries']} tries, {fields['took'] * 1000:.3f} ms"
