--- a/oatcart/trace/__main__.py
+++ b/oatcart/trace/__main__.py
@@ -57,7 +57,7 @@
 
 
 def _add_merge(add: Callable) -> None:
-    description = "Merge the traces of several instances into one, in the clock of one of them."
+    description = "Merge the traces of several instances into one, with times by the clock of one of them."
     merge = add("merge", commands.merge_traces, description)
     _add_output(merge)
     merge.add_argument(
--- a/oatcart/trace/clock_alignment.py
+++ b/oatcart/trace/clock_alignment.py
@@ -15,7 +15,7 @@
 from scipy.optimize import linprog
 
 MAX_DRIFT = 1e-3  # s per s; no working clock drifts faster
-MAX_MESSAGES = 4000  # per direction between two instances, that become constraints
+MAX_MESSAGES = 4000  # that become constraints, for each sender and receiver
 
 
 class Message(NamedTuple):
--- a/oatcart/trace/commands.py
+++ b/oatcart/trace/commands.py
@@ -127,7 +127,7 @@
 
 
 def merge_traces(args: argparse.Namespace) -> ExitCode:
-    """Write the traces of several instances as one, in the clock of one of them."""
+    """Write the traces of several instances as one, with times by the clock of one of them."""
     paths_by_instance: dict[str, list[str]] = {}
     for path in args.files:
         with TraceReader(path) as trace:
--- a/oatcart/trace/merge.py
+++ b/oatcart/trace/merge.py
@@ -1,4 +1,4 @@
-"""Merges the traces of several instances into one, in the clock of one of them. Does no I/O.
+"""Merges the traces of several instances into one, with all times by the clock of one of them. Does no I/O.
 
 The order of two records of different instances is marked as certain only where the error bounds of their
 clocks allow no other order.
@@ -30,7 +30,8 @@
 def sends_and_receipts(instance: str, record: Record) -> Iterator[tuple[RecordKind, bytes]]:
     """Return (MESSAGE_SENT or MESSAGE_RECEIVED, message name) for each send and receipt in a record.
 
-    A round contains the acknowledgements that it requested and those that it received.
+    A round is the send of the updates for which it requests acknowledgements, and the receipt of the
+    acknowledgements among its events.
     """
     if record.kind in (RecordKind.MESSAGE_SENT, RecordKind.MESSAGE_RECEIVED):
         yield RecordKind(record.kind), record.fields["link"]
@@ -91,7 +92,7 @@
 
 
 def merge(traces: Traces, reference: str) -> tuple[list[Record], AlignedClocks]:
-    """Merge traces into the clock of the instance `reference`.
+    """Merge traces, with all times by the clock of the instance `reference`.
 
     Merging adds MERGED_FIELDS. Records of one request or attempt by several instances that are equal except
     for the time become one record with all these instances as witnesses; all other records are kept. The
--- a/oatcart/trace/trace_files.py
+++ b/oatcart/trace/trace_files.py
@@ -25,7 +25,7 @@
 
 
 def read_traces(paths: Iterable[str], first: float = -inf, last: float = inf) -> TraceContents:
-    """Read the files of one instance one after the other: the times from `first` up to `last`, exclusive.
+    """Read the records from `first` up to, but not including, `last` from the files of one instance in turn.
 
     Both are seconds of the instance's clock. Raises OSError, and CorruptTraceError where a file has no valid
     header.
