--- a/oatcart/yaml_files.py
+++ b/oatcart/yaml_files.py
@@ -1,7 +1,8 @@
-"""Reads and checks the YAML files of operators: each problem names file, line and field, all at once.
+"""Reads and checks YAML configuration files; all problems of a file are reported together.
 
-Times bear a unit (`250ms`, `2s`, `1m`), sizes too (`64KiB`, `1GiB`). Unknown keys are problems, with the
-nearest known one. The parsers of values raise ValueError, whose message `table` completes.
+Each message names the file, the line and the field. Times and sizes need a unit (`250ms`, `2s`, `1m`;
+`64KiB`, `1GiB`). An unknown key is a problem, and its message suggests the most similar known key. The
+parsers of values raise ValueError; `table` puts the file, line and field in front of its message.
 """
 
 import re
@@ -16,15 +17,15 @@
 
 from oatcart.errors import InvalidConfigurationError
 
-SECONDS_OF_UNIT = {"ms": 0.001, "s": 1.0, "m": 60.0}
-BYTES_OF_UNIT = {"KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
+SECONDS_PER_UNIT = {"ms": 0.001, "s": 1.0, "m": 60.0}
+BYTES_PER_UNIT = {"KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
 MAX_DURATION = 3600.0  # s
-MAX_NAME_LETTERS = 256
-PORTS = 65536
+MAX_NAME_LENGTH = 256
+PORT_COUNT = 65536
 
 
 def duration(value: object) -> float:
-    """Parses a time with its unit, above 0 and up to an hour; returns seconds.
+    """Parses a time with its unit, above 0 and at most one hour; returns seconds.
 
     >>> duration("250ms"), duration("2 s")
     (0.25, 2.0)
@@ -35,14 +36,14 @@
     found = re.fullmatch(r"(\d+(?:\.\d+)?)\s*(ms|s|m)", str(value))
     if not found:
         raise ValueError(f"{value} has no unit; write it as 250ms, 2s or 1m")
-    seconds = float(found[1]) * SECONDS_OF_UNIT[found[2]]
+    seconds = float(found[1]) * SECONDS_PER_UNIT[found[2]]
     if not 0.0 < seconds <= MAX_DURATION:
         raise ValueError(f"{value} is not between 0 and an hour")
     return seconds
 
 
 def integer(minimum: int, maximum: int) -> Callable[[object], int]:
-    """A parser of integers between two bounds, both included."""
+    """Returns a parser that accepts integers from `minimum` to `maximum`, both included."""
 
     def parse(value: object) -> int:
         if isinstance(value, bool) or not isinstance(value, int) or not minimum <= value <= maximum:
@@ -53,7 +54,7 @@
 
 
 def address(value: object) -> str:
-    """Checks host and port, the host a numeric address, as no names are resolved here.
+    """Checks a numeric IP address with a port, and returns it as text; host names are not resolved.
 
     >>> address("127.0.0.1:18000")
     '127.0.0.1:18000'
@@ -61,7 +62,7 @@
     host, _, port = str(value).rpartition(":")
     try:
         ip_address(host)
-        if not 0 <= int(port) < PORTS:
+        if not 0 <= int(port) < PORT_COUNT:
             raise ValueError
     except ValueError:
         raise ValueError(f"{value!r} is not a numeric address and a port, as 127.0.0.1:18000") from None
@@ -69,14 +70,14 @@
 
 
 def name(value: object) -> str:
-    """Checks a text that is not empty and has at most `MAX_NAME_LETTERS`."""
-    if not isinstance(value, str) or not 0 < len(value) <= MAX_NAME_LETTERS:
-        raise ValueError(f"{value!r} is no name")
+    """Checks that a value is text of 1 to `MAX_NAME_LENGTH` characters."""
+    if not isinstance(value, str) or not 0 < len(value) <= MAX_NAME_LENGTH:
+        raise ValueError(f"expected 1 to {MAX_NAME_LENGTH} characters, got {value!r}")
     return value
 
 
 def boolean(value: object) -> bool:
-    """Checks true or false."""
+    """Checks that a value is true or false."""
     if not isinstance(value, bool):
         raise ValueError(f"{value!r} is neither true nor false")
     return value
@@ -91,7 +92,7 @@
     found = re.fullmatch(r"(\d+)\s*(KiB|MiB|GiB)", str(value))
     if not found:
         raise ValueError(f"{value} has no unit; write it as 64KiB, 64MiB or 1GiB")
-    return int(found[1]) * BYTES_OF_UNIT[found[2]]
+    return int(found[1]) * BYTES_PER_UNIT[found[2]]
 
 
 def table(
@@ -102,13 +103,14 @@
     problems: list[str],
     line: int,
 ) -> dict:
-    """Parses a YAML map by the parsers of its keys; None hands a value on as it is.
+    """Parses a YAML map with one parser for each key; a parser of None keeps the value unchanged.
 
-    `path` is what stands before a key in messages, `where` names a line of the file (counted from 0), and
-    `line` is that of the map. A key with a problem is left out and a message added to `problems`.
+    `path` is the prefix of keys in messages, `where` formats a line number (counted from 0) with the file,
+    and `line` is the line of the map. A key with a problem is left out of the result, and a message is added
+    to `problems`.
     """
     if not isinstance(value, CommentedMap):
-        problems.append(f"{where(line)}: {path or 'the file'} is no table of keys")
+        problems.append(f"{where(line)}: {path or 'the file'} is not a map of keys")
         return {}
     parsed = {}
     for key, text in value.items():
@@ -127,7 +129,9 @@
 
 
 def load(path: str | Path) -> tuple[object, Callable[[int], str]]:
-    """The content of a file, and the function that names a line of it, counted from 0.
+    """Returns the parsed content of a file, and a function that formats a line number as `path:line`.
+
+    The line number passed to that function is counted from 0.
 
     Raises InvalidConfigurationError if the file cannot be read or is not YAML.
     """
--- a/tests/scale/test_scale_configuration.py
+++ b/tests/scale/test_scale_configuration.py
@@ -71,8 +71,8 @@
     [
         ("flet:\n  nodes: 5\n", "s.yaml:1: flet is not known; did you mean fleet?"),
         ("fleet:\n  nods: 5\n", "s.yaml:2: fleet.nods is not known; did you mean nodes?"),
-        ("fleet: 5\n", "s.yaml:1: fleet. is no table of keys"),
-        ("- 1\n", "s.yaml:1: the file is no table of keys"),
+        ("fleet: 5\n", "s.yaml:1: fleet. is not a map of keys"),
+        ("- 1\n", "s.yaml:1: the file is not a map of keys"),
         ("seed: -1\n", "s.yaml:1: seed: -1 is not a whole number from 0 to 4294967295"),
         ("fleet:\n  nodes: 2.5\n", "s.yaml:2: fleet.nodes: 2.5 is not a whole number from 1 to 100000000"),
         ("fleet:\n  nodes: true\n", "s.yaml:2: fleet.nodes: True is not a whole number from 1 to 100000000"),
--- a/tests/trace/test_trace_configuration.py
+++ b/tests/trace/test_trace_configuration.py
@@ -21,7 +21,7 @@
         ("room: 1000\n", "folder is missing"),
         ("folder: x\nbudget: 1MiB\n", "t.yaml:2: budget holds not even one"),
         ("folder: x\nrom: 5\n", "t.yaml:2: rom is not known; did you mean room?"),
-        ("", "no table of keys"),
+        ("", "is not a map of keys"),
     ],
 )
 def test_a_fault_in_the_file_is_named_with_its_line(tmp_path, text, fault):
--- a/tests/views/test_views_configuration.py
+++ b/tests/views/test_views_configuration.py
@@ -108,7 +108,7 @@
     with pytest.raises(InvalidConfigurationError) as wrong:
         read(written(tmp_path, "conductors_file: more.jsonl"))
     said = str(wrong.value)
-    assert "more.jsonl:2: unexpected" in said and "more.jsonl:3: the file is no table of keys" in said
+    assert "more.jsonl:2: unexpected" in said and "more.jsonl:3: the file is not a map of keys" in said
     assert "more.jsonl:4: zone is missing" in said and "more.jsonl:5: conductors: the name c stands" in said
     assert "more.jsonl:6: zne is not known; did you mean zone?" in said
     with pytest.raises(InvalidConfigurationError, match="none.jsonl: No such file"):
@@ -122,7 +122,7 @@
         ("lisen: 127.0.0.1:1", ["1: lisen is not known; did you mean listen?"]),
         ("base: 127.0.0.1:0", ["1: base: '127.0.0.1:0' has no port to count from"]),
         ("source:\n  wait: 61s\n  list_most: 4MB\n", ["2: source.wait: 61s is long", "3: source.list_most"]),
-        ("source: yes", ["1: source. is no table of keys"]),
+        ("source: yes", ["1: source. is not a map of keys"]),
         (
             "guard:\n  drop_share: 0.2\n  hold: 5\nviews:\n  most_members: 0\n",
             [
@@ -133,10 +133,10 @@
         ),
         ("views: {overload: 0.5}", ["1: views.overload: 0.5 is no factor"]),
         ("regions:\n  n: [a]\n  s: [a]\n", ["3: regions.s: zone a is in n already"]),
-        ("regions: [a]", ["1: regions. is no table of keys"]),
+        ("regions: [a]", ["1: regions. is not a map of keys"]),
         ("regions: {n: a}", ["1: regions.n: a is no list of distinct names"]),
         ("conductors: {}", ["1: conductors is no list"]),
-        ("conductors:\n  - c\n", ["2: conductors[0]. is no table of keys"]),
+        ("conductors:\n  - c\n", ["2: conductors[0]. is not a map of keys"]),
         ("conductors:\n  - name: c\n", ["2: conductors[0].zone is missing"]),
         (
             "conductors:\n  - {name: c, zone: a}\n  - {name: d, zone: a, servces: [x]}\n"
@@ -164,7 +164,7 @@
             ["3: conductors: c and listen would both have 127.0.0.1:9"],
         ),
         ("conductors: [1\n", ["2: "]),
-        ("- 1\n", ["1: the file is no table"]),
+        ("- 1\n", ["1: the file is not a map of keys"]),
     ],
 )
 def test_errors_name_file_line_and_field(tmp_path, text, said):
--- a/tests/views/test_views_leases.py
+++ b/tests/views/test_views_leases.py
@@ -459,7 +459,7 @@
         ("leases:\n  doubt_share: 0.1", "2: leases.doubt_share: 0.1 is no share"),
         ("leases:\n  doubt_least: 0", "2: leases.doubt_least: 0 is not a whole number"),
         ("leases:\n  least: 30s", "2: leases.least is not known; did you mean lease?"),
-        ("leases: yes", "1: leases. is no table of keys"),
+        ("leases: yes", "1: leases. is not a map of keys"),
         ("bounds:\n  undecided_wait: 4s", "2: bounds.undecided_wait: 4s is longer than 3s"),
     ],
 )
--- a/tests/xds/test_configuration.py
+++ b/tests/xds/test_configuration.py
@@ -49,10 +49,10 @@
             "source:\n  address: 127.0.0.1:2\n  hodl: 1s\n",
             ["x.yaml:3: source.hodl is not known; did you mean hold?", "x.yaml:1: source.cluster is missing"],
         ),
-        ("source: yes\n", ["x.yaml:1: source. is no table of keys"]),
+        ("source: yes\n", ["x.yaml:1: source. is not a map of keys"]),
         ("clients: [1\n", ["x.yaml:2: "]),
         ("clients: 1\nclients: 2\n", ["x.yaml:2: "]),
-        ("- 1\n", ["x.yaml:1: the file is no table"]),
+        ("- 1\n", ["x.yaml:1: the file is not a map of keys"]),
         ("unread_for: 2h\n", ["x.yaml:1: unread_for: 2h has no unit"]),
     ],
 )
