--- a/oatcart/errors.py
+++ b/oatcart/errors.py
@@ -1,7 +1,7 @@
-"""The errors that oatcart raises, in one hierarchy: a caller catches one kind, or `OatcartError` for all.
+"""The errors that oatcart raises, all derived from `OatcartError`.
 
-A message names the field and the value that cannot be used; the caller may put the peer or the file in
-front. The simulator's frames have an error of their own, `oatcart.simhost.frames`.
+A message names the field and the value that is invalid; the caller may put the peer or the file in front of
+it. `oatcart.simhost.frames` defines a separate error for the simulator's frames.
 """
 
 import errno
@@ -14,11 +14,11 @@
 
 
 class InvalidConfigurationError(OatcartError):
-    """A configuration cannot be used; nothing of it takes effect."""
+    """A configuration is invalid; no part of it takes effect."""
 
     @classmethod
     def of_field(cls, field: str, problem: object) -> Self:
-        """The error of one field, or of the environment variable that names the file.
+        """Returns the error for a field, or for the environment variable that names the file.
 
         >>> str(InvalidConfigurationError.of_field("seed", "'?' is not a hexadecimal number"))
         "seed is invalid: '?' is not a hexadecimal number"
@@ -27,15 +27,15 @@
 
 
 class InvalidSettingError(InvalidConfigurationError, LookupError):
-    """A setting without a default is missing, no number or too small; the message names it with its value."""
+    """A required setting is missing, not a number or out of range; the message has its name and value."""
 
 
 class InvalidMessageError(OatcartError):
-    """A message can be parsed, but a field of it cannot be used; its connection goes on."""
+    """A message was parsed but has an invalid field; its connection stays open."""
 
 
 class CloseReason(Enum):
-    """Why a connection, or a call on one, has ended. The values are what the log prints."""
+    """Why a connection, or a call on one, has ended. The values appear in the log."""
 
     COMPLETED = "completed"
     CLOSED_BY_PEER = "closed by the peer"
@@ -64,9 +64,9 @@
 
 
 class ConnectionClosedError(OatcartError):
-    """A connection has ended; raised in the task that owns it, at the point where it waits, reads or writes.
+    """A connection has ended; raised in the task that owns it, where it waits, reads or writes.
 
-    `reason`: why it ended. `detail`: free text for the log, as a status code or the parser's message.
+    `reason`: why it ended. `detail`: text for the log, such as a status code or the parser's message.
     """
 
     def __init__(self, reason: CloseReason, detail: str = "") -> None:
@@ -76,7 +76,7 @@
 
     @classmethod
     def from_os_error(cls, error: OSError) -> Self:
-        """The error that an operation on a socket stands for; an unknown errno counts as UNREACHABLE.
+        """Returns the error for a failed socket operation; an unknown errno is mapped to UNREACHABLE.
 
         >>> ConnectionClosedError.from_os_error(ConnectionResetError(errno.ECONNRESET, "")).reason.name
         'RESET_BY_PEER'
--- a/oatcart/load_reports.py
+++ b/oatcart/load_reports.py
@@ -1,18 +1,18 @@
-"""Load reports of endpoints, and the bounds of what any number that is received may be.
+"""Reads load reports of endpoints, and defines the bounds of received numbers.
 
-Sockets and the simulator's wire name the same three numbers differently; both are read here.
+The protocol on sockets and the simulator's protocol name the same three numbers differently; both are read.
 """
 
 from oatcart.model import LoadReport
 
-MAX_AMOUNT = 1e13  # of any unit; the largest in use is Unix time in ms, and sums of larger ones overflow
-MAX_LOAD = 1e6  # requests in flight or queued, cores in use: more than any endpoint has
-# By field of LoadReport: the settings' name, which reports on sockets may have too, and the protocol's
+MAX_AMOUNT = 1e13  # in any unit; Unix time in ms, the largest in use, is below it; sums must not overflow
+MAX_LOAD = 1e6  # requests in flight or queued, or cores in use; more than any endpoint has
+# For each field of LoadReport: its name in settings (accepted in reports too), then its name in the protocol
 _FIELD_NAMES = (("concurrent", "inflight"), ("load_share", "util"), ("depth", "queue"))
 
 
 def is_amount(value: object) -> bool:
-    """Whether a value is a number from 0 to MAX_AMOUNT.
+    """Return whether a value is a number from 0 to MAX_AMOUNT.
 
     >>> is_amount(2.5), is_amount(-1), is_amount(float("nan")), is_amount(True), is_amount("7")
     (True, False, False, False, False)
@@ -21,9 +21,10 @@
 
 
 def read_load_report(report: object) -> LoadReport:
-    """Read a report that should be a table of numbers by name.
+    """Return the load report in a decoded JSON object.
 
-    A field that is missing, not a number, negative or above MAX_LOAD is None in the result.
+    A field that is missing, not a number, negative or above MAX_LOAD is None in the result, as are all fields
+    if `report` is not an object.
 
     >>> read_load_report({"inflight": 7, "util": 0.5, "queue": -1})
     LoadReport(in_flight=7, utilization=0.5, queued=None)
--- a/oatcart/settings.py
+++ b/oatcart/settings.py
@@ -1,6 +1,7 @@
-"""Reads the settings object of a controller into the records that its decisions are started with.
+"""Converts the settings object of a controller into the records of `oatcart.model`.
 
-Names of settings are those of the operators' pages; times are milliseconds there and seconds in the records.
+The names of settings are the documented ones. Times are milliseconds in the settings and seconds in the
+records.
 """
 
 from dataclasses import replace
@@ -20,7 +21,7 @@
 )
 
 MS_PER_SECOND = 1000
-SMALLEST_POSITIVE = 1e-9  # the least value of a setting that may not be 0
+SMALLEST_POSITIVE = 1e-9  # smallest value that is accepted for a setting that must be above 0
 _IDEMPOTENCY = {"idempotent": Idempotency.IDEMPOTENT, "deduplicated": Idempotency.KEYED}
 _ADMISSION_MODES = {"fraction": AdmissionMode.SHARE, "per_second": AdmissionMode.RATE}
 
@@ -28,7 +29,7 @@
 
 
 def read_seconds(table: dict, name: str, default: float = 0.0) -> float:
-    """Read a time in milliseconds as seconds; `default` (s) where it is not set.
+    """Return a setting in milliseconds as seconds, or `default` (s) if it is not set.
 
     >>> read_seconds({"aim": 250.0}, "aim"), read_seconds({}, "aim", 2.0)
     (0.25, 2.0)
@@ -38,22 +39,22 @@
 
 
 def require_amount(table: dict, name: str, where: str, minimum: float = SMALLEST_POSITIVE) -> float:
-    """Read a number that has no default, as it differs by deployment.
+    """Return a required number; it has no default because it differs between deployments.
 
-    Raises InvalidSettingError with the setting's full name and value where it is missing, no number, or too
-    small.
+    `where` is the path of `table` in the settings, for messages. Raises InvalidSettingError with the full
+    name and the value of the setting if it is missing, not a number, or out of range.
     """
     value = table.get(name)
     if not is_amount(value) or value < minimum:
-        raise InvalidSettingError(f"{where}.{name} is {value!r}")
+        raise InvalidSettingError(f"{where}.{name}: missing, not a number or out of range: {value!r}")
     return value
 
 
 def read_controller_settings(settings: dict) -> ControllerSettings:
-    """Read all that a controller is started with beside its seed.
+    """Return the settings of a controller; its seed is passed separately.
 
-    Raises InvalidSettingError where a required number is missing, AttributeError, TypeError or ValueError
-    where a value has another form.
+    Raises InvalidSettingError if a required number is missing or invalid, and AttributeError, TypeError or
+    ValueError if another value has the wrong type.
     """
     specifics = settings.get("specifics") or {}
     rules = settings.get("rules") or {}
@@ -64,7 +65,7 @@
             lists_weights=settings.get("weights", "off") != "off",
         ),
         channel=_read_channel_limits(specifics),
-        warm_up=_with_given(
+        warm_up=_with_overrides(
             WarmUpLimits(),
             duration=read_seconds(rules, "cold"),
             initial_fraction=rules.get("coldShare"),
@@ -80,10 +81,10 @@
 
 
 def read_socket_controller_settings(settings: dict) -> ControllerSettings:
-    """Read the settings of a controller on sockets.
+    """Return the settings of a controller on sockets.
 
-    Discovery tells nothing unasked there, so it is watched whatever the settings say. Raises as
-    `read_controller_settings` does.
+    Discovery over sockets sends changes only to a watch, so `must_watch` is always set. Raises the same
+    errors as `read_controller_settings`.
     """
     controller = read_controller_settings(settings)
     return replace(controller, discovery=controller.discovery._replace(must_watch=True))
@@ -94,28 +95,28 @@
     own_zone_only = specifics.get("zoneBound") or []
     return tuple(
         RequestClass(
-            priority_weight=grade.get("worth", 1.0),
-            latency_objective=require_amount(grade, "aim", f"grades[{place}]") / MS_PER_SECOND,
-            idempotency=_IDEMPOTENCY.get(grade.get("idempotency"), Idempotency.NOT_IDEMPOTENT),
-            own_zone_only=place < len(own_zone_only) and own_zone_only[place],
-            zones=_read_zones(grade.get("onlyZones") or [], zones),
+            priority_weight=request_class.get("worth", 1.0),
+            latency_objective=require_amount(request_class, "aim", f"grades[{index}]") / MS_PER_SECOND,
+            idempotency=_IDEMPOTENCY.get(request_class.get("idempotency"), Idempotency.NOT_IDEMPOTENT),
+            own_zone_only=index < len(own_zone_only) and own_zone_only[index],
+            zones=_read_zones(request_class.get("onlyZones") or [], zones),
         )
-        for place, grade in enumerate(settings.get("grades") or [])
+        for index, request_class in enumerate(settings.get("grades") or [])
     )
 
 
 def _read_zones(listed: list, zones: list[str]) -> tuple[int, ...]:
-    """Zone numbers of a list of names or numbers; unknown names are left out."""
+    """Return the zone numbers for a list of zone names or numbers; unknown names are left out."""
     known = (zone for zone in listed if not isinstance(zone, str) or zone in zones)
     return tuple(zones.index(zone) if isinstance(zone, str) else int(zone) for zone in known)
 
 
 def _read_channel_limits(specifics: dict) -> ChannelLimits:
     line_rate = require_amount(specifics, "pushRate", "specifics")
-    message_window = None  # required with a message cap alone
+    message_window = None  # required only if there is a message cap
     if specifics.get("messagesMost"):
         message_window = require_amount(specifics, "updateWindow", "specifics") / MS_PER_SECOND
-    return _with_given(
+    return _with_overrides(
         ChannelLimits(),
         line_rate=line_rate,
         message_overhead=specifics.get("envelope"),
@@ -125,6 +126,6 @@
     )
 
 
-def _with_given(defaults: Limits, **values: float | None) -> Limits:
-    """Replace the defaults of the values that are set."""
+def _with_overrides(defaults: Limits, **values: float | None) -> Limits:
+    """Return `defaults` with each value replaced that is not None."""
     return defaults._replace(**{name: value for name, value in values.items() if value is not None})
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports and the bounds of numbers that are received."""
+"""Load reports and the bounds of received numbers."""
 
 import pytest
 
@@ -20,7 +20,7 @@
         ([7], False),
     ],
 )
-def test_amounts_are_numbers_from_0_to_a_bound(value, accepted):
+def test_amounts_are_numbers_from_0_to_max_amount(value, accepted):
     assert is_amount(value) is accepted
 
 
@@ -36,5 +36,5 @@
         ([1], (None, None, None)),
     ],
 )
-def test_a_field_that_is_no_load_is_left_out(report, expected):
+def test_an_invalid_field_of_a_load_report_is_none(report, expected):
     assert read_load_report(report) == expected
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings object of a controller: what is required, and when."""
+"""Required settings of a controller, and the errors for missing or invalid ones."""
 
 import pytest
 
@@ -6,10 +6,10 @@
 from oatcart.settings import read_controller_settings
 
 
-def test_a_message_cap_requires_the_window_that_it_counts_over():
-    plane = {"pushRate": 1000.0, "period": 1000.0}
-    assert read_controller_settings({"specifics": plane}).channel.max_messages == 0
-    capped = plane | {"messagesMost": 12}
+def test_a_message_cap_requires_its_window():
+    specifics = {"pushRate": 1000.0, "period": 1000.0}
+    assert read_controller_settings({"specifics": specifics}).channel.max_messages == 0
+    capped = specifics | {"messagesMost": 12}
     with pytest.raises(InvalidSettingError, match="specifics.updateWindow"):
         read_controller_settings({"specifics": capped})
     controller = read_controller_settings({"specifics": capped | {"updateWindow": 5000.0}})
@@ -19,14 +19,20 @@
 @pytest.mark.parametrize(
     "specifics, message",
     [
-        ({"period": 1000.0}, "specifics.pushRate is None"),
-        ({"pushRate": 0, "period": 1000.0}, "specifics.pushRate is 0"),
-        ({"pushRate": "fast", "period": 1000.0}, "specifics.pushRate is 'fast'"),
-        ({"pushRate": 1000.0}, "specifics.period is None"),
-        ({"pushRate": 1000.0, "period": -1.0}, "specifics.period is -1.0"),
+        ({"period": 1000.0}, "specifics.pushRate: missing, not a number or out of range: None"),
+        ({"pushRate": 0, "period": 1000.0}, "specifics.pushRate: missing, not a number or out of range: 0"),
+        (
+            {"pushRate": "fast", "period": 1000.0},
+            "specifics.pushRate: missing, not a number or out of range: 'fast'",
+        ),
+        ({"pushRate": 1000.0}, "specifics.period: missing, not a number or out of range: None"),
+        (
+            {"pushRate": 1000.0, "period": -1.0},
+            "specifics.period: missing, not a number or out of range: -1.0",
+        ),
     ],
 )
-def test_a_required_number_is_named_with_its_value(specifics, message):
+def test_an_invalid_required_number_is_reported_with_its_name_and_value(specifics, message):
     with pytest.raises(InvalidSettingError) as raised:
         read_controller_settings({"specifics": specifics})
     assert raised.value.args == (message,)
