--- a/oatcart/__main__.py
+++ b/oatcart/__main__.py
@@ -1,16 +1,16 @@
-"""`python -m oatcart`: a controller on sockets, configured by the file that EDGE_CONFIG names.
+"""`python -m oatcart` runs a controller on sockets; EDGE_CONFIG names its configuration file.
 
-Exit codes: 0 when SIGTERM or SIGINT ends it, 2 if the configuration is invalid. SIGHUP reads it again.
+Exit codes: 0 after SIGTERM or SIGINT, 2 if the configuration is invalid. SIGHUP reloads the configuration.
 """
 
 import os
 import signal
 
-# Set before the other imports, which take time: an early signal ends an orderly start as well. Nothing here
-# outlives the process, so it ends at once.
+# Set before the other imports, which take time, so that a signal during the start also ends the process with
+# code 0. The process keeps no state that needs saving, so it exits at once.
 for _signal in signal.SIGTERM, signal.SIGINT:
     signal.signal(_signal, lambda *_: os._exit(0))
-signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the configuration has been read there is no reload
+signal.signal(signal.SIGHUP, signal.SIG_IGN)  # ignored until the configuration has been read
 
 import sys
 
@@ -23,7 +23,10 @@
 
 
 def main() -> int:
-    """Serve until a signal ends the process; returns the exit code of an invalid configuration."""
+    """Run the controller until a signal ends the process.
+
+    Returns only if the configuration is invalid, with the exit code.
+    """
     signalled = reload_signal()
     try:
         controller = assemble(read_configuration(), signalled)
--- a/oatcart/commands.py
+++ b/oatcart/commands.py
@@ -1,20 +1,23 @@
-"""Commands that the decisions give, in the order in which they take effect."""
+"""Commands that the policy gives to its adapter, in the order in which they take effect."""
 
 from typing import Protocol
 
 from oatcart.model import RetryPolicy
 
-NONCE_COUNT = 0x10000  # nonces run from 0 to one less, then start again
-ALL_TABLES = 0xFFFF  # table number of `set_admission` that means all tables and joined proxies
+NONCE_COUNT = 0x10000  # nonces run from 0 to NONCE_COUNT - 1, then start again at 0
+ALL_TABLES = 0xFFFF  # in `set_admission`, this table number stands for all tables and all joined proxies
 
 
 def covers(nonce: int, earlier: int) -> bool:
-    """Whether a nonce is `earlier` or follows it by less than half of all nonces."""
+    """Whether an acknowledgement of `nonce` covers `earlier`: it is less than half of all nonces behind."""
     return (nonce - earlier) % NONCE_COUNT < NONCE_COUNT // 2
 
 
 class CommandWriter(Protocol):
-    """Takes the commands of a round. Request classes are bits of a mask, class 0 the lowest; 0 means all."""
+    """Receives the commands of a round.
+
+    Request classes are bits of a mask, class 0 is the lowest bit; a mask of 0 means all classes.
+    """
 
     def set_weight(self, table: int, endpoint: int, weight: float) -> None:
         """Sets the weight of an endpoint in a routing table; 0 removes it."""
@@ -23,19 +26,19 @@
         """Removes all endpoints from a routing table."""
 
     def assign_table(self, table: int, proxy: int, classes: int) -> None:
-        """Lets a proxy route these classes by a table; it is sent the complete table."""
+        """Assigns a table to a proxy for these classes; the proxy is sent the complete table."""
 
     def set_ejected(self, endpoint: int, ejected: bool) -> None:
-        """Tells all proxies not to use an endpoint (an outlier, draining or gone), or that they may again."""
+        """Ejects an endpoint (an outlier, draining or gone) at all proxies, or restores it."""
 
     def set_admission(self, table: int, classes: int, quota: float, retry_policy: RetryPolicy) -> None:
-        """Limits the admitted requests of classes (a share, or requests/s a proxy) and sets their retries."""
+        """Sets the quota (a share, or requests/s for each proxy) and the retry policy of classes."""
 
     def forget_endpoint(self, endpoint: int) -> None:
-        """Restores an endpoint that is gone at all proxies, as its id may return, and frees its number."""
+        """Frees the number of a gone endpoint; proxies restore it, since its id may be listed again."""
 
     def request_ack(self, nonce: int, all_proxies: bool) -> None:
-        """Asks for acknowledgement of this round: from all proxies, or those that it sends something."""
+        """Requests acknowledgement of this round from all proxies, or from those that are sent an update."""
 
     def check_health(self, endpoint: int) -> None:
         """Starts a health check."""
@@ -44,10 +47,10 @@
         """Opens a watch on the endpoint list, or closes it."""
 
     def fetch_endpoints(self) -> None:
-        """Asks discovery for the complete endpoint list."""
+        """Fetches the complete endpoint list from discovery."""
 
     def schedule_round(self, delay: float) -> None:
-        """Asks for a round after so many seconds, also if nothing comes in."""
+        """Requests a round after `delay` seconds, even if there are no events."""
 
     def log(self, text: str) -> None:
         """Writes a line to the log."""
--- a/oatcart/events.py
+++ b/oatcart/events.py
@@ -1,7 +1,7 @@
-"""Events that a round brings to the decisions, in order of arrival.
+"""Events that a round passes to the policy (`oatcart.policy`), in order of arrival.
 
-Hosts build them from their wire; the decisions match them by type. A round without events is the end of a
-wait requested with `schedule_round`.
+The adapters decode them from their protocol, and the policy matches them by type. A round without events runs
+when a delay requested with `schedule_round` has passed.
 """
 
 from collections.abc import Iterable
@@ -11,24 +11,24 @@
 
 
 class EndpointEntry(NamedTuple):
-    """One endpoint of discovery's list."""
+    """One endpoint of the endpoint list."""
 
     endpoint: int
     zone: int
-    started_at: float  # s of the clock that rounds use, which is Unix time on sockets; 0: long ago
+    started_at: float  # s on the clock of the rounds, which is Unix time on sockets; 0: long ago
     state: EndpointState
-    nominal_weight: float  # relative; 0 or less: not listed
+    nominal_weight: float  # relative; 0 or less: the list has none
 
 
 class EndpointListReceived(NamedTuple):
-    """The endpoint list, or what changed in it."""
+    """The endpoint list, or the changes in it."""
 
-    complete: bool  # endpoints that it leaves out are gone
+    complete: bool  # endpoints that are not in it are gone; False: only changed endpoints are in it
     entries: list[EndpointEntry]
 
 
 class EndpointListFailed(NamedTuple):
-    """A call to discovery failed, or its watch broke."""
+    """A fetch of the endpoint list or a watch on it has failed."""
 
 
 class HealthCheckCompleted(NamedTuple):
@@ -46,7 +46,7 @@
     proxy: int
     zone: int
     usual_rate: float  # requests/s, a rough figure
-    unconfigured: bool  # it holds no table of any controller
+    unconfigured: bool  # it has no routing table from any controller
 
 
 class ProxyLeft(NamedTuple):
@@ -56,32 +56,32 @@
 
 
 class UpdateAcknowledged(NamedTuple):
-    """A proxy has applied all updates up to a nonce."""
+    """A proxy has applied all updates up to and including the one with this nonce."""
 
     proxy: int
     nonce: int
-    duration: float  # s that applying it took
+    duration: float  # s, time to apply the update
 
 
 class EndpointLoadReported(NamedTuple):
-    """What the proxies of a zone saw of an endpoint over a window."""
+    """The attempts that the proxies of a zone made at an endpoint over a window."""
 
     endpoint: int
     zone: int  # of the proxies
     window: float  # s
-    mean_duration: float  # s, of the attempts that did not fail
+    mean_duration: float  # s, of the attempts that succeeded
     errors: int  # attempts that failed
     attempts: int
-    load: LoadReport  # the last that the endpoint reported
+    load: LoadReport  # the last one that the endpoint sent
 
 
 class ProxyLoadReported(NamedTuple):
-    """The requests of a class that came to a proxy over a window."""
+    """The requests of a class that a proxy received over a window."""
 
     proxy: int
     request_class: int
     requests: int
-    errors: int  # admitted and not served
+    errors: int  # requests that were admitted but not served
     window: float  # s
 
 
@@ -95,4 +95,4 @@
     | EndpointLoadReported
     | ProxyLoadReported
 )
-Events = Iterable[Event]  # read once, in order
+Events = Iterable[Event]  # iterated over once, in order
--- a/oatcart/model.py
+++ b/oatcart/model.py
@@ -1,4 +1,4 @@
-"""Types that the decisions share with the programs around them: states, request classes and limits.
+"""Types that the policy shares with its adapters: states, request classes and limits.
 
 Times are seconds. Endpoints, proxies, request classes, zones and routing tables are small integers; an
 endpoint keeps its number until it is forgotten.
@@ -9,11 +9,11 @@
 from math import inf
 from typing import NamedTuple
 
-NO_ZONE = -1  # where a zone may be missing
+NO_ZONE = -1  # stands for the absence of a zone
 
 
 class EndpointState(IntEnum):
-    """State of an endpoint in discovery's list."""
+    """State of an endpoint in the endpoint list."""
 
     GONE = 0
     READY = 1
@@ -25,7 +25,7 @@
 
     PASSED = 0
     FAILED = 1  # the endpoint answered that it is not healthy
-    REJECTED = 2  # the check was not made, so it shows nothing of the endpoint
+    REJECTED = 2  # the check was not made, so the state of the endpoint is unknown
     UNREACHABLE = 3
     TIMED_OUT = 4
 
@@ -34,7 +34,7 @@
     """Whether a request of a class may run more than once."""
 
     IDEMPOTENT = 0
-    KEYED = 1  # carries an idempotency key, by which a group of endpoints drops a repeat
+    KEYED = 1  # carries an idempotency key, by which a deduplication group of endpoints drops repeats
     NOT_IDEMPOTENT = 2
 
 
@@ -42,21 +42,21 @@
     """When a proxy sends a failed request to another endpoint. The values are those on the wire."""
 
     NEVER = 0
-    IF_NOT_PROCESSED = 1  # once, after proof that the first attempt never ran
+    IF_NOT_PROCESSED = 1  # once, if the first attempt is known not to have run
     ON_FAILURE = 2  # once, after any failure
     TWICE_ON_FAILURE = 3
 
 
 class AdmissionMode(StrEnum):
-    """In which unit proxies limit the requests of a class that they admit."""
+    """The unit of the quota by which proxies limit the admitted requests of a class."""
 
-    SHARE = "share"  # of the requests that come
-    RATE = "rate"  # requests/s a proxy
+    SHARE = "share"  # of the requests that arrive
+    RATE = "rate"  # requests/s for each proxy
     NONE = "none"  # proxies admit everything
 
 
 class LoadReport(NamedTuple):
-    """What an endpoint reports of its load; None where it does not report a figure."""
+    """The load that an endpoint reports; a figure that it does not report is None."""
 
     in_flight: float | None = None  # requests
     utilization: float | None = None  # share of its cores in use
@@ -66,52 +66,54 @@
 class RequestClass(NamedTuple):
     """A class of requests."""
 
-    priority_weight: float = 1.0  # what a request answered within the objective earns
+    priority_weight: float = 1.0  # value of a request that is answered within the latency objective
     latency_objective: float = 1.0  # s
     idempotency: Idempotency = Idempotency.NOT_IDEMPOTENT
-    own_zone_only: bool = False  # served only in the zone of the proxy
-    zones: tuple[int, ...] = ()  # served only in these; empty: in all
+    own_zone_only: bool = False  # served only by endpoints in the zone of the proxy
+    zones: tuple[int, ...] = ()  # served only by endpoints in these zones; empty: in all
 
 
 class DiscoverySettings(NamedTuple):
     """How the endpoint list is obtained, and what it contains."""
 
-    must_watch: bool = False  # changes come only while a watch is open; else unasked
-    lists_weights: bool = False  # entries have nominal weights
+    must_watch: bool = False  # changes are sent only to an open watch; False: they are sent without one
+    lists_weights: bool = False  # its entries have nominal weights
 
 
 class ChannelLimits(NamedTuple):
-    """What the update channel to the proxies carries, in lines.
+    """Limits of the update channel to the proxies, counted in lines.
 
-    A line is one change (a weight, admission, an ejection) that is sent to one proxy.
+    A line is one change (of a weight, of admission, or an ejection) that is sent to one proxy.
     """
 
     line_rate: float = 1000.0  # lines/s
-    message_overhead: float = 0.0  # lines that each message counts besides its own
-    max_queue: float = 0.0  # lines that may wait; 0: any number
-    max_messages: int = 0  # messages to one proxy within the window; 0: any number
+    message_overhead: float = 0.0  # lines that each message costs in addition to its changes
+    max_queue: float = 0.0  # lines; 0: no limit
+    max_messages: int = 0  # message cap: messages to one proxy within the window; 0: no limit
     message_window: float = 10.0  # s
 
 
 class WarmUpLimits(NamedTuple):
-    """What load a freshly started endpoint sustains."""
+    """The load that an endpoint sustains while it warms up after a start."""
 
-    duration: float = 0.0  # s until it has its full capacity
-    initial_fraction: float = 1.0  # of its capacity at the start
-    overload_multiple: float = 1.0  # times its present capacity at which it fails
+    duration: float = 0.0  # s from its start until it has its full capacity
+    initial_fraction: float = 1.0  # of its full capacity, at the start
+    overload_multiple: float = 1.0  # load at which it fails, as a multiple of its present capacity
 
 
 @dataclass(frozen=True, slots=True)
 class ControllerSettings:
-    """What a controller is started with, besides the seed of its random numbers."""
+    """The settings of a controller, without the seed of its random numbers."""
 
     request_classes: tuple[RequestClass, ...]
     discovery: DiscoverySettings
     channel: ChannelLimits
     warm_up: WarmUpLimits
-    report_period: float  # s between two load reports of a collector
+    report_period: float  # s between two load reports from a collector
     admission_mode: AdmissionMode
-    cross_zone_price: float  # part of the service, from 0 to 1, that is lost if each request crosses zones
+    cross_zone_price: (
+        float  # from 0 to 1: part of the value of all requests that is lost if each crosses zones
+    )
     health_checks_allowed: bool
-    drain_deadline: float = inf  # s from the news of a drain to the last request sent there
-    expected_proxies: float = 0.0  # proxies that usually join this controller
+    drain_deadline: float = inf  # s from an endpoint's listing as DRAINING to the last request sent to it
+    expected_proxies: float = 0.0  # number of proxies that usually join this controller
--- a/oatcart/routing_tables.py
+++ b/oatcart/routing_tables.py
@@ -1,7 +1,7 @@
 """The routing tables of all proxies: weights, assignments, admission and ejections.
 
-A round's commands are noted here, then sent as one update a proxy, whose parts hold only what changed.
-Nothing is paced or chosen here. What a proxy was sent on its stream is not sent again.
+The commands of a round are recorded here and then sent as one update to each proxy, with only the changes
+since the last update on the same stream. This module decides nothing; the policy limits the rate of updates.
 """
 
 from collections.abc import Iterable, Iterator
@@ -13,41 +13,41 @@
 
 
 class Admission(NamedTuple):
-    """What is admitted of a request class, and how its failed requests are retried."""
+    """The quota and the retry policy of a request class."""
 
-    quota: float  # share, or requests/s a proxy
+    quota: float  # share, or requests/s for each proxy
     retry_policy: RetryPolicy
 
 
 class UpdatePart(NamedTuple):
-    """One part of an update; a proxy applies all parts of an update at once.
+    """One part of an update; a proxy applies all parts of an update together.
 
-    With the 16 request classes that the protocol allows there are at most 33 parts.
+    With the protocol's maximum of 16 request classes, an update has at most 33 parts.
     """
 
     classes: tuple[int, ...] = ()  # empty: all
     complete: bool = False  # replaces the tables of these classes, admission included
-    weights: tuple[tuple[int, float], ...] = ()  # by endpoint, points; 0 removes it
-    quota: float | None = None  # share, or requests/s; None: admission stays
-    retry_policy: RetryPolicy = RetryPolicy.NEVER  # comes with the quota
+    weights: tuple[tuple[int, float], ...] = ()  # by endpoint, points; 0 removes the endpoint
+    quota: float | None = None  # share, or requests/s; None: admission is unchanged
+    retry_policy: RetryPolicy = RetryPolicy.NEVER  # applies only if there is a quota
     ejected: tuple[int, ...] = ()
     restored: tuple[int, ...] = ()
-    nonce: int | None = None  # to be acknowledged
+    nonce: int | None = None  # the proxy acknowledges it; None: no acknowledgement
 
 
 @dataclass(slots=True)
 class TableContents:
-    """One routing table, and what the round's commands changed in it."""
+    """One routing table, and the changes of the current round in it."""
 
     weights: dict[int, float] = field(default_factory=dict)  # by endpoint, points, all above 0
     admission: dict[int, Admission] = field(default_factory=dict)  # by request class
-    proxies: set[int] = field(default_factory=set)  # that are assigned to it
+    proxies: set[int] = field(default_factory=set)  # proxies that it is assigned to
     changed_weights: dict[int, float] = field(default_factory=dict)
     changed_admission: set[int] = field(default_factory=set)  # request classes
     cleared: bool = False
 
-    def changes_sent(self) -> None:
-        """Forget what the round changed."""
+    def clear_changes(self) -> None:
+        """Clear the changes of the round, once they are sent."""
         self.changed_weights = {}
         self.changed_admission = set()
         self.cleared = False
@@ -55,20 +55,22 @@
 
 @dataclass(slots=True)
 class ProxyState:
-    """What one proxy was sent on its present stream."""
+    """What was sent to one proxy on its present stream."""
 
-    unconfigured: bool  # it holds no table of any controller, so it has no endpoint ejected
-    assignments: dict[int, int] = field(default_factory=dict)  # classes, as bits, by table
-    sent_ejections: dict[int, bool] = field(default_factory=dict)  # by endpoint: whether it is ejected
+    unconfigured: bool  # it had no table from any controller when it joined, so no endpoint is ejected there
+    assignments: dict[int, int] = field(default_factory=dict)  # mask of request classes, by table
+    sent_ejections: dict[int, bool] = field(
+        default_factory=dict
+    )  # whether an endpoint is ejected, by endpoint
     last_nonce: int | None = None
 
 
 @dataclass(slots=True)
 class RoundChanges:
-    """What a round's commands changed beside the contents of tables."""
+    """The changes of the current round, except the contents of tables."""
 
-    tables: set[int] = field(default_factory=set)  # with a change in them
-    assignments: dict[int, set[int]] = field(default_factory=dict)  # newly assigned tables by proxy
+    tables: set[int] = field(default_factory=set)  # numbers of tables whose contents changed
+    assignments: dict[int, set[int]] = field(default_factory=dict)  # newly assigned tables, by proxy
     shared_admission: set[int] = field(default_factory=set)  # request classes
     ejections: list[int] = field(default_factory=list)  # endpoints that were ejected or restored
     forgotten: list[int] = field(default_factory=list)  # endpoints
@@ -77,16 +79,16 @@
 
 
 class TableParts(NamedTuple):
-    """What proxies that share a table and its classes are sent of it."""
+    """The parts of an update for one table, shared by proxies that use it for the same classes."""
 
     parts: list[UpdatePart]
-    endpoints: list[int]  # that may get requests by these parts
+    endpoints: list[int]  # that these parts give a weight above 0
 
 
 class RoutingTables:
-    """The part of a command writer that concerns proxies, and the updates that result.
+    """Implements the commands of `CommandWriter` that concern proxies, and yields the resulting updates.
 
-    Request classes are bits of a mask, class 0 the lowest; `class_count`: how many there are. Proxies,
+    Request classes are bits of a mask, class 0 is the lowest bit; `class_count` is their number. Proxies,
     tables and endpoints are small integers.
     """
 
@@ -95,19 +97,19 @@
         self.tables: dict[int, TableContents] = {}
         self.proxies: dict[int, ProxyState] = {}
         self.ejected: set[int] = set()  # endpoints
-        self.shared_admission: dict[int, Admission] = {}  # of all tables, by request class
+        self.shared_admission: dict[int, Admission] = {}  # for all tables, by request class
         self.changes = RoundChanges()
 
     def add_proxy(self, proxy: int, unconfigured: bool) -> None:
-        """A proxy has opened a stream; what was sent on an earlier one is forgotten.
+        """Add a proxy that has opened a stream; the state of an earlier stream is discarded.
 
-        `unconfigured`: it holds no table of any controller.
+        `unconfigured`: it has no table from any controller.
         """
         self.remove_proxy(proxy)
         self.proxies[proxy] = ProxyState(unconfigured)
 
     def remove_proxy(self, proxy: int) -> None:
-        """The stream of a proxy has ended; no effect where there is none."""
+        """Remove a proxy whose stream has ended; no effect if it has none."""
         self.changes.assignments.pop(proxy, None)
         state = self.proxies.pop(proxy, None)
         if state is not None:
@@ -115,7 +117,7 @@
                 self.tables[number].proxies.discard(proxy)
 
     def set_weight(self, table: int, endpoint: int, weight: float) -> None:
-        """Set the weight of an endpoint in a routing table, points; 0 removes it."""
+        """Set the weight (points) of an endpoint in a routing table; 0 removes the endpoint."""
         changed = self._changed_table(table)
         changed.changed_weights[endpoint] = weight
         if weight > 0:
@@ -130,17 +132,17 @@
         self.changes.tables.add(table)
 
     def assign_table(self, table: int, proxy: int, classes: int) -> None:
-        """Let a proxy route classes (0: all) by a table, in place of the one that they had.
+        """Assign a table to a proxy for classes (0: all), in position of their present table.
 
-        No effect where the proxy's stream has ended.
+        No effect if the proxy's stream has ended.
         """
         state = self.proxies.get(proxy)
         if state is None:
             return
         classes = classes or self.all_classes
         assigned = self._table(table)
-        for number, held in list(state.assignments.items()):
-            state.assignments[number] = held & ~classes
+        for number, assigned_classes in list(state.assignments.items()):
+            state.assignments[number] = assigned_classes & ~classes
             if not state.assignments[number] and number != table:
                 del state.assignments[number]
                 self.tables[number].proxies.discard(proxy)
@@ -157,14 +159,14 @@
         self.changes.ejections.append(endpoint)
 
     def forget_endpoint(self, endpoint: int) -> None:
-        """Restore an endpoint; its number may be another's from the next round on."""
+        """Restore an endpoint; its number may stand for another endpoint from the next round on."""
         self.set_ejected(endpoint, False)
         self.changes.forgotten.append(endpoint)
 
     def set_admission(self, table: int, classes: int, quota: float, retry_policy: RetryPolicy) -> None:
-        """Set what is admitted of classes (0: all) in a table, or in ALL_TABLES.
+        """Set the admission of classes (0: all) in a table, or in all tables with ALL_TABLES.
 
-        `quota` is a share, or requests/s a proxy.
+        `quota` is a share, or requests/s for each proxy.
         """
         if table == ALL_TABLES:
             admission = self.shared_admission
@@ -177,38 +179,38 @@
             changed.add(request_class)
 
     def request_ack(self, nonce: int, all_proxies: bool) -> None:
-        """Ask for acknowledgement of the round's updates.
+        """Request acknowledgement of the round's updates.
 
-        `all_proxies`: also of those that are sent nothing else.
+        `all_proxies`: also from proxies that are sent nothing else in this round.
         """
         self.changes.nonce = nonce
         self.changes.ack_from_all = all_proxies
 
     def was_sent(self, proxy: int, nonce: int) -> bool:
-        """Whether a nonce, or one up to half a turn later, was sent on the proxy's stream."""
+        """Whether a nonce, or one that covers it (see `covers`), was sent on the proxy's stream."""
         last = self.proxies[proxy].last_nonce
         if last is None or nonce >= NONCE_COUNT:
             return False
         return covers(last, nonce)
 
     def admission_of(self, table: int, request_class: int) -> Admission | None:
-        """What is admitted of a class in a table; None where it was never set."""
+        """Return the admission of a class in a table, or None if it was never set."""
         found = self._table(table)
         if request_class not in found.admission and request_class not in self.shared_admission:
             return None
         return self._effective_admission(found, request_class)
 
     def updates(self) -> Iterator[tuple[int, tuple[UpdatePart, ...]]]:
-        """Yield the round's update for each proxy that it concerns, by ascending proxy number.
+        """Yield the proxy and the parts of each update of the round, by ascending proxy number.
 
-        When all are taken, the round's changes count as sent.
+        Once the iterator is exhausted, the round's changes count as sent.
         """
         shared: dict[tuple[int, int, bool], TableParts] = {}
         for proxy in sorted(self._concerned_proxies()):
             parts = self._update_parts(proxy, shared)
             if parts:
                 yield proxy, tuple(parts)
-        self._changes_sent()
+        self._clear_changes()
 
     def _table(self, number: int) -> TableContents:
         return self.tables.setdefault(number, TableContents())
@@ -224,19 +226,20 @@
         changed_tables = (self.tables[number].proxies for number in changes.tables)
         return set(changes.assignments).union(*changed_tables)
 
-    def _changes_sent(self) -> None:
+    def _clear_changes(self) -> None:
         for endpoint in self.changes.forgotten:
             self.ejected.discard(endpoint)
             for state in self.proxies.values():
                 state.sent_ejections.pop(endpoint, None)
         for number in self.changes.tables:
-            self.tables[number].changes_sent()
+            self.tables[number].clear_changes()
         self.changes = RoundChanges()
 
     def _update_parts(self, proxy: int, shared: dict[tuple[int, int, bool], TableParts]) -> list[UpdatePart]:
-        """The parts of one proxy's update, none where it is sent nothing; notes what they tell it.
+        """Return the parts of one proxy's update, and record in its state what they contain.
 
-        `shared` keeps the parts of tables, which are the same for all proxies that share them.
+        The list is empty if nothing is to be sent. `shared` caches the parts of a table for other proxies
+        that use it for the same classes.
         """
         state = self.proxies[proxy]
         newly_assigned = self.changes.assignments.get(proxy, ())
@@ -258,7 +261,7 @@
         return self._with_nonce(state, parts)
 
     def _table_parts(self, number: int, classes: int, complete: bool) -> TableParts:
-        """The parts of a complete table, or of what changed in it."""
+        """Return the parts for a complete table, or for its changes."""
         table = self.tables[number]
         if complete:
             weights = table.weights
@@ -273,7 +276,7 @@
         return TableParts(parts, [endpoint for endpoint, weight in weights.items() if weight > 0])
 
     def _admission_parts(self, table: TableContents, request_classes: list[int]) -> list[UpdatePart]:
-        """A part for each different admission; classes with the same share one."""
+        """Return one part for each distinct admission, with all classes that have it."""
         classes_by_admission: dict[Admission, int] = {}
         for request_class in request_classes:
             admission = self._effective_admission(table, request_class)
@@ -286,7 +289,7 @@
         ]
 
     def _effective_admission(self, table: TableContents, request_class: int) -> Admission:
-        """The lower quota of the table's and the shared one, with the table's retry policy if it has one."""
+        """Return the lower of the table's quota and the shared one, with the table's retry policy if set."""
         own = table.admission.get(request_class)
         shared = self.shared_admission.get(request_class)
         if own is None or shared is None:
@@ -296,18 +299,18 @@
     def _with_ejections(
         self, state: ProxyState, endpoints: list[int], parts: list[UpdatePart]
     ) -> list[UpdatePart]:
-        """The parts, with ejections and restorations in the first, where the proxy may not know of them.
+        """Return the parts with ejected and restored endpoints added to the first, unless the proxy has them.
 
-        `endpoints`: those that were ejected or restored this round, or that may get requests by the parts. A
-        proxy keeps the ejections of all controllers, so it is sent the state of each such endpoint once.
+        `endpoints`: those that were ejected or restored in this round, or that the parts give a weight above
+        0. A proxy keeps the ejections of all controllers, so it is sent the state of each such endpoint once.
         """
         forgotten = self.changes.forgotten
         unsent = {}
         for endpoint in endpoints:
             ejected = endpoint in self.ejected
-            # another controller may have ejected what the proxy holds
-            unless_sent = False if state.unconfigured or endpoint in forgotten else None
-            if state.sent_ejections.get(endpoint, unless_sent) != ejected:
+            # None: unknown, as another controller may have ejected the endpoint at this proxy
+            assumed = False if state.unconfigured or endpoint in forgotten else None
+            if state.sent_ejections.get(endpoint, assumed) != ejected:
                 unsent[endpoint] = ejected
         if not unsent:
             return parts
@@ -320,7 +323,7 @@
         return [first, *others]
 
     def _with_nonce(self, state: ProxyState, parts: list[UpdatePart]) -> list[UpdatePart]:
-        """The parts, of which the last asks for acknowledgement, where the round does."""
+        """Return the parts with the nonce in the last one, if the round requests acknowledgement."""
         nonce = self.changes.nonce
         if nonce is None or not (parts or self.changes.ack_from_all):
             return parts
@@ -333,9 +336,9 @@
 
 
 def bits_of(mask: int) -> Iterator[int]:
-    """The places of the bits that are set, lowest first.
+    """Return the positions of the bits that are set, lowest first.
 
     >>> list(bits_of(0b1101))
     [0, 2, 3]
     """
-    return (place for place in range(mask.bit_length()) if mask >> place & 1)
+    return (position for position in range(mask.bit_length()) if mask >> position & 1)
