--- a/oatcart/commands.py
+++ b/oatcart/commands.py
@@ -9,7 +9,7 @@
 
 
 def covers(nonce: int, earlier: int) -> bool:
-    """Whether an acknowledgement of `nonce` covers `earlier`: it is less than half of all nonces behind."""
+    """Whether `nonce` is equal to `earlier` or less than half of all nonces after it."""
     return (nonce - earlier) % NONCE_COUNT < NONCE_COUNT // 2
 
 
--- a/oatcart/policy/assignment.py
+++ b/oatcart/policy/assignment.py
@@ -107,8 +107,8 @@
             too_large = any(
                 table.size > choice.max_size for table, choice in zip(proxy.tables, fitting, strict=False)
             )
-            has_none = not any(number in table.proxies for table in proxy.tables)
-            if not proxy.tables or (too_large and has_none):
+            has_no_table = not any(number in table.proxies for table in proxy.tables)
+            if not proxy.tables or (too_large and has_no_table):
                 proxy.tables = [choice.tables[0] for choice in fitting]
                 for choice in fitting:
                     choice.tables.rotate(-1)
@@ -128,14 +128,14 @@
         for number, table in pairs:
             if number in table.proxies:
                 continue
-            lines = self._lines_of(table, joining[number])
+            lines = self._line_count(table, joining[number])
             if self._channel.reserve({number: joining[number]}, lines, ASSIGNMENT_SHARE):
                 classes = sum(1 << request_class for request_class in table.classes)
                 this_round.commands.assign_table(table.number, number, classes)
                 table.proxies[number] = joining[number]
 
-    def _lines_of(self, table: RoutingTable, proxy: Proxy) -> int:
+    def _line_count(self, table: RoutingTable, proxy: Proxy) -> int:
         """Counts the lines of a complete table: entries, admission, and whether endpoints may be used."""
         endpoints = self._registry.endpoints
-        notices = sum(proxy.configured_before or endpoints[at].ejection_sent for at in table.weights)
+        notices = sum(proxy.configured_before or endpoints[number].ejection_sent for number in table.weights)
         return 1 + len(table.weights) + len(table.classes) + notices
--- a/oatcart/policy/controller.py
+++ b/oatcart/policy/controller.py
@@ -32,8 +32,8 @@
 from oatcart.policy.weighting import Weighting
 from oatcart.policy.workload import Workload
 
-CHECK_S = 0.25  # between checks of what cannot wait, far within any drain deadline
-RESCORE_S = 1.0  # between scores, spillover and admission
+CHECK_INTERVAL_S = 0.25  # between checks of what cannot wait, far within any drain deadline
+RESCORE_INTERVAL_S = 1.0  # between scores, spillover and admission
 CLOCK_ERROR_S = 0.001  # by which a round may come early, as clocks round
 
 
@@ -77,18 +77,18 @@
         this_round = Round(now, commands, (self._last_nonce + 1) % NONCE_COUNT)
         self.channel.begin_round(now)
         for event in events:
-            self._take(event, now)
+            self._apply_event(event, now)
         self.discovery.poll(this_round)
         if now >= self._next_check_at:
-            self._next_check_at = now + CHECK_S - CLOCK_ERROR_S
-            commands.schedule_round(CHECK_S)
+            self._next_check_at = now + CHECK_INTERVAL_S - CLOCK_ERROR_S
+            commands.schedule_round(CHECK_INTERVAL_S)
             self.check(this_round)
         if self.channel.round_has_messages:
             self._last_nonce = this_round.nonce
             commands.request_ack(this_round.nonce, False)
             self.channel.end_round(this_round.nonce)
 
-    def _take(self, event: Event, now: float) -> None:
+    def _apply_event(self, event: Event, now: float) -> None:
         match event:
             case UpdateAcknowledged():
                 self.directory.acknowledge(event)
@@ -105,13 +105,13 @@
                 if endpoint := self.registry.endpoints.get(event.endpoint):
                     self.outliers.record_health_check(endpoint, event.outcome)
             case EndpointListReceived():
-                self._take_endpoint_list(event, now)
+                self._apply_endpoint_list(event, now)
             case EndpointListFailed():
                 self.discovery.record_failure(now)
             case _:
                 raise TypeError(f"{event!r} is no event")
 
-    def _take_endpoint_list(self, event: EndpointListReceived, now: float) -> None:
+    def _apply_endpoint_list(self, event: EndpointListReceived, now: float) -> None:
         """Takes a list over; what it changes is acted upon in this round."""
         self.discovery.record_list(now)
         self._next_check_at = LONG_AGO
@@ -128,7 +128,7 @@
         self.workload.update()
         rescored = this_round.now >= self._next_rescore_at
         if rescored:
-            self._next_rescore_at = this_round.now + RESCORE_S - CLOCK_ERROR_S
+            self._next_rescore_at = this_round.now + RESCORE_INTERVAL_S - CLOCK_ERROR_S
             self._run_rescore_steps(this_round)
         self.routing.assign_endpoints()
         if self.routing.has_subsets:
@@ -148,7 +148,7 @@
         pools = self.routing.pools()
         self.outliers.check(self.registry.pool(), pools, now)
         # the nominal period; a check that an endpoint list brings forward decays as much
-        self.telemetry.decay(self.registry.endpoints.values(), CHECK_S)
+        self.telemetry.decay(self.registry.endpoints.values(), CHECK_INTERVAL_S)
         restore_empty_pools(pools)
 
     def _run_rescore_steps(self, this_round: Round) -> None:
--- a/oatcart/policy/draining.py
+++ b/oatcart/policy/draining.py
@@ -38,13 +38,13 @@
     def remove_entries(self, table: RoutingTable, this_round: Round) -> None:
         """Removes unavailable endpoints from a subset, which costs lines for its own proxies only."""
         endpoints = self._registry.endpoints
-        due = [at for at in sorted(table.weights) if endpoints[at].unavailable]
+        due = [number for number in sorted(table.weights) if endpoints[number].unavailable]
         if not due:
             return
-        share = self._share((endpoints[at] for at in due), URGENT_SHARE, this_round.now)
+        share = self._share((endpoints[number] for number in due), URGENT_SHARE, this_round.now)
         minimum = min(len(due), MIN_REMOVALS)
         fitting = self._channel.reserve(table.proxies, len(due), share, minimum)
-        due.sort(key=lambda at: max(endpoints[at].state_changed_at, endpoints[at].ejected_at))
+        due.sort(key=lambda number: max(endpoints[number].state_changed_at, endpoints[number].ejected_at))
         for number in due[:fitting]:
             this_round.commands.set_weight(table.number, number, 0)
             del table.weights[number]
@@ -114,10 +114,14 @@
         share = self._share(due.values(), share, now)
         minimum = min(len(due), MIN_REMOVALS)
         fitting = self._channel.reserve(self._proxies, len(due), share, minimum)
-        ordered = sorted(due, key=lambda at: (due[at].state == EndpointState.READY, due[at].state_changed_at))
+        ordered = sorted(
+            due, key=lambda number: (due[number].state == EndpointState.READY, due[number].state_changed_at)
+        )
         return ordered[:fitting]
 
     def _share(self, endpoints: Iterable[Endpoint], usual: float, now: float) -> float:
         """Returns the part of the channel's caps that a removal may fill: all once a drain is overdue."""
-        drains = [one.state_changed_at for one in endpoints if one.state != EndpointState.READY]
+        drains = [
+            endpoint.state_changed_at for endpoint in endpoints if endpoint.state != EndpointState.READY
+        ]
         return OVERDUE_SHARE if now - min(drains, default=now) >= OVERDUE_S else usual
--- a/oatcart/policy/flow_control.py
+++ b/oatcart/policy/flow_control.py
@@ -22,7 +22,7 @@
 NEW_ENTRIES_SHARE = 0.75  # a table that lacks many of its endpoints
 OVERDUE_SHARE = 1.0  # drains that have waited
 QUEUE_SHARE = 0.9  # of the queue, for anything
-ACK_LATE_S = 1.0  # from leaving the channel to the acknowledgement
+ACK_DELAY_S = 1.0  # from leaving the channel to the acknowledgement
 MAX_SLOWDOWN = 4.0  # times that a channel may be slower than its line rate
 ACK_WAIT_S = 2.0  # channel time that updates which can wait may queue; also publication's pace
 
@@ -48,11 +48,11 @@
         self._reserved = 0.0  # lines since the start
         self._reserved_before_round = 0.0
         self._acknowledged = 0.0  # lines since the start that acknowledgements show to have left
-        self._heard_at = 0.0  # the last sign of life from proxies that owe acknowledgements
+        self._last_ack_at = 0.0  # the last sign of life from proxies that owe acknowledgements
         self._acknowledged_rate = 0.0  # lines/s
         self._measured_at = LONG_AGO
-        self._acknowledged_then = 0.0  # when the rate was measured
-        self._unacknowledged_then = 0.0
+        self._acknowledged_when_measured = 0.0  # when the rate was measured
+        self._unacknowledged_when_measured = 0.0
         self._messages_of_round = 0
         self._rounds: list[SentRound] = []  # not acknowledged in full, the oldest first
 
@@ -71,14 +71,14 @@
         rate = self.limits.line_rate
         self._reserved_before_round = self._reserved
         self._messages_of_round = 0
-        if now - self._heard_at > ACK_LATE_S + MAX_SLOWDOWN * self.limits.max_queue / rate:
+        if now - self._last_ack_at > ACK_DELAY_S + MAX_SLOWDOWN * self.limits.max_queue / rate:
             self._rounds = []  # no proxy is left that would acknowledge
             self._acknowledged = self._reserved
         unacknowledged = self._reserved - self._acknowledged
-        if now - self._measured_at >= ACK_LATE_S:
+        if now - self._measured_at >= ACK_DELAY_S:
             self._measure_rate(now, unacknowledged)
         by_line_rate = self.queued - (now - self._now) * rate
-        by_acknowledgements = unacknowledged - self._acknowledged_rate * ACK_LATE_S
+        by_acknowledgements = unacknowledged - self._acknowledged_rate * ACK_DELAY_S
         self.queued = max(0.0, by_line_rate, by_acknowledgements)
         self._now = now
 
@@ -88,14 +88,14 @@
         Only a long queue that did not leave completely shows a channel slower than its line rate.
         """
         rate = self.limits.line_rate
-        departed = self._acknowledged - self._acknowledged_then
-        long_queue = self._unacknowledged_then > rate / MAX_SLOWDOWN * ACK_LATE_S
-        slow = long_queue and departed < self._unacknowledged_then
-        shown = departed / (now - self._measured_at) if slow else rate
-        self._acknowledged_rate = min(rate, max(rate / MAX_SLOWDOWN, shown))
+        departed = self._acknowledged - self._acknowledged_when_measured
+        long_queue = self._unacknowledged_when_measured > rate / MAX_SLOWDOWN * ACK_DELAY_S
+        is_slow = long_queue and departed < self._unacknowledged_when_measured
+        measured_rate = departed / (now - self._measured_at) if is_slow else rate
+        self._acknowledged_rate = min(rate, max(rate / MAX_SLOWDOWN, measured_rate))
         self._measured_at = now
-        self._acknowledged_then = self._acknowledged
-        self._unacknowledged_then = unacknowledged
+        self._acknowledged_when_measured = self._acknowledged
+        self._unacknowledged_when_measured = unacknowledged
 
     def reserve(
         self,
@@ -112,10 +112,14 @@
         the queue all fit. There must be at least one line. `notices`: for
         each line, how many proxies are notified with it whether its endpoint may be used, one line each.
         """
-        first_messages = [one for one in proxies.values() if not one.sent_at or one.sent_at[-1] < self._now]
-        if not self._may_message(first_messages, share):
+        new_recipients = [
+            proxy
+            for proxy in proxies.values()
+            if not proxy.message_times or proxy.message_times[-1] < self._now
+        ]
+        if not self._within_message_cap(new_recipients, share):
             return 0
-        overhead = len(first_messages) * (self.limits.message_overhead + 1)
+        overhead = len(new_recipients) * (self.limits.message_overhead + 1)
         cumulative_costs = list(accumulate(len(proxies) + notice for notice in notices or [0] * lines))
         if self.limits.max_queue and proxies:
             available = self._queue_available(share) - overhead
@@ -126,17 +130,17 @@
         cost = overhead + max(cumulative_costs[:lines])
         self.queued += cost
         self._reserved += cost
-        self._messages_of_round += len(first_messages)
-        for proxy in first_messages:
-            proxy.sent_at.append(self._now)
+        self._messages_of_round += len(new_recipients)
+        for proxy in new_recipients:
+            proxy.message_times.append(self._now)
         return lines
 
-    def _may_message(self, proxies: Collection[Proxy], share: float) -> bool:
+    def _within_message_cap(self, proxies: Collection[Proxy], share: float) -> bool:
         """Whether each proxy may be sent one more message within its window; one is kept in reserve."""
         for proxy in proxies:
-            while proxy.sent_at and proxy.sent_at[0] < self._now - self.limits.message_window:
-                proxy.sent_at.popleft()
-            if self.limits.max_messages and len(proxy.sent_at) + 1 >= self.limits.max_messages * share:
+            while proxy.message_times and proxy.message_times[0] < self._now - self.limits.message_window:
+                proxy.message_times.popleft()
+            if self.limits.max_messages and len(proxy.message_times) + 1 >= self.limits.max_messages * share:
                 return False
         return True
 
@@ -145,18 +149,18 @@
 
         What can wait may queue for some seconds only, as it would delay drains.
         """
-        left = self.limits.max_queue * QUEUE_SHARE - (self._reserved - self._acknowledged)
+        remaining = self.limits.max_queue * QUEUE_SHARE - (self._reserved - self._acknowledged)
         if share in (URGENT_SHARE, OVERDUE_SHARE):
-            return left
+            return remaining
         # only NEW_ENTRIES_SHARE is above URGENT_SHARE here
         share = share if share < URGENT_SHARE else QUEUE_SHARE
         by_rate = self._acknowledged_rate * ACK_WAIT_S
-        return min(left, share * min(self.limits.max_queue, by_rate) - self.queued)
+        return min(remaining, share * min(self.limits.max_queue, by_rate) - self.queued)
 
     def end_round(self, nonce: int) -> None:
         """Notes the nonce of this round's messages; to be called only if it has any."""
         if self._acknowledged >= self._reserved_before_round:
-            self._heard_at = self._now  # nobody owed an acknowledgement until now
+            self._last_ack_at = self._now  # nobody owed an acknowledgement until now
         lines = self._reserved - self._reserved_before_round
         per_ack = lines / self._messages_of_round
         self._rounds.append(SentRound(nonce, self._reserved_before_round, per_ack, self._reserved))
@@ -164,10 +168,10 @@
     def acknowledge(self, nonce: int) -> None:
         """Takes in an acknowledgement: what was sent before its round has left, and its part of the round."""
         # rounds with messages have consecutive nonces, so the difference is the place in the list
-        at = (nonce - self._rounds[0].nonce) % NONCE_COUNT if self._rounds else 0
-        if at < len(self._rounds):
-            del self._rounds[:at]
+        index = (nonce - self._rounds[0].nonce) % NONCE_COUNT if self._rounds else 0
+        if index < len(self._rounds):
+            del self._rounds[:index]
             first = self._rounds[0]
             first.acknowledged = min(first.end, first.acknowledged + first.lines_per_ack)
             self._acknowledged = first.acknowledged
-            self._heard_at = self._now
+            self._last_ack_at = self._now
--- a/oatcart/policy/load_shedding.py
+++ b/oatcart/policy/load_shedding.py
@@ -8,7 +8,7 @@
 
 from oatcart.model import AdmissionMode, ControllerSettings, RetryPolicy
 from oatcart.policy.flow_control import URGENT_SHARE, UpdateChannel
-from oatcart.policy.retries import retries_pay, retry_policy
+from oatcart.policy.retries import retries_worthwhile, retry_policy
 from oatcart.policy.slow_start import admissible_share, success_ratio, warm_fraction
 from oatcart.policy.state import Endpoint, Round, RoutingTable
 from oatcart.policy.subsetting import TableRegistry
@@ -19,12 +19,12 @@
 CUT_INTERVALS = 3.5  # report intervals until a cut shows
 MIN_ADMITTED_SHARE = 0.25  # of the offered work, however high the strain
 FULL_LOAD = 80.0  # percent at the median endpoint, over which strain means overload
-SPARE_LOAD = 50.0  # percent at the median endpoint, under which work is admitted again
+RECOVERY_LOAD = 50.0  # percent at the median endpoint, under which work is admitted again
 FAILING_STRAIN = 2.0  # strain from which errors in every zone mean overload too
 RECOVERY_STEP = 0.04  # share of the offered work that is admitted again in a second
-CALM_STRAIN = 0.8  # strain under which work is admitted again
-MIN_LEVEL = 0.02  # share of a class that is always admitted
-LEVEL_STEP = 0.04  # smallest change of a level that is sent
+RECOVERY_STRAIN = 0.8  # strain under which work is admitted again
+MIN_CLASS_SHARE = 0.02  # share of a class that is always admitted
+MIN_CLASS_SHARE_CHANGE = 0.04  # smallest change of a level that is sent
 UNLIMITED_RATE = 1e6  # requests/s
 
 
@@ -56,15 +56,15 @@
         pool = self._active(table)
         pool_strain = strain(pool, self._telemetry.latency_objective)
         failing = pool_strain > FAILING_STRAIN and fails_in_every_zone(pool)
-        load = median([one.load for one in pool if one.load is not None] or [100.0])
-        next_cut = table.reduced_at + CUT_INTERVALS * self._telemetry.report_interval
-        if pool_strain > 1.0 and (load > FULL_LOAD or failing) and now > next_cut:
-            table.reduced_at = now
-            kept = max(MIN_SHARE_AFTER_CUT, 1.0 / pool_strain)
-            table.admitted_share = max(MIN_ADMITTED_SHARE, table.admitted_share * kept)
-        elif pool_strain < CALM_STRAIN or (load < SPARE_LOAD and not failing):
+        load = median([endpoint.load for endpoint in pool if endpoint.load is not None] or [100.0])
+        cut_allowed_after = table.last_cut_at + CUT_INTERVALS * self._telemetry.report_interval
+        if pool_strain > 1.0 and (load > FULL_LOAD or failing) and now > cut_allowed_after:
+            table.last_cut_at = now
+            cut_factor = max(MIN_SHARE_AFTER_CUT, 1.0 / pool_strain)
+            table.admitted_share = max(MIN_ADMITTED_SHARE, table.admitted_share * cut_factor)
+        elif pool_strain < RECOVERY_STRAIN or (load < RECOVERY_LOAD and not failing):
             table.admitted_share = min(1.0, table.admitted_share + RECOVERY_STEP)
-        table.retries_pay = retries_pay(
+        table.retries_worthwhile = retries_worthwhile(
             table.admitted_share, pool_strain, error_ratio(pool), median_error_ratio(pool)
         )
 
@@ -79,43 +79,47 @@
         """Sends the levels of the table's classes that have changed, as far as the channel has capacity."""
         share = 1.0 if self._mode == AdmissionMode.NONE else self.admitted_share(table, this_round.now)
         work = self._workload.offered(table)
-        left = share * sum(work.values())
+        remaining = share * sum(work.values())
         for number in sorted(work, key=self._shed_order):
-            wanted = left / work[number] if work[number] and share < 1.0 else share
-            level = max(MIN_LEVEL, min(1.0, wanted))
-            left = max(0.0, left - work[number] * level)
+            unbounded_share = remaining / work[number] if work[number] and share < 1.0 else share
+            class_share = max(MIN_CLASS_SHARE, min(1.0, unbounded_share))
+            remaining = max(0.0, remaining - work[number] * class_share)
             idempotency = self._request_classes[number].idempotency
-            retries = retry_policy(idempotency, table.retries_pay, share)
-            if self._has_changed(table, number, level, retries) and self._channel.reserve(
+            retries = retry_policy(idempotency, table.retries_worthwhile, share)
+            if self._has_changed(table, number, class_share, retries) and self._channel.reserve(
                 table.proxies, 1, URGENT_SHARE
             ):
-                table.admission[number] = (level, retries)
-                quota = self._quota(table, number, level)
+                table.admission[number] = (class_share, retries)
+                quota = self._quota(table, number, class_share)
                 this_round.commands.set_admission(table.number, 1 << number, quota, retries)
 
     def _active(self, table: RoutingTable) -> list[Endpoint]:
-        return [one for one in self._tables.endpoints(table).values() if not one.ejected]
+        return [endpoint for endpoint in self._tables.endpoints(table).values() if not endpoint.ejected]
 
     def _shed_order(self, number: int) -> float:
         """Sorts by priority weight for each second of latency objective; the last classes are shed."""
         request_class = self._request_classes[number]
         return -request_class.priority_weight / request_class.latency_objective
 
-    def _has_changed(self, table: RoutingTable, number: int, level: float, retries: RetryPolicy) -> bool:
+    def _has_changed(
+        self, table: RoutingTable, number: int, class_share: float, retries: RetryPolicy
+    ) -> bool:
         sent = table.admission.get(number)
         if sent is None:
             return True
-        old_level, old_retries = sent
-        close = level == old_level or (level < 1.0 and abs(level - old_level) < LEVEL_STEP)
-        return retries != old_retries or not close
+        old_class_share, old_retries = sent
+        similar = class_share == old_class_share or (
+            class_share < 1.0 and abs(class_share - old_class_share) < MIN_CLASS_SHARE_CHANGE
+        )
+        return retries != old_retries or not similar
 
-    def _quota(self, table: RoutingTable, number: int, level: float) -> float:
+    def _quota(self, table: RoutingTable, number: int, class_share: float) -> float:
         """Returns a level in the unit that proxies take: a share, or requests/s for each proxy."""
         if self._mode != AdmissionMode.RATE:
-            return level
-        if level >= 1.0:
+            return class_share
+        if class_share >= 1.0:
             return UNLIMITED_RATE
-        return rate_quota([proxy.rates[number] for proxy in table.proxies.values()], level)
+        return rate_quota([proxy.rates[number] for proxy in table.proxies.values()], class_share)
 
 
 def fails_in_every_zone(pool: Iterable[Endpoint]) -> bool:
@@ -126,7 +130,7 @@
     return all(error_ratio(endpoints, 1.0) > FAILING_RATIO for endpoints in by_zone.values())
 
 
-def rate_quota(rates: list[float], level: float) -> float:
+def rate_quota(rates: list[float], class_share: float) -> float:
     """Returns the requests/s that one proxy may admit so that all together admit a share of their rates.
 
     `rates`: requests/s of each proxy; `level`: the share, under 1. Proxies below the quota leave theirs to
@@ -134,8 +138,8 @@
     root is added.
     """
     rates = sorted(rates)
-    left = level * sum(rates)
-    while rates and rates[0] < left / len(rates):
-        left -= rates.pop(0)
-    quota = left / len(rates) if rates else UNLIMITED_RATE
+    remaining = class_share * sum(rates)
+    while rates and rates[0] < remaining / len(rates):
+        remaining -= rates.pop(0)
+    quota = remaining / len(rates) if rates else UNLIMITED_RATE
     return quota + quota**0.5
--- a/oatcart/policy/locality.py
+++ b/oatcart/policy/locality.py
@@ -61,12 +61,12 @@
         self.bound_zones = {zone for table in tables for zone in table.zones}
         zones = self.bound_zones | {table.local_zone for table in tables}
         for zone in sorted(zones - {NO_ZONE}):
-            here = strain([one for one in ready if one.zone == zone], latency_objective)
-            rest = strain([one for one in ready if one.zone != zone], latency_objective)
+            zone_strain = strain([endpoint for endpoint in ready if endpoint.zone == zone], latency_objective)
+            rest_strain = strain([endpoint for endpoint in ready if endpoint.zone != zone], latency_objective)
             limit = SPILL_STRAIN if zone in self.bound_zones else REMOTE_STRAIN
-            if here > max(limit, rest):
+            if zone_strain > max(limit, rest_strain):
                 self._weights[zone] = max(MIN_ZONE_WEIGHT, self.weight(zone) * SPILL_FACTOR)
-            elif here < limit:
+            elif zone_strain < limit:
                 self._weights[zone] = min(1.0, self.weight(zone) * RECOVERY_FACTOR)
         if ready and all(endpoint.zone in self.bound_zones for endpoint in ready):
             self._normalize(ready)
--- a/oatcart/policy/outlier_detection.py
+++ b/oatcart/policy/outlier_detection.py
@@ -19,7 +19,7 @@
 MAX_EJECTED_SHARE = 0.5  # of a pool; beyond it the fault is likely the observer's
 INITIAL_EJECTION_TIME_S = 4.0
 MAX_EJECTION_TIME_S = 30.0
-PASSED_CHECKS = 2  # health checks in a row before an endpoint returns
+REQUIRED_PASSED_CHECKS = 2  # health checks in a row before an endpoint returns
 
 Pool = dict[int, Endpoint]  # ready endpoints by number
 
@@ -48,7 +48,7 @@
             if endpoint.ejected:
                 # its ramp starts when the ejection ends, also if restore_empty_pools ends it
                 endpoint.ramp_started_at = now
-                if self._may_return(endpoint, now):
+                if self._may_be_restored(endpoint, now):
                     self.restore(endpoint, now, now)
             elif self._is_unresponsive(endpoint, now) or is_failing(endpoint, peers):
                 self._eject(endpoint, [pool for pool in pools if number in pool], now)
@@ -63,32 +63,32 @@
         if not endpoint.new_answers:
             return
         fleet_answers = self._telemetry.fleet_answers
-        share = endpoint.new_answers / (fleet_answers - endpoint.fleet_answers_then)
+        share = endpoint.new_answers / (fleet_answers - endpoint.fleet_answers_at_last_answer)
         endpoint.answer_share += ANSWER_SHARE_GAIN * (share - endpoint.answer_share)
-        endpoint.fleet_answers_then = fleet_answers
+        endpoint.fleet_answers_at_last_answer = fleet_answers
         endpoint.answered_at = now
         endpoint.new_answers = 0
 
-    def _may_return(self, endpoint: Endpoint, now: float) -> bool:
-        healthy = endpoint.passed_checks >= PASSED_CHECKS or not self._health_checks_allowed
+    def _may_be_restored(self, endpoint: Endpoint, now: float) -> bool:
+        healthy = endpoint.passed_checks >= REQUIRED_PASSED_CHECKS or not self._health_checks_allowed
         return now - endpoint.ejected_at >= endpoint.ejection_time and healthy
 
     def _is_unresponsive(self, endpoint: Endpoint, now: float) -> bool:
         """Whether it owes answers by its share of the fleet's; late reports alone never look so."""
-        fleet_answers = self._telemetry.fleet_answers - endpoint.fleet_answers_then
+        fleet_answers = self._telemetry.fleet_answers - endpoint.fleet_answers_at_last_answer
         missed = fleet_answers * endpoint.answer_share * ramp(now - endpoint.ramp_started_at)
-        patience = UNRESPONSIVE_INTERVALS * self._telemetry.report_interval
-        return missed > MIN_MISSED_ANSWERS and now - endpoint.answered_at > patience
+        max_wait = UNRESPONSIVE_INTERVALS * self._telemetry.report_interval
+        return missed > MIN_MISSED_ANSWERS and now - endpoint.answered_at > max_wait
 
-    def _eject(self, endpoint: Endpoint, its_pools: list[Pool], now: float) -> None:
+    def _eject(self, endpoint: Endpoint, pools: list[Pool], now: float) -> None:
         """Ejects an endpoint unless too large a part of one of its pools would be."""
-        for pool in its_pools:
+        for pool in pools:
             ejected = sum(other.ejected for other in pool.values()) + 1
             if ejected > MAX_EJECTED_SHARE * len(pool):
                 return
-        soon = now - endpoint.ejected_at < MAX_EJECTION_TIME_S + endpoint.ejection_time
+        repeated = now - endpoint.ejected_at < MAX_EJECTION_TIME_S + endpoint.ejection_time
         doubled = min(MAX_EJECTION_TIME_S, endpoint.ejection_time * 2)
-        endpoint.ejection_time = doubled if soon else INITIAL_EJECTION_TIME_S
+        endpoint.ejection_time = doubled if repeated else INITIAL_EJECTION_TIME_S
         endpoint.ejected = True
         endpoint.ejected_at = now
         endpoint.passed_checks = 0
@@ -102,9 +102,9 @@
     if endpoint.attempts < MIN_ATTEMPTS or endpoint.errors <= MIN_ERROR_RATIO * endpoint.attempts:
         return False
     others = [other for other in peers if other is not endpoint and not other.ejected]
-    neighbours = [other for other in others if other.zone == endpoint.zone]
-    usual = max(error_ratio(others), error_ratio(neighbours))
-    return endpoint.errors > (MIN_ERROR_RATIO + usual) * endpoint.attempts
+    zone_peers = [other for other in others if other.zone == endpoint.zone]
+    peer_ratio = max(error_ratio(others), error_ratio(zone_peers))
+    return endpoint.errors > (MIN_ERROR_RATIO + peer_ratio) * endpoint.attempts
 
 
 def restore_empty_pools(pools: Iterable[Pool]) -> None:
--- a/oatcart/policy/publication.py
+++ b/oatcart/policy/publication.py
@@ -25,7 +25,7 @@
 MIN_CHANGE = 5.0  # points
 MIN_CHANGE_SHARE = 0.1  # of the weight that is sent; the larger of both counts
 MAX_CHANNEL_S = 3.0  # s; the threshold grows by itself with each second that sending a complete table takes
-LACKING_SHARE = 0.1  # of a table's endpoints without an entry, from which new entries go out at once
+MISSING_ENTRIES_SHARE = 0.1  # of a table's endpoints without an entry, from which new entries go out at once
 
 
 @dataclass(slots=True)
@@ -41,7 +41,7 @@
     def lacks_entries(self) -> bool:
         """Whether a good part of the table's endpoints has no entry yet."""
         new = sum(not self.sent[endpoint] for endpoint in self.wanted)
-        return new > LACKING_SHARE * len(self.target)
+        return new > MISSING_ENTRIES_SHARE * len(self.target)
 
     def size(self, endpoint: int) -> int:
         """Returns by how many points a weight changes."""
@@ -80,30 +80,32 @@
         lacks_entries = changes.lacks_entries
         may_update = self._may_update(table, this_round.now) and (rescored or lacks_entries)
         regular = may_update and not empty and unblocked
-        due = [at for at in changes.wanted if regular or empty or self._is_urgent(at, changes)]
+        due = [number for number in changes.wanted if regular or empty or self._is_urgent(number, changes)]
         share = ASSIGNMENT_SHARE
         if regular:
             share = NEW_ENTRIES_SHARE if lacks_entries else WEIGHTS_SHARE
         sent = self._reserve(table, changes, due, share)
-        table.unsent = {at: weight for at, weight in changes.wanted.items() if at not in sent}
+        table.unsent = {number: weight for number, weight in changes.wanted.items() if number not in sent}
         self._send(table, sent, this_round)
 
     def _changes(self, table: RoutingTable, now: float) -> WeightChanges:
         target = self._weighting.target_weights(table, now)
         endpoints = sorted({*table.weights, *target})
-        sent = {at: table.weights.get(at, 0) for at in endpoints}
-        falling = {at for at in endpoints if 0 < target.get(at, 0) < sent[at] / 2}
+        sent = {number: table.weights.get(number, 0) for number in endpoints}
+        falling = {number for number in endpoints if 0 < target.get(number, 0) < sent[number] / 2}
         threshold = self._threshold(table, len(target))
         wanted: dict[int, int] = {}
-        for at in endpoints:
-            old, new = sent[at], target.get(at, 0)
+        for number in endpoints:
+            old, new = sent[number], target.get(number, 0)
             if (
                 (old > 0) != (new > 0)
-                or (at in falling and self._is_warming_up(at, now))
+                or (number in falling and self._is_warming_up(number, now))
                 or abs(new - old) > threshold * max(MIN_CHANGE, MIN_CHANGE_SHARE * old)
             ):
-                wanted[at] = new
-        return WeightChanges(sent, target, wanted, {at for at in falling if self._in_slow_start(at, now)})
+                wanted[number] = new
+        return WeightChanges(
+            sent, target, wanted, {number for number in falling if self._in_slow_start(number, now)}
+        )
 
     def _threshold(self, table: RoutingTable, entries: int) -> float:
         """Returns the factor of the threshold: 1, and 1 more for each second that a full update takes."""
@@ -122,13 +124,13 @@
     def _is_empty(self, table: RoutingTable, changes: WeightChanges) -> bool:
         """Whether no entry of the table may be used, or nobody has it yet."""
         endpoints = self._registry.endpoints
-        usable = any(at in changes.target and not endpoints[at].ejected for at in table.weights)
+        usable = any(number in changes.target and not endpoints[number].ejected for number in table.weights)
         return not usable or not table.proxies
 
     def _may_update(self, table: RoutingTable, now: float) -> bool:
         """Whether most proxies have acknowledged the last update, or long enough has been waited for it."""
         mostly_acknowledged = len(table.unacknowledged) * 2 < len(table.proxies)
-        return mostly_acknowledged or now - table.changed_at >= ACK_WAIT_S
+        return mostly_acknowledged or now - table.updated_at >= ACK_WAIT_S
 
     def _is_urgent(self, endpoint: int, changes: WeightChanges) -> bool:
         """Whether a change cannot wait; with urgent ones go new entries, and all if the channel is idle."""
@@ -146,18 +148,28 @@
         if not due:
             return {}
         endpoints = self._registry.endpoints
-        due.sort(key=lambda at: (endpoints[at].ejection_sent, changes.sent[at] > 0, -changes.size(at)))
-        removal_times = {endpoints[at].ejection_sent_at for at in due}
-        unaware = {removed_at: table.unaware_proxies(removed_at) for removed_at in removal_times}
-        notices = [0 if changes.sent[at] else unaware[endpoints[at].ejection_sent_at] for at in due]
+        due.sort(
+            key=lambda number: (
+                endpoints[number].ejection_sent,
+                changes.sent[number] > 0,
+                -changes.size(number),
+            )
+        )
+        ejection_times = {endpoints[number].ejection_sent_at for number in due}
+        notice_counts = {
+            ejection_sent_at: table.proxies_to_notify(ejection_sent_at) for ejection_sent_at in ejection_times
+        }
+        notices = [
+            0 if changes.sent[number] else notice_counts[endpoints[number].ejection_sent_at] for number in due
+        ]
         fitting = self._channel.reserve(table.proxies, len(due), share, 1, notices)
-        return {at: changes.wanted[at] for at in due[:fitting]}
+        return {number: changes.wanted[number] for number in due[:fitting]}
 
     def _send(self, table: RoutingTable, sent: dict[int, int], this_round: Round) -> None:
         for endpoint, weight in sent.items():
             this_round.commands.set_weight(table.number, endpoint, weight)
-        table.weights = {at: weight for at, weight in (table.weights | sent).items() if weight}
+        table.weights = {number: weight for number, weight in (table.weights | sent).items() if weight}
         if sent and table.proxies:
             table.nonce = this_round.nonce
             table.unacknowledged = set(table.proxies)
-            table.changed_at = this_round.now
+            table.updated_at = this_round.now
--- a/oatcart/policy/retries.py
+++ b/oatcart/policy/retries.py
@@ -11,7 +11,9 @@
 MIN_EXCESS_ERROR_RATIO = 0.02  # over twice the median endpoint's
 
 
-def retries_pay(admitted_share: float, strain: float, error_ratio: float, median_error_ratio: float) -> bool:
+def retries_worthwhile(
+    admitted_share: float, strain: float, error_ratio: float, median_error_ratio: float
+) -> bool:
     """Whether a retry after any failure pays in a pool.
 
     `admitted_share` from 0 to 1; `strain`: 1 is the limit; `error_ratio`: failed part of the attempts at
@@ -25,8 +27,8 @@
     )
 
 
-def retry_policy(idempotency: Idempotency, pays: bool, admitted_share: float) -> RetryPolicy:
+def retry_policy(idempotency: Idempotency, worthwhile: bool, admitted_share: float) -> RetryPolicy:
     """Returns the policy for a request class; `admitted_share`: of the pool's work, from 0 to 1."""
-    if pays and admitted_share >= 1.0 and idempotency == Idempotency.IDEMPOTENT:
+    if worthwhile and admitted_share >= 1.0 and idempotency == Idempotency.IDEMPOTENT:
         return RetryPolicy.ON_FAILURE
     return RetryPolicy.IF_NOT_PROCESSED
--- a/oatcart/policy/scoring.py
+++ b/oatcart/policy/scoring.py
@@ -16,9 +16,9 @@
 BYTES_PART = 0.20
 ERROR_PART = 0.10
 IDLE_LOAD = 10.0  # percent; a load below it scores full points
-QUICK_S = 0.2  # a mean duration up to it scores full points
-DURATION_COST = 200.0  # points for each second over it
-ERROR_COST = 1000.0  # points for a ratio of 1
+FAST_DURATION_S = 0.2  # a mean duration up to it scores full points
+DURATION_PENALTY = 200.0  # points for each second over it
+ERROR_PENALTY = 1000.0  # points for a ratio of 1
 NEUTRAL_SCORE = 50.0  # points for a flat trend, and for bytes, which nobody reports
 TREND_SAMPLES = 30  # loads, one a second, over which the trend is taken
 MAX_SCORE_GROWTH = 1.35  # factor of a score in one second at most, so that no idle endpoint is flooded
@@ -43,8 +43,8 @@
     """
     load_score = 100.0 if load < IDLE_LOAD else clamp(100.0 - load)
     trend_score = clamp(NEUTRAL_SCORE - load_rise)
-    duration_score = clamp(100.0 - max(0.0, duration - QUICK_S) * DURATION_COST)
-    error_score = clamp(100.0 - error_ratio * ERROR_COST)
+    duration_score = clamp(100.0 - max(0.0, duration - FAST_DURATION_S) * DURATION_PENALTY)
+    error_score = clamp(100.0 - error_ratio * ERROR_PENALTY)
     return (
         LOAD_PART * load_score
         + TREND_PART * trend_score
--- a/oatcart/policy/slow_start.py
+++ b/oatcart/policy/slow_start.py
@@ -12,13 +12,13 @@
 
 RAMP_START_SHARE = 0.25  # of its weight that an endpoint has at the start of its ramp
 RAMP_S = 5.0  # length of the ramp
-RAMP_WARM_UPS = 2.0  # warm-ups that the ramp after a start lasts at most
+MAX_RAMP_WARM_UPS = 2.0  # warm-ups that the ramp after a start lasts at most
 # Of the load that overloads a warming endpoint: proxies use the power of two choices, and other controllers'
 # proxies send to it too; each leaves a half
-SAFE_SHARE = 0.25
-SAFE_DRAWS = 2.5  # times its present capacity that draws may send to a warming endpoint
+SAFE_LOAD_SHARE = 0.25
+MAX_DRAW_MULTIPLE = 2.5  # times its present capacity that draws may send to a warming endpoint
 POOL_MARGIN = 1.2  # times the present capacity of a mostly warming pool that is admitted
-UNKNOWN_SUCCESS = 0.05  # success ratio that is assumed where nothing is reported, and the least
+MIN_SUCCESS_RATIO = 0.05  # success ratio that is assumed where nothing is reported, and the least
 
 
 def ramp(elapsed: float) -> float:
@@ -28,21 +28,21 @@
 
 def ramp_start(started_at: float, limits: WarmUpLimits) -> float:
     """Returns when the ramp of a started endpoint counts as begun (s): a short warm-up shortens the ramp."""
-    return started_at - max(0.0, RAMP_S - RAMP_WARM_UPS * (limits.duration or inf))
+    return started_at - max(0.0, RAMP_S - MAX_RAMP_WARM_UPS * (limits.duration or inf))
 
 
 def warm_fraction(endpoint: Endpoint, limits: WarmUpLimits, now: float) -> float:
     """Returns the share of its full capacity that an endpoint has for certain, however slowly it warms up."""
     if not (endpoint.started_at and limits.duration):
         return 1.0
-    least = limits.initial_fraction
+    initial = limits.initial_fraction
     elapsed = max(0.0, now - endpoint.started_at)
-    return min(1.0, least + (1.0 - least) * elapsed / limits.duration)
+    return min(1.0, initial + (1.0 - initial) * elapsed / limits.duration)
 
 
 def success_ratio(endpoints: Iterable[Endpoint]) -> float:
     """Returns the part of the attempts at a pool that succeed, no less than what is assumed of an unknown."""
-    return max(UNKNOWN_SUCCESS, 1.0 - error_ratio(endpoints, 1.0))
+    return max(MIN_SUCCESS_RATIO, 1.0 - error_ratio(endpoints, 1.0))
 
 
 def admissible_share(warm_fractions: list[float], success: float, filled: float, share: float) -> float:
@@ -72,31 +72,33 @@
     each with their like, as only proxies of their own zone draw local ones. A weight is limited to what its
     endpoint sustains beside the median warm one.
     """
-    safe = limits.overload_multiple * SAFE_SHARE * success_ratio(pool.values())
-    most_draws: dict[int, float] = {}
+    safe_multiple = limits.overload_multiple * SAFE_LOAD_SHARE * success_ratio(pool.values())
+    max_draw_shares: dict[int, float] = {}
     warm_weights: list[int] = []
     for local in False, True:
-        like = {at: one for at, one in pool.items() if (one.zone in local_zones) == local}
+        group = {
+            number: endpoint for number, endpoint in pool.items() if (endpoint.zone in local_zones) == local
+        }
         warm = [
-            weights[at]
-            for at, one in like.items()
-            if not one.ejected and warm_fraction(one, limits, now) >= 1.0
+            weights[number]
+            for number, endpoint in group.items()
+            if not endpoint.ejected and warm_fraction(endpoint, limits, now) >= 1.0
         ]
-        usual = median(warm) if warm else 100.0
-        expected = filled * len(like) / len(pool) if local else filled
+        reference_weight = median(warm) if warm else 100.0
+        expected = filled * len(group) / len(pool) if local else filled
         load = max(1, len(warm), expected)
-        for number, endpoint in like.items():
-            sustained = safe * warm_fraction(endpoint, limits, now)
-            if sustained < safe:
-                weights[number] = max(1, min(weights[number], round(sustained * usual)))
-                most_draws[number] = (SAFE_DRAWS * sustained + 2 / usual) / load
+        for number, endpoint in group.items():
+            sustained = safe_multiple * warm_fraction(endpoint, limits, now)
+            if sustained < safe_multiple:
+                weights[number] = max(1, min(weights[number], round(sustained * reference_weight)))
+                max_draw_shares[number] = (MAX_DRAW_MULTIPLE * sustained + 2 / reference_weight) / load
         warm_weights += warm
     if warm_weights:
-        _remove_drawn_too_often(pool, weights, most_draws)
+        _remove_drawn_too_often(pool, weights, max_draw_shares)
 
 
 def _remove_drawn_too_often(
-    pool: dict[int, Endpoint], weights: dict[int, int], most_draws: dict[int, float]
+    pool: dict[int, Endpoint], weights: dict[int, int], max_draw_shares: dict[int, float]
 ) -> None:
     """Removes warming endpoints that two draws by weight pick more often than they sustain.
 
@@ -105,11 +107,15 @@
     """
     removed = True
     while removed:
-        active = {at: weight for at, weight in weights.items() if not pool[at].ejected}
+        active = {number: weight for number, weight in weights.items() if not pool[number].ejected}
         total = sum(active.values())
-        odds = {at: weight / max(1, total - weight) for at, weight in active.items()}
+        odds = {number: weight / max(1, total - weight) for number, weight in active.items()}
         draws = 1.0 + sum(odds.values())
-        drawn = {at: active[at] / total * (draws - odds[at]) for at in most_draws if at in active}
-        removed = [at for at, share in drawn.items() if share > most_draws[at]]
+        drawn = {
+            number: active[number] / total * (draws - odds[number])
+            for number in max_draw_shares
+            if number in active
+        }
+        removed = [number for number, share in drawn.items() if share > max_draw_shares[number]]
         for number in removed:
             del weights[number]
--- a/oatcart/policy/state.py
+++ b/oatcart/policy/state.py
@@ -41,7 +41,7 @@
     # outlier_detection
     new_answers: int = 0  # since the last check
     answer_share: float = 0.0  # its part of the fleet's answers
-    fleet_answers_then: float = 0.0  # answers of all endpoints when this one last answered
+    fleet_answers_at_last_answer: float = 0.0  # answers of all endpoints when this one last answered
     answered_at: float = 0.0
     ejected: bool = False  # as an outlier; for draining and gone endpoints see `unavailable`
     ejected_at: float = LONG_AGO
@@ -73,7 +73,9 @@
     configured_before: bool  # it has tables of some controller, which may have ejected endpoints there
     joined_at: float
     rates: list[float]  # requests/s, by request class
-    sent_at: deque[float] = field(default_factory=deque)  # of messages within the cap's window; flow_control
+    message_times: deque[float] = field(
+        default_factory=deque
+    )  # of messages within the cap's window; flow_control
     assigned: bool = False  # it has all its tables; assignment
     tables: list["RoutingTable"] = field(default_factory=list)
 
@@ -93,10 +95,10 @@
     proxies: dict[int, Proxy] = field(default_factory=dict)  # that route by it
     nonce: int = 0  # of its last update
     unacknowledged: set[int] = field(default_factory=set)  # proxies that have not applied that update
-    changed_at: float = LONG_AGO  # when that update was sent
+    updated_at: float = LONG_AGO  # when that update was sent
     admitted_share: float = 1.0  # of the work offered; load_shedding
-    reduced_at: float = LONG_AGO  # when that share was last reduced
-    retries_pay: bool = False  # a retry after any failure; retries
+    last_cut_at: float = LONG_AGO  # when that share was last reduced
+    retries_worthwhile: bool = False  # a retry after any failure; retries
     admission: dict[int, tuple[float, RetryPolicy]] = field(default_factory=dict)  # by class, as sent
 
     @property
@@ -104,14 +106,16 @@
         """Whether it has all endpoints of its zones, and not a subset of them."""
         return self.size == inf
 
-    def unaware_proxies(self, removed_at: float) -> int:
+    def proxies_to_notify(self, ejection_sent_at: float) -> int:
         """Counts the proxies to notify, with a new entry, whether its endpoint may be used.
 
         `removed_at`: when proxies were notified not to use the endpoint, inf if they may. Those that had
         joined by then know. Of an endpoint in use, only those are notified that another controller may have
         configured.
         """
-        return sum(proxy.configured_before or proxy.joined_at > removed_at for proxy in self.proxies.values())
+        return sum(
+            proxy.configured_before or proxy.joined_at > ejection_sent_at for proxy in self.proxies.values()
+        )
 
 
 @dataclass(frozen=True, slots=True)
--- a/oatcart/policy/subsetting.py
+++ b/oatcart/policy/subsetting.py
@@ -84,30 +84,30 @@
         settings = self._settings
         keys = table_keys(settings.request_classes, zone, settings.cross_zone_price)
         pools = {key: self._registry.pool(key.zones) for key in keys}
-        in_time = DEADLINE_SHARE * settings.drain_deadline * settings.channel.line_rate
+        max_lines = DEADLINE_SHARE * settings.drain_deadline * settings.channel.line_rate
         entries = sum(map(len, pools.values()))
         proxies = max(1.0, settings.expected_proxies, joined_proxies)
         overhead = settings.channel.message_overhead + 1 + len(pools) + len(settings.request_classes)
         lines = entries * (1 + configured_before)
-        fitting_share = (in_time / proxies - overhead) / (lines or 1)
-        fits = proxies * (entries + overhead) <= in_time
+        fitting_share = (max_lines / proxies - overhead) / (lines or 1)
+        complete_tables_fit = proxies * (entries + overhead) <= max_lines
         choices = []
         for key, pool in pools.items():
-            size = inf if fits else max(MIN_SUBSET, int(fitting_share * len(pool)))
-            tables = self._tables_up_to(key, size, len(pool))
+            size = inf if complete_tables_fit else max(MIN_SUBSET, int(fitting_share * len(pool)))
+            tables = self._tables_of_size(key, size, len(pool))
             by_proxies = sorted(tables, key=lambda table: len(table.proxies))
             choices.append(TableChoice(MAX_SIZE_FACTOR * size, deque(by_proxies)))
         return choices
 
-    def _tables_up_to(self, key: TableKey, size: float, pool_size: int) -> list[RoutingTable]:
+    def _tables_of_size(self, key: TableKey, size: float, pool_size: int) -> list[RoutingTable]:
         """Returns tables of a key that are not too large, with new ones until all endpoints fit."""
-        alike = self._by_key.setdefault(key, [])
-        tables = [table for table in alike if table.size <= MAX_SIZE_FACTOR * size]
+        tables_of_key = self._by_key.setdefault(key, [])
+        tables = [table for table in tables_of_key if table.size <= MAX_SIZE_FACTOR * size]
         wanted = max(1, ceil(SUBSETS_PER_ENDPOINT * pool_size / size))
         for _ in range(len(tables), wanted):
             table = RoutingTable(len(self.tables), *key, size)
             self.tables[table.number] = table
-            alike.append(table)
+            tables_of_key.append(table)
             tables.append(table)
         return tables
 
@@ -128,23 +128,23 @@
     def _assign_pool(self, pool: dict[int, Endpoint], subsets: list[RoutingTable]) -> None:
         for table in subsets:
             table.subset &= pool.keys()
-        cover = Counter(number for table in subsets for number in table.subset)
-        missing_share = len(pool.keys() - cover.keys()) / max(1, len(pool))
+        subset_counts = Counter(number for table in subsets for number in table.subset)
+        missing_share = len(pool.keys() - subset_counts.keys()) / max(1, len(pool))
         for table in subsets:
             size = int(min(table.size, len(pool)))
-            self._make_room(table, size, missing_share, pool, cover)
-            self._fill(table, size, pool, cover)
-        uncovered = [number for number in pool if not cover[number]] if subsets else []
+            self._remove_excess(table, size, missing_share, pool, subset_counts)
+            self._fill(table, size, pool, subset_counts)
+        uncovered = [number for number in pool if not subset_counts[number]] if subsets else []
         for number in uncovered:
             min(subsets, key=lambda table: len(table.subset) - table.size).subset.add(number)
 
-    def _make_room(
+    def _remove_excess(
         self,
         table: RoutingTable,
         size: int,
         missing_share: float,
         pool: dict[int, Endpoint],
-        cover: Counter[int],
+        subset_counts: Counter[int],
     ) -> None:
         """Makes room for endpoints that stand in no subset, by their share of the pool.
 
@@ -156,20 +156,26 @@
         if excess > 0:
             removed = sorted(
                 table.subset,
-                key=lambda number: (pool[number].zone == table.local_zone, -cover[number], number),
+                key=lambda number: (pool[number].zone == table.local_zone, -subset_counts[number], number),
             )[:excess]
             table.subset.difference_update(removed)
-            cover.subtract(removed)
+            subset_counts.subtract(removed)
 
-    def _fill(self, table: RoutingTable, size: int, pool: dict[int, Endpoint], cover: Counter[int]) -> None:
+    def _fill(
+        self, table: RoutingTable, size: int, pool: dict[int, Endpoint], subset_counts: Counter[int]
+    ) -> None:
         """Adds endpoints up to the size, those in few subsets first, until half of the subset is local."""
         missing = size - len(table.subset)
         if missing <= 0:
             return
-        rest = sorted(pool.keys() - table.subset, key=lambda number: (cover[number], self._uniform(0, 1)))
-        local_here = sum(pool[number].zone == table.local_zone for number in table.subset)
-        local_wanted = int(table.size) // 2 - local_here
-        local = [number for number in rest if pool[number].zone == table.local_zone][: max(0, local_wanted)]
-        added = [*local, *(number for number in rest if number not in local)][:missing]
+        candidates = sorted(
+            pool.keys() - table.subset, key=lambda number: (subset_counts[number], self._uniform(0, 1))
+        )
+        local_count = sum(pool[number].zone == table.local_zone for number in table.subset)
+        local_wanted = int(table.size) // 2 - local_count
+        local = [number for number in candidates if pool[number].zone == table.local_zone][
+            : max(0, local_wanted)
+        ]
+        added = [*local, *(number for number in candidates if number not in local)][:missing]
         table.subset.update(added)
-        cover.update(added)
+        subset_counts.update(added)
--- a/oatcart/policy/telemetry.py
+++ b/oatcart/policy/telemetry.py
@@ -12,8 +12,8 @@
 
 INTERVAL_GAIN = 0.02  # part of a new window that the mean interval takes over
 LOAD_GAIN = 0.4  # part of a new load that an endpoint's load takes over
-MEMORY_S = 3.0  # time constant of the decaying sums
-MEMORY_INTERVALS = 1.5  # the same in report intervals; the longer of both counts
+DECAY_TIME_S = 3.0  # time constant of the decaying sums
+DECAY_TIME_INTERVALS = 1.5  # the same in report intervals; the longer of both counts
 INITIAL_CAPACITY = 8.0  # requests in flight, until an endpoint shows more
 MIN_CAPACITY = INITIAL_CAPACITY / 2
 CAPACITY_STEP_DOWN = 0.3  # part of the way towards what a late endpoint has in flight
@@ -71,7 +71,9 @@
         self.report_interval = report_period  # s that reports in fact cover, smoothed
         self.fleet_answers = 0.0  # of all endpoints since the start
         # s; the mean over the requests that come
-        self.latency_objective = min((one.latency_objective for one in request_classes), default=1.0)
+        self.latency_objective = min(
+            (request_class.latency_objective for request_class in request_classes), default=1.0
+        )
 
     def record_endpoint_load(self, endpoint: Endpoint, report: EndpointLoadReported) -> None:
         """Adds what the proxies of a zone saw of an endpoint."""
@@ -112,12 +114,12 @@
 
     def decay(self, endpoints: Iterable[Endpoint], elapsed: float) -> None:
         """Lets the sums of endpoints fade for `elapsed` seconds."""
-        keep = 1.0 - elapsed / max(MEMORY_S, MEMORY_INTERVALS * self.report_interval)
+        remaining_share = 1.0 - elapsed / max(DECAY_TIME_S, DECAY_TIME_INTERVALS * self.report_interval)
         for endpoint in endpoints:
-            endpoint.answers *= keep
-            endpoint.answer_seconds *= keep
-            endpoint.attempts *= keep
-            endpoint.errors *= keep
+            endpoint.answers *= remaining_share
+            endpoint.answer_seconds *= remaining_share
+            endpoint.attempts *= remaining_share
+            endpoint.errors *= remaining_share
 
     def reset(self, endpoint: Endpoint, now: float) -> None:
         """Forgets what was seen of an endpoint, as it is of a former incarnation or of before an ejection."""
@@ -127,13 +129,13 @@
         endpoint.errors = 0.0
         endpoint.load = None
         endpoint.load_history.clear()
-        endpoint.fleet_answers_then = self.fleet_answers
+        endpoint.fleet_answers_at_last_answer = self.fleet_answers
         endpoint.answered_at = now
         endpoint.new_answers = 0
 
     def update_latency_objective(self, proxies: Iterable[Proxy]) -> None:
         """Sets the objective (s) to the mean over the requests that come to the proxies."""
-        rates = [(rate, at) for proxy in proxies for at, rate in enumerate(proxy.rates)]
-        weighted = sum(rate * self._request_classes[at].latency_objective for rate, at in rates)
+        rates = [(rate, number) for proxy in proxies for number, rate in enumerate(proxy.rates)]
+        weighted = sum(rate * self._request_classes[number].latency_objective for rate, number in rates)
         if weighted:
             self.latency_objective = weighted / sum(rate for rate, _ in rates)
--- a/oatcart/policy/weighting.py
+++ b/oatcart/policy/weighting.py
@@ -42,8 +42,12 @@
 
     def _local_zones(self, table: RoutingTable, pool: dict[int, Endpoint], now: float) -> set[int]:
         """Returns the table's local zone, or nothing while all of its endpoints there are warming up."""
-        local = [one for one in pool.values() if one.zone == table.local_zone and not one.ejected]
-        return {one.zone for one in local if warm_fraction(one, self._warm_up, now) >= 1.0}
+        local = [
+            endpoint
+            for endpoint in pool.values()
+            if endpoint.zone == table.local_zone and not endpoint.ejected
+        ]
+        return {endpoint.zone for endpoint in local if warm_fraction(endpoint, self._warm_up, now) >= 1.0}
 
     def _factor(self, table: RoutingTable, endpoint: Endpoint, local_zones: set[int], now: float) -> float:
         """Returns what an endpoint's score is multiplied by: its ramp, its zone's weight, locality."""
--- a/oatcart/policy/workload.py
+++ b/oatcart/policy/workload.py
@@ -25,7 +25,7 @@
         """Adds up what comes to the proxies of each table."""
         tables = self._tables.tables
         self._by_table = {
-            number: {one: self._offered(table, one) for one in table.classes}
+            number: {request_class: self._offered(table, request_class) for request_class in table.classes}
             for number, table in tables.items()
         }
         self._admitted = sum(
@@ -46,7 +46,7 @@
         The work that all tables admit fills all ready endpoints.
         """
         offered = sum(self._by_table.get(table.number, {}).values())
-        part = offered / self._admitted if self._admitted else 1.0
+        work_share = offered / self._admitted if self._admitted else 1.0
         # endpoints of a subset are filled by the other subsets too that have them
-        shared_by = 1 if table.complete else SUBSETS_PER_ENDPOINT
-        return len(self._registry.pool()) * part * shared_by
+        subsets_per_endpoint = 1 if table.complete else SUBSETS_PER_ENDPOINT
+        return len(self._registry.pool()) * work_share * subsets_per_endpoint
--- a/tests/policy/test_policy_load_shedding.py
+++ b/tests/policy/test_policy_load_shedding.py
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.parametrize(
-    "rates, level, quota",
+    "rates, share, quota",
     [
         ([5.0, 5.0], 0.8, 6.0),  # 4 each, and its root
         ([96.0, 4.0], 0.2, 20.0),  # 20 in all, less the 4 of the small proxy: 16, and its root
@@ -15,8 +15,8 @@
         ([], 0.5, UNLIMITED_RATE + 1000.0),
     ],
 )
-def test_rate_quota(rates, level, quota):
-    assert rate_quota(rates, level) == pytest.approx(quota)
+def test_rate_quota(rates, share, quota):
+    assert rate_quota(rates, share) == pytest.approx(quota)
 
 
 @pytest.mark.parametrize("errors, fails", [((4, 4), True), ((4, 3), False), ((0, 20), False)])
