--- a/oatcart/policy/__init__.py
+++ b/oatcart/policy/__init__.py
@@ -1,4 +1,7 @@
-"""All decisions of a controller, free of I/O: one module for each concern, `controller` for their order."""
+"""All decisions of a controller, without I/O.
+
+Each concern has a module of its own; `controller` calls them in order.
+"""
 
 from oatcart.policy.controller import Controller
 
--- a/oatcart/policy/assignment.py
+++ b/oatcart/policy/assignment.py
@@ -1,4 +1,4 @@
-"""Assignment: proxies that join are given their routing tables, as the update channel has capacity."""
+"""Assignment: sends proxies that join their routing tables, as far as the update channel has capacity."""
 
 from collections.abc import Mapping
 
@@ -17,19 +17,19 @@
     """The proxies that are joined to this controller."""
 
     def __init__(self, request_classes: int, channel: UpdateChannel) -> None:
-        """`request_classes`: their number."""
+        """`request_classes`: the number of request classes."""
         self._request_classes = request_classes
         self._channel = channel
         self.proxies: dict[int, Proxy] = {}
 
     def join(self, event: ProxyJoined, now: float) -> None:
-        """Adds a proxy; its former stream may not have been seen to end."""
+        """Adds a proxy; the end of its former stream may not have been reported."""
         self.leave(event.proxy)
         rates = [event.usual_rate / max(1, self._request_classes)] * self._request_classes
         self.proxies[event.proxy] = Proxy(event.zone, not event.unconfigured, now, rates)
 
     def leave(self, number: int) -> None:
-        """Removes a proxy from its tables and from here."""
+        """Removes a proxy, also from its tables; no effect if it is not joined."""
         proxy = self.proxies.pop(number, None)
         if proxy is None:
             return
@@ -38,7 +38,7 @@
             table.unacknowledged.discard(number)
 
     def acknowledge(self, event: UpdateAcknowledged) -> None:
-        """Takes in that a proxy has applied all updates up to a nonce."""
+        """Records that a proxy has applied all updates up to a nonce."""
         self._channel.acknowledge(event.nonce)
         proxy = self.proxies.get(event.proxy)
         if proxy is None:
@@ -53,7 +53,7 @@
 
 
 class Assignment:
-    """Gives joined proxies their tables."""
+    """Chooses and sends the tables of joined proxies."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         publication: Publication,
         channel: UpdateChannel,
     ) -> None:
-        """`proxies`: those that are joined, by number; all state is handed in."""
+        """`proxies`: the joined proxies by number. All arguments are shared with the other modules."""
         self._registry = registry
         self._proxies = proxies
         self._tables = tables
@@ -75,9 +75,9 @@
         self._channel = channel
 
     def assign_joined(self, this_round: Round) -> None:
-        """Assigns tables to proxies that lack some, once the endpoint list is known.
+        """Assigns tables to proxies that lack some, once an endpoint list was received.
 
-        Without a list, the tables that proxies hold already are better than ours.
+        Before that, a proxy keeps its tables from another controller, as the ones here would be empty.
         """
         listed = any(endpoint.listed for endpoint in self._registry.endpoints.values())
         joining = {number: proxy for number, proxy in self._proxies.items() if listed and not proxy.assigned}
@@ -96,9 +96,9 @@
             self._shedding.send_admission(table, this_round)
 
     def _choose_tables(self, joining: Mapping[int, Proxy]) -> None:
-        """Chooses for each proxy, in turn, the tables with the fewest proxies.
+        """Chooses tables for each proxy in turn, starting with those that have the fewest proxies.
 
-        A choice stands, unless one of its tables has become too large while the proxy has none of them yet.
+        A choice is kept, unless one of its tables has become too large before the proxy got any of them.
         """
         profiles = sorted({(proxy.zone, proxy.configured_before) for proxy in joining.values()})
         choices = {profile: self._tables.choices(*profile, len(self._proxies)) for profile in profiles}
@@ -119,9 +119,10 @@
         pairs: list[tuple[int, RoutingTable]],
         this_round: Round,
     ) -> None:
-        """Sends complete tables as far as the channel has capacity, to the busiest proxies first.
+        """Sends complete tables as far as the channel has capacity, to the proxies with most requests first.
 
-        While endpoints are removed, short tables go first: a proxy with tables is notified of removals.
+        While any endpoint is ejected, the shortest tables are sent first, as only proxies with tables are
+        notified of ejections.
         """
         removals = any(endpoint.ejection_sent for endpoint in self._registry.endpoints.values())
         pairs.sort(key=lambda pair: (removals and len(pair[1].weights), -sum(joining[pair[0]].rates)))
@@ -135,7 +136,7 @@
                 table.proxies[number] = joining[number]
 
     def _line_count(self, table: RoutingTable, proxy: Proxy) -> int:
-        """Counts the lines of a complete table: entries, admission, and whether endpoints may be used."""
+        """Returns the lines of a complete table: entries, admission, and notices of endpoints' ejections."""
         endpoints = self._registry.endpoints
         notices = sum(proxy.configured_before or endpoints[number].ejection_sent for number in table.weights)
         return 1 + len(table.weights) + len(table.classes) + notices
--- a/oatcart/policy/controller.py
+++ b/oatcart/policy/controller.py
@@ -1,4 +1,4 @@
-"""The controller: the order of a round's steps. What each step decides stands in its own module."""
+"""The controller: runs the steps of a round in order. Each step is implemented in its own module."""
 
 from random import Random
 
@@ -32,16 +32,16 @@
 from oatcart.policy.weighting import Weighting
 from oatcart.policy.workload import Workload
 
-CHECK_INTERVAL_S = 0.25  # between checks of what cannot wait, far within any drain deadline
-RESCORE_INTERVAL_S = 1.0  # between scores, spillover and admission
-CLOCK_ERROR_S = 0.001  # by which a round may come early, as clocks round
+CHECK_INTERVAL_S = 0.25  # between checks; far below any drain deadline
+RESCORE_INTERVAL_S = 1.0  # between updates of scores, spillover and admission
+CLOCK_ERROR_S = 0.001  # a round may start early by this much, as clocks round
 
 
 class Controller:
-    """Decides for the proxies that are joined to it. A host calls `round` with all that has come in."""
+    """Makes the decisions for the proxies joined to it; an adapter calls `round` with the received events."""
 
     def __init__(self, settings: ControllerSettings, seed: int) -> None:
-        """`seed`: of all random numbers, so that the same events give the same commands."""
+        """`seed`: for all random numbers; the same seed and events give the same commands."""
         uniform = Random(seed).uniform
         classes = settings.request_classes
         self.settings = settings
@@ -69,10 +69,10 @@
         self._next_rescore_at = LONG_AGO
 
     def round(self, now: float, events: Events, commands: CommandWriter) -> None:
-        """Takes in all events since the last round and gives commands; `now` in seconds, never less.
+        """Applies all events since the last round and gives commands; `now` (s) never decreases.
 
-        An event that cannot be used raises; the events behind it are not read then, and may be handed in
-        with another call at the same time.
+        An invalid event raises an error. The events after it are not read; the caller may pass them in
+        another call with the same `now`.
         """
         this_round = Round(now, commands, (self._last_nonce + 1) % NONCE_COUNT)
         self.channel.begin_round(now)
@@ -109,20 +109,20 @@
             case EndpointListFailed():
                 self.discovery.record_failure(now)
             case _:
-                raise TypeError(f"{event!r} is no event")
+                raise TypeError(f"unknown type of event: {event!r}")
 
     def _apply_endpoint_list(self, event: EndpointListReceived, now: float) -> None:
-        """Takes a list over; what it changes is acted upon in this round."""
+        """Applies an endpoint list; the checks and scores that depend on it run in this round."""
         self.discovery.record_list(now)
         self._next_check_at = LONG_AGO
         self._next_rescore_at = LONG_AGO
         apply_endpoint_list(event, self.registry, self.outliers, self.settings.warm_up, now)
 
     def check(self, this_round: Round) -> None:
-        """Decides four times a second: health, removals, new proxies, weights; scores once a second.
+        """Runs every CHECK_INTERVAL_S: ejections, removals, assignment, weights; scores once a second.
 
-        Removals come before everything that needs the channel; restored endpoints come after the weights
-        that they need.
+        Removals are the first to reserve lines of the channel. Endpoints are restored after their new weights
+        are sent.
         """
         self._update_ejections(this_round.now)
         self.workload.update()
@@ -144,15 +144,15 @@
         self.draining.forget_gone(this_round, all_assigned)
 
     def _update_ejections(self, now: float) -> None:
-        """Ejects and restores outliers, and lets the sums of load reports decay."""
+        """Ejects and restores outliers, and decays the sums of load reports."""
         pools = self.routing.pools()
         self.outliers.check(self.registry.pool(), pools, now)
-        # the nominal period; a check that an endpoint list brings forward decays as much
+        # the nominal interval, also for a check that runs early because of an endpoint list
         self.telemetry.decay(self.registry.endpoints.values(), CHECK_INTERVAL_S)
         restore_empty_pools(pools)
 
     def _run_rescore_steps(self, this_round: Round) -> None:
-        """Updates what moves once a second: health checks, scores, spillover, admission."""
+        """Runs the steps that are due once a second: health checks, scores, spillover, admission."""
         ready = self.registry.pool()
         if self.settings.health_checks_allowed:
             for number, endpoint in ready.items():
--- a/oatcart/policy/discovery.py
+++ b/oatcart/policy/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: polling the endpoint list, and what a list changes in the registry."""
+"""Discovery: decides when to fetch the endpoint list, and applies received lists to the registry."""
 
 from collections.abc import Callable
 
@@ -9,14 +9,14 @@
 from oatcart.policy.slow_start import ramp_start
 from oatcart.policy.state import LONG_AGO, Endpoint, Round
 
-FIRST_BACKOFF_S = 0.5  # wait after a failed call; doubles with each further one
+FIRST_BACKOFF_S = 0.5  # after a failed call; doubles with each consecutive failure
 MAX_BACKOFF_S = 4.0
-REFRESH_S = 20.0  # between complete lists, in case a change was missed
-JITTER = 0.25  # part of a wait, up or down, so that controllers do not call together
+REFRESH_S = 20.0  # between fetches of the complete list, in case a change was missed
+JITTER = 0.25  # random part of a wait, up or down, so that controllers do not call at the same time
 
 
 class EndpointDiscovery:
-    """Decides when discovery is called; where changes come unasked it never is."""
+    """Decides when to call discovery; no calls are made if changes are sent without a watch."""
 
     def __init__(self, settings: DiscoverySettings, uniform: Callable[[float, float], float]) -> None:
         """`uniform(a, b)` draws the seeded random numbers."""
@@ -28,7 +28,7 @@
         self._next_refresh_at = LONG_AGO
 
     def poll(self, this_round: Round) -> None:
-        """Opens a watch where none is, or fetches the complete list where that is due."""
+        """Opens a watch if there is none, or fetches the complete list if that is due."""
         if not self._must_watch:
             return
         now = this_round.now
@@ -43,14 +43,14 @@
             this_round.commands.watch_endpoints(True)
 
     def record_failure(self, now: float) -> None:
-        """Waits before the next call, longer after each failure."""
+        """Schedules the next call after a failed one, with a longer wait after each failure."""
         self._watching = not self._must_watch
         wait = self._backoff * self._uniform(1.0 - JITTER, 1.0 + JITTER)
         self._next_call_at = now + wait
         self._backoff = min(MAX_BACKOFF_S, self._backoff * 2)
 
     def record_list(self, now: float) -> None:
-        """Notes that a list has come; the one that the host brings at its start is no answer to a call."""
+        """Records that a list was received; one that arrives before the first call is not an answer to it."""
         if self._next_call_at > LONG_AGO:
             self._watching = True
             self._backoff = FIRST_BACKOFF_S
@@ -64,7 +64,7 @@
     warm_up: WarmUpLimits,
     now: float,
 ) -> None:
-    """Takes a list over into the registry; endpoints that a complete one leaves out are gone."""
+    """Applies a list to the registry; endpoints that are missing in a complete list are gone."""
     registry.invalidate_pools()
     endpoints = registry.endpoints
     listed = {entry.endpoint for entry in received.entries} if received.complete else endpoints
@@ -78,7 +78,9 @@
         _apply_entry(endpoint, entry, now)
         if entry.started_at > endpoint.started_at:
             endpoint.started_at = entry.started_at
-            endpoint.answer_share = 0.0  # while warming up it gets less, so it owes fewer answers
+            endpoint.answer_share = (
+                0.0  # it gets fewer requests while warming up, so fewer answers are expected
+            )
             outliers.restore(endpoint, ramp_start(entry.started_at, warm_up), now)
 
 
--- a/oatcart/policy/draining.py
+++ b/oatcart/policy/draining.py
@@ -1,6 +1,6 @@
-"""Draining: endpoints are taken from the proxies, given back, and forgotten, in this order.
+"""Draining: ejects unavailable endpoints at the proxies, restores available ones and forgets gone ones.
 
-What drains has a deadline, so it goes before everything else that waits for the update channel.
+A drain has a deadline, so ejections reserve lines of the update channel before everything else.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,15 +12,14 @@
 from oatcart.policy.state import Endpoint, Proxy, Round, RoutingTable
 from oatcart.policy.subsetting import TableRegistry
 
-MIN_REMOVALS = 4  # lines that justify a message, where not all fit
-# From the news of a drain until its removal may use the last messages of the cap; until then drains wait for
-# each other, as a message may carry many
+MIN_REMOVALS = 4  # lines that are worth a message if not all removals fit
+# Wait after which a drain may use the last messages of the cap; until then several drains may share a message
 OVERDUE_S = 1.0
-FORGET_AFTER_S = 30.0  # least time since an endpoint became gone; longer than any proxy takes to reconnect
+FORGET_AFTER_S = 30.0  # minimum time since an endpoint was gone; longer than any proxy takes to reconnect
 
 
 class Draining:
-    """Tells proxies which endpoints to stop using, and which they may use again."""
+    """Notifies proxies which endpoints to stop using and which they may use again."""
 
     def __init__(
         self,
@@ -29,14 +28,14 @@
         tables: TableRegistry,
         channel: UpdateChannel,
     ) -> None:
-        """`proxies`: those that are joined, by number; all state is handed in."""
+        """`proxies`: the joined proxies by number. All arguments are shared with the other modules."""
         self._registry = registry
         self._proxies = proxies
         self._tables = tables
         self._channel = channel
 
     def remove_entries(self, table: RoutingTable, this_round: Round) -> None:
-        """Removes unavailable endpoints from a subset, which costs lines for its own proxies only."""
+        """Removes unavailable endpoints from a subset; this costs lines for its own proxies only."""
         endpoints = self._registry.endpoints
         due = [number for number in sorted(table.weights) if endpoints[number].unavailable]
         if not due:
@@ -50,7 +49,7 @@
             del table.weights[number]
 
     def eject_unavailable(self, this_round: Round) -> None:
-        """Tells all proxies not to use unavailable endpoints; subsets lose their entries instead."""
+        """Ejects unavailable endpoints at all proxies; with subsets, `remove_entries` is used instead."""
         if self._tables.has_subsets:
             return
         due = {
@@ -63,9 +62,9 @@
             this_round.commands.set_ejected(number, True)
 
     def restore_available(self, this_round: Round) -> None:
-        """Lets all proxies use endpoints again that are available, once no table has an old weight for them.
+        """Restores available endpoints at all proxies, once no table has a higher weight than it should.
 
-        An entry of before a restart would give an endpoint that is warming up its former weight.
+        An entry from before a restart would give an endpoint that is warming up its former weight.
         """
         due = {
             number: endpoint
@@ -83,9 +82,10 @@
             this_round.commands.set_ejected(number, False)
 
     def forget_gone(self, this_round: Round, all_assigned: bool) -> None:
-        """Forgets endpoints that are long gone and in no table; together, as each costs a message.
+        """Forgets endpoints that are long gone and in no table, many in one message to save messages.
 
-        `all_assigned`: all proxies have their tables from here; else tables of others may hold the endpoints.
+        `all_assigned`: all proxies have all their tables from this controller. Otherwise a table from another
+        controller may still contain the endpoints, and none is forgotten.
         """
         if not all_assigned:
             return
@@ -99,7 +99,7 @@
             and endpoint.state_changed_at < now - FORGET_AFTER_S
             and not any(number in table.weights for table in self._tables.tables.values())
         ]
-        # the oldest waits twice as long, so that one message carries many
+        # waits until the oldest is gone for twice as long, so that one message carries many
         if not any(endpoints[number].state_changed_at < now - 2 * FORGET_AFTER_S for number in expired):
             return
         fitting = self._channel.reserve(self._proxies, len(expired), ASSIGNMENT_SHARE, 1)
@@ -108,7 +108,7 @@
             self._registry.forget(number)
 
     def _reserve(self, due: dict[int, Endpoint], share: float, now: float) -> list[int]:
-        """Reserves a line for each due endpoint and returns those that fit, drains first."""
+        """Reserves a line for each due endpoint and returns the numbers of those that fit, drains first."""
         if not due:
             return []
         share = self._share(due.values(), share, now)
@@ -120,7 +120,7 @@
         return ordered[:fitting]
 
     def _share(self, endpoints: Iterable[Endpoint], usual: float, now: float) -> float:
-        """Returns the part of the channel's caps that a removal may fill: all once a drain is overdue."""
+        """Returns the share of the channel's caps for a removal: `usual`, or all if a drain is overdue."""
         drains = [
             endpoint.state_changed_at for endpoint in endpoints if endpoint.state != EndpointState.READY
         ]
--- a/oatcart/policy/flow_control.py
+++ b/oatcart/policy/flow_control.py
@@ -1,8 +1,8 @@
-"""Flow control: the budget of the update channel, which has a bounded queue and caps messages to a proxy.
+"""Flow control: the budget of the update channel, which has a bounded queue and a message cap for each proxy.
 
-Every command is reserved here before it is given, as lines: each costs one for every proxy it goes to, each
-message its overhead besides. How fast the channel really is shows only in acknowledgements, so what they do
-not prove gone counts as queued.
+Every command reserves its lines here before it is given: one line for each proxy that it is sent to, and the
+overhead of each new message. Only acknowledgements show how fast the channel is, so lines that are not known
+to be acknowledged count as queued.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -13,52 +13,52 @@
 from oatcart.model import ChannelLimits
 from oatcart.policy.state import LONG_AGO, Proxy
 
-# Parts of a proxy's message cap that a reservation may fill, by what it is for; the rest is left to what is
-# more urgent. Of the queue, URGENT and OVERDUE may fill QUEUE_SHARE; the others their part (NEW_ENTRIES:
-# QUEUE_SHARE) of what the channel sends within ACK_WAIT_S.
-WEIGHTS_SHARE = 0.5
-ASSIGNMENT_SHARE = 0.6  # tables of joined proxies, endpoints that return
+# Shares of a proxy's message cap that a reservation may fill; the rest is kept for more urgent ones. Of the
+# queue, URGENT and OVERDUE may fill QUEUE_SHARE; the others may fill their own share, and NEW_ENTRIES
+# QUEUE_SHARE, of the lines that the channel sends within ACK_WAIT_S.
+WEIGHTS_SHARE = 0.5  # changes of weights
+ASSIGNMENT_SHARE = 0.6  # tables of joined proxies, restored endpoints
 URGENT_SHARE = 0.7  # draining and ejected endpoints, admission
 NEW_ENTRIES_SHARE = 0.75  # a table that lacks many of its endpoints
-OVERDUE_SHARE = 1.0  # drains that have waited
-QUEUE_SHARE = 0.9  # of the queue, for anything
+OVERDUE_SHARE = 1.0  # overdue drains
+QUEUE_SHARE = 0.9  # of the queue, the limit for all reservations
 ACK_DELAY_S = 1.0  # from leaving the channel to the acknowledgement
-MAX_SLOWDOWN = 4.0  # times that a channel may be slower than its line rate
-ACK_WAIT_S = 2.0  # channel time that updates which can wait may queue; also publication's pace
+MAX_SLOWDOWN = 4.0  # factor by which the channel may be slower than its line rate
+ACK_WAIT_S = 2.0  # seconds of lines that less urgent updates may queue; also how long `publication` waits
 
 
 @dataclass(slots=True)
 class SentRound:
-    """A round that sent messages; counts are lines since the start."""
+    """A round that sent messages. Counts of lines are totals since the start."""
 
     nonce: int
-    acknowledged: float  # lines that have left the channel by its acknowledgements
-    lines_per_ack: float
-    end: float  # lines that have left once all proxies have acknowledged
+    acknowledged: float  # lines known to have left, by the acknowledgements of this round
+    lines_per_ack: float  # lines that each acknowledgement adds
+    end: float  # lines that have left when all proxies have acknowledged
 
 
 class UpdateChannel:
-    """Reserves lines and messages, and learns from acknowledgements what has left the channel."""
+    """Reserves lines and messages, and tracks by acknowledgements which lines have left the channel."""
 
     def __init__(self, limits: ChannelLimits) -> None:
-        """`limits`: as the settings give them."""
+        """`limits`: from the settings."""
         self.limits = limits
-        self.queued = 0.0  # lines that count as waiting
+        self.queued = 0.0  # lines that count as queued
         self._now = 0.0
         self._reserved = 0.0  # lines since the start
         self._reserved_before_round = 0.0
-        self._acknowledged = 0.0  # lines since the start that acknowledgements show to have left
-        self._last_ack_at = 0.0  # the last sign of life from proxies that owe acknowledgements
+        self._acknowledged = 0.0  # lines since the start that have left, by acknowledgements
+        self._last_ack_at = 0.0  # when an acknowledgement last came, or when waiting for one began
         self._acknowledged_rate = 0.0  # lines/s
         self._measured_at = LONG_AGO
-        self._acknowledged_when_measured = 0.0  # when the rate was measured
+        self._acknowledged_when_measured = 0.0  # at the last measurement of the rate
         self._unacknowledged_when_measured = 0.0
         self._messages_of_round = 0
-        self._rounds: list[SentRound] = []  # not acknowledged in full, the oldest first
+        self._rounds: list[SentRound] = []  # not acknowledged by all proxies, the oldest first
 
     @property
     def is_idle(self) -> bool:
-        """Whether no lines count as waiting."""
+        """Whether no lines count as queued."""
         return not self.queued
 
     @property
@@ -67,12 +67,12 @@
         return bool(self._messages_of_round)
 
     def begin_round(self, now: float) -> None:
-        """Takes from the queue what has left since the last round; `now` in seconds."""
+        """Subtracts the lines that have left the queue since the last round; `now` in seconds."""
         rate = self.limits.line_rate
         self._reserved_before_round = self._reserved
         self._messages_of_round = 0
         if now - self._last_ack_at > ACK_DELAY_S + MAX_SLOWDOWN * self.limits.max_queue / rate:
-            self._rounds = []  # no proxy is left that would acknowledge
+            self._rounds = []  # all proxies that would acknowledge have left
             self._acknowledged = self._reserved
         unacknowledged = self._reserved - self._acknowledged
         if now - self._measured_at >= ACK_DELAY_S:
@@ -85,7 +85,8 @@
     def _measure_rate(self, now: float, unacknowledged: float) -> None:
         """Sets the acknowledged rate (lines/s).
 
-        Only a long queue that did not leave completely shows a channel slower than its line rate.
+        It is below the line rate only if a long queue was not emptied since the last measurement; otherwise
+        few lines may have left just because few were queued.
         """
         rate = self.limits.line_rate
         departed = self._acknowledged - self._acknowledged_when_measured
@@ -105,12 +106,12 @@
         minimum: int = 0,
         notices: Sequence[int] = (),
     ) -> int:
-        """Reserves lines to each of some proxies and returns how many lines fit.
+        """Reserves the same lines to each of some proxies and returns how many of the lines fit.
 
-        `share`: the part of the caps that may be filled, one of the constants above. Where not all lines
-        fit, as many are reserved as do, if these are at least `minimum` (0: all or none); without a limit of
-        the queue all fit. There must be at least one line. `notices`: for
-        each line, how many proxies are notified with it whether its endpoint may be used, one line each.
+        `share`: the share of the caps that may be filled, one of the constants of this module. If not all
+        lines fit, the ones that do are reserved, if there are at least `minimum` of them (0: all or none).
+        All fit if the queue has no limit. `lines` is at least 1. `notices`: for each line, the number of
+        proxies that are sent one more line with it, on whether its endpoint may be used.
         """
         new_recipients = [
             proxy
@@ -136,7 +137,7 @@
         return lines
 
     def _within_message_cap(self, proxies: Collection[Proxy], share: float) -> bool:
-        """Whether each proxy may be sent one more message within its window; one is kept in reserve."""
+        """Whether each proxy may be sent one more message; the last message of the cap is never used."""
         for proxy in proxies:
             while proxy.message_times and proxy.message_times[0] < self._now - self.limits.message_window:
                 proxy.message_times.popleft()
@@ -145,29 +146,29 @@
         return True
 
     def _queue_available(self, share: float) -> float:
-        """Returns the lines that fit in the queue, even if nothing unacknowledged has left it.
+        """Returns the lines that fit in the queue, even if no unacknowledged line has left it.
 
-        What can wait may queue for some seconds only, as it would delay drains.
+        Less urgent updates may fill only ACK_WAIT_S of the queue, as they would delay drains.
         """
         remaining = self.limits.max_queue * QUEUE_SHARE - (self._reserved - self._acknowledged)
         if share in (URGENT_SHARE, OVERDUE_SHARE):
             return remaining
-        # only NEW_ENTRIES_SHARE is above URGENT_SHARE here
+        # a share above URGENT_SHARE can only be NEW_ENTRIES_SHARE here
         share = share if share < URGENT_SHARE else QUEUE_SHARE
         by_rate = self._acknowledged_rate * ACK_WAIT_S
         return min(remaining, share * min(self.limits.max_queue, by_rate) - self.queued)
 
     def end_round(self, nonce: int) -> None:
-        """Notes the nonce of this round's messages; to be called only if it has any."""
+        """Records the nonce of this round's messages; called only if the round has messages."""
         if self._acknowledged >= self._reserved_before_round:
-            self._last_ack_at = self._now  # nobody owed an acknowledgement until now
+            self._last_ack_at = self._now  # no acknowledgement was awaited until now
         lines = self._reserved - self._reserved_before_round
         per_ack = lines / self._messages_of_round
         self._rounds.append(SentRound(nonce, self._reserved_before_round, per_ack, self._reserved))
 
     def acknowledge(self, nonce: int) -> None:
-        """Takes in an acknowledgement: what was sent before its round has left, and its part of the round."""
-        # rounds with messages have consecutive nonces, so the difference is the place in the list
+        """Records an acknowledgement: lines before its round have left, and one proxy's part of the round."""
+        # rounds with messages have consecutive nonces, so the difference is the index in the list
         index = (nonce - self._rounds[0].nonce) % NONCE_COUNT if self._rounds else 0
         if index < len(self._rounds):
             del self._rounds[:index]
--- a/oatcart/policy/load_shedding.py
+++ b/oatcart/policy/load_shedding.py
@@ -1,7 +1,8 @@
 """Load shedding: the share of the offered work that a routing table admits, and its split by request class.
 
-A cut follows strain that overloaded endpoints explain, and waits until reports show the one before. The
-classes with the least priority weight for their latency objective are shed first.
+The share is cut when the pool is strained and its endpoints are overloaded. The next cut waits until load
+reports show the effect of the last one. The classes with the lowest priority weight per second of latency
+objective are shed first.
 """
 
 from collections.abc import Iterable
@@ -15,21 +16,21 @@
 from oatcart.policy.telemetry import FAILING_RATIO, Telemetry, error_ratio, median, median_error_ratio, strain
 from oatcart.policy.workload import Workload
 
-MIN_SHARE_AFTER_CUT = 0.6  # part of the admitted share that one cut leaves at least
-CUT_INTERVALS = 3.5  # report intervals until a cut shows
+MIN_SHARE_AFTER_CUT = 0.6  # minimum factor by which one cut reduces the admitted share
+CUT_INTERVALS = 3.5  # report intervals until reports show the effect of a cut
 MIN_ADMITTED_SHARE = 0.25  # of the offered work, however high the strain
-FULL_LOAD = 80.0  # percent at the median endpoint, over which strain means overload
-RECOVERY_LOAD = 50.0  # percent at the median endpoint, under which work is admitted again
-FAILING_STRAIN = 2.0  # strain from which errors in every zone mean overload too
-RECOVERY_STEP = 0.04  # share of the offered work that is admitted again in a second
-RECOVERY_STRAIN = 0.8  # strain under which work is admitted again
-MIN_CLASS_SHARE = 0.02  # share of a class that is always admitted
-MIN_CLASS_SHARE_CHANGE = 0.04  # smallest change of a level that is sent
-UNLIMITED_RATE = 1e6  # requests/s
+FULL_LOAD = 80.0  # percent at the median endpoint; above it strain means overload
+RECOVERY_LOAD = 50.0  # percent at the median endpoint; below it more work is admitted
+FAILING_STRAIN = 2.0  # above it errors in every zone mean overload, whatever the load
+RECOVERY_STEP = 0.04  # share of the offered work by which the admitted share grows in a second
+RECOVERY_STRAIN = 0.8  # below it more work is admitted
+MIN_CLASS_SHARE = 0.02  # minimum share of each class that is admitted
+MIN_CLASS_SHARE_CHANGE = 0.04  # smallest change of a class's share that is sent, unless it becomes 1
+UNLIMITED_RATE = 1e6  # requests/s; stands for no limit
 
 
 class LoadShedding:
-    """Decides what is admitted, table by table."""
+    """Decides the admission of each routing table."""
 
     def __init__(
         self,
@@ -39,7 +40,7 @@
         workload: Workload,
         channel: UpdateChannel,
     ) -> None:
-        """All state is handed in; the tables keep the admitted shares."""
+        """All arguments are shared with other modules; the tables keep the admitted shares."""
         self._request_classes = settings.request_classes
         self._mode = settings.admission_mode
         self._warm_up = settings.warm_up
@@ -49,7 +50,7 @@
         self._channel = channel
 
     def adjust(self, table: RoutingTable, now: float) -> None:
-        """Cuts or raises a table's admitted share and decides whether retries pay.
+        """Cuts or raises a table's admitted share, and decides whether retries are worthwhile.
 
         Called once a second, and with each endpoint list.
         """
@@ -69,14 +70,14 @@
         )
 
     def admitted_share(self, table: RoutingTable, now: float) -> float:
-        """Returns the share of the work that a table admits, by load and by what warming endpoints stand."""
+        """Returns the share of the offered work that a table admits, limited by warming-up endpoints too."""
         pool = self._active(table)
         fractions = [warm_fraction(endpoint, self._warm_up, now) for endpoint in pool]
         filled = self._workload.filled_endpoints(table)
         return admissible_share(fractions, success_ratio(pool), filled, table.admitted_share)
 
     def send_admission(self, table: RoutingTable, this_round: Round) -> None:
-        """Sends the levels of the table's classes that have changed, as far as the channel has capacity."""
+        """Sends the changed quotas of the table's classes, as far as the channel has capacity."""
         share = 1.0 if self._mode == AdmissionMode.NONE else self.admitted_share(table, this_round.now)
         work = self._workload.offered(table)
         remaining = share * sum(work.values())
@@ -97,7 +98,7 @@
         return [endpoint for endpoint in self._tables.endpoints(table).values() if not endpoint.ejected]
 
     def _shed_order(self, number: int) -> float:
-        """Sorts by priority weight for each second of latency objective; the last classes are shed."""
+        """Returns the sort key of a class; the classes with the largest are shed first."""
         request_class = self._request_classes[number]
         return -request_class.priority_weight / request_class.latency_objective
 
@@ -114,7 +115,7 @@
         return retries != old_retries or not similar
 
     def _quota(self, table: RoutingTable, number: int, class_share: float) -> float:
-        """Returns a level in the unit that proxies take: a share, or requests/s for each proxy."""
+        """Returns the quota for a share of a class, in the unit of the admission mode."""
         if self._mode != AdmissionMode.RATE:
             return class_share
         if class_share >= 1.0:
@@ -123,7 +124,7 @@
 
 
 def fails_in_every_zone(pool: Iterable[Endpoint]) -> bool:
-    """Whether the endpoints of each zone fail; a network partition leaves a zone without errors."""
+    """Whether the endpoints of every zone fail; in a network partition one zone has no errors."""
     by_zone: dict[int, list[Endpoint]] = {}
     for endpoint in pool:
         by_zone.setdefault(endpoint.zone, []).append(endpoint)
@@ -131,11 +132,11 @@
 
 
 def rate_quota(rates: list[float], class_share: float) -> float:
-    """Returns the requests/s that one proxy may admit so that all together admit a share of their rates.
+    """Returns the requests/s that each proxy may admit so that all together admit a share of their rates.
 
-    `rates`: requests/s of each proxy; `level`: the share, under 1. Proxies below the quota leave theirs to
-    the others. Requests come by chance, so a quota at the mean itself would shed many of them: its square
-    root is added.
+    `rates`: requests/s of each proxy; `class_share`: below 1. What proxies with a rate below the quota do not
+    use is left to the others. Arrivals are random, so a quota equal to the mean would shed many requests; the
+    square root of the quota is added.
     """
     rates = sorted(rates)
     remaining = class_share * sum(rates)
--- a/oatcart/policy/locality.py
+++ b/oatcart/policy/locality.py
@@ -1,4 +1,4 @@
-"""Locality: the preference for endpoints of the proxy's own zone, and requests that spill over to others."""
+"""Locality: prefers endpoints in the proxy's own zone, and lets requests spill over to other zones."""
 
 from collections.abc import Collection, Iterable, Sequence
 from typing import NamedTuple
@@ -7,27 +7,27 @@
 from oatcart.policy.state import Endpoint, RoutingTable
 from oatcart.policy.telemetry import strain
 
-LOCAL_FACTOR = 20  # times that weights of local endpoints count
-MIN_CROSS_ZONE_PRICE = 0.08  # from which local endpoints are preferred
-SPILL_STRAIN = 0.8  # of a zone that classes are bound to, from which the other classes leave it
-REMOTE_STRAIN = 0.6  # of any other zone, from which it is no longer preferred
-SPILL_FACTOR = 0.7  # of a zone's weight that is left after a second of strain
-RECOVERY_FACTOR = 1.06  # growth of a zone's weight in a second without strain
-MIN_ZONE_WEIGHT = 0.05  # so that reports still show how the zone is
+LOCAL_FACTOR = 20  # by which weights of local endpoints are multiplied
+MIN_CROSS_ZONE_PRICE = 0.08  # from this price on, local endpoints are preferred
+SPILL_STRAIN = 0.8  # of a zone that some classes are bound to; above it the other classes spill over
+REMOTE_STRAIN = 0.6  # of any other zone; above it the preference for it is reduced
+SPILL_FACTOR = 0.7  # by which a zone's weight shrinks in a second with strain
+RECOVERY_FACTOR = 1.06  # by which a zone's weight grows in a second without strain
+MIN_ZONE_WEIGHT = 0.05  # above 0, so that load reports from the zone still come
 
 
 class TableKey(NamedTuple):
-    """What distinguishes the routing tables of a controller: which endpoints for which request classes."""
+    """Identifies a kind of routing table: its request classes and the zones of its endpoints."""
 
     classes: tuple[int, ...]
     zones: tuple[int, ...]  # empty: all
-    local_zone: int  # NO_ZONE: none is preferred
+    local_zone: int  # the preferred zone; NO_ZONE: none
 
 
 def table_keys(classes: Sequence[RequestClass], zone: int, cross_zone_price: float) -> list[TableKey]:
-    """Returns the tables that a proxy of a zone needs, each for the classes that share their endpoints.
+    """Returns the keys of the tables that a proxy in a zone needs; classes with the same endpoints share one.
 
-    `cross_zone_price`: part of the service, from 0 to 1, that is lost if each request crosses zones once.
+    `cross_zone_price`: from 0 to 1, the part of the value of all requests that is lost if each crosses zones.
     """
     keys: dict[tuple[tuple[int, ...], int], tuple[int, ...]] = {}
     for number, request_class in enumerate(classes):
@@ -39,11 +39,11 @@
 
 
 class ZoneSpillover:
-    """Weights of zones in the tables that may use any zone: under strain a zone gets less."""
+    """Zone weights, for tables that may use any zone; a strained zone gets a lower weight."""
 
     def __init__(self) -> None:
         self._weights: dict[int, float] = {}
-        self.bound_zones: set[int] = set()  # that some classes cannot leave
+        self.bound_zones: set[int] = set()  # zones that some request classes are restricted to
 
     def weight(self, zone: int) -> float:
         """Returns the weight of a zone, from 0 to 1."""
@@ -52,10 +52,10 @@
     def update(
         self, tables: Iterable[RoutingTable], ready: Collection[Endpoint], latency_objective: float
     ) -> None:
-        """Moves the weights by the strain of each zone against the rest.
+        """Updates the zone weights by the strain of each zone, compared with all other zones.
 
-        Called once a second, and with each endpoint list. `latency_objective` in seconds, the mean over the
-        requests that come.
+        Called once a second, and for each endpoint list. `latency_objective` in seconds, the mean over all
+        requests.
         """
         tables = list(tables)
         self.bound_zones = {zone for table in tables for zone in table.zones}
@@ -72,6 +72,6 @@
             self._normalize(ready)
 
     def _normalize(self, ready: Collection[Endpoint]) -> None:
-        """Scales the weights so that the best zone has 1, as requests cannot leave all zones."""
+        """Scales the weights so that the highest is 1, as requests cannot spill over from all zones."""
         best = max(self.weight(endpoint.zone) for endpoint in ready)
         self._weights = {zone: weight / best for zone, weight in self._weights.items()}
--- a/oatcart/policy/outlier_detection.py
+++ b/oatcart/policy/outlier_detection.py
@@ -1,7 +1,8 @@
-"""Outlier detection: endpoints are ejected that fail beyond their peers or answer nothing while these do.
+"""Outlier detection: ejects endpoints that fail more than their peers, or stop answering while peers answer.
 
-An ejected endpoint returns after its ejection time, which doubles with each ejection that follows soon, and
-after health checks passed in a row where the deployment has them. It then starts slowly.
+An ejected endpoint is restored after its ejection time and, where health checks are allowed, after several
+passed in a row. The ejection time doubles if the endpoint is ejected again soon. A restored endpoint is in
+slow start.
 """
 
 from collections.abc import Iterable
@@ -11,42 +12,42 @@
 from oatcart.policy.state import Endpoint
 from oatcart.policy.telemetry import Telemetry, error_ratio
 
-MIN_ERROR_RATIO = 0.5  # beyond the ratio of its peers
-MIN_ATTEMPTS = 8.0  # in the decayed sums; with fewer, chance reaches the ratio
-MIN_MISSED_ANSWERS = 10.0  # that it owes by its share of the fleet's
+MIN_ERROR_RATIO = 0.5  # in excess of the error ratio of its peers
+MIN_ATTEMPTS = 8.0  # in the decayed sums; with fewer, random errors reach the ratio
+MIN_MISSED_ANSWERS = 10.0  # answers expected by its usual share of all answers
 UNRESPONSIVE_INTERVALS = 2.5  # report intervals without an answer
-ANSWER_SHARE_GAIN = 0.4  # part of a new share that the mean share takes over
-MAX_EJECTED_SHARE = 0.5  # of a pool; beyond it the fault is likely the observer's
+ANSWER_SHARE_GAIN = 0.4  # smoothing factor of the mean answer share
+MAX_EJECTED_SHARE = 0.5  # of a pool; with more, the fault is probably not in the endpoints
 INITIAL_EJECTION_TIME_S = 4.0
 MAX_EJECTION_TIME_S = 30.0
-REQUIRED_PASSED_CHECKS = 2  # health checks in a row before an endpoint returns
+REQUIRED_PASSED_CHECKS = 2  # health checks in a row before an endpoint is restored
 
 Pool = dict[int, Endpoint]  # ready endpoints by number
 
 
 class OutlierDetection:
-    """Decides which endpoints are ejected."""
+    """Decides which endpoints are ejected and when they are restored."""
 
     def __init__(self, telemetry: Telemetry, health_checks_allowed: bool) -> None:
-        """Without health checks an endpoint returns by its ejection time alone."""
+        """If health checks are not allowed, endpoints are restored after their ejection time alone."""
         self._telemetry = telemetry
         self._health_checks_allowed = health_checks_allowed
 
     def record_health_check(self, endpoint: Endpoint, outcome: HealthCheckOutcome) -> None:
-        """Counts the health checks passed in a row; a rejected one shows nothing."""
+        """Counts the health checks passed in a row; a rejected one is ignored."""
         if outcome != HealthCheckOutcome.REJECTED:
             endpoint.passed_checks = endpoint.passed_checks + 1 if outcome == HealthCheckOutcome.PASSED else 0
 
     def check(self, ready: Pool, pools: list[Pool], now: float) -> None:
-        """Ejects outliers among the ready endpoints and lets ejected ones return.
+        """Ejects outliers among the ready endpoints, and restores ejected ones that are due.
 
-        `pools`: the ready endpoints of each set of zones that a routing table draws from.
+        `pools`: the ready endpoints of each set of zones that a routing table uses.
         """
         peers = list(ready.values())
         for number, endpoint in ready.items():
             self._update_answer_share(endpoint, now)
             if endpoint.ejected:
-                # its ramp starts when the ejection ends, also if restore_empty_pools ends it
+                # the ramp starts at the end of the ejection, also if restore_empty_pools ends it
                 endpoint.ramp_started_at = now
                 if self._may_be_restored(endpoint, now):
                     self.restore(endpoint, now, now)
@@ -54,7 +55,7 @@
                 self._eject(endpoint, [pool for pool in pools if number in pool], now)
 
     def restore(self, endpoint: Endpoint, ramp_started_at: float, now: float) -> None:
-        """Ends an ejection and forgets what was seen; `ramp_started_at`: when its slow start begins (s)."""
+        """Ends an ejection and resets the telemetry; `ramp_started_at` (s): when its slow start begins."""
         self._telemetry.reset(endpoint, now)
         endpoint.ramp_started_at = ramp_started_at
         endpoint.ejected = False
@@ -74,14 +75,14 @@
         return now - endpoint.ejected_at >= endpoint.ejection_time and healthy
 
     def _is_unresponsive(self, endpoint: Endpoint, now: float) -> bool:
-        """Whether it owes answers by its share of the fleet's; late reports alone never look so."""
+        """Whether answers expected by its usual share are missing, for longer than reports may be late."""
         fleet_answers = self._telemetry.fleet_answers - endpoint.fleet_answers_at_last_answer
         missed = fleet_answers * endpoint.answer_share * ramp(now - endpoint.ramp_started_at)
         max_wait = UNRESPONSIVE_INTERVALS * self._telemetry.report_interval
         return missed > MIN_MISSED_ANSWERS and now - endpoint.answered_at > max_wait
 
     def _eject(self, endpoint: Endpoint, pools: list[Pool], now: float) -> None:
-        """Ejects an endpoint unless too large a part of one of its pools would be."""
+        """Ejects an endpoint, unless too many of one of its pools would be ejected then."""
         for pool in pools:
             ejected = sum(other.ejected for other in pool.values()) + 1
             if ejected > MAX_EJECTED_SHARE * len(pool):
@@ -95,9 +96,9 @@
 
 
 def is_failing(endpoint: Endpoint, peers: Iterable[Endpoint]) -> bool:
-    """Whether an endpoint fails far beyond its peers and those of its zone.
+    """Whether the error ratio of an endpoint is far above that of its peers, and of those in its zone.
 
-    Comparing with both keeps a zone in use whose endpoints all fail as many, as when it is overloaded.
+    The comparison with its zone keeps a zone in use whose endpoints all fail alike, as when overloaded.
     """
     if endpoint.attempts < MIN_ATTEMPTS or endpoint.errors <= MIN_ERROR_RATIO * endpoint.attempts:
         return False
@@ -108,7 +109,7 @@
 
 
 def restore_empty_pools(pools: Iterable[Pool]) -> None:
-    """Panic mode: ends all ejections of a pool whose endpoints are all ejected."""
+    """Panic mode: restores all endpoints of a pool if all of them are ejected."""
     for pool in pools:
         if all(endpoint.ejected for endpoint in pool.values()):
             for endpoint in pool.values():
--- a/oatcart/policy/publication.py
+++ b/oatcart/policy/publication.py
@@ -1,8 +1,8 @@
-"""Publication: which weights of a table are sent and when.
+"""Publication: decides which weights of a table are sent, and when.
 
-Weights are absolute. Changes over a threshold go out once a second, and the next ones only after most
-proxies have acknowledged the last, or after a wait; meanwhile changes merge. Some cannot wait: an empty
-table, and weights of endpoints in slow start that have to fall.
+Weights are absolute values. Changes above a threshold are sent once a second, the next ones only after most
+proxies have acknowledged the last update, or after ACK_WAIT_S; until then changes merge. Some changes are
+sent at once: those of an empty table, and weights of endpoints in slow start that have to fall.
 """
 
 from collections.abc import Mapping
@@ -23,28 +23,28 @@
 from oatcart.policy.weighting import Weighting
 
 MIN_CHANGE = 5.0  # points
-MIN_CHANGE_SHARE = 0.1  # of the weight that is sent; the larger of both counts
-MAX_CHANNEL_S = 3.0  # s; the threshold grows by itself with each second that sending a complete table takes
-MISSING_ENTRIES_SHARE = 0.1  # of a table's endpoints without an entry, from which new entries go out at once
+MIN_CHANGE_SHARE = 0.1  # of the weight last sent; the larger of both thresholds applies
+MAX_CHANNEL_S = 3.0  # upper bound of the channel seconds that raise the threshold, see `_threshold`
+MISSING_ENTRIES_SHARE = 0.1  # of a table's endpoints; if more lack an entry, entries are sent at once
 
 
 @dataclass(slots=True)
 class WeightChanges:
-    """How a table as it was sent differs from what it should be; weights by endpoint, 0 for no entry."""
+    """The differences between a table as sent and its target; weights by endpoint, 0 for no entry."""
 
     sent: dict[int, int]
     target: dict[int, int]
-    wanted: dict[int, int]  # the target weights that differ enough to be sent
+    wanted: dict[int, int]  # target weights that differ enough to be sent
     urgent: set[int]  # endpoints in slow start whose weight has to fall
 
     @property
     def lacks_entries(self) -> bool:
-        """Whether a good part of the table's endpoints has no entry yet."""
+        """Whether more than MISSING_ENTRIES_SHARE of the table's endpoints have no entry yet."""
         new = sum(not self.sent[endpoint] for endpoint in self.wanted)
         return new > MISSING_ENTRIES_SHARE * len(self.target)
 
     def size(self, endpoint: int) -> int:
-        """Returns by how many points a weight changes."""
+        """Returns the points by which a weight changes."""
         return abs(self.wanted[endpoint] - self.sent[endpoint])
 
 
@@ -60,7 +60,7 @@
         weighting: Weighting,
         channel: UpdateChannel,
     ) -> None:
-        """`proxies`: those that are joined, by number; all state is handed in."""
+        """`proxies`: the joined proxies by number. All arguments are shared with the other modules."""
         self._warm_up = warm_up
         self._registry = registry
         self._proxies = proxies
@@ -71,9 +71,9 @@
     def publish(
         self, table: RoutingTable, this_round: Round, rescored: bool = False, unblocked: bool = True
     ) -> None:
-        """Sends what is due of a table's changes, as far as the channel has capacity; the rest waits.
+        """Sends the changes of a table that are due, as far as the channel has capacity; the rest waits.
 
-        `rescored`: scores are new in this round; `unblocked`: nothing more important waits for the channel.
+        `rescored`: scores were updated in this round; `unblocked`: nothing more urgent waits for the channel.
         """
         changes = self._changes(table, this_round.now)
         empty = self._is_empty(table, changes)
@@ -108,32 +108,35 @@
         )
 
     def _threshold(self, table: RoutingTable, entries: int) -> float:
-        """Returns the factor of the threshold: 1, and 1 more for each second that a full update takes."""
+        """Returns the factor of the threshold: 1 plus the seconds, up to MAX_CHANNEL_S, of a full update."""
         proxies = len(self._proxies if self._tables.has_subsets else table.proxies)
         seconds = entries * proxies / max(1.0, self._channel.limits.line_rate)
         return 1.0 + min(MAX_CHANNEL_S, seconds)
 
     def _is_warming_up(self, endpoint: int, now: float) -> bool:
-        """Whether an endpoint does not have its full capacity yet."""
+        """Whether an endpoint has less than its full capacity."""
         return warm_fraction(self._registry.endpoints[endpoint], self._warm_up, now) < 1.0
 
     def _in_slow_start(self, endpoint: int, now: float) -> bool:
-        """Whether the ramp of an endpoint's weight is not over, after a start or an ejection."""
+        """Whether the weight of an endpoint is still ramped up, after a start or an ejection."""
         return ramp(now - self._registry.endpoints[endpoint].ramp_started_at) < 1.0
 
     def _is_empty(self, table: RoutingTable, changes: WeightChanges) -> bool:
-        """Whether no entry of the table may be used, or nobody has it yet."""
+        """Whether the table has no usable entry, or no proxies."""
         endpoints = self._registry.endpoints
         usable = any(number in changes.target and not endpoints[number].ejected for number in table.weights)
         return not usable or not table.proxies
 
     def _may_update(self, table: RoutingTable, now: float) -> bool:
-        """Whether most proxies have acknowledged the last update, or long enough has been waited for it."""
+        """Whether most proxies have acknowledged the last update, or ACK_WAIT_S have passed since."""
         mostly_acknowledged = len(table.unacknowledged) * 2 < len(table.proxies)
         return mostly_acknowledged or now - table.updated_at >= ACK_WAIT_S
 
     def _is_urgent(self, endpoint: int, changes: WeightChanges) -> bool:
-        """Whether a change cannot wait; with urgent ones go new entries, and all if the channel is idle."""
+        """Whether a change is sent at once.
+
+        These are the urgent changes, and together with them new entries, or all if the channel is idle.
+        """
         if endpoint in changes.urgent:
             return True
         return bool(changes.urgent) and (not changes.sent[endpoint] or self._channel.is_idle)
@@ -143,7 +146,7 @@
     ) -> dict[int, int]:
         """Reserves the due changes and returns those that fit, the most important first.
 
-        New entries come first and then the largest changes; endpoints that proxies may not use come last.
+        New entries come first, then the largest changes; endpoints that are ejected at proxies come last.
         """
         if not due:
             return {}
--- a/oatcart/policy/registry.py
+++ b/oatcart/policy/registry.py
@@ -1,4 +1,4 @@
-"""The endpoints that discovery has listed or reports have named, and pools of the ready ones."""
+"""The endpoints that were listed by discovery or named in load reports, and pools of the ready ones."""
 
 from oatcart.model import EndpointState
 from oatcart.policy.outlier_detection import INITIAL_EJECTION_TIME_S
@@ -8,14 +8,14 @@
 
 
 class EndpointRegistry:
-    """Endpoints by number; pools are cached until the list changes."""
+    """All endpoints by number; pools are cached until the endpoint list changes."""
 
     def __init__(self) -> None:
         self.endpoints: dict[int, Endpoint] = {}
         self._pools: dict[tuple[int, ...], dict[int, Endpoint]] = {}
 
     def get_or_create(self, number: int) -> Endpoint:
-        """Returns an endpoint, a fresh record where nothing is known of it yet."""
+        """Returns the record of an endpoint; creates it if there is none."""
         endpoint = self.endpoints.get(number)
         if endpoint is None:
             endpoint = Endpoint(INITIAL_CAPACITY, NEUTRAL_SCORE, INITIAL_EJECTION_TIME_S, new_load_history())
@@ -23,7 +23,7 @@
         return endpoint
 
     def forget(self, number: int) -> None:
-        """Removes an endpoint that is gone; its number may be another's from now on."""
+        """Removes an endpoint that is gone; its number may stand for another endpoint from now on."""
         del self.endpoints[number]
 
     def pool(self, zones: tuple[int, ...] = ()) -> dict[int, Endpoint]:
@@ -39,5 +39,5 @@
         return pool
 
     def invalidate_pools(self) -> None:
-        """Has pools built anew; to be called before the state or zone of an endpoint changes."""
+        """Clears the cached pools; to be called before the state or zone of an endpoint changes."""
         self._pools = {}
--- a/oatcart/policy/scoring.py
+++ b/oatcart/policy/scoring.py
@@ -1,7 +1,7 @@
 """Scores of endpoints: the weighted sum of the paper (see docs/design.md), its cutoffs and normalization.
 
-A score is in points, 0 the worst and 100 the best. The paper's CPU and RAM count as one load here, bytes
-sent and received as one.
+A score is in points, from 0 (worst) to 100 (best). CPU and RAM of the paper are combined into one load here,
+and so are bytes sent and received.
 """
 
 from collections import deque
@@ -10,23 +10,27 @@
 from oatcart.policy.state import Endpoint
 from oatcart.policy.telemetry import error_ratio
 
+# Parts of the weighted sum
 LOAD_PART = 0.30
 TREND_PART = 0.20
 DURATION_PART = 0.20
 BYTES_PART = 0.20
 ERROR_PART = 0.10
-IDLE_LOAD = 10.0  # percent; a load below it scores full points
-FAST_DURATION_S = 0.2  # a mean duration up to it scores full points
-DURATION_PENALTY = 200.0  # points for each second over it
-ERROR_PENALTY = 1000.0  # points for a ratio of 1
-NEUTRAL_SCORE = 50.0  # points for a flat trend, and for bytes, which nobody reports
-TREND_SAMPLES = 30  # loads, one a second, over which the trend is taken
-MAX_SCORE_GROWTH = 1.35  # factor of a score in one second at most, so that no idle endpoint is flooded
-MIN_SCORE_GROWTH = 1.0  # points that a score may grow in any case
+
+IDLE_LOAD = 10.0  # percent; a load below it scores 100 points
+FAST_DURATION_S = 0.2  # mean durations up to it score 100 points
+DURATION_PENALTY = 200.0  # points for each second above FAST_DURATION_S
+ERROR_PENALTY = 1000.0  # points for an error ratio of 1
+NEUTRAL_SCORE = (
+    50.0  # points for a constant load, for bytes, which are not reported, and for unknown endpoints
+)
+TREND_SAMPLES = 30  # loads, one per second, that the trend is computed from
+MAX_SCORE_GROWTH = 1.35  # maximum factor in one second, so that an idle endpoint is not overloaded
+MIN_SCORE_GROWTH = 1.0  # points; a score may always grow by this much in one second
 
 
 def new_load_history() -> deque[float]:
-    """Returns an empty window of loads for the trend."""
+    """Returns an empty load history, from which the trend is computed."""
     return deque(maxlen=TREND_SAMPLES)
 
 
@@ -38,8 +42,8 @@
 def weighted_sum(load: float, load_rise: float, duration: float, error_ratio: float) -> float:
     """Returns the paper's weighted sum of an endpoint's normalized scores, in points.
 
-    `load` in percent, `load_rise` in percentage points over the trend's window, mean `duration` in seconds,
-    `error_ratio` of the attempts.
+    `load` in percent, `load_rise` in percentage points over the load history, mean `duration` in seconds,
+    `error_ratio`: failed part of the attempts.
     """
     load_score = 100.0 if load < IDLE_LOAD else clamp(100.0 - load)
     trend_score = clamp(NEUTRAL_SCORE - load_rise)
@@ -57,9 +61,9 @@
 def rescore(endpoints: Collection[Endpoint], lists_weights: bool) -> None:
     """Sets the score of each ready endpoint.
 
-    Called once a second, which is the trend's unit, and with each endpoint list. An endpoint without reports
-    gets the average. Where discovery lists nominal weights, a score is scaled by the endpoint's weight over
-    the mean one.
+    Called once a second, the interval of the trend, and for each endpoint list. An endpoint without load
+    reports gets the average score. If the endpoint list has nominal weights, a score is multiplied by the
+    endpoint's nominal weight divided by the mean one.
     """
     scores: dict[int, float] = {}
     for endpoint in endpoints:
--- a/oatcart/policy/slow_start.py
+++ b/oatcart/policy/slow_start.py
@@ -1,6 +1,6 @@
 """Slow start: the ramp of an endpoint's weight, and the load that a warming-up endpoint sustains.
 
-A fresh endpoint is idle and scores best, so without limits all proxies together would overload it.
+A newly started endpoint is idle and gets the best score, so without limits the proxies would overload it.
 """
 
 from collections.abc import Iterable
@@ -10,29 +10,31 @@
 from oatcart.policy.state import Endpoint
 from oatcart.policy.telemetry import error_ratio, median
 
-RAMP_START_SHARE = 0.25  # of its weight that an endpoint has at the start of its ramp
-RAMP_S = 5.0  # length of the ramp
-MAX_RAMP_WARM_UPS = 2.0  # warm-ups that the ramp after a start lasts at most
-# Of the load that overloads a warming endpoint: proxies use the power of two choices, and other controllers'
-# proxies send to it too; each leaves a half
+RAMP_START_SHARE = 0.25  # share of its weight that an endpoint has at the start of its ramp
+RAMP_S = 5.0  # duration of the ramp
+MAX_RAMP_WARM_UPS = 2.0  # the ramp after a start lasts at most this many warm-ups
+# Safe share of the load at which a warming-up endpoint fails: a half because proxies use the power of two
+# choices, and half of that because proxies of other controllers use the endpoint too
 SAFE_LOAD_SHARE = 0.25
-MAX_DRAW_MULTIPLE = 2.5  # times its present capacity that draws may send to a warming endpoint
-POOL_MARGIN = 1.2  # times the present capacity of a mostly warming pool that is admitted
-MIN_SUCCESS_RATIO = 0.05  # success ratio that is assumed where nothing is reported, and the least
+MAX_DRAW_MULTIPLE = (
+    2.5  # load that random draws may send to a warming-up endpoint, as a multiple of what it sustains
+)
+POOL_MARGIN = 1.2  # load admitted to a mostly warming-up pool, as a multiple of its present capacity
+MIN_SUCCESS_RATIO = 0.05  # lower bound of the success ratio, and its value without load reports
 
 
 def ramp(elapsed: float) -> float:
-    """Returns the share of its weight that an endpoint gets `elapsed` seconds after its ramp began."""
+    """Returns the share of its weight that an endpoint has `elapsed` seconds after the start of its ramp."""
     return min(1.0, RAMP_START_SHARE + (1.0 - RAMP_START_SHARE) * max(0.0, elapsed) / RAMP_S)
 
 
 def ramp_start(started_at: float, limits: WarmUpLimits) -> float:
-    """Returns when the ramp of a started endpoint counts as begun (s): a short warm-up shortens the ramp."""
+    """Returns the time (s) from which a started endpoint's ramp is counted; earlier for a short warm-up."""
     return started_at - max(0.0, RAMP_S - MAX_RAMP_WARM_UPS * (limits.duration or inf))
 
 
 def warm_fraction(endpoint: Endpoint, limits: WarmUpLimits, now: float) -> float:
-    """Returns the share of its full capacity that an endpoint has for certain, however slowly it warms up."""
+    """Returns the share of its full capacity that an endpoint has at least while it warms up."""
     if not (endpoint.started_at and limits.duration):
         return 1.0
     initial = limits.initial_fraction
@@ -41,15 +43,16 @@
 
 
 def success_ratio(endpoints: Iterable[Endpoint]) -> float:
-    """Returns the part of the attempts at a pool that succeed, no less than what is assumed of an unknown."""
+    """Returns the part of the attempts at a pool that succeed, at least MIN_SUCCESS_RATIO."""
     return max(MIN_SUCCESS_RATIO, 1.0 - error_ratio(endpoints, 1.0))
 
 
 def admissible_share(warm_fractions: list[float], success: float, filled: float, share: float) -> float:
-    """Returns the share of the offered work that a pool is given.
+    """Returns the share of the offered work that a pool is sent.
 
-    `filled`: endpoints that the offered work would fill; `share`: what load shedding admits. A pool where
-    under half of these endpoints are warm gets no more than its present capacity.
+    `filled`: number of endpoints that the offered work would fill; `share`: the share that load shedding
+    admits. If fewer than half of these endpoints are warm, the pool is sent no more than its present
+    capacity times POOL_MARGIN.
     """
     warm = sum(fraction >= 1.0 for fraction in warm_fractions)
     capacity = POOL_MARGIN * sum(warm_fractions) * success
@@ -66,11 +69,11 @@
     limits: WarmUpLimits,
     now: float,
 ) -> None:
-    """Lowers in `weights` what endpoints get that are warming up, and removes those drawn too often.
+    """Limits the `weights` of endpoints that are warming up, and removes those that are drawn too often.
 
-    `filled`: endpoints of the pool that the admitted work fills. Local and remote endpoints are compared
-    each with their like, as only proxies of their own zone draw local ones. A weight is limited to what its
-    endpoint sustains beside the median warm one.
+    `filled`: number of endpoints of the pool that the admitted work fills. A weight is limited to the load
+    that its endpoint sustains, relative to the median warm endpoint. Local endpoints are compared with local
+    ones and remote with remote ones, as only proxies of their own zone draw local ones.
     """
     safe_multiple = limits.overload_multiple * SAFE_LOAD_SHARE * success_ratio(pool.values())
     max_draw_shares: dict[int, float] = {}
@@ -100,10 +103,10 @@
 def _remove_drawn_too_often(
     pool: dict[int, Endpoint], weights: dict[int, int], max_draw_shares: dict[int, float]
 ) -> None:
-    """Removes warming endpoints that two draws by weight pick more often than they sustain.
+    """Removes warming-up endpoints that two random draws by weight pick more often than they sustain.
 
-    The second draw is from what the first left; each endpoint that is removed makes the others' part larger,
-    so this repeats until nothing has to go.
+    The second draw excludes the endpoint of the first. Each removal raises the share of the others, so this
+    repeats until no endpoint is drawn too often.
     """
     removed = True
     while removed:
--- a/oatcart/policy/subsetting.py
+++ b/oatcart/policy/subsetting.py
@@ -1,8 +1,8 @@
-"""Subsetting: which routing tables there are, and which endpoints each has.
+"""Subsetting: decides which routing tables there are, and which endpoints each of them has.
 
-A table has all endpoints of its zones while the update channel carries complete tables of all proxies well
-within the drain deadline. Else there are several tables for each key, each with a subset of the endpoints,
-and each endpoint is in two subsets, so that neighbouring subsets level their load.
+A table has all endpoints of its zones if the update channel can send complete tables to all proxies within a
+share of the drain deadline. Otherwise each key has several tables, each with a subset of the endpoints. Each
+endpoint is in two subsets, so that overlapping subsets balance their load.
 """
 
 from collections import Counter, deque
@@ -15,22 +15,22 @@
 from oatcart.policy.registry import EndpointRegistry
 from oatcart.policy.state import Endpoint, RoutingTable
 
-# Of the drain deadline that sending complete tables may take; the rest is for changes
+# Share of the drain deadline that sending complete tables may take; the rest is for changes
 DEADLINE_SHARE = 0.5
-MIN_SUBSET = 4  # endpoints; with fewer, two draws meet failing ones too often
+MIN_SUBSET = 4  # endpoints; with fewer, two random choices too often both pick failing ones
 SUBSETS_PER_ENDPOINT = 2
-MAX_SIZE_FACTOR = 1.5  # a joining proxy is given no table larger than so many times the wanted size
+MAX_SIZE_FACTOR = 1.5  # maximum size of a joining proxy's table, as a multiple of the wanted size
 
 
 class TableChoice(NamedTuple):
-    """Tables of one key that a joining proxy may be given."""
+    """Tables of one key from which one is chosen for a joining proxy."""
 
-    max_size: float  # endpoints; a proxy with a larger table gets another one
-    tables: deque[RoutingTable]  # those with the fewest proxies first
+    max_size: float  # endpoints; the choice of a larger table is not kept
+    tables: deque[RoutingTable]  # the one with the fewest proxies first
 
 
 class TableRegistry:
-    """All routing tables, by number, and the endpoints of each."""
+    """All routing tables by number, with the endpoints of each."""
 
     def __init__(
         self,
@@ -44,29 +44,29 @@
         self._uniform = uniform
         self._by_key: dict[TableKey, list[RoutingTable]] = {}
         self.tables: dict[int, RoutingTable] = {}
-        self.awaited: set[int] = set()  # numbers of tables that joining proxies are about to get
+        self.awaited: set[int] = set()  # numbers of tables that joining proxies wait for
         self.has_subsets = False
 
     def await_tables(self, numbers: set[int]) -> None:
-        """Sets which tables joining proxies are about to get; they count as in use."""
+        """Sets the numbers of the tables that joining proxies wait for; these count as in use."""
         self.awaited = numbers
 
     def in_use(self, table: RoutingTable) -> bool:
-        """Whether a table counts: a subset does only while proxies have it or are about to get it."""
+        """Whether a table is in use; a subset is only while proxies have it or wait for it."""
         return table.complete or bool(table.proxies) or table.number in self.awaited
 
     def used_tables(self) -> Iterator[RoutingTable]:
-        """Iterates over the tables in use."""
+        """Returns an iterator over the tables in use."""
         return filter(self.in_use, self.tables.values())
 
     def pools(self) -> list[dict[int, Endpoint]]:
-        """Returns the ready endpoints of each set of zones that a table draws from."""
+        """Returns the ready endpoints of each set of zones that a table uses."""
         return [self._registry.pool(zones) for zones in {table.zones for table in self.tables.values()}]
 
     def endpoints(self, table: RoutingTable) -> dict[int, Endpoint]:
-        """Returns the ready endpoints of a table, by number; with subsets, without the ejected ones.
+        """Returns the ready endpoints of a table by number; with subsets, without the ejected ones.
 
-        Without subsets proxies are notified of ejections, so that entries can stay.
+        Without subsets, proxies are notified of ejections and the entries of ejected endpoints stay.
         """
         pool = self._registry.pool(table.zones)
         if not self.has_subsets:
@@ -75,11 +75,11 @@
         return {number: pool[number] for number in numbers if not pool[number].ejected}
 
     def choices(self, zone: int, configured_before: bool, joined_proxies: int) -> list[TableChoice]:
-        """Returns, for each table that a joining proxy of a zone needs, the tables it may be given.
+        """Returns the candidates for each table that a joining proxy of a zone needs.
 
-        A proxy that was `configured_before` is notified with each entry whether its endpoint may be
-        used, which costs a line more. The size of a subset follows from the lines that the channel carries
-        in time.
+        The size of a subset follows from the lines that the channel can send within DEADLINE_SHARE of the
+        drain deadline. For a proxy that was `configured_before`, each entry costs one more line, a notice on
+        whether its endpoint may be used.
         """
         settings = self._settings
         keys = table_keys(settings.request_classes, zone, settings.cross_zone_price)
@@ -100,7 +100,7 @@
         return choices
 
     def _tables_of_size(self, key: TableKey, size: float, pool_size: int) -> list[RoutingTable]:
-        """Returns tables of a key that are not too large, with new ones until all endpoints fit."""
+        """Returns the tables of a key that are not too large; adds tables until all endpoints fit."""
         tables_of_key = self._by_key.setdefault(key, [])
         tables = [table for table in tables_of_key if table.size <= MAX_SIZE_FACTOR * size]
         wanted = max(1, ceil(SUBSETS_PER_ENDPOINT * pool_size / size))
@@ -112,7 +112,7 @@
         return tables
 
     def assign_endpoints(self) -> None:
-        """Gives each subset its number of endpoints, half of them local, from those in few subsets."""
+        """Fills each subset up to its size, half with local endpoints, preferring those in few subsets."""
         self.has_subsets = any(not table.complete for table in self.tables.values())
         if not self.has_subsets:
             return
@@ -146,9 +146,10 @@
         pool: dict[int, Endpoint],
         subset_counts: Counter[int],
     ) -> None:
-        """Makes room for endpoints that stand in no subset, by their share of the pool.
+        """Removes endpoints from a subset, to make space for those that are in no subset yet.
 
-        Remote endpoints are removed first, of these the ones in many subsets.
+        `missing_share`: the share of the pool that is in no subset. Remote endpoints are removed first, and
+        of these the ones in most subsets.
         """
         if not missing_share:
             return
@@ -164,7 +165,7 @@
     def _fill(
         self, table: RoutingTable, size: int, pool: dict[int, Endpoint], subset_counts: Counter[int]
     ) -> None:
-        """Adds endpoints up to the size, those in few subsets first, until half of the subset is local."""
+        """Adds endpoints up to `size`, those in few subsets first, and local ones until they are half."""
         missing = size - len(table.subset)
         if missing <= 0:
             return
--- a/oatcart/policy/telemetry.py
+++ b/oatcart/policy/telemetry.py
@@ -1,7 +1,7 @@
-"""What load reports say of endpoints and proxies: sums that decay with time, and the strain of a pool.
+"""Load reports of endpoints and proxies: decaying sums of their figures, and the strain of a pool.
 
-Reports come late and not for every endpoint in every period, so whatever waits for evidence counts the
-interval that reports in fact cover, not the period that is set.
+Load reports may be late and do not cover every endpoint in every period. So the other modules measure waiting
+times by the interval that reports actually cover, not by the configured period.
 """
 
 from collections.abc import Iterable, Sequence
@@ -10,21 +10,22 @@
 from oatcart.model import RequestClass
 from oatcart.policy.state import Endpoint, Proxy
 
-INTERVAL_GAIN = 0.02  # part of a new window that the mean interval takes over
-LOAD_GAIN = 0.4  # part of a new load that an endpoint's load takes over
+INTERVAL_GAIN = 0.02  # smoothing factor of the mean report interval
+LOAD_GAIN = 0.4  # smoothing factor of an endpoint's load
 DECAY_TIME_S = 3.0  # time constant of the decaying sums
-DECAY_TIME_INTERVALS = 1.5  # the same in report intervals; the longer of both counts
-INITIAL_CAPACITY = 8.0  # requests in flight, until an endpoint shows more
+DECAY_TIME_INTERVALS = 1.5  # the same in report intervals; the longer of the two applies
+INITIAL_CAPACITY = 8.0  # requests in flight, until more were observed at an endpoint
 MIN_CAPACITY = INITIAL_CAPACITY / 2
-CAPACITY_STEP_DOWN = 0.3  # part of the way towards what a late endpoint has in flight
-ON_TIME_SHARE = 0.5  # of the latency objective; a mean duration over it is late
-FAILING_RATIO = 0.15  # of the attempts, at the median endpoint: full strain
+CAPACITY_STEP_DOWN = 0.3  # part of the way down to the requests in flight of a late endpoint, per report
+ON_TIME_SHARE = 0.5  # of the latency objective; a mean duration above it is late
+FAILING_RATIO = 0.15  # error ratio of the median endpoint at which the strain is 1
 
 
 def median(values: Iterable[float]) -> float:
-    """Returns the middle value, or the mean of both middle ones; there must be at least one.
+    """Returns the middle value, or the mean of the two middle values; there must be at least one.
 
-    `statistics` of the standard library would load `decimal` and `fractions` into every controller.
+    The standard library's `statistics` is not used, as it would load `decimal` and `fractions` into every
+    controller.
     """
     ordered = sorted(values)
     middle = len(ordered) // 2
@@ -34,23 +35,24 @@
 
 
 def error_ratio(endpoints: Iterable[Endpoint], unknown: float = 0.0) -> float:
-    """Returns the failed part of the attempts at some endpoints, or `unknown` where there were none."""
+    """Returns the failed part of the attempts at some endpoints, or `unknown` if there were none."""
     endpoints = list(endpoints)
     attempts = sum(endpoint.attempts for endpoint in endpoints)
     return sum(endpoint.errors for endpoint in endpoints) / attempts if attempts >= 1.0 else unknown
 
 
 def median_error_ratio(endpoints: Iterable[Endpoint]) -> float:
-    """Returns the median over endpoints of the failed part of their attempts; 0 without attempts."""
+    """Returns the median of the endpoints' error ratios; 0 if none has attempts."""
     ratios = [endpoint.errors / endpoint.attempts for endpoint in endpoints if endpoint.attempts >= 1]
     return median(ratios or [0.0])
 
 
 def strain(endpoints: Iterable[Endpoint], latency_objective: float) -> float:
-    """Returns how far the median endpoint is from answering on time; 1 is the limit.
+    """Returns the strain of some endpoints, measured at the median one; 1 is the limit.
 
-    The strain is the mean duration over the on-time part of the objective (s), or the error ratio over the
-    failing one. Errors count only as far as answers are late: errors beside quick answers are no overload.
+    The strain is the larger of two ratios: the mean duration divided by ON_TIME_SHARE of the latency
+    objective (s), and the error ratio divided by FAILING_RATIO. The second is reduced while answers are on
+    time, as errors together with quick answers are no overload.
     """
     used = [endpoint for endpoint in endpoints if not endpoint.ejected and endpoint.attempts >= 1]
     durations = [
@@ -62,21 +64,21 @@
 
 
 class Telemetry:
-    """Takes load reports in, and lets them fade."""
+    """Records load reports and decays their sums."""
 
     def __init__(self, report_period: float, request_classes: Sequence[RequestClass]) -> None:
-        """`report_period`: seconds between two reports of a collector, as set."""
+        """`report_period`: configured seconds between two reports from a collector."""
         self._report_period = report_period
         self._request_classes = request_classes
-        self.report_interval = report_period  # s that reports in fact cover, smoothed
-        self.fleet_answers = 0.0  # of all endpoints since the start
-        # s; the mean over the requests that come
+        self.report_interval = report_period  # s that a report actually covers, smoothed
+        self.fleet_answers = 0.0  # answers of all endpoints since the start
+        # s; the mean over all requests, see `update_latency_objective`
         self.latency_objective = min(
             (request_class.latency_objective for request_class in request_classes), default=1.0
         )
 
     def record_endpoint_load(self, endpoint: Endpoint, report: EndpointLoadReported) -> None:
-        """Adds what the proxies of a zone saw of an endpoint."""
+        """Adds a report on an endpoint from the proxies of a zone."""
         window = max(report.window, self._report_period)
         self.report_interval += INTERVAL_GAIN * (window - self.report_interval)
         answers = max(0, report.attempts - report.errors)
@@ -97,7 +99,7 @@
             )
 
     def _learn_capacity(self, endpoint: Endpoint, in_flight: float) -> None:
-        """Raises the capacity to what is in flight on time, and lowers it while the endpoint is late."""
+        """Raises the capacity to the requests in flight while answers are on time, else lowers it."""
         on_time = ON_TIME_SHARE * self.latency_objective
         late = endpoint.answers and endpoint.answer_seconds / endpoint.answers > on_time
         if late:
@@ -107,13 +109,13 @@
             endpoint.capacity = max(endpoint.capacity, in_flight)
 
     def record_proxy_load(self, proxy: Proxy, report: ProxyLoadReported) -> None:
-        """Moves the rate of a request class at a proxy half way to the reported one."""
+        """Moves the rate of a request class at a proxy halfway to the reported rate."""
         if report.request_class < len(self._request_classes) and report.window > 0:
             rate = report.requests / report.window
             proxy.rates[report.request_class] += (rate - proxy.rates[report.request_class]) / 2
 
     def decay(self, endpoints: Iterable[Endpoint], elapsed: float) -> None:
-        """Lets the sums of endpoints fade for `elapsed` seconds."""
+        """Decays the sums of endpoints by `elapsed` seconds."""
         remaining_share = 1.0 - elapsed / max(DECAY_TIME_S, DECAY_TIME_INTERVALS * self.report_interval)
         for endpoint in endpoints:
             endpoint.answers *= remaining_share
@@ -122,7 +124,7 @@
             endpoint.errors *= remaining_share
 
     def reset(self, endpoint: Endpoint, now: float) -> None:
-        """Forgets what was seen of an endpoint, as it is of a former incarnation or of before an ejection."""
+        """Clears the sums of an endpoint after a restart or an ejection."""
         endpoint.answers = 0.0
         endpoint.answer_seconds = 0.0
         endpoint.attempts = 0.0
@@ -134,7 +136,7 @@
         endpoint.new_answers = 0
 
     def update_latency_objective(self, proxies: Iterable[Proxy]) -> None:
-        """Sets the objective (s) to the mean over the requests that come to the proxies."""
+        """Sets the latency objective (s) to the mean over all requests to the proxies."""
         rates = [(rate, number) for proxy in proxies for number, rate in enumerate(proxy.rates)]
         weighted = sum(rate * self._request_classes[number].latency_objective for rate, number in rates)
         if weighted:
--- a/oatcart/policy/weighting.py
+++ b/oatcart/policy/weighting.py
@@ -1,4 +1,4 @@
-"""Target weights: what each endpoint of a routing table should have, from score, slow start and locality."""
+"""Target weights of the endpoints of a routing table, from score, slow start and locality."""
 
 from oatcart.model import WarmUpLimits
 from oatcart.policy.load_shedding import LoadShedding
@@ -10,7 +10,7 @@
 
 
 class Weighting:
-    """Computes target weights."""
+    """Computes the target weights of routing tables."""
 
     def __init__(
         self,
@@ -20,7 +20,7 @@
         workload: Workload,
         shedding: LoadShedding,
     ) -> None:
-        """All state is handed in; nothing is kept here."""
+        """All arguments are shared with other modules; this class has no state of its own."""
         self._warm_up = warm_up
         self._tables = tables
         self._spillover = spillover
@@ -28,7 +28,7 @@
         self._shedding = shedding
 
     def target_weights(self, table: RoutingTable, now: float) -> dict[int, int]:
-        """Returns the weights that a table should have: integers of at least 1, by endpoint."""
+        """Returns the target weights of a table by endpoint, integers of at least 1."""
         pool = self._tables.endpoints(table)
         local_zones = self._local_zones(table, pool, now)
         weights = {
@@ -41,7 +41,7 @@
         return weights
 
     def _local_zones(self, table: RoutingTable, pool: dict[int, Endpoint], now: float) -> set[int]:
-        """Returns the table's local zone, or nothing while all of its endpoints there are warming up."""
+        """Returns the table's local zone, or no zone if all its endpoints there are warming up."""
         local = [
             endpoint
             for endpoint in pool.values()
@@ -50,10 +50,10 @@
         return {endpoint.zone for endpoint in local if warm_fraction(endpoint, self._warm_up, now) >= 1.0}
 
     def _factor(self, table: RoutingTable, endpoint: Endpoint, local_zones: set[int], now: float) -> float:
-        """Returns what an endpoint's score is multiplied by: its ramp, its zone's weight, locality."""
+        """Returns the factor of an endpoint's score, from its ramp, its zone's weight and its locality."""
         zone_weight = 1.0 if table.zones else self._spillover.weight(endpoint.zone)
         bound = endpoint.zone in self._spillover.bound_zones
-        # a zone that classes are bound to is relieved of other requests; any other only loses its preference
+        # other classes leave a strained zone that classes are bound to; any other is only preferred less
         factor = ramp(now - endpoint.ramp_started_at) * (zone_weight if bound else 1.0)
         if endpoint.zone in local_zones:
             factor *= 1.0 + (LOCAL_FACTOR - 1) * zone_weight
--- a/oatcart/policy/workload.py
+++ b/oatcart/policy/workload.py
@@ -1,4 +1,4 @@
-"""The work that requests bring to routing tables, and how many endpoints it fills."""
+"""The offered work of routing tables, and the number of endpoints that it fills."""
 
 from collections.abc import Sequence
 
@@ -9,20 +9,20 @@
 
 
 class Workload:
-    """Offered work by table, in seconds of work a second: the rate times the latency objective."""
+    """Offered work by table: request rate times latency objective, so seconds of work per second."""
 
     def __init__(
         self, request_classes: Sequence[RequestClass], registry: EndpointRegistry, tables: TableRegistry
     ) -> None:
-        """`request_classes`: by number."""
+        """`request_classes`: the index of a class is its number."""
         self._request_classes = request_classes
         self._registry = registry
         self._tables = tables
         self._by_table: dict[int, dict[int, float]] = {}
-        self._admitted = 0.0  # of all tables together
+        self._admitted = 0.0  # admitted work of all tables
 
     def update(self) -> None:
-        """Adds up what comes to the proxies of each table."""
+        """Sums the offered and the admitted work of all tables, from the rates at their proxies."""
         tables = self._tables.tables
         self._by_table = {
             number: {request_class: self._offered(table, request_class) for request_class in table.classes}
@@ -41,12 +41,12 @@
         return self._by_table[table.number]
 
     def filled_endpoints(self, table: RoutingTable) -> float:
-        """Returns how many endpoints the work offered to a table would fill.
+        """Returns the number of endpoints that the offered work of a table would fill.
 
-        The work that all tables admit fills all ready endpoints.
+        It is assumed that the admitted work of all tables together fills all ready endpoints.
         """
         offered = sum(self._by_table.get(table.number, {}).values())
         work_share = offered / self._admitted if self._admitted else 1.0
-        # endpoints of a subset are filled by the other subsets too that have them
+        # an endpoint of a subset is also filled by the other subsets that it is in
         subsets_per_endpoint = 1 if table.complete else SUBSETS_PER_ENDPOINT
         return len(self._registry.pool()) * work_share * subsets_per_endpoint
