--- a/tests/policy/scenario_player.py
+++ b/tests/policy/scenario_player.py
@@ -1,4 +1,4 @@
-"""Plays a scenario on the decisions: hands its events to a controller and checks the commands.
+"""Plays a scenario on the policy: passes its events to a controller and checks the commands.
 
 The notation is in `tests/README.md`.
 """
@@ -56,10 +56,10 @@
 
 
 class RecordedCommands:
-    """Takes commands as words with a value, and keeps the tables as proxies would."""
+    """Records each command as words with a value, and keeps the resulting weights of the tables."""
 
     def __init__(self) -> None:
-        self.given: list[tuple[str, float]] = []  # since it was last cleared
+        self.given: list[tuple[str, float]] = []  # commands since it was last cleared
         self.weights: dict[tuple[int, int], float] = {}  # by table and endpoint
         self.last_nonce = 0
 
@@ -111,11 +111,11 @@
         self._add("schedule", delay)
 
     def log(self, text: str) -> None:
-        """Drops the line: no scenario checks it."""
+        """Ignores the line, as no scenario checks it."""
 
 
 class ScenarioPlayer:
-    """Plays one scenario; a check that fails raises AssertionError with the line."""
+    """Plays one scenario; a failed check raises AssertionError with its line."""
 
     def __init__(self) -> None:
         self._settings = DEFAULT_SETTINGS
@@ -123,8 +123,8 @@
         self._commands = RecordedCommands()
         self._controller: Controller | None = None
         self._now = 0.0  # s
-        self._events: list[Event] | None = None  # of the round that is to be played next; None: there is none
-        self._checked = False  # whether the recorded commands were checked
+        self._events: list[Event] | None = None  # of the round to be played next; None: there is none
+        self._checked = False  # whether recorded commands were checked since the last round
 
     def play(self, text: str) -> None:
         """Plays all steps of a scenario."""
@@ -150,7 +150,7 @@
                 self._add_event(step)
 
     def _begin_round(self, time: float) -> None:
-        """Plays the round before; commands that were checked do not count for later checks."""
+        """Plays the previous round; commands that were checked are dropped before the next one."""
         self._play_round()
         self._now = time
         self._events = []
@@ -178,7 +178,7 @@
         assert found == (step[0] != "deny"), f"at {self._now}: {' '.join(step)}; commands: {given}"
 
     def _values(self, words: Step) -> list[float]:
-        """Returns the figures that a check is about: one of the tables, or one for each matching command."""
+        """Returns the values that a check compares: one of the tables, or one for each matching command."""
         entries = [at for at, weight in self._commands.weights.items() if weight]
         match words:
             case ["entry", table, endpoint]:
@@ -192,7 +192,7 @@
 
 
 def unrolled(text: str) -> list[Step]:
-    """Returns the steps of a scenario, with those of `until` written out for each time."""
+    """Returns the steps of a scenario, with those of `until` repeated for each time."""
     lines = [words for line in text.splitlines() if (words := line.split("#")[0].split())]
     now = 0.0
     steps: list[Step] = []
@@ -213,7 +213,7 @@
 
 
 def split_condition(step: Step) -> tuple[Step, Callable[[float], bool]]:
-    """Splits a check into its words and the condition on the figure; without one any figure holds."""
+    """Splits a check into its words and the condition on the value; without one any value passes."""
     *words, sign, limit = step
     if sign not in COMPARISONS:
         return step, lambda value: True
@@ -221,7 +221,7 @@
 
 
 def with_setting(settings: ControllerSettings, name: str, value: str) -> ControllerSettings:
-    """Returns the settings with one changed; `name`: a field, or `channel.max_queue` for one of a record."""
+    """Returns the settings with one changed; `name`: a field, or as `channel.max_queue` that of a record."""
     record_name, _, field = name.rpartition(".")
     if record_name:
         record = getattr(settings, record_name)
@@ -232,12 +232,12 @@
 
 
 def parsed(text: str, example: AdmissionMode | float) -> AdmissionMode | float:
-    """Returns a setting as the type of an example value."""
+    """Returns a setting converted to the type of an example value."""
     return type(example)(text if isinstance(example, str) else float(text))
 
 
 def request_class(words: Step) -> RequestClass:
-    """Reads `1 0.5 idempotent`: priority weight, latency objective, idempotency; then where it is served."""
+    """Reads `1 0.5 idempotent`: priority weight, latency objective, idempotency; then zones if limited."""
     priority_weight, objective, idempotency, *where = words
     zones = tuple(map(int, where[1].split(","))) if where[:1] == ["zones"] else ()
     own_zone_only = where == ["own_zone_only"]
@@ -256,7 +256,7 @@
 
 
 def event(step: Step, last_nonce: int) -> Event:
-    """Reads an event; an acknowledgement is of the last nonce."""
+    """Reads an event; `ack` acknowledges the last nonce."""
     match step:
         case ["list" | "changes" as name, *entries]:
             return EndpointListReceived(name == "list", [endpoint_entry(word) for word in entries])
@@ -275,7 +275,7 @@
             return UpdateAcknowledged(int(proxy), last_nonce, 0.1)
         case ["health_check", endpoint, outcome]:
             return HealthCheckCompleted(int(endpoint), HealthCheckOutcome[outcome.upper()], 0.1, LoadReport())
-    raise ValueError(f"no step of a scenario: {' '.join(step)}")
+    raise ValueError(f"unknown step of a scenario: {' '.join(step)}")
 
 
 def load_report(words: Step) -> LoadReport:
--- a/tests/policy/test_policy_flow_control.py
+++ b/tests/policy/test_policy_flow_control.py
@@ -1,4 +1,4 @@
-"""What the update channel takes, and what acknowledgements give back."""
+"""Reservations of the update channel, and how acknowledgements release them."""
 
 import pytest
 
@@ -27,7 +27,7 @@
     assert channel.queued == 34.0  # 2 lines and 2 notices
 
 
-def test_lines_that_do_not_fit_wait_or_go_in_part():
+def test_lines_that_do_not_fit_are_reserved_in_part_or_not_at_all():
     channel, proxies = started_channel(), two_proxies()
     assert channel.reserve(proxies, 46, WEIGHTS_SHARE) == 0  # 102 of 0.5 * 200
     assert channel.reserve(proxies, 46, WEIGHTS_SHARE, minimum=46) == 0
@@ -37,21 +37,21 @@
 
 
 @pytest.mark.parametrize("nonces, queued", [([], 80.0), ([7], 80.0), ([1], 0.0), ([1, 1], 0.0)])
-def test_what_no_acknowledgement_shows_as_gone_stays_queued(nonces, queued):
+def test_unacknowledged_lines_stay_queued(nonces, queued):
     channel = started_channel()
     channel.reserve(two_proxies(), 85, URGENT_SHARE)  # 180 lines, 90 for each acknowledgement
     channel.end_round(1)
     for nonce in nonces:
         channel.acknowledge(nonce)
     channel.begin_round(102.0)
-    assert channel.queued == queued  # but for the lines of the second that acknowledgements take
+    assert channel.queued == queued  # without the lines of the second that acknowledgements take
     assert channel.is_idle == (not queued)
 
 
-def test_the_message_cap_is_filled_by_share_and_its_last_message_is_never_used():
+def test_a_share_of_the_message_cap_may_be_used_and_its_last_message_never():
     channel = started_channel(ChannelLimits(max_messages=4, message_window=10.0))
     proxies = two_proxies()
-    given = []
+    reserved = []
     for now, share in [
         (101, WEIGHTS_SHARE),
         (102, WEIGHTS_SHARE),
@@ -59,8 +59,8 @@
         (104, OVERDUE_SHARE),
     ]:
         channel.begin_round(now)
-        given.append(channel.reserve(proxies, 1, share))
-    assert given == [1, 0, 1, 1]
+        reserved.append(channel.reserve(proxies, 1, share))
+    assert reserved == [1, 0, 1, 1]
     channel.begin_round(105.0)
     assert channel.reserve(proxies, 1, OVERDUE_SHARE) == 0
     channel.begin_round(111.5)  # the first one has left the window
--- a/tests/policy/test_policy_load_shedding.py
+++ b/tests/policy/test_policy_load_shedding.py
@@ -1,4 +1,4 @@
-"""Quotas by rate, and errors that mean overload."""
+"""Admission quotas as a rate, and errors that indicate overload."""
 
 import pytest
 from policy_records import make_endpoint
@@ -9,8 +9,8 @@
 @pytest.mark.parametrize(
     "rates, share, quota",
     [
-        ([5.0, 5.0], 0.8, 6.0),  # 4 each, and its root
-        ([96.0, 4.0], 0.2, 20.0),  # 20 in all, less the 4 of the small proxy: 16, and its root
+        ([5.0, 5.0], 0.8, 6.0),  # 4 each, plus the square root
+        ([96.0, 4.0], 0.2, 20.0),  # 20 in all, less the 4 of the small proxy: 16, plus the square root
         ([0.0, 0.0], 0.5, 0.0),
         ([], 0.5, UNLIMITED_RATE + 1000.0),
     ],
--- a/tests/policy/test_policy_locality.py
+++ b/tests/policy/test_policy_locality.py
@@ -17,5 +17,5 @@
     ]
 
 
-def test_a_class_of_the_own_zone_shares_the_table_of_one_that_is_bound_there():
+def test_an_own_zone_class_shares_the_table_of_a_class_bound_to_that_zone():
     assert table_keys(CLASSES, 0, 0.0)[1:] == [TableKey((1, 2), (0,), NO_ZONE)]
--- a/tests/policy/test_policy_outlier_detection.py
+++ b/tests/policy/test_policy_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Which endpoints fail beyond their peers, and pools that would be left empty."""
+"""Endpoints that fail more than their peers, and pools whose endpoints are all ejected."""
 
 import pytest
 from policy_records import make_endpoint
@@ -20,14 +20,14 @@
         (seen(20, 17), [seen(20, 6)], True),  # over 0.5 + 0.3
         (seen(20, 15), [seen(20, 6)], False),
         (seen(20, 15), [seen(20, 6), seen(200, 0, zone=1)], False),  # its own zone fails alike
-        (seen(20, 15), [seen(20, 20, ejected=True), seen(20, 0)], True),  # ejected peers don't count
+        (seen(20, 15), [seen(20, 20, ejected=True), seen(20, 0)], True),  # ejected peers are ignored
     ],
 )
-def test_an_outlier_fails_beyond_its_peers_and_its_zone(endpoint, peers, failing):
+def test_an_outlier_fails_more_than_its_peers_and_its_zone(endpoint, peers, failing):
     assert is_failing(endpoint, [endpoint, *peers]) is failing
 
 
-def test_only_a_pool_without_another_endpoint_is_restored():
+def test_a_pool_is_restored_only_if_all_its_endpoints_are_ejected():
     ejected, also_ejected, used = seen(0, 0, ejected=True), seen(0, 0, ejected=True), seen(0, 0)
     restore_empty_pools([{0: ejected, 1: used}])
     assert ejected.ejected
--- a/tests/policy/test_policy_scenarios.py
+++ b/tests/policy/test_policy_scenarios.py
@@ -1,4 +1,4 @@
-"""The decisions keep the rules that the scenarios show, and depend on nothing but their events."""
+"""The policy passes all scenarios, and its commands depend only on its events and seed."""
 
 from pathlib import Path
 
@@ -18,7 +18,7 @@
 
 
 def events_of(number):
-    """Events of a round: the list each ninth time, a proxy that joins, reports of eight endpoints."""
+    """Returns the events of a round: a list in every ninth, a joining proxy, reports on eight endpoints."""
     entries = [EndpointEntry(at, at % 2, 0.0, EndpointState.READY, 1.0) for at in range(8)]
     lists = [EndpointListReceived(True, entries)] if number % 9 == 0 else []
     loads = [
@@ -29,13 +29,13 @@
 
 
 def commands_of_run():
-    """The commands of a controller in 40 rounds."""
+    """Returns the commands of a controller over 40 rounds."""
     controller, commands = Controller(DEFAULT_SETTINGS, seed=1), RecordedCommands()
     for number in range(40):
         controller.round(number / 2, events_of(number), commands)
     return commands.given
 
 
-def test_same_events_same_commands():
+def test_the_same_events_give_the_same_commands():
     first, second = commands_of_run(), commands_of_run()
     assert first == second and len(first) > 100
--- a/tests/policy/test_policy_slow_start.py
+++ b/tests/policy/test_policy_slow_start.py
@@ -1,4 +1,4 @@
-"""The ramp of slow start, and what a pool that is warming up can hold."""
+"""The ramp of slow start, and the share of work that a warming-up pool admits."""
 
 import pytest
 from policy_records import make_endpoint
--- a/tests/test_routing_tables.py
+++ b/tests/test_routing_tables.py
@@ -1,4 +1,4 @@
-"""Routing tables over random commands: what proxies hold, and which requests they may retry."""
+"""Routing tables under random commands: the state of proxies, and the requests that they may retry."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -33,7 +33,7 @@
 
 
 class ProxyReplica:
-    """What a proxy holds by the protocol: a complete table replaces weights and admission of its classes."""
+    """The state of a proxy: a complete table replaces the weights and the admission of its classes."""
 
     def __init__(self, ejected=()):
         self.weights = [{} for _ in range(CLASSES)]
@@ -60,7 +60,7 @@
 
 
 def expected_state(tables, proxy):
-    """What a proxy is to hold of the tables that it is assigned: weights and admission by class."""
+    """Returns the weights and the admission by class that a proxy should have from its assigned tables."""
     weights, admission = [{} for _ in range(CLASSES)], [None] * CLASSES
     for table, classes in tables.proxies[proxy].assignments.items():
         current = {endpoint: weight for endpoint, weight in tables.tables[table].weights.items() if weight}
@@ -80,15 +80,18 @@
         assert all((endpoint in replica.ejected) == (endpoint in tables.ejected) for endpoint in wanted)
 
 
-small = st.integers
-classes = small(0, (1 << CLASSES) - 1)
-steps = st.one_of(
+integers = st.integers
+classes = integers(0, (1 << CLASSES) - 1)
+command_steps = st.one_of(
     st.tuples(
-        st.just("set_weight"), small(0, TABLES - 1), small(0, ENDPOINTS - 1), st.sampled_from([0, 1, 20, 70])
+        st.just("set_weight"),
+        integers(0, TABLES - 1),
+        integers(0, ENDPOINTS - 1),
+        st.sampled_from([0, 1, 20, 70]),
     ),
-    st.tuples(st.just("clear_table"), small(0, TABLES - 1)),
-    st.tuples(st.just("assign_table"), small(0, TABLES - 1), small(0, PROXIES - 1), classes),
-    st.tuples(st.just("set_ejected"), small(0, ENDPOINTS - 1), st.booleans()),
+    st.tuples(st.just("clear_table"), integers(0, TABLES - 1)),
+    st.tuples(st.just("assign_table"), integers(0, TABLES - 1), integers(0, PROXIES - 1), classes),
+    st.tuples(st.just("set_ejected"), integers(0, ENDPOINTS - 1), st.booleans()),
     st.tuples(
         st.just("set_admission"),
         st.sampled_from([*range(TABLES), ALL_TABLES]),
@@ -96,22 +99,22 @@
         st.sampled_from([0.25, 0.5, 1.0]),
         st.sampled_from([RetryPolicy.NEVER, RetryPolicy.IF_NOT_PROCESSED, RetryPolicy.ON_FAILURE]),
     ),
-    st.tuples(st.just("join"), small(0, PROXIES - 1), st.booleans()),
-    st.tuples(st.just("leave"), small(0, PROXIES - 1)),
+    st.tuples(st.just("join"), integers(0, PROXIES - 1), st.booleans()),
+    st.tuples(st.just("leave"), integers(0, PROXIES - 1)),
     st.tuples(st.just("send")),
 )
 
 
 @settings(derandomize=True, deadline=None, max_examples=300)
-@given(st.lists(steps, min_size=10, max_size=60))
-def test_a_proxy_that_has_its_updates_holds_what_the_tables_say(done):
-    """Proxies join thrice in a row, streams end between a round's commands, classes are assigned anew.
+@given(st.lists(command_steps, min_size=10, max_size=60))
+def test_proxies_have_the_state_of_their_tables_after_each_update(commands):
+    """Proxies may join several times in a row, streams may end within a round, classes may be reassigned.
 
-    Whoever is joined when updates are sent holds the tables that it is assigned, with their admission, and
-    knows of each of their endpoints whether it is ejected.
+    Every proxy that is joined when updates are sent has its assigned tables with their admission, and the
+    correct state of each of their endpoints, ejected or not.
     """
     tables, replicas = RoutingTables(CLASSES), {}
-    for name, *arguments in [*done, ("send",)]:
+    for name, *arguments in [*commands, ("send",)]:
         if name == "send":
             tables.request_ack(1, False)
             for proxy, parts in tables.updates():
@@ -131,16 +134,16 @@
 
 
 events = st.one_of(
-    st.builds(ProxyJoined, small(0, PROXIES - 1), small(0, 1), st.just(10.0), st.booleans()),
-    st.builds(ProxyLeft, small(0, PROXIES - 1)),
+    st.builds(ProxyJoined, integers(0, PROXIES - 1), integers(0, 1), st.just(10.0), st.booleans()),
+    st.builds(ProxyLeft, integers(0, PROXIES - 1)),
     st.builds(
         EndpointListReceived,
         st.booleans(),
         st.lists(
             st.builds(
                 EndpointEntry,
-                small(0, ENDPOINTS - 1),
-                small(0, 1),
+                integers(0, ENDPOINTS - 1),
+                integers(0, 1),
                 st.sampled_from([0.0, 5.0]),
                 st.sampled_from(EndpointState),
                 st.just(1.0),
@@ -150,8 +153,8 @@
     ),
     st.builds(
         EndpointLoadReported,
-        small(0, ENDPOINTS - 1),
-        small(0, 1),
+        integers(0, ENDPOINTS - 1),
+        integers(0, 1),
         st.just(1.0),
         st.sampled_from([0.05, 0.9]),
         st.sampled_from([0, 3, 20]),
@@ -160,18 +163,18 @@
     ),
     st.builds(
         ProxyLoadReported,
-        small(0, PROXIES - 1),
-        small(0, CLASSES - 1),
-        small(0, 400),
+        integers(0, PROXIES - 1),
+        integers(0, CLASSES - 1),
+        integers(0, 400),
         st.just(0),
         st.just(1.0),
     ),
-    st.builds(UpdateAcknowledged, small(0, PROXIES - 1), small(0, 30), st.just(0.1)),
+    st.builds(UpdateAcknowledged, integers(0, PROXIES - 1), integers(0, 30), st.just(0.1)),
 )
 
 
 class Adapter(RoutingTables):
-    """A command writer without sockets."""
+    """A command writer without I/O."""
 
     schedule_round = check_health = watch_endpoints = log = lambda self, *_: None
 
@@ -180,7 +183,7 @@
 
 
 def controller_settings(by_rate):
-    """One class of each idempotency; that of keyed requests is served in the proxy's own zone only."""
+    """One class of each idempotency; the keyed one is served only in the proxy's own zone."""
     return ControllerSettings(
         request_classes=tuple(
             RequestClass(1, 1, idempotency, own_zone_only)
@@ -197,7 +200,7 @@
 
 
 def first_events():
-    """A complete list of ready endpoints, and a proxy that joins."""
+    """A complete list of ready endpoints, and a joining proxy."""
     entries = [
         EndpointEntry(number, number % 2, 0.0, EndpointState.READY, 1.0) for number in range(ENDPOINTS)
     ]
@@ -210,15 +213,16 @@
     st.booleans(),
 )
 def test_only_idempotent_requests_are_retried_after_any_failure(rounds, by_rate):
-    """Also between two parts of an update, after a complete table, a changed quota or a new assignment.
+    """Checked after each part of an update, so also if a proxy applies only some of them.
 
-    A keyed class counts as not idempotent here: its keys are known for some time and to some endpoints only.
+    This covers complete tables, changed quotas and new assignments. A keyed class counts as not idempotent,
+    because only some endpoints know its keys, and only for some time.
     """
     tables, replicas, now = Adapter(CLASSES), {}, 10.0
     controller = Controller(controller_settings(by_rate), seed=1)
     for gap, events_of_round in [(0.0, first_events()), *rounds]:
         now += gap
-        for event in events_of_round:  # as on sockets: proxies join and leave before the round
+        for event in events_of_round:  # as on sockets, proxies join and leave before the round
             match event:
                 case ProxyJoined():
                     tables.add_proxy(event.proxy, event.unconfigured)
@@ -228,7 +232,7 @@
                     replicas.pop(event.proxy, None)
         controller.round(now, events_of_round, tables)
         for proxy, parts in tables.updates():
-            for part in parts:  # also if the rest of the update never comes
+            for part in parts:  # also if the rest of the update is not received
                 replicas[proxy].apply([part])
                 for request_class, admission in enumerate(replicas[proxy].admission):
                     assert (
