--- a/oatcart/policy/discovery.py
+++ b/oatcart/policy/discovery.py
@@ -78,9 +78,7 @@
         _apply_entry(endpoint, entry, now)
         if entry.started_at > endpoint.started_at:
             endpoint.started_at = entry.started_at
-            endpoint.answer_share = (
-                0.0  # it gets fewer requests while warming up, so fewer answers are expected
-            )
+            endpoint.answer_share = 0.0  # fewer answers are expected while it warms up
             outliers.restore(endpoint, ramp_start(entry.started_at, warm_up), now)
 
 
--- a/oatcart/policy/flow_control.py
+++ b/oatcart/policy/flow_control.py
@@ -3,6 +3,10 @@
 Every command reserves its lines here before it is given: one line for each proxy that it is sent to, and the
 overhead of each new message. Only acknowledgements show how fast the channel is, so lines that are not known
 to be acknowledged count as queued.
+
+A reservation may fill a share of the message cap that depends on its purpose; the rest is kept for more
+urgent ones. URGENT_SHARE and OVERDUE_SHARE reservations may fill QUEUE_SHARE of the queue. All others may
+fill only their share (NEW_ENTRIES_SHARE: QUEUE_SHARE) of the lines that the channel sends within ACK_WAIT_S.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -13,18 +17,16 @@
 from oatcart.model import ChannelLimits
 from oatcart.policy.state import LONG_AGO, Proxy
 
-# Shares of a proxy's message cap that a reservation may fill; the rest is kept for more urgent ones. Of the
-# queue, URGENT and OVERDUE may fill QUEUE_SHARE; the others may fill their own share, and NEW_ENTRIES
-# QUEUE_SHARE, of the lines that the channel sends within ACK_WAIT_S.
+# Shares of a proxy's message cap that a reservation may fill, by its purpose
 WEIGHTS_SHARE = 0.5  # changes of weights
 ASSIGNMENT_SHARE = 0.6  # tables of joined proxies, restored endpoints
 URGENT_SHARE = 0.7  # draining and ejected endpoints, admission
 NEW_ENTRIES_SHARE = 0.75  # a table that lacks many of its endpoints
-OVERDUE_SHARE = 1.0  # overdue drains
+OVERDUE_SHARE = 1.0  # drains that have waited for OVERDUE_S
 QUEUE_SHARE = 0.9  # of the queue, the limit for all reservations
 ACK_DELAY_S = 1.0  # from leaving the channel to the acknowledgement
 MAX_SLOWDOWN = 4.0  # factor by which the channel may be slower than its line rate
-ACK_WAIT_S = 2.0  # seconds of lines that less urgent updates may queue; also how long `publication` waits
+ACK_WAIT_S = 2.0  # that less urgent updates may queue for; also the longest wait of `publication`
 
 
 @dataclass(slots=True)
@@ -48,7 +50,7 @@
         self._reserved = 0.0  # lines since the start
         self._reserved_before_round = 0.0
         self._acknowledged = 0.0  # lines since the start that have left, by acknowledgements
-        self._last_ack_at = 0.0  # when an acknowledgement last came, or when waiting for one began
+        self._last_ack_at = 0.0  # when an acknowledgement was last received, or waiting for one began
         self._acknowledged_rate = 0.0  # lines/s
         self._measured_at = LONG_AGO
         self._acknowledged_when_measured = 0.0  # at the last measurement of the rate
--- a/oatcart/policy/locality.py
+++ b/oatcart/policy/locality.py
@@ -13,7 +13,7 @@
 REMOTE_STRAIN = 0.6  # of any other zone; above it the preference for it is reduced
 SPILL_FACTOR = 0.7  # by which a zone's weight shrinks in a second with strain
 RECOVERY_FACTOR = 1.06  # by which a zone's weight grows in a second without strain
-MIN_ZONE_WEIGHT = 0.05  # above 0, so that load reports from the zone still come
+MIN_ZONE_WEIGHT = 0.05  # above 0, so that load reports still cover the zone
 
 
 class TableKey(NamedTuple):
--- a/oatcart/policy/scoring.py
+++ b/oatcart/policy/scoring.py
@@ -21,9 +21,7 @@
 FAST_DURATION_S = 0.2  # mean durations up to it score 100 points
 DURATION_PENALTY = 200.0  # points for each second above FAST_DURATION_S
 ERROR_PENALTY = 1000.0  # points for an error ratio of 1
-NEUTRAL_SCORE = (
-    50.0  # points for a constant load, for bytes, which are not reported, and for unknown endpoints
-)
+NEUTRAL_SCORE = 50.0  # points for a constant load, for bytes (not reported) and without load reports
 TREND_SAMPLES = 30  # loads, one per second, that the trend is computed from
 MAX_SCORE_GROWTH = 1.35  # maximum factor in one second, so that an idle endpoint is not overloaded
 MIN_SCORE_GROWTH = 1.0  # points; a score may always grow by this much in one second
--- a/oatcart/policy/slow_start.py
+++ b/oatcart/policy/slow_start.py
@@ -16,9 +16,7 @@
 # Safe share of the load at which a warming-up endpoint fails: a half because proxies use the power of two
 # choices, and half of that because proxies of other controllers use the endpoint too
 SAFE_LOAD_SHARE = 0.25
-MAX_DRAW_MULTIPLE = (
-    2.5  # load that random draws may send to a warming-up endpoint, as a multiple of what it sustains
-)
+MAX_DRAW_MULTIPLE = 2.5  # multiple of its sustained load that random draws may send to an endpoint
 POOL_MARGIN = 1.2  # load admitted to a mostly warming-up pool, as a multiple of its present capacity
 MIN_SUCCESS_RATIO = 0.05  # lower bound of the success ratio, and its value without load reports
 
--- a/oatcart/policy/state.py
+++ b/oatcart/policy/state.py
@@ -73,9 +73,7 @@
     configured_before: bool  # it has tables from some controller, which may have ejected endpoints there
     joined_at: float
     rates: list[float]  # requests/s, by request class
-    message_times: deque[float] = field(
-        default_factory=deque
-    )  # s, of messages within the cap's window; flow_control
+    message_times: deque[float] = field(default_factory=deque)  # within the cap's window; flow_control
     assigned: bool = False  # it has all its tables; assignment
     tables: list["RoutingTable"] = field(default_factory=list)
 
@@ -99,9 +97,7 @@
     admitted_share: float = 1.0  # of the offered work; load_shedding
     last_cut_at: float = LONG_AGO  # when the admitted share was last cut
     retries_worthwhile: bool = False  # whether retries after any failure are; load_shedding
-    admission: dict[int, tuple[float, RetryPolicy]] = field(
-        default_factory=dict
-    )  # share and retry policy by class, as sent
+    admission: dict[int, tuple[float, RetryPolicy]] = field(default_factory=dict)  # by class, as sent
 
     @property
     def complete(self) -> bool:
--- a/oatcart/routing_tables.py
+++ b/oatcart/routing_tables.py
@@ -59,9 +59,7 @@
 
     unconfigured: bool  # it had no table from any controller when it joined, so no endpoint is ejected there
     assignments: dict[int, int] = field(default_factory=dict)  # mask of request classes, by table
-    sent_ejections: dict[int, bool] = field(
-        default_factory=dict
-    )  # whether an endpoint is ejected, by endpoint
+    sent_ejections: dict[int, bool] = field(default_factory=dict)  # whether ejected, by endpoint
     last_nonce: int | None = None
 
 
