--- a/oatcart/policy/load_shedding.py
+++ b/oatcart/policy/load_shedding.py
@@ -98,7 +98,10 @@
         return [endpoint for endpoint in self._tables.endpoints(table).values() if not endpoint.ejected]
 
     def _shed_order(self, number: int) -> float:
-        """Returns the sort key of a class; the classes with the largest are shed first."""
+        """Returns the sort key of a class: its priority weight per second of latency objective, negated.
+
+        The classes with the largest key are shed first.
+        """
         request_class = self._request_classes[number]
         return -request_class.priority_weight / request_class.latency_objective
 
--- a/oatcart/policy/publication.py
+++ b/oatcart/policy/publication.py
@@ -108,7 +108,10 @@
         )
 
     def _threshold(self, table: RoutingTable, entries: int) -> float:
-        """Returns the factor of the threshold: 1 plus the seconds, up to MAX_CHANNEL_S, of a full update."""
+        """Returns the factor of the threshold.
+
+        It is 1 plus the seconds, at most MAX_CHANNEL_S, that sending all entries to all proxies takes.
+        """
         proxies = len(self._proxies if self._tables.has_subsets else table.proxies)
         seconds = entries * proxies / max(1.0, self._channel.limits.line_rate)
         return 1.0 + min(MAX_CHANNEL_S, seconds)
