--- a/oatcart/policy/subsetting.py
+++ b/oatcart/policy/subsetting.py
@@ -1,8 +1,8 @@
-"""Subsetting: which routing tables there are, and which endpoints each has.
+"""Subsetting: decides which routing tables there are, and which endpoints each of them has.
 
-A table has all endpoints of its zones while the update channel carries complete tables of all proxies well
-within the drain deadline. Else there are several tables for each key, each with a subset of the endpoints,
-and each endpoint is in two subsets, so that neighbouring subsets level their load.
+A table has all endpoints of its zones if the update channel can send complete tables to all proxies within a
+share of the drain deadline. Otherwise each key has several tables, each with a subset of the endpoints. Each
+endpoint is in two subsets, so that overlapping subsets balance their load.
 """
 
 from collections import Counter, deque
@@ -15,22 +15,22 @@
 from oatcart.policy.registry import EndpointRegistry
 from oatcart.policy.state import Endpoint, RoutingTable
 
-# Of the drain deadline that sending complete tables may take; the rest is for changes
+# Share of the drain deadline that sending complete tables may take; the rest is for changes
 DEADLINE_SHARE = 0.5
-MIN_SUBSET = 4  # endpoints; with fewer, two draws meet failing ones too often
+MIN_SUBSET = 4  # endpoints; with fewer, two random choices too often both pick failing ones
 SUBSETS_PER_ENDPOINT = 2
-MAX_SIZE_FACTOR = 1.5  # a joining proxy is given no table larger than so many times the wanted size
+MAX_SIZE_FACTOR = 1.5  # maximum size of a joining proxy's table, as a multiple of the wanted size
 
 
 class TableChoice(NamedTuple):
-    """Tables of one key that a joining proxy may be given."""
+    """Tables of one key from which one is chosen for a joining proxy."""
 
-    max_size: float  # endpoints; a proxy with a larger table gets another one
-    tables: deque[RoutingTable]  # those with the fewest proxies first
+    max_size: float  # endpoints; the choice of a larger table is not kept
+    tables: deque[RoutingTable]  # the one with the fewest proxies first
 
 
 class TableRegistry:
-    """All routing tables, by number, and the endpoints of each."""
+    """All routing tables by number, with the endpoints of each."""
 
     def __init__(
         self,
@@ -44,29 +44,29 @@
         self._uniform = uniform
         self._by_key: dict[TableKey, list[RoutingTable]] = {}
         self.tables: dict[int, RoutingTable] = {}
-        self.awaited: set[int] = set()  # numbers of tables that joining proxies are about to get
+        self.awaited: set[int] = set()  # numbers of tables that joining proxies wait for
         self.has_subsets = False
 
     def await_tables(self, numbers: set[int]) -> None:
-        """Sets which tables joining proxies are about to get; they count as in use."""
+        """Sets the numbers of the tables that joining proxies wait for; these count as in use."""
         self.awaited = numbers
 
     def in_use(self, table: RoutingTable) -> bool:
-        """Whether a table counts: a subset does only while proxies have it or are about to get it."""
+        """Whether a table is in use; a subset is only while proxies have it or wait for it."""
         return table.complete or bool(table.proxies) or table.number in self.awaited
 
     def used_tables(self) -> Iterator[RoutingTable]:
-        """Iterates over the tables in use."""
+        """Returns an iterator over the tables in use."""
         return filter(self.in_use, self.tables.values())
 
     def pools(self) -> list[dict[int, Endpoint]]:
-        """Returns the ready endpoints of each set of zones that a table draws from."""
+        """Returns the ready endpoints of each set of zones that a table uses."""
         return [self._registry.pool(zones) for zones in {table.zones for table in self.tables.values()}]
 
     def endpoints(self, table: RoutingTable) -> dict[int, Endpoint]:
-        """Returns the ready endpoints of a table, by number; with subsets, without the ejected ones.
+        """Returns the ready endpoints of a table by number; with subsets, without the ejected ones.
 
-        Without subsets proxies are notified of ejections, so that entries can stay.
+        Without subsets, proxies are notified of ejections and the entries of ejected endpoints stay.
         """
         pool = self._registry.pool(table.zones)
         if not self.has_subsets:
@@ -75,44 +75,44 @@
         return {number: pool[number] for number in numbers if not pool[number].ejected}
 
     def choices(self, zone: int, configured_before: bool, joined_proxies: int) -> list[TableChoice]:
-        """Returns, for each table that a joining proxy of a zone needs, the tables it may be given.
+        """Returns the candidates for each table that a joining proxy of a zone needs.
 
-        A proxy that was `configured_before` is notified with each entry whether its endpoint may be
-        used, which costs a line more. The size of a subset follows from the lines that the channel carries
-        in time.
+        The size of a subset follows from the lines that the channel can send within DEADLINE_SHARE of the
+        drain deadline. For a proxy that was `configured_before`, each entry costs one more line, a notice on
+        whether its endpoint may be used.
         """
         settings = self._settings
         keys = table_keys(settings.request_classes, zone, settings.cross_zone_price)
         pools = {key: self._registry.pool(key.zones) for key in keys}
-        in_time = DEADLINE_SHARE * settings.drain_deadline * settings.channel.line_rate
+        max_lines = DEADLINE_SHARE * settings.drain_deadline * settings.channel.line_rate
         entries = sum(map(len, pools.values()))
         proxies = max(1.0, settings.expected_proxies, joined_proxies)
         overhead = settings.channel.message_overhead + 1 + len(pools) + len(settings.request_classes)
         lines = entries * (1 + configured_before)
-        fitting_share = (in_time / proxies - overhead) / (lines or 1)
-        fits = proxies * (entries + overhead) <= in_time
+        fitting_share = (max_lines / proxies - overhead) / (lines or 1)
+        complete_tables_fit = proxies * (entries + overhead) <= max_lines
         choices = []
         for key, pool in pools.items():
-            size = inf if fits else max(MIN_SUBSET, int(fitting_share * len(pool)))
-            tables = self._tables_up_to(key, size, len(pool))
+            size = inf if complete_tables_fit else max(MIN_SUBSET, int(fitting_share * len(pool)))
+            tables = self._tables_of_size(key, size, len(pool))
             by_proxies = sorted(tables, key=lambda table: len(table.proxies))
             choices.append(TableChoice(MAX_SIZE_FACTOR * size, deque(by_proxies)))
         return choices
 
-    def _tables_up_to(self, key: TableKey, size: float, pool_size: int) -> list[RoutingTable]:
-        """Returns tables of a key that are not too large, with new ones until all endpoints fit."""
-        alike = self._by_key.setdefault(key, [])
-        tables = [table for table in alike if table.size <= MAX_SIZE_FACTOR * size]
+    def _tables_of_size(self, key: TableKey, size: float, pool_size: int) -> list[RoutingTable]:
+        """Returns the tables of a key that are not too large; adds tables until all endpoints fit."""
+        tables_of_key = self._by_key.setdefault(key, [])
+        tables = [table for table in tables_of_key if table.size <= MAX_SIZE_FACTOR * size]
         wanted = max(1, ceil(SUBSETS_PER_ENDPOINT * pool_size / size))
         for _ in range(len(tables), wanted):
             table = RoutingTable(len(self.tables), *key, size)
             self.tables[table.number] = table
-            alike.append(table)
+            tables_of_key.append(table)
             tables.append(table)
         return tables
 
     def assign_endpoints(self) -> None:
-        """Gives each subset its number of endpoints, half of them local, from those in few subsets."""
+        """Fills each subset up to its size, half with local endpoints, preferring those in few subsets."""
         self.has_subsets = any(not table.complete for table in self.tables.values())
         if not self.has_subsets:
             return
@@ -128,27 +128,28 @@
     def _assign_pool(self, pool: dict[int, Endpoint], subsets: list[RoutingTable]) -> None:
         for table in subsets:
             table.subset &= pool.keys()
-        cover = Counter(number for table in subsets for number in table.subset)
-        missing_share = len(pool.keys() - cover.keys()) / max(1, len(pool))
+        subset_counts = Counter(number for table in subsets for number in table.subset)
+        missing_share = len(pool.keys() - subset_counts.keys()) / max(1, len(pool))
         for table in subsets:
             size = int(min(table.size, len(pool)))
-            self._make_room(table, size, missing_share, pool, cover)
-            self._fill(table, size, pool, cover)
-        uncovered = [number for number in pool if not cover[number]] if subsets else []
+            self._remove_excess(table, size, missing_share, pool, subset_counts)
+            self._fill(table, size, pool, subset_counts)
+        uncovered = [number for number in pool if not subset_counts[number]] if subsets else []
         for number in uncovered:
             min(subsets, key=lambda table: len(table.subset) - table.size).subset.add(number)
 
-    def _make_room(
+    def _remove_excess(
         self,
         table: RoutingTable,
         size: int,
         missing_share: float,
         pool: dict[int, Endpoint],
-        cover: Counter[int],
+        subset_counts: Counter[int],
     ) -> None:
-        """Makes room for endpoints that stand in no subset, by their share of the pool.
+        """Removes endpoints from a subset, to make space for those that are in no subset yet.
 
-        Remote endpoints are removed first, of these the ones in many subsets.
+        `missing_share`: the share of the pool that is in no subset. Remote endpoints are removed first, and
+        of these the ones in most subsets.
         """
         if not missing_share:
             return
@@ -156,20 +157,26 @@
         if excess > 0:
             removed = sorted(
                 table.subset,
-                key=lambda number: (pool[number].zone == table.local_zone, -cover[number], number),
+                key=lambda number: (pool[number].zone == table.local_zone, -subset_counts[number], number),
             )[:excess]
             table.subset.difference_update(removed)
-            cover.subtract(removed)
+            subset_counts.subtract(removed)
 
-    def _fill(self, table: RoutingTable, size: int, pool: dict[int, Endpoint], cover: Counter[int]) -> None:
-        """Adds endpoints up to the size, those in few subsets first, until half of the subset is local."""
+    def _fill(
+        self, table: RoutingTable, size: int, pool: dict[int, Endpoint], subset_counts: Counter[int]
+    ) -> None:
+        """Adds endpoints up to `size`, those in few subsets first, and local ones until they are half."""
         missing = size - len(table.subset)
         if missing <= 0:
             return
-        rest = sorted(pool.keys() - table.subset, key=lambda number: (cover[number], self._uniform(0, 1)))
-        local_here = sum(pool[number].zone == table.local_zone for number in table.subset)
-        local_wanted = int(table.size) // 2 - local_here
-        local = [number for number in rest if pool[number].zone == table.local_zone][: max(0, local_wanted)]
-        added = [*local, *(number for number in rest if number not in local)][:missing]
+        candidates = sorted(
+            pool.keys() - table.subset, key=lambda number: (subset_counts[number], self._uniform(0, 1))
+        )
+        local_count = sum(pool[number].zone == table.local_zone for number in table.subset)
+        local_wanted = int(table.size) // 2 - local_count
+        local = [number for number in candidates if pool[number].zone == table.local_zone][
+            : max(0, local_wanted)
+        ]
+        added = [*local, *(number for number in candidates if number not in local)][:missing]
         table.subset.update(added)
-        cover.update(added)
+        subset_counts.update(added)
