--- a/oatcart/views/__main__.py
+++ b/oatcart/views/__main__.py
@@ -37,12 +37,12 @@
     return ControlRole(configuration, loop, log)
 
 
-def main(words: list[str] | None = None) -> int:
+def main(argv: list[str] | None = None) -> int:
     """Runs the command with these arguments, by default those of the process; returns the exit code."""
     parser = argparse.ArgumentParser(prog="oatcart.views", description=__doc__)
     parser.add_argument("file", help="the control role's settings, YAML")
     parser.add_argument("--check", action="store_true", help="read and check the file, start nothing")
-    arguments = parser.parse_args(words)
+    arguments = parser.parse_args(argv)
     wake_receiver = reload_signal()
     try:
         configuration = read(arguments.file)
--- a/oatcart/views/configuration_file.py
+++ b/oatcart/views/configuration_file.py
@@ -152,7 +152,7 @@
 
     def configuration(self) -> Configuration:
         """The settings of the file, to be used if `problems` stays empty."""
-        views = self._part("views", VIEW_SETTINGS)
+        views = self._section("views", VIEW_SETTINGS)
         fields = EndpointFields(
             self.top.get("service_field", EndpointFields().service_field),
             self.top.get("region_field", EndpointFields().region_field),
@@ -160,12 +160,12 @@
         )
         return Configuration(
             listen=self._listen(),
-            source=DiscoverySettings(**self._part("source", SOURCE_SETTINGS)),
+            source=DiscoverySettings(**self._section("source", SOURCE_SETTINGS)),
             endpoint_fields=fields,
-            guard=ListGuard(**self._part("guard", GUARD_SETTINGS)),
+            guard=ListGuard(**self._section("guard", GUARD_SETTINGS)),
             seed=views.pop("seed", 0),
             limits=ViewLimits(**views),
-            bounds=ServerBounds(**self._part("bounds", BOUND_SETTINGS)),
+            bounds=ServerBounds(**self._section("bounds", BOUND_SETTINGS)),
             leases=self._leases(),
             controllers=self._controllers(fields),
         )
@@ -176,7 +176,7 @@
     def _line(self, key: str) -> int:
         return self.document.lc.key(key)[0]
 
-    def _part(self, key: str, settings: dict[str, Setting]) -> dict:
+    def _section(self, key: str, settings: dict[str, Setting]) -> dict:
         """The values of one part, by field."""
         if key not in self.top:
             return {}
@@ -186,16 +186,17 @@
 
     def _leases(self) -> LivenessSettings | None:
         """Leases are refused unless the file says that no other control role serves these controllers."""
-        values = self._part("leases", LEASE_SETTINGS)
+        values = self._section("leases", LEASE_SETTINGS)
         is_enabled = values.pop("is_enabled", False)
         is_only_control_role = values.pop("is_only_control_role", False)
         if not is_enabled:
             return None
         if not is_only_control_role:
-            here = self.where(self.top["leases"].lc.key("enabled")[0])
+            location = self.where(self.top["leases"].lc.key("enabled")[0])
             self.problems.append(
-                f"{here}: leases.enabled: control roles do not tell one another who called them, so their "
-                "views would differ; where this one alone serves its controllers, add only_control_role: true"
+                f"{location}: leases.enabled: control roles do not tell one another who called them, so "
+                "their views would differ; where this one alone serves its controllers, add "
+                "only_control_role: true"
             )
         return LivenessSettings(**values)
 
@@ -210,8 +211,10 @@
         for region, zones in table(regions, parsers, "regions.", self.where, self.problems, line).items():
             for zone in zones:
                 if zone in found:
-                    here = self.where(regions.lc.key(region)[0])
-                    self.problems.append(f"{here}: regions.{region}: zone {zone} is in {found[zone]} already")
+                    location = self.where(regions.lc.key(region)[0])
+                    self.problems.append(
+                        f"{location}: regions.{region}: zone {zone} is in {found[zone]} already"
+                    )
                 found[zone] = str(region)
         return found
 
--- a/oatcart/views/connection.py
+++ b/oatcart/views/connection.py
@@ -29,7 +29,7 @@
         self.http = h11.Connection(h11.SERVER, MAX_HEAD_BYTES)
 
     @property
-    def may_answer(self) -> bool:
+    def can_answer(self) -> bool:
         """Whether no answer to the present request has begun."""
         return self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE)
 
@@ -84,8 +84,8 @@
         waiting[self.stream] = None
         try:
             data = yield from self.stream.read_available(until)
-        except ConnectionClosedError as ended:
-            if ended.reason is not CloseReason.TIMED_OUT or self.stream.write_failure:
+        except ConnectionClosedError as close_error:
+            if close_error.reason is not CloseReason.TIMED_OUT or self.stream.write_failure:
                 raise
             return
         finally:
--- a/oatcart/views/controllers.py
+++ b/oatcart/views/controllers.py
@@ -94,10 +94,10 @@
         except orjson.JSONDecodeError as error:
             problems.append(f"{where(line)}: {error}")
             continue
-        yield ControllerGroup(_with_line(value, line), "", line, where)
+        yield ControllerGroup(_map_at_line(value, line), "", line, where)
 
 
-def _with_line(value: object, line: int) -> object:
+def _map_at_line(value: object, line: int) -> object:
     """A JSON object as a YAML map, all of whose keys are at that line."""
     if not isinstance(value, dict):
         return value
@@ -118,17 +118,17 @@
     that is its position in the list, if there is a base."""
     found: list[ServedController] = []
     names: set[str] = set()
-    users = {listen: "listen"}
+    names_by_address = {listen: "listen"}
     for group in groups:
-        for served in _expanded(group, base, len(found), region_of, problems):
-            _check_distinct(served, names, users, group.where(group.line), problems)
+        for served in _expand_group(group, base, len(found), region_of, problems):
+            _check_distinct(served, names, names_by_address, group.where(group.line), problems)
             found.append(served)
     if len(found) > MAX_CONTROLLERS:
         problems.append(f"conductors: {len(found)}, more than {MAX_CONTROLLERS}")
     return tuple(found)
 
 
-def _expanded(
+def _expand_group(
     group: ControllerGroup,
     base: Address | None,
     position: int,
@@ -143,41 +143,50 @@
         return
     region = fields.get("region", region_of(fields["zone"]))
     for number in range(fields.get("count", 1)):
-        own_name = fields["name"]
+        controller_name = fields["name"]
         if "count" in fields:
-            own_name = own_name.replace(NUMBER_FIELD, str(number))
-        record = Controller(own_name, region, fields["zone"], fields.get("services", ()))
-        yield ServedController(record, fields.get("address") or _above(base, position + number))
+            controller_name = controller_name.replace(NUMBER_FIELD, str(number))
+        record = Controller(controller_name, region, fields["zone"], fields.get("services", ()))
+        yield ServedController(record, fields.get("address") or _address_above(base, position + number))
 
 
 def _check_fields(group: ControllerGroup, fields: dict, problems: list[str]) -> None:
-    here = group.where(group.line)
+    location = group.where(group.line)
     if isinstance(group.value, CommentedMap):
         missing = [key for key in ("name", "zone") if key not in group.value]
-        problems += [f"{here}: {group.at}{key} is missing" for key in missing]
+        problems += [f"{location}: {group.at}{key} is missing" for key in missing]
     if "count" in fields and NUMBER_FIELD not in fields.get("name", NUMBER_FIELD):
-        problems.append(f"{here}: {group.at}name: a group's needs {NUMBER_FIELD}")
+        problems.append(f"{location}: {group.at}name: a group's needs {NUMBER_FIELD}")
     if "count" in fields and "address" in fields:
-        problems.append(f"{here}: {group.at}address: a group is listened for above the base")
+        problems.append(f"{location}: {group.at}address: a group is listened for above the base")
 
 
 def _check_distinct(
-    served: ServedController, names: set[str], users: dict[Address, str], here: str, problems: list[str]
+    served: ServedController,
+    names: set[str],
+    names_by_address: dict[Address, str],
+    location: str,
+    problems: list[str],
 ) -> None:
     """Checks a name and an address against those before; `users` has the names by address."""
-    own_name, address = served.record.name, served.address
-    if own_name in names:
-        problems.append(f"{here}: conductors: the name {own_name} stands there twice")
-    names.add(own_name)
+    controller_name, address = served.record.name, served.address
+    if controller_name in names:
+        problems.append(f"{location}: conductors: the name {controller_name} stands there twice")
+    names.add(controller_name)
     if address is None or not address[1]:  # port 0 asks for any free port
         return
     if address[1] >= PORTS:
-        problems.append(f"{here}: conductors: {own_name} would have port {address[1]}; set a lower base")
-    if address in users:
-        shown = "{}:{}".format(*address)
-        problems.append(f"{here}: conductors: {own_name} and {users[address]} would both have {shown}")
-    users[address] = own_name
-
-
-def _above(base: Address | None, position: int) -> Address | None:
+        problems.append(
+            f"{location}: conductors: {controller_name} would have port {address[1]}; set a lower base"
+        )
+    if address in names_by_address:
+        formatted = "{}:{}".format(*address)
+        problems.append(
+            f"{location}: conductors: {controller_name} and {names_by_address[address]} "
+            f"would both have {formatted}"
+        )
+    names_by_address[address] = controller_name
+
+
+def _address_above(base: Address | None, position: int) -> Address | None:
     return None if base is None else (base[0], base[1] + position)
--- a/oatcart/views/coverage.py
+++ b/oatcart/views/coverage.py
@@ -82,14 +82,14 @@
 ) -> str | None:
     """The endpoint that a controller releases for another, None if it has none to spare. `swaps` are those of
     the controller so far, `releases` counts those of all controllers by endpoint."""
-    own = _after_swaps(matching.endpoints_of(name), swaps)
-    own_zones = [zone_of(endpoints[endpoint_id]) for endpoint_id in own]
+    own_ids = _after_swaps(matching.endpoints_of(name), swaps)
+    own_zones = [zone_of(endpoints[endpoint_id]) for endpoint_id in own_ids]
     has_several_zones = len(set(own_zones)) > 1
-    ranked = sorted(zip(matching.keys_of_controller(name, own), own, strict=True), reverse=True)
+    ranked = sorted(zip(matching.keys_of_controller(name, own_ids), own_ids, strict=True), reverse=True)
     for _, endpoint_id in ranked:
         if matching.holder_count(endpoint_id) - releases.get(endpoint_id, 0) < 2:
             continue
-        kept_zones = {zone_of(endpoints[other]) for other in own if other != endpoint_id}
+        kept_zones = {zone_of(endpoints[other]) for other in own_ids if other != endpoint_id}
         if has_several_zones and len(kept_zones | {zone_of(endpoints[acquired])}) < 2:
             continue
         return endpoint_id
--- a/oatcart/views/entries.py
+++ b/oatcart/views/entries.py
@@ -130,7 +130,7 @@
     try:
         parse_address(host_port)
     except (AttributeError, TypeError, ValueError):
-        shown = str(host_port)[:MAX_LOGGED_VALUE_LENGTH]
+        truncated = str(host_port)[:MAX_LOGGED_VALUE_LENGTH]
         raise MalformedEntryError(
-            f"{endpoint_id}: host_port: {shown!r} is not a numeric address and port"
+            f"{endpoint_id}: host_port: {truncated!r} is not a numeric address and port"
         ) from None
--- a/oatcart/views/fleet_views.py
+++ b/oatcart/views/fleet_views.py
@@ -43,9 +43,9 @@
         # with other records or quotas; endpoints that were removed, also from one service to another;
         # controllers whose quotas may change.
         self._counts_before: dict[str, int] = {}
-        self._unsettled_services: set[str] = set()
+        self._changed_services: set[str] = set()
         self._removed_endpoints: set[str] = set()
-        self._unassigned_quotas: set[str] = set()
+        self._stale_quota_controllers: set[str] = set()
 
         self._changed: set[str] = set()  # controllers, until they are taken by `pop_changed`
 
@@ -87,7 +87,7 @@
         self._controllers[controller.name] = controller
         if not controller.services:
             self._controllers_of_all_services.add(controller.name)
-        self._unassigned_quotas.add(controller.name)
+        self._stale_quota_controllers.add(controller.name)
 
     def put_controllers(self, controllers: Iterable[Controller]) -> None:
         """`put_controller` for each."""
@@ -100,7 +100,7 @@
         if controller is None:
             return
         self._leave_services(controller)
-        self._unassigned_quotas.discard(name)
+        self._stale_quota_controllers.discard(name)
         self._views.pop(name, None)
         self._too_large.pop(name, None)
         self._changed.discard(name)
@@ -110,7 +110,7 @@
 
         Raises UnknownControllerError, or TooManyServicesError if its services do not fit in a view.
         """
-        self._settle()
+        self._apply_changes()
         if name in self._too_large:
             raise TooManyServicesError(name, self._too_large[name], self._limits.capacity)
         if name not in self._controllers:
@@ -119,7 +119,7 @@
 
     def holders(self, endpoint_id: str) -> frozenset[str]:
         """The controllers whose views have an endpoint; none if it is not known."""
-        self._settle()
+        self._apply_changes()
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is None:
             return frozenset()
@@ -128,7 +128,7 @@
     def pop_changed(self) -> frozenset[str]:
         """The controllers whose view, or a record in it, has changed since the last call, and the holders of
         endpoints that were removed and are back."""
-        self._settle()
+        self._apply_changes()
         changed = frozenset(self._changed)
         self._changed.clear()
         return changed
@@ -141,32 +141,32 @@
     def _note_count(self, service: str) -> None:
         pool = self._pools.get(service)
         self._counts_before.setdefault(service, len(pool.endpoints) if pool else 0)
-        self._unsettled_services.add(service)
+        self._changed_services.add(service)
 
     def _leave_services(self, controller: Controller) -> None:
         for service in self._services_of(controller):
             if service in self._pools:
                 self._pools[service].remove_controller(controller.name)
-                self._unsettled_services.add(service)
+                self._changed_services.add(service)
         self._controllers_of_all_services.discard(controller.name)
 
     def _services_of(self, controller: Controller) -> Iterable[str]:
         return controller.services or self._pools.keys()
 
-    def _settle(self) -> None:
+    def _apply_changes(self) -> None:
         """Works out all changes noted: quotas first, then services, then the views that this concerns."""
-        if not self._unsettled_services and not self._unassigned_quotas:
+        if not self._changed_services and not self._stale_quota_controllers:
             return
         self._note_quota_changes()
-        for name in self._unassigned_quotas:
+        for name in self._stale_quota_controllers:
             self._assign_quotas(self._controllers[name])
-        reassigned = set(self._unassigned_quotas)
-        for service in self._unsettled_services:
-            affected = self._pools[service].settle()
+        reassigned = set(self._stale_quota_controllers)
+        for service in self._changed_services:
+            affected = self._pools[service].apply_changes()
             reassigned |= affected.reassigned
             self._changed |= affected.updated & self._controllers.keys()
-        self._unassigned_quotas.clear()
-        self._unsettled_services.clear()
+        self._stale_quota_controllers.clear()
+        self._changed_services.clear()
         for name in reassigned & self._controllers.keys():
             self._update_view(self._controllers[name])
         # Their holders may have been served the removal, though an endpoint that is back leaves views equal.
@@ -182,13 +182,13 @@
             if count == count_before:
                 continue
             if not count or not count_before:
-                self._unassigned_quotas |= self._controllers_of_all_services
+                self._stale_quota_controllers |= self._controllers_of_all_services
             # A quota below both numbers depends on other services only.
             lower = min(count, count_before)
-            self._unassigned_quotas.update(
+            self._stale_quota_controllers.update(
                 name for name, quota in pool.quotas.items() if quota.total >= lower
             )
-            self._unassigned_quotas.update(
+            self._stale_quota_controllers.update(
                 name for name in self._too_large if service in self._services_of(self._controllers[name])
             )
         self._counts_before.clear()
@@ -220,7 +220,7 @@
         pool = self._pools[service]
         if pool.quotas.get(name) != quota:
             pool.set_quota(name, quota)
-            self._unsettled_services.add(service)
+            self._changed_services.add(service)
 
     def _update_view(self, controller: Controller) -> None:
         endpoint_ids: list[str] = []
--- a/oatcart/views/leases.py
+++ b/oatcart/views/leases.py
@@ -50,7 +50,7 @@
     def configure(self, controllers: Mapping[str, Controller], now: float) -> None:
         """Takes over another list of controllers. New ones get a lease now, expired ones stay expired."""
         for name in self.controllers.keys() - controllers.keys():
-            self._liveness.forget(name)
+            self._liveness.remove(name)
         for name in controllers.keys() - self.controllers.keys():
             self._liveness.renew(controllers[name], now)
         self.expired &= controllers.keys()
--- a/oatcart/views/list_watcher.py
+++ b/oatcart/views/list_watcher.py
@@ -66,7 +66,7 @@
             self.loop.cancel(self.task)
         self.task = None
 
-    def move(self, source: DiscoverySettings) -> None:
+    def change_source(self, source: DiscoverySettings) -> None:
         """Watches at another address, or with other timeouts, from the complete list on."""
         if source != self.source:
             self.stop()
--- a/oatcart/views/listener.py
+++ b/oatcart/views/listener.py
@@ -21,7 +21,7 @@
     def __init__(self, sock: socket.socket, view: str | None) -> None:
         self.sock, self.view = sock, view
         self.streams: dict[Stream, None] = {}  # the connections accepted here
-        self.accepting: Task | None = None
+        self.accept_task: Task | None = None
 
     @property
     def address(self) -> Address:
--- a/oatcart/views/liveness.py
+++ b/oatcart/views/liveness.py
@@ -61,7 +61,7 @@
         self._settings = settings
         self._leases: dict[str, _Lease] = {}
         self._added: dict[str, Controller] = {}
-        self._forgotten: set[str] = set()
+        self._removed: set[str] = set()
         for controller in known:
             self.renew(controller, now)
 
@@ -77,13 +77,13 @@
                 self._added[controller.name] = controller
             lease.controller, lease.expires_at = controller, expires_at
 
-    def forget(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Removes a controller that is gone for good: it expires with the next decision, mass expiry or
         not."""
         if self._leases.pop(name, None) is None:
             return
         self._added.pop(name, None)
-        self._forgotten.add(name)
+        self._removed.add(name)
 
     def decide(self, now: float) -> LivenessDecision:
         """Ends the leases that are overdue and not retained, and returns all that changed."""
@@ -98,12 +98,12 @@
             self._added.pop(name, None)
         decision = LivenessDecision(
             tuple(self._added.values()),
-            tuple(sorted(expired | (self._forgotten - self._leases.keys()))),
+            tuple(sorted(expired | (self._removed - self._leases.keys()))),
             tuple(sorted(retained)),
             min((self._due_at(name, name in retained) for name in self._leases), default=inf),
         )
         self._added.clear()
-        self._forgotten.clear()
+        self._removed.clear()
         return decision
 
     def _is_mass_expiry(self, lapsed: int) -> bool:
--- a/oatcart/views/matching.py
+++ b/oatcart/views/matching.py
@@ -158,7 +158,7 @@
         state = self._state
         state.update_holder_limits(self._overload)
         before = state.assigned
-        state.assigned = self._matched_anew()
+        state.assigned = self._match_from_scratch()
         for row in numpy.flatnonzero((before != state.assigned).any(axis=1)).tolist():
             state.mark_changed(row)
         state.unfilled_rows.clear()
@@ -174,7 +174,7 @@
         else:
             repair(self._state)
 
-    def _matched_anew(self) -> numpy.ndarray:
+    def _match_from_scratch(self) -> numpy.ndarray:
         state = self._state
         rows = numpy.flatnonzero(state.quotas)
         columns = numpy.flatnonzero(state.zones != NO_ZONE)
--- a/oatcart/views/matching_repair.py
+++ b/oatcart/views/matching_repair.py
@@ -19,7 +19,7 @@
         if state.unfilled_rows:
             _fill_quota(state, state.unfilled_rows.pop())
         else:
-            _admit_holders(state, state.reopened_columns.pop())
+            _add_holders(state, state.reopened_columns.pop())
 
 
 def _evict_beyond_limits(state: MatchingState) -> None:
@@ -63,42 +63,42 @@
     zones = state.zones[best]
     if not state.has_several_zones or quota < 2 or len(best) < quota or (zones != zones[0]).any():
         return best
-    elsewhere = numpy.where(state.zones != zones[0], keys, numpy.inf)
-    return numpy.concatenate([best[:-1], _smallest(elsewhere, 1)])
+    other_zone_keys = numpy.where(state.zones != zones[0], keys, numpy.inf)
+    return numpy.concatenate([best[:-1], _smallest(other_zone_keys, 1)])
 
 
-def _admit_holders(state: MatchingState, column: int) -> None:
+def _add_holders(state: MatchingState, column: int) -> None:
     """An endpoint takes the best controllers that want it, also in place of holders that came meanwhile."""
     state.update_column_threshold(column)
     keys = state.keys(slice(None), column)
-    is_unwilling = state.assigned[:, column] | (keys >= state.row_thresholds)
-    keys[is_unwilling | (keys >= state.column_thresholds[column])] = numpy.inf
+    is_excluded = state.assigned[:, column] | (keys >= state.row_thresholds)
+    keys[is_excluded | (keys >= state.column_thresholds[column])] = numpy.inf
     for row in _smallest(keys, len(keys)).tolist():
         if keys[row] >= state.column_thresholds[column]:
             break
-        if _take_endpoint(state, row, column, keys[row]):
+        if _try_assign(state, row, column, keys[row]):
             if state.holder_counts[column] > state.holder_limits[column]:
                 state.evict_last_holder(column)
             if state.holder_counts[column] == state.holder_limits[column]:
                 state.update_column_threshold(column)
 
 
-def _take_endpoint(state: MatchingState, row: int, column: int, key: float) -> bool:
+def _try_assign(state: MatchingState, row: int, column: int, key: float) -> bool:
     """A controller takes an endpoint, within its quota or in place of one with a larger key. Returns False if
     neither is possible."""
-    rivals = _rivals(state, row, column)
-    if len(rivals):
-        rival_keys = state.keys(row, rivals)
-        last = int(numpy.argmax(rival_keys))
-        if rival_keys[last] <= key:
+    replaceable = _replaceable_columns(state, row, column)
+    if len(replaceable):
+        replaceable_keys = state.keys(row, replaceable)
+        last = int(numpy.argmax(replaceable_keys))
+        if replaceable_keys[last] <= key:
             return False
-        state.release(row, int(rivals[last]))
+        state.release(row, int(replaceable[last]))
     state.assign(row, column)
     state.update_row_threshold(row)
     return True
 
 
-def _rivals(state: MatchingState, row: int, column: int) -> numpy.ndarray:
+def _replaceable_columns(state: MatchingState, row: int, column: int) -> numpy.ndarray:
     """The endpoints of which the controller would release one for this endpoint; none if its quota has
     room."""
     columns = numpy.flatnonzero(state.assigned[row])
--- a/oatcart/views/publisher.py
+++ b/oatcart/views/publisher.py
@@ -83,9 +83,9 @@
         self.entries.update(changes.changed)
         for endpoint_id in changes.removed:
             self.entries.pop(endpoint_id, None)
-        touched = changes.changed.keys() | changes.removed
+        affected_ids = changes.changed.keys() | changes.removed
         self.unpublished.update(
-            name for name, history in self.histories.items() if not touched.isdisjoint(history.entries)
+            name for name, history in self.histories.items() if not affected_ids.isdisjoint(history.entries)
         )
         fields = self.configuration.endpoint_fields
         endpoints = [endpoint_record(entry, fields) for entry in changes.changed.values()]
--- a/oatcart/views/quotas.py
+++ b/oatcart/views/quotas.py
@@ -31,29 +31,29 @@
     >>> assign_quotas({"api": 900, "tiny": 3}, 100)
     {'api': Quota(matched=95, total=97), 'tiny': Quota(matched=3, total=3)}
     """
-    level = _max_min_level(list(endpoint_counts.values()), capacity)
-    remainder = capacity - sum(min(count, level) for count in endpoint_counts.values())
+    fair_share = _max_min_fair_share(list(endpoint_counts.values()), capacity)
+    remainder = capacity - sum(min(count, fair_share) for count in endpoint_counts.values())
     quotas = {}
     for service, count in endpoint_counts.items():
-        service_level = level
-        if count > level and remainder > 0:
-            service_level += 1
+        service_share = fair_share
+        if count > fair_share and remainder > 0:
+            service_share += 1
             remainder -= 1
-        reserve = max(0, min(REPLACEMENT_RESERVE, service_level - MIN_ENDPOINTS))
-        quotas[service] = Quota(min(count, service_level - reserve), min(count, service_level))
+        reserve = max(0, min(REPLACEMENT_RESERVE, service_share - MIN_ENDPOINTS))
+        quotas[service] = Quota(min(count, service_share - reserve), min(count, service_share))
     return quotas
 
 
-def _max_min_level(counts: list[int], capacity: int) -> int:
+def _max_min_fair_share(counts: list[int], capacity: int) -> int:
     """The greatest whole level at which the services together fit in the capacity.
 
     If all services fit completely, the level lies above all counts by the reserve.
     """
-    left = capacity
+    remaining = capacity
     ascending = sorted(counts)
     for index, count in enumerate(ascending):
-        level = left // (len(ascending) - index)
-        if count > level:
-            return level
-        left -= count
+        fair_share = remaining // (len(ascending) - index)
+        if count > fair_share:
+            return fair_share
+        remaining -= count
     return max(ascending, default=0) + REPLACEMENT_RESERVE
--- a/oatcart/views/requests.py
+++ b/oatcart/views/requests.py
@@ -13,7 +13,7 @@
 GET = b"GET"
 VIEWS_PATH = "/v1/views"
 MAX_WATCH_TIMEOUT = 60.0  # s, by the protocol; a longer one is cut
-MAX_SHOWN_LETTERS = 80  # of a rejected method, path or value
+MAX_SHOWN_CHARACTERS = 80  # of a rejected method, path or value
 MAX_DIGITS = 16  # of a number in a query
 OK, BAD_REQUEST, NOT_FOUND, METHOD_NOT_ALLOWED, UNAVAILABLE = 200, 400, 404, 405, 503
 
@@ -48,21 +48,23 @@
     """Parses a request line; raises RejectedRequestError. `own_view`: the controller whose address was
     called, None at the main address."""
     if method != GET:
-        raise RejectedRequestError(METHOD_NOT_ALLOWED, _shown(method), "only GET is served")
+        raise RejectedRequestError(METHOD_NOT_ALLOWED, _truncated(method), "only GET is served")
     path, _, query = target.decode("ascii", "replace").partition("?")
     if own_view is not None:
         if path != ENDPOINT_LIST_PATH:
             raise RejectedRequestError(
-                NOT_FOUND, _shown(path), f"this is the address of {own_view}; it serves {ENDPOINT_LIST_PATH}"
+                NOT_FOUND,
+                _truncated(path),
+                f"this is the address of {own_view}; it serves {ENDPOINT_LIST_PATH}",
             )
         return _list_request(own_view, query)
     if path == VIEWS_PATH:
         return StatusRequest()
     name = path.removeprefix(VIEWS_PATH + "/").removesuffix("/servers")
     if path != f"{VIEWS_PATH}/{name}/servers" or not name or "/" in name:
-        served = f"{VIEWS_PATH}/NAME/servers and {VIEWS_PATH}"
+        paths = f"{VIEWS_PATH}/NAME/servers and {VIEWS_PATH}"
         raise RejectedRequestError(
-            NOT_FOUND, _shown(path), f"this address serves {served}; NAME is a conductor's"
+            NOT_FOUND, _truncated(path), f"this address serves {paths}; NAME is a conductor's"
         )
     return _list_request(unquote(name), query)
 
@@ -71,18 +73,18 @@
     fields = {key: values[-1] for key, values in parse_qs(query, keep_blank_values=True).items()}
     if "since" not in fields:
         return ListRequest(view)
-    since = _count("since", fields["since"])
-    timeout_ms = _count("timeout_ms", fields.get("timeout_ms", "0"))
+    since = _parse_count("since", fields["since"])
+    timeout_ms = _parse_count("timeout_ms", fields.get("timeout_ms", "0"))
     return ListRequest(view, since, min(MAX_WATCH_TIMEOUT, timeout_ms / 1000))
 
 
-def _count(field: str, value: str) -> int:
+def _parse_count(field: str, value: str) -> int:
     if not (value.isascii() and value.isdigit()) or len(value) > MAX_DIGITS:
-        raise RejectedRequestError(BAD_REQUEST, f"{field}={_shown(value)}", "it is no whole number")
+        raise RejectedRequestError(BAD_REQUEST, f"{field}={_truncated(value)}", "it is no whole number")
     return int(value)
 
 
-def _shown(text: str | bytes) -> str:
+def _truncated(text: str | bytes) -> str:
     if isinstance(text, bytes):
         text = text.decode("ascii", "replace")
-    return text[:MAX_SHOWN_LETTERS]
+    return text[:MAX_SHOWN_CHARACTERS]
--- a/oatcart/views/role.py
+++ b/oatcart/views/role.py
@@ -27,8 +27,8 @@
 
 VIEWS_PER_TURN = 32  # that are published in one turn of the loop
 TURNS_LOG_INTERVAL = 30.0  # s between two log lines with the longest turn
-MAX_NAMES_SHOWN = 5  # of controllers in a log line
-RESTART_ONLY = "listen", "bounds", "leases"  # settings that a reload does not change
+MAX_LOGGED_NAMES = 5  # of controllers in a log line
+RESTART_ONLY_SETTINGS = "listen", "bounds", "leases"  # settings that a reload does not change
 
 
 class ListenKey(NamedTuple):
@@ -48,14 +48,14 @@
     }
 
 
-def _shown(names: Iterable[str]) -> str:
+def _format_names(names: Iterable[str]) -> str:
     """
-    >>> _shown(["a", "b"]), _shown("abcdefg")
+    >>> _format_names(["a", "b"]), _format_names("abcdefg")
     ('2 controllers (a, b)', '7 controllers (a, b, c, d, e, ...)')
     """
     names = sorted(names)
-    more = ", ..." if len(names) > MAX_NAMES_SHOWN else ""
-    return f"{len(names)} controllers ({', '.join(names[:MAX_NAMES_SHOWN])}{more})"
+    more = ", ..." if len(names) > MAX_LOGGED_NAMES else ""
+    return f"{len(names)} controllers ({', '.join(names[:MAX_LOGGED_NAMES])}{more})"
 
 
 class ControlRole:
@@ -79,9 +79,9 @@
 
     def start(self) -> None:
         """Listens at all addresses and begins to watch the endpoint list. Raises OSError."""
-        self.main = self.server.listen(self.configuration.listen)
+        self.main_listener = self.server.listen(self.configuration.listen)
         self.listeners = self._listen(_served_by_key(self.configuration))
-        address = "{}:{}".format(*self.main.address)
+        address = "{}:{}".format(*self.main_listener.address)
         self.log.write(
             "start",
             f"control role listens at {address}, and at {len(self.listeners)} addresses of controllers",
@@ -112,8 +112,8 @@
         """Stops watching, deciding and serving; all connections are closed."""
         self.watcher.stop()
         self.decisions.stop()
-        for listener in (self.main, *self.listeners.values()):
-            self.server.unlisten(listener)
+        for listener in (self.main_listener, *self.listeners.values()):
+            self.server.close_listener(listener)
         self.listeners = {}
 
     def address_of(self, name: str) -> Address:
@@ -139,12 +139,12 @@
             self.leases.configure(self.publisher.controllers, self.loop.now)
         removed = self._replace_listeners(added, served_by_key)
         self.configuration, self.accepted.guard = new, new.guard
-        self.watcher.move(new.source)
+        self.watcher.change_source(new.source)
         self.server.wake_watches([*self.server.watching])  # watches of removed views are rejected at once
         self.server.wake_undecided([*self.server.undecided])
         self._schedule_publication()
-        kept = [key for key in RESTART_ONLY if getattr(new, key) != getattr(old, key)]
-        restart = f"; only a restart changes {', '.join(kept)}" if kept else ""
+        unapplied = [key for key in RESTART_ONLY_SETTINGS if getattr(new, key) != getattr(old, key)]
+        restart = f"; only a restart changes {', '.join(unapplied)}" if unapplied else ""
         return f"{len(new.controllers)} controllers, {len(added)} addresses new, {removed} gone{restart}"
 
     def status(self) -> bytes:
@@ -193,7 +193,7 @@
                 listeners[key] = self.server.listen(key.address, served.record.name)
             except OSError as error:
                 for listener in listeners.values():
-                    self.server.unlisten(listener)
+                    self.server.close_listener(listener)
                 address = "{}:{}".format(*key.address)
                 raise OSError(error.errno, f"{served.record.name}: {address}: {error.strerror}") from None
         return listeners
@@ -204,7 +204,7 @@
         """Closes the listeners that are no longer wanted and returns their number."""
         removed = [key for key in self.listeners if key not in served_by_key]
         for key in removed:
-            self.server.unlisten(self.listeners.pop(key))
+            self.server.close_listener(self.listeners.pop(key))
         for key, listener in self.listeners.items():
             self.server.reassign(listener, served_by_key[key].record.name)
         self.listeners |= added
@@ -219,11 +219,11 @@
         """The size of a view in bytes is bounded by its number of endpoints and the stated size of an entry,
         so a longer entry is logged."""
         longest = max((len(entry.encoded) for entry in changes.changed.values()), default=0)
-        stated = self.configuration.limits.max_entry_bytes
-        if longest > stated:
+        limit = self.configuration.limits.max_entry_bytes
+        if longest > limit:
             self.log.write(
                 "size",
-                f"an entry takes {longest} bytes, more than views.most_entry_bytes {stated}: "
+                f"an entry takes {longest} bytes, more than views.most_entry_bytes {limit}: "
                 "a view may take more than views.most_bytes",
             )
 
@@ -267,12 +267,13 @@
     def _log_lease_check(self, lease_check: LeaseCheck) -> None:
         if lease_check.expired:
             self.log.write(
-                "leases", f"{_shown(lease_check.expired)} expired; their endpoints are assigned to others"
+                "leases",
+                f"{_format_names(lease_check.expired)} expired; their endpoints are assigned to others",
             )
         if lease_check.is_retention_new:
             self.log.write(
                 "leases",
-                f"{_shown(lease_check.retained)} overdue, too many at once: a mass expiry, they stay",
+                f"{_format_names(lease_check.retained)} overdue, too many at once: a mass expiry, they stay",
             )
 
     def _schedule_publication(self) -> None:
--- a/oatcart/views/server.py
+++ b/oatcart/views/server.py
@@ -75,12 +75,12 @@
         accepting = accept_connections(
             self.loop, self.log, listener, lambda sock: self._admit(sock, listener)
         )
-        listener.accepting = self.loop.spawn(accepting)
+        listener.accept_task = self.loop.spawn(accepting)
         return listener
 
-    def unlisten(self, listener: Listener) -> None:
+    def close_listener(self, listener: Listener) -> None:
         """Closes a listener and the connections accepted there."""
-        self.loop.cancel(listener.accepting)
+        self.loop.cancel(listener.accept_task)
         self.loop.unregister(listener.sock.fileno())
         listener.sock.close()
         self._close_all(listener)
@@ -138,14 +138,14 @@
                     return
                 connection.http.start_next_cycle()
                 until = self.loop.now + self.bounds.idle_timeout
-        except ConnectionClosedError as ended:
-            if ended.reason not in (CloseReason.CLOSED_BY_PEER, CloseReason.RESET_BY_PEER):
-                self.log.write("connection", f"{self._peer(stream)}: closed: {ended}")
+        except ConnectionClosedError as close_error:
+            if close_error.reason not in (CloseReason.CLOSED_BY_PEER, CloseReason.RESET_BY_PEER):
+                self.log.write("connection", f"{self._peer(stream)}: closed: {close_error}")
         finally:
             del listener.streams[stream]
             self.unidentified.pop(stream, None)
             self.tasks.pop(stream, None)
-            self._forget_view(stream)
+            self._untrack_view(stream)
             stream.close()
 
     def _exchange(
@@ -166,7 +166,7 @@
             self.log.write("rejected", f"{self._peer(connection.stream)}: {rejected}")
             yield from connection.write_answer(rejected.status, rejected.body)
         except h11.RemoteProtocolError as error:
-            if connection.may_answer:
+            if connection.can_answer:
                 rejected = RejectedRequestError(BAD_REQUEST, "the request cannot be read", str(error))
                 yield from connection.write_answer(rejected.status, rejected.body)
             raise ConnectionClosedError(CloseReason.MALFORMED, str(error)) from None
@@ -177,7 +177,7 @@
         until = self.loop.now + call.timeout
         while True:
             history = yield from self._history(connection, call.view)
-            self._note_view(connection.stream, call.view)
+            self._track_view(connection.stream, call.view)
             if call.since is None:
                 return history.complete_list()
             body = history.changes_since(call.since)
@@ -209,21 +209,21 @@
                 self.undecided_calls.answered += has_waited
                 return history
             has_waited = True
-            self._note_view(connection.stream, view)
+            self._track_view(connection.stream, view)
             yield from connection.wait(self.undecided.setdefault(view, {}), until)
 
-    def _note_view(self, stream: Stream, view: str) -> None:
+    def _track_view(self, stream: Stream, view: str) -> None:
         """A connection has requested a view; beyond the limit of that view the oldest is closed."""
         if self.view_of.get(stream) == view:
             return
-        self._forget_view(stream)
+        self._untrack_view(stream)
         self.view_of[stream] = view
         streams = self.streams_of_view.setdefault(view, {})
         streams[stream] = None
         if len(streams) > self.bounds.max_connections_per_view:
             self._close(next(iter(streams)))
 
-    def _forget_view(self, stream: Stream) -> None:
+    def _untrack_view(self, stream: Stream) -> None:
         view = self.view_of.pop(stream, None)
         if view is None:
             return
--- a/oatcart/views/service_pool.py
+++ b/oatcart/views/service_pool.py
@@ -39,7 +39,7 @@
 
 
 class ServicePool:
-    """The records of one service. Changes are noted at once and worked out together by `settle`.
+    """The records of one service. Changes are noted at once and worked out together by `apply_changes`.
 
     `overload`: see `Matching`.
     """
@@ -62,7 +62,7 @@
         """Adds an endpoint, or replaces its record."""
         self._endpoints_before.setdefault(endpoint.id, self.endpoints.get(endpoint.id))
         self.endpoints[endpoint.id] = endpoint
-        self._forget_ready(endpoint.id)
+        self._remove_ready(endpoint.id)
         if endpoint.ready:
             self._ready_endpoints[endpoint.id] = endpoint
             self._ready_by_zone[zone_of(endpoint)] += 1
@@ -71,7 +71,7 @@
         """Removes an endpoint. Raises KeyError if it is not known."""
         self._endpoints_before.setdefault(endpoint_id, self.endpoints.get(endpoint_id))
         del self.endpoints[endpoint_id]
-        self._forget_ready(endpoint_id)
+        self._remove_ready(endpoint_id)
 
     def set_quota(self, name: str, quota: Quota) -> None:
         """Gives a controller its quota of the service, the first or another one."""
@@ -103,7 +103,7 @@
                 holders.discard(name)
         return holders
 
-    def settle(self) -> AffectedControllers:
+    def apply_changes(self) -> AffectedControllers:
         """Works the noted changes out."""
         if not self._endpoints_before and not self._controllers_changed:
             return AffectedControllers(set(), set())
@@ -121,7 +121,7 @@
         self._controllers_changed.clear()
         return AffectedControllers(reassigned, updated)
 
-    def _forget_ready(self, endpoint_id: str) -> None:
+    def _remove_ready(self, endpoint_id: str) -> None:
         endpoint = self._ready_endpoints.pop(endpoint_id, None)
         if endpoint is not None:
             self._ready_by_zone[zone_of(endpoint)] -= 1
@@ -204,7 +204,7 @@
         if not self._matching.has_controller(name):
             return before is not None
         swaps = self._swaps.get(name, [])
-        if not swaps and self._suffices(name):
+        if not swaps and self._meets_needs(name):
             return before is not None
         endpoint_ids = with_replacements(
             self._matching,
@@ -219,7 +219,7 @@
             self._overrides[name] = endpoint_ids
         return before != self._overrides.get(name)
 
-    def _suffices(self, name: str) -> bool:
+    def _meets_needs(self, name: str) -> bool:
         """Whether the matching alone gives a controller all that it needs."""
         spread = self._matching.spread_of(name)
         return spread.ready >= self._needs.endpoints and spread.zones >= self._needs.zones
--- a/tests/views/test_views_leases.py
+++ b/tests/views/test_views_leases.py
@@ -62,7 +62,7 @@
 
     def __init__(self, stage, name, by_name=False):
         self.stage, self.told = stage, None
-        address = stage.role.main.address if by_name else stage.role.address_of(name)
+        address = stage.role.main_listener.address if by_name else stage.role.address_of(name)
         self.path = f"/v1/views/{name}/servers" if by_name else "/v1/servers"
         self.client = HttpClient(stage.loop, address)
         self.task = stage.loop.spawn(self._run())
@@ -109,11 +109,11 @@
 
 
 def lease_status(stage):
-    return stage.call(stage.role.main.address, "/v1/views").result(stage)["leases"]
+    return stage.call(stage.role.main_listener.address, "/v1/views").result(stage)["leases"]
 
 
 def undecided_status(stage):
-    return stage.call(stage.role.main.address, "/v1/views").result(stage)["undecided_calls"]
+    return stage.call(stage.role.main_listener.address, "/v1/views").result(stage)["undecided_calls"]
 
 
 def raw_answer(stage, name):
@@ -165,7 +165,7 @@
 
     def calls():
         call_complete(stage, "c0").result(stage)
-        stage.call(stage.role.main.address, "/v1/views/c1/servers").result(stage)
+        stage.call(stage.role.main_listener.address, "/v1/views/c1/servers").result(stage)
 
     assert overdue_after(stage, calls) == set(NAMES[2:])
 
@@ -340,7 +340,7 @@
 def test_a_held_call_for_a_controller_that_leaves_the_file_is_rejected_at_once():
     stage = staged(None, bounds=BOUNDS._replace(undecided_timeout=3.0))
     try:
-        call = stage.call(stage.role.main.address, "/v1/views/c7/servers")
+        call = stage.call(stage.role.main_listener.address, "/v1/views/c7/servers")
         stage.for_(0.1)
         began = stage.loop.clock()
         stage.role.reconfigure(stage.configuration._replace(controllers=stage.configuration.controllers[:7]))
--- a/tests/views/test_views_liveness.py
+++ b/tests/views/test_views_liveness.py
@@ -125,8 +125,8 @@
 
 def test_a_controller_that_is_forgotten_expires_at_once_in_a_mass_expiry_too():
     liveness = liveness_of()
-    liveness.forget(FLEET[5].name)
-    liveness.forget("nobody")
+    liveness.remove(FLEET[5].name)
+    liveness.remove("nobody")
     decision = liveness.decide(OVERDUE_AFTER + 1)
     assert (decision.expired, len(decision.retained)) == ((FLEET[5].name,), len(FLEET) - 1)
 
@@ -157,10 +157,10 @@
 
     @precondition(lambda self: self.called_at)
     @rule(data=st.data())
-    def forget(self, data):
+    def remove(self, data):
         name = data.draw(st.sampled_from(sorted(self.called_at)))
         del self.called_at[name]
-        self.liveness.forget(name)
+        self.liveness.remove(name)
 
     @invariant()
     def decided_as_stated(self):
--- a/tests/views/test_views_server.py
+++ b/tests/views/test_views_server.py
@@ -55,7 +55,7 @@
 
 
 def test_the_same_view_by_name_at_the_main_address(stage):
-    by_name = stage.call(stage.role.main.address, "/v1/views/c1/servers").result(stage)
+    by_name = stage.call(stage.role.main_listener.address, "/v1/views/c1/servers").result(stage)
     assert by_name == stage.get("c1")
 
 
@@ -134,10 +134,12 @@
 
 
 def test_an_unknown_view_is_rejected_with_what_and_why_and_leaves_no_trace(stage):
-    before = stage.call(stage.role.main.address, "/v1/views").result(stage)
-    status, told = raw(stage, stage.role.main.address, "/v1/views/nobody/servers?since=4&timeout_ms=2000")
+    before = stage.call(stage.role.main_listener.address, "/v1/views").result(stage)
+    status, told = raw(
+        stage, stage.role.main_listener.address, "/v1/views/nobody/servers?since=4&timeout_ms=2000"
+    )
     assert status == 404 and told == {"error": "unknown view", "why": "no conductor named 'nobody' is known"}
-    after = stage.call(stage.role.main.address, "/v1/views").result(stage)
+    after = stage.call(stage.role.main_listener.address, "/v1/views").result(stage)
     assert (after["conductors"], after["views"]) == (before["conductors"], before["views"]) == (3, {})
 
 
@@ -154,7 +156,7 @@
     ],
 )
 def test_invalid_values_for_leases_are_rejected(stage, target, method, status, why):
-    found, told = raw(stage, stage.role.main.address, target, method)
+    found, told = raw(stage, stage.role.main_listener.address, target, method)
     assert found == status and why in told["why"]
 
 
@@ -246,12 +248,12 @@
 def test_unidentified_connections_have_a_deadline_and_a_small_head():
     stage = Stage([controller("c0")], ServerBounds(batching_delay=0.02, first_request_timeout=0.3))
     try:
-        assert stage.asked(stage.role.main.address, b"") == b""
-        assert stage.asked(stage.role.main.address, b"GET /v1/vie") == b""
+        assert stage.asked(stage.role.main_listener.address, b"") == b""
+        assert stage.asked(stage.role.main_listener.address, b"GET /v1/vie") == b""
         assert stage.logged("unidentified connection: closed: timed out")
-        flood = stage.asked(stage.role.main.address, b"GET / HTTP/1.1\r\nA: " + b"x" * 40_000)
+        flood = stage.asked(stage.role.main_listener.address, b"GET / HTTP/1.1\r\nA: " + b"x" * 40_000)
         assert flood.startswith((b"HTTP/1.1 400", b""))
-        assert stage.asked(stage.role.main.address, b"what?\r\n\r\n").startswith(b"HTTP/1.1 400")
+        assert stage.asked(stage.role.main_listener.address, b"what?\r\n\r\n").startswith(b"HTTP/1.1 400")
         stage.until(lambda: not stage.role.server.tasks, "all of them gone")
     finally:
         stage.close()
@@ -270,7 +272,7 @@
         stage.ready()
         watching = watch(stage, "c0", stage.get("c0")["revision"])
         stage.until(lambda: stage.role.server.watching.get("c0"), "the watch stands")
-        crowd = [Exchange(stage.loop, stage.role.main.address, b"") for _ in range(20)]
+        crowd = [Exchange(stage.loop, stage.role.main_listener.address, b"") for _ in range(20)]
         stage.until(lambda: stage.logged("no capacity"), "some that are gone")
         stage.for_(0.1)
         assert len(stage.role.server.tasks) <= 6 and not watching.over
@@ -335,7 +337,7 @@
 
 
 def test_an_answer_longer_than_allowed_changes_nothing(stage):
-    stage.role.watcher.move(stage.role.watcher.source._replace(max_list_bytes=600))
+    stage.role.watcher.change_source(stage.role.watcher.source._replace(max_list_bytes=600))
     stage.until(lambda: stage.logged("message too long"), "a log line")
     assert len(stage.get("c2")["members"]) == 12
 
@@ -448,10 +450,10 @@
 
 def test_a_reload_takes_in_controllers_and_lets_them_go(stage):
     kept, gone = stage.get("c0"), stage.role.address_of("c1")
-    watching = stage.call(stage.role.main.address, "/v1/views/c1/servers?since=0")
+    watching = stage.call(stage.role.main_listener.address, "/v1/views/c1/servers?since=0")
     revision = watching.result(stage)["revision"]
     watching = stage.call(
-        stage.role.main.address, f"/v1/views/c1/servers?since={revision}&timeout_ms=9000", 10
+        stage.role.main_listener.address, f"/v1/views/c1/servers?since={revision}&timeout_ms=9000", 10
     )
     stage.for_(0.1)
     said = reconfigured(stage, controller("c0", ["x"]), controller("c3", ["y"]))
@@ -547,7 +549,7 @@
 
 def test_the_status_tells_of_views_and_of_the_source(stage):
     stage.get("c0")
-    told = stage.call(stage.role.main.address, "/v1/views").result(stage)
+    told = stage.call(stage.role.main_listener.address, "/v1/views").result(stage)
     assert (
         told["nodes"] == 12 and told["held"] == 0 and told["source"]["revision"] == stage.discovery.revision
     )
--- a/tests/views/views_stage.py
+++ b/tests/views/views_stage.py
@@ -53,7 +53,7 @@
 
     def die(self):
         """Its connections are reset, new ones are rejected."""
-        self.loop.cancel(self.listener.accepting)
+        self.loop.cancel(self.listener.accept_task)
         self.loop.unregister(self.listener.sock.fileno())
         self.listener.sock.close()
         for task, stream in self.streams:
