--- a/oatcart/views/__main__.py
+++ b/oatcart/views/__main__.py
@@ -1,7 +1,7 @@
 """`python -m oatcart.views deploy/views.yaml`: the control role, which serves each controller a bounded view
 of the fleet.
 
-Exit codes: 0 after SIGTERM or SIGINT, 2 if the file is invalid or an address cannot be listened at.
+Exit codes: 0 after SIGTERM or SIGINT, 2 if the file is invalid or listening at an address fails.
 """
 
 # ruff: noqa: E402 - signals are set before the imports that take time
@@ -31,7 +31,7 @@
 
 
 def assemble(configuration: Configuration) -> ControlRole:
-    """A control role on a loop of its own, which logs to standard error."""
+    """Creates a control role with an event loop of its own. It logs to standard error."""
     loop = Loop(time.monotonic, lambda error: log.write("task", "".join(traceback.format_exception(error))))
     log = Log(loop.clock)
     return ControlRole(configuration, loop, log)
--- a/oatcart/views/configuration.py
+++ b/oatcart/views/configuration.py
@@ -1,4 +1,4 @@
-"""The settings of the control role, by the terms of the code. `configuration_file` reads them."""
+"""The settings of the control role. `configuration_file` reads them from a file."""
 
 from typing import NamedTuple
 
@@ -12,11 +12,11 @@
 
 
 class DiscoverySettings(NamedTuple):
-    """Where and how discovery is called. Times in seconds, `max_list_bytes` in bytes.
+    """The address of discovery and the limits of calls to it. Times in seconds, `max_list_bytes` in bytes.
 
-    `watch_timeout`: that a watch asks discovery to wait; `fetch_timeout`: for the complete list;
-    `max_backoff`: the longest wait after a failure; `refetch_interval`: between two complete lists without
-    any failure.
+    `watch_timeout`: how long discovery may wait for changes before it answers a watch; `fetch_timeout`: for
+    fetching the complete list; `max_backoff`: the longest wait after a failure; `refetch_interval`: between
+    two complete lists while no call fails.
     """
 
     address: Address = ("127.0.0.1", 8500)
@@ -28,24 +28,26 @@
 
 
 class EndpointFields(NamedTuple):
-    """Which fields of an entry have its service and region; the regions of zones whose entries have none."""
+    """The names of the fields with an entry's service and region, and the regions of zones for entries that
+    have no region field."""
 
     service_field: str = "service"
     region_field: str = "region"
-    region_of_zone: dict[str, str] = {}  # never changed
+    region_of_zone: dict[str, str] = {}  # never modified
 
     def region(self, zone: str) -> str:
-        """The region of a zone by the deploy file."""
+        """The region configured for a zone."""
         return self.region_of_zone.get(zone, DEFAULT_REGION)
 
 
 class ServerBounds(NamedTuple):
-    """Bounds of what clients may cost. Times in seconds.
+    """Limits on the resources that clients may use. Times in seconds.
 
-    `batching_delay`: from a change until watches are woken with it and what followed; `write_timeout`: that
-    an answer may stay unread without progress; `first_request_timeout`: from the accept of a connection;
-    `idle_timeout`: between two requests; `max_connections`: open at once in all; `max_connections_per_view`:
-    of those that requested one view; `undecided_timeout`: that a call waits for the decision of its view.
+    `batching_delay`: from a change until it is published together with the changes that followed;
+    `write_timeout`: for which a client may read nothing of a response; `first_request_timeout`: from the
+    accept of a connection to its first request; `idle_timeout`: between two requests; `max_connections`:
+    open connections in total; `max_connections_per_view`: open connections that requested the same view;
+    `undecided_timeout`: for which a call waits until its view is decided.
     """
 
     batching_delay: float = 0.2
@@ -58,8 +60,8 @@
 
 
 class Configuration(NamedTuple):
-    """All settings. `seed`: of the decisions, the same at all control roles; `leases`: None if the
-    controllers need no lease."""
+    """All settings. `seed`: of the assignment, must be the same at all control roles; `leases`: None if
+    controllers do not need a lease."""
 
     listen: Address = ("127.0.0.1", 8600)
     source: DiscoverySettings = DiscoverySettings()
--- a/oatcart/views/configuration_file.py
+++ b/oatcart/views/configuration_file.py
@@ -1,7 +1,7 @@
-"""Reads and checks `deploy/views.yaml`. Each problem names file, line and field, and all are reported at
+"""Reads and checks `deploy/views.yaml`. Each message names file, line and field; all problems are reported at
 once.
 
-The keys of the file are mapped to the fields of `configuration` here and nowhere else.
+The keys of the file are mapped to the fields of `configuration` only here.
 """
 
 from collections.abc import Callable
@@ -28,14 +28,15 @@
 from oatcart.views.requests import MAX_WATCH_TIMEOUT
 from oatcart.yaml_files import boolean, duration, integer, load, name, size, table
 
-MAX_UNDECIDED_TIMEOUT = 3.0  # s; a controller ends a call that is no watch after 4 s
+MAX_UNDECIDED_TIMEOUT = 3.0  # s; a controller ends a call other than a watch after 4 s
 MIN_LEASE_DURATION = 1.0  # s
 MAX_SEED = 2**64 - 1
 MAX_COUNT = 1_000_000  # of endpoints or controllers
 
 
 class Setting(NamedTuple):
-    """A key's field in the code, and its parser, which raises ValueError for a value that is not valid."""
+    """The field that a key sets, and the parser of its value, which raises ValueError for an invalid
+    value."""
 
     field: str
     parse: Callable[[object], object]
@@ -43,14 +44,14 @@
 
 def _factor(value: object) -> float:
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not 1 <= value <= 100:
-        raise ValueError(f"{value} is no factor from 1 to 100")
+        raise ValueError(f"expected a factor from 1 to 100, got {value}")
     return float(value)
 
 
 def _base_address(value: object) -> Address:
     address = numeric_address(value)
     if not address[1]:
-        raise ValueError(f"{value!r} has no port to count from")
+        raise ValueError(f"expected an address with a port above 0, got {value!r}")
     return address
 
 
@@ -61,28 +62,28 @@
     """
     digits = str(value).removesuffix("%")
     if not str(value).endswith("%") or not digits.isdecimal() or not 0 < int(digits) < 100:
-        raise ValueError(f"{value} is no share; write it as 25%")
+        raise ValueError(f"expected a percentage from 1% to 99%, got {value}")
     return int(digits) / 100
 
 
 def _watch_timeout(value: object) -> float:
     timeout = duration(value)
     if timeout > MAX_WATCH_TIMEOUT:
-        raise ValueError(f"{value} is longer than a watch may wait, 60s")
+        raise ValueError(f"expected at most 60s, the longest that a watch may wait, got {value}")
     return timeout
 
 
 def _undecided_timeout(value: object) -> float:
     timeout = duration(value)
     if timeout > MAX_UNDECIDED_TIMEOUT:
-        raise ValueError(f"{value} is longer than 3s; a controller ends its call after 4s")
+        raise ValueError(f"expected at most 3s, as a controller ends its call after 4s, got {value}")
     return timeout
 
 
 def _lease_duration(value: object) -> float:
     seconds = duration(value)
     if seconds < MIN_LEASE_DURATION:
-        raise ValueError(f"{value} is shorter than 1s")
+        raise ValueError(f"expected at least 1s, got {value}")
     return seconds
 
 
@@ -125,7 +126,7 @@
     "doubt_share": Setting("mass_expiry_share", _share),
     "doubt_least": Setting("mass_expiry_count", integer(1, MAX_COUNT)),
 }
-# The parsers of the keys at the top; None: a part or list with keys of its own.
+# The parsers of the top-level keys; None: a section or list with keys of its own.
 TOP_KEYS = {
     "listen": numeric_address,
     "base": _base_address,
@@ -143,7 +144,8 @@
 
 
 class _Reader:
-    """One reading of a file. `folder` has the file; `where` names a line of it, counted from 0."""
+    """Reads one parsed file. `folder` is the file's folder; `where` formats a location, its line counted from
+    0."""
 
     def __init__(self, document: CommentedMap, folder: Path, where: Callable[[int], str]) -> None:
         self.document, self.folder, self.where = document, folder, where
@@ -151,7 +153,7 @@
         self.top = table(document, TOP_KEYS, "", where, self.problems, 0)
 
     def configuration(self) -> Configuration:
-        """The settings of the file, to be used if `problems` stays empty."""
+        """The settings of the file, valid only if `problems` is empty afterwards."""
         views = self._section("views", VIEW_SETTINGS)
         fields = EndpointFields(
             self.top.get("service_field", EndpointFields().service_field),
@@ -177,7 +179,7 @@
         return self.document.lc.key(key)[0]
 
     def _section(self, key: str, settings: dict[str, Setting]) -> dict:
-        """The values of one part, by field."""
+        """The values of one section, by field."""
         if key not in self.top:
             return {}
         parsers = {name: setting.parse for name, setting in settings.items()}
@@ -185,7 +187,8 @@
         return {settings[name].field: value for name, value in values.items()}
 
     def _leases(self) -> LivenessSettings | None:
-        """Leases are refused unless the file says that no other control role serves these controllers."""
+        """The settings of leases, which are rejected unless this is the only control role of its
+        controllers."""
         values = self._section("leases", LEASE_SETTINGS)
         is_enabled = values.pop("is_enabled", False)
         is_only_control_role = values.pop("is_only_control_role", False)
@@ -194,14 +197,14 @@
         if not is_only_control_role:
             location = self.where(self.top["leases"].lc.key("enabled")[0])
             self.problems.append(
-                f"{location}: leases.enabled: control roles do not tell one another who called them, so "
-                "their views would differ; where this one alone serves its controllers, add "
+                f"{location}: leases.enabled: control roles do not exchange which controllers called "
+                "them, so their views would differ; if only this one serves its controllers, set "
                 "only_control_role: true"
             )
         return LivenessSettings(**values)
 
     def _region_of_zone(self) -> dict[str, str]:
-        """The file has the zones by region."""
+        """The region of each zone; the file lists the zones by region."""
         found: dict[str, str] = {}
         if "regions" not in self.top:
             return found
@@ -213,13 +216,14 @@
                 if zone in found:
                     location = self.where(regions.lc.key(region)[0])
                     self.problems.append(
-                        f"{location}: regions.{region}: zone {zone} is in {found[zone]} already"
+                        f"{location}: regions.{region}: zone {zone} is already in region {found[zone]}"
                     )
                 found[zone] = str(region)
         return found
 
     def _controllers(self, fields: EndpointFields) -> tuple[ServedController, ...]:
-        """Those of the list, then those of the file of JSON lines, whose path is relative to this file."""
+        """The controllers listed in the file, then those of the JSON lines file, whose path is relative to
+        this file's folder."""
         groups: list[ControllerGroup] = []
         listed, path = self.top.get("conductors"), self.top.get("conductors_file")
         if listed is not None:
@@ -230,7 +234,7 @@
 
 
 def read(path: str | Path) -> Configuration:
-    """The settings of a file; raises InvalidConfigurationError with all problems, a line each."""
+    """The settings of a file; raises InvalidConfigurationError with one line for each problem."""
     document, where = load(path)
     if document is None:
         return Configuration()
--- a/oatcart/views/connection.py
+++ b/oatcart/views/connection.py
@@ -1,7 +1,7 @@
-"""HTTP on one connection of the control role: requests in, answers out, and the wait of a watch between them.
+"""The server's side of one HTTP connection: reading requests, writing responses and the wait of a watch.
 
-One answer at a time is written, and the next request is read once it has gone out, so that a slow reader
-costs the memory of one answer at most.
+The next request is read only after the previous response was sent completely, so a slow reader costs the
+memory of at most one response.
 """
 
 from collections.abc import Generator
@@ -13,15 +13,15 @@
 from oatcart.net.stream import Stream
 from oatcart.views.requests import UNAVAILABLE
 
-MAX_HEAD_BYTES = 16 * 1024  # of a request, and of what is sent ahead of an answer
-UNSENT_CHECK_INTERVAL = 0.05  # s between two checks whether an answer has gone out
+MAX_HEAD_BYTES = 16 * 1024  # of a request, and of the data that a client sends before it has its response
+UNSENT_CHECK_INTERVAL = 0.05  # s between two checks whether a response was sent
 RETRY_AFTER = b"1"  # s; sent with status 503
 
 
 class HttpConnection:
-    """The server's side of one connection. All methods raise `ConnectionClosedError` if it ends.
+    """The server's side of one connection. All methods raise `ConnectionClosedError` if it is closed.
 
-    `write_timeout`: s that an answer may stay unread without progress.
+    `write_timeout`: s for which the client may read nothing of a response.
     """
 
     def __init__(self, loop: Loop, stream: Stream, write_timeout: float) -> None:
@@ -30,18 +30,18 @@
 
     @property
     def can_answer(self) -> bool:
-        """Whether no answer to the present request has begun."""
+        """Whether a response to the current request can still be started."""
         return self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE)
 
     @property
     def is_reusable(self) -> bool:
-        """Whether another request may follow the last answer."""
+        """Whether the connection can serve another request after the last response."""
         return self.http.our_state is h11.DONE and self.http.their_state is h11.DONE
 
     def read_request(self, until: float) -> Generator[Wait, bool, h11.Request]:
-        """The next request, read to its end. No call has a body, so a long one ends the connection.
+        """Reads the next request to its end. No call needs a body, so a long one ends the connection.
 
-        Raises h11.RemoteProtocolError if the request cannot be read.
+        Raises h11.RemoteProtocolError if the request is not valid HTTP.
         """
         request, body_bytes = None, 0
         while True:
@@ -63,7 +63,7 @@
                 raise ConnectionClosedError(CloseReason.CLOSED_BY_PEER)
 
     def write_answer(self, status: int, body: bytes) -> Generator[Wait, bool, None]:
-        """Writes an answer and waits until it has gone out, as long as the other side reads any of it."""
+        """Writes a response and waits until it is sent, as long as the client keeps reading."""
         headers = [(b"Content-Type", b"application/json"), (b"Content-Length", b"%d" % len(body))]
         if status == UNAVAILABLE:
             headers.append((b"Retry-After", RETRY_AFTER))
@@ -79,8 +79,8 @@
                 raise ConnectionClosedError(CloseReason.SEND_BUFFER_FULL)
 
     def wait(self, waiting: dict[Stream, None], until: float) -> Generator[Wait, bool, None]:
-        """Waits until the task is woken, the time is over, or the other side sends something. Meanwhile the
-        stream is in `waiting`."""
+        """Waits until the task is woken, `until` is reached or the client sends data. Meanwhile the stream is
+        in `waiting`."""
         waiting[self.stream] = None
         try:
             data = yield from self.stream.read_available(until)
@@ -92,6 +92,6 @@
             waiting.pop(self.stream)
         if not data:
             raise ConnectionClosedError(CloseReason.CLOSED_BY_PEER)
-        self.http.receive_data(data)  # a further request, sent ahead
+        self.http.receive_data(data)  # a pipelined request
         if len(self.http.trailing_data[0]) > MAX_HEAD_BYTES:
             raise ConnectionClosedError(CloseReason.MESSAGE_TOO_LONG)
--- a/oatcart/views/controllers.py
+++ b/oatcart/views/controllers.py
@@ -1,7 +1,7 @@
-"""The controllers that the deploy file lists: one by one, in groups, or in a file of JSON lines.
+"""The controllers listed in the deploy file: one by one, in groups, or in a file of JSON lines.
 
-A large list is written by a program. YAML that keeps its lines takes about a millisecond a controller to
-read; JSON lines, one controller a line with the same keys, take a small part of that.
+JSON lines (one controller a line, with the same keys) are for large, generated lists: YAML with line numbers
+takes about a millisecond a controller to read, JSON lines a small fraction of that.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -18,20 +18,20 @@
 
 PORTS = 65536
 MAX_CONTROLLERS = 20_000
-NUMBER_FIELD = "{number}"  # in the name of a group; replaced by numbers from 0 up
+NUMBER_FIELD = "{number}"  # in the name of a group; replaced by 0, 1, 2 and so on
 
 
 class ServedController(NamedTuple):
     """A controller that is served. `address`: its own listening address, None if it requests its view by name
-    alone."""
+    at the main address only."""
 
     record: Controller
     address: Address | None
 
 
 class ControllerGroup(NamedTuple):
-    """One entry of the list, not yet checked. `at` is its path in messages; `where` names a line of its file,
-    counted from 0."""
+    """One entry of the list, not yet checked. `at` is its path in messages; `where` formats a location in its
+    file, the line counted from 0."""
 
     value: object
     at: str
@@ -40,17 +40,19 @@
 
 
 def numeric_address(value: object) -> Address:
-    """An IPv4 address and a port; raises ValueError."""
+    """Parses an IPv4 address and a port; raises ValueError."""
     try:
         return ipv4_address(str(value))
     except ValueError:
-        raise ValueError(f"{value!r} is not a numeric IPv4 address and a port, as 127.0.0.1:8600") from None
+        raise ValueError(
+            f"expected a numeric IPv4 address and a port such as 127.0.0.1:8600, got {value!r}"
+        ) from None
 
 
 def distinct_names(value: object) -> tuple[str, ...]:
-    """A list of names; raises ValueError."""
+    """Checks a list of distinct names; raises ValueError."""
     if not isinstance(value, list) or len(set(map(str, value))) < len(value):
-        raise ValueError(f"{value} is no list of distinct names")
+        raise ValueError(f"expected a list of distinct names, got {value}")
     return tuple(name(one) for one in value)
 
 
@@ -67,9 +69,9 @@
 def groups_of_list(
     value: object, line: int, where: Callable[[int], str], problems: list[str]
 ) -> Iterator[ControllerGroup]:
-    """The entries of `conductors` in the YAML file, whose value begins at that line."""
+    """The entries of `conductors` in the YAML file; `line` is where its value begins."""
     if not isinstance(value, CommentedSeq):
-        problems.append(f"{where(line)}: conductors is no list")
+        problems.append(f"{where(line)}: conductors: expected a list")
         return
     for position, group in enumerate(value):
         yield ControllerGroup(group, f"conductors[{position}].", value.lc.item(position)[0], where)
@@ -98,7 +100,7 @@
 
 
 def _map_at_line(value: object, line: int) -> object:
-    """A JSON object as a YAML map, all of whose keys are at that line."""
+    """A JSON object as a YAML map whose keys are all at this line; any other value unchanged."""
     if not isinstance(value, dict):
         return value
     found = CommentedMap(value)
@@ -114,8 +116,8 @@
     region_of: Callable[[str], str],
     problems: list[str],
 ) -> tuple[ServedController, ...]:
-    """All controllers of all groups. A controller without an address of its own gets the port above `base`
-    that is its position in the list, if there is a base."""
+    """All controllers of all groups. If there is a `base`, a controller without an address of its own gets
+    the port of `base` plus its position in the list."""
     found: list[ServedController] = []
     names: set[str] = set()
     names_by_address = {listen: "listen"}
@@ -135,7 +137,7 @@
     region_of: Callable[[str], str],
     problems: list[str],
 ) -> Iterator[ServedController]:
-    """The controllers of one entry: one, or `count` with a number in their names."""
+    """The controllers of one entry: one, or `count` controllers with numbers in their names."""
     problems_before = len(problems)
     fields = table(group.value, GROUP_KEYS, group.at, group.where, problems, group.line)
     _check_fields(group, fields, problems)
@@ -156,9 +158,11 @@
         missing = [key for key in ("name", "zone") if key not in group.value]
         problems += [f"{location}: {group.at}{key} is missing" for key in missing]
     if "count" in fields and NUMBER_FIELD not in fields.get("name", NUMBER_FIELD):
-        problems.append(f"{location}: {group.at}name: a group's needs {NUMBER_FIELD}")
+        problems.append(f"{location}: {group.at}name: expected {NUMBER_FIELD} in it, as count is set")
     if "count" in fields and "address" in fields:
-        problems.append(f"{location}: {group.at}address: a group is listened for above the base")
+        problems.append(
+            f"{location}: {group.at}address: not allowed with count; the addresses of a group follow base"
+        )
 
 
 def _check_distinct(
@@ -168,22 +172,24 @@
     location: str,
     problems: list[str],
 ) -> None:
-    """Checks a name and an address against those before; `users` has the names by address."""
+    """Checks that a controller's name and address are not in use by those before it; adds them to `names` and
+    `names_by_address`."""
     controller_name, address = served.record.name, served.address
     if controller_name in names:
-        problems.append(f"{location}: conductors: the name {controller_name} stands there twice")
+        problems.append(f"{location}: conductors: duplicate name {controller_name}")
     names.add(controller_name)
-    if address is None or not address[1]:  # port 0 asks for any free port
+    if address is None or not address[1]:  # port 0: any free port
         return
     if address[1] >= PORTS:
         problems.append(
-            f"{location}: conductors: {controller_name} would have port {address[1]}; set a lower base"
+            f"{location}: conductors: {controller_name} would get port {address[1]}, "
+            "above 65535; set a lower base"
         )
     if address in names_by_address:
         formatted = "{}:{}".format(*address)
         problems.append(
             f"{location}: conductors: {controller_name} and {names_by_address[address]} "
-            f"would both have {formatted}"
+            f"would both have the address {formatted}"
         )
     names_by_address[address] = controller_name
 
--- a/oatcart/views/coverage.py
+++ b/oatcart/views/coverage.py
@@ -1,7 +1,7 @@
-"""What the views of a service have beside the matching: swaps for endpoints without holder, and replacements
+"""Adjusts the views of a service after the matching: swaps for endpoints without a holder, and replacements
 for endpoints that are not ready.
 
-Both are worked out from the matching and the records as they are, never from what held before.
+Both are computed from the current matching and records alone, never from earlier views.
 """
 
 from typing import NamedTuple
@@ -11,26 +11,26 @@
 from oatcart.views.records import Endpoint
 
 Zone = tuple[str, str]
-"""A region and a zone in it; a zone's name is its own only within its region."""
+"""A region and a zone in it; zone names are unique only within a region."""
 
 
 class Swap(NamedTuple):
-    """A controller has the endpoint `acquired` in place of the endpoint `released`, by their ids."""
+    """A controller's view has the endpoint `acquired` instead of the endpoint `released` (ids)."""
 
     released: str
     acquired: str
 
 
 class CoverageNeeds(NamedTuple):
-    """How many ready endpoints, in how many zones, every view of a service has."""
+    """The number of ready endpoints of a service, and of their zones, that every view needs."""
 
     endpoints: int
     zones: int
 
 
 def coverage_needs(ready_by_zone: dict[Zone, int]) -> CoverageNeeds:
-    """`MIN_ENDPOINTS` endpoints in as many zones, or what a service has with so many ready endpoints in each
-    of its zones."""
+    """`MIN_ENDPOINTS` endpoints in as many zones, or fewer if the service has fewer. `ready_by_zone`: its
+    number of ready endpoints in each zone."""
     counts = [count for count in ready_by_zone.values() if count]
     return CoverageNeeds(min(MIN_ENDPOINTS, sum(counts)), min(MIN_ENDPOINTS, len(counts)))
 
@@ -41,11 +41,13 @@
 
 
 def swaps_for_unheld(matching: Matching, endpoints: dict[str, Endpoint]) -> dict[str, list[Swap]]:
-    """Swaps, by controller, that give each endpoint without holder one, as far as others have one to spare.
+    """Swaps, by controller, that give a holder to each endpoint without one, where a controller can release
+    another endpoint for it.
 
-    The pair of the smallest key is first. Its controller releases the endpoint of its largest key that has
-    other holders too, and keeps endpoints in two zones. If the quotas together are at least as many as the
-    endpoints, none stays without holder, unless its zone prevents each swap.
+    Pairs are tried in ascending order of their keys. The controller releases the endpoint with the largest
+    key that has other holders, unless its endpoints in several zones would all be in one zone afterwards. If
+    the sum of the quotas is at least the number of endpoints, every endpoint gets a holder, except where the
+    zones rule out each swap.
     """
     unheld = matching.unheld_endpoints()
     if not unheld:
@@ -80,8 +82,8 @@
     swaps: list[Swap],
     releases: dict[str, int],
 ) -> str | None:
-    """The endpoint that a controller releases for another, None if it has none to spare. `swaps` are those of
-    the controller so far, `releases` counts those of all controllers by endpoint."""
+    """The endpoint that a controller releases for `acquired`, None if it must keep all. `swaps`: of this
+    controller so far; `releases`: how often each endpoint was released so far, by any controller."""
     own_ids = _after_swaps(matching.endpoints_of(name), swaps)
     own_zones = [zone_of(endpoints[endpoint_id]) for endpoint_id in own_ids]
     has_several_zones = len(set(own_zones)) > 1
@@ -111,12 +113,12 @@
     ready_endpoints: dict[str, Endpoint],
     needs: CoverageNeeds,
 ) -> list[str]:
-    """All endpoints of the service in a controller's view: those of the matching, after its swaps, and
+    """All endpoints of the service in a controller's view: those of the matching after the swaps, and the
     replacements.
 
-    Ready endpoints replace where matching or draining leaves fewer ready endpoints or zones than `needs`.
-    They are taken by the controller's own order of keys, whatever their holder limit. If all together exceed
-    the total of the quota, draining endpoints are left out, the largest key first.
+    Where fewer ready endpoints or zones than `needs` remain, further ready endpoints are added in ascending
+    order of the controller's keys, regardless of their holder limits. If the sum exceeds the total of the
+    quota, draining endpoints are left out, those with the largest keys first.
     """
     endpoint_ids = _after_swaps(matching.endpoints_of(name), swaps)
     ready_ids = [endpoint_id for endpoint_id in endpoint_ids if endpoint_id in ready_endpoints]
--- a/oatcart/views/decisions.py
+++ b/oatcart/views/decisions.py
@@ -1,7 +1,8 @@
-"""Decides views in a thread of its own, so that a change which moves many assignments delays nobody.
+"""Decides views in a separate thread, so that a change that moves many assignments does not block the event
+loop.
 
-The first decision for a fleet takes seconds, and so may the loss of a zone. Meanwhile the event loop answers,
-and publishes what is known of each endpoint already.
+The first decision for a fleet takes seconds, and so can the loss of a zone. Meanwhile the event loop answers
+calls and publishes changes of endpoints that views already have.
 """
 
 import socket
@@ -15,13 +16,14 @@
 from oatcart.views.records import Controller, Endpoint, ViewError, ViewLimits
 
 View = tuple[str, ...] | ViewError
-"""The ids of the endpoints in a controller's view, or why it cannot be decided."""
+"""The ids of the endpoints in a controller's view, or the reason why it cannot be decided."""
 
-WAKE_READ_BYTES = 4096  # of the wake pair, at a time
+WAKE_READ_BYTES = 4096  # read from the wake socket at once
 
 
 class RecordChanges(NamedTuple):
-    """Changes of the records. If `limits` are given, with `seed`, all views are decided from nothing."""
+    """Changes of the records. If `limits` is set, all earlier records are discarded, and `limits` and `seed`
+    apply from then on."""
 
     endpoints: Iterable[Endpoint] = ()
     removed_endpoints: Iterable[str] = ()
@@ -38,7 +40,7 @@
         self.fleet_views = FleetViews(ViewLimits(), 0)
 
     def decide(self, changes: Iterable[RecordChanges]) -> dict[str, View]:
-        """The views that may differ after these changes, by the names of controllers."""
+        """Applies a batch of changes and returns the views that may differ, by the names of controllers."""
         for change in changes:
             self._apply(change)
         return {name: self._view(name) for name in self.fleet_views.pop_changed()}
@@ -61,7 +63,8 @@
 
 
 class DecisionThread:
-    """Runs a `ViewDecider` in a thread. `on_views` is called on the loop, in the order of the changes."""
+    """Runs a `ViewDecider` in a thread. `on_views` is called on the event loop with each batch of results, in
+    the order of the changes."""
 
     def __init__(self, loop: Loop, on_views: Callable[[dict[str, View]], None]) -> None:
         self.loop, self.on_views = loop, on_views
@@ -69,20 +72,20 @@
         self.results: SimpleQueue[dict[str, View] | Exception] = SimpleQueue()
         self.wake_receiver, self.wake_sender = socket.socketpair()
         self.wake_receiver.setblocking(False)
-        self.failure: Exception | None = None  # nothing is decided from then on
+        self.failure: Exception | None = None  # once set, the thread has ended
         self.thread = Thread(target=self._run, name="deciding", daemon=True)
 
     def start(self) -> None:
-        """Starts the thread and the delivery of its results."""
+        """Starts the thread and the task that delivers its results."""
         self.thread.start()
         self.delivery = self.loop.spawn(self._deliver())
 
     def submit(self, change: RecordChanges) -> None:
-        """Hands changes to the thread; all that are queued are decided together."""
+        """Queues changes for the thread, which processes all queued changes together."""
         self.changes.put(change)
 
     def stop(self) -> None:
-        """Ends the thread, once a decision under way is done."""
+        """Ends the thread, after the current decision if there is one."""
         self.changes.put(None)
         self.thread.join()
         if not self.delivery.done:
@@ -101,7 +104,7 @@
                 return
             try:
                 self.results.put(decider.decide(batch))
-            except Exception as error:  # the loop takes note of it and ends the process
+            except Exception as error:  # reported to the loop, which ends the process
                 self.results.put(error)
                 return
             finally:
--- a/oatcart/views/entries.py
+++ b/oatcart/views/entries.py
@@ -1,7 +1,7 @@
-"""Answers of discovery and their entries, checked as a controller checks them and encoded once.
+"""Parses responses of discovery (`GET /v1/servers`) and checks their entries as a controller does.
 
-Source: the discovery protocol, `GET /v1/servers`. An entry that a controller could not use is not passed on:
-one such entry in a complete list would make the controller take that list as changes only.
+An entry that a controller would reject is not passed on: one such entry in a complete list would make the
+controller treat the list as changes only.
 """
 
 from dataclasses import dataclass
@@ -18,17 +18,17 @@
 
 
 class MalformedAnswerError(ValueError):
-    """An answer that is not an endpoint list."""
+    """A response that is not an endpoint list."""
 
 
 class MalformedEntryError(ValueError):
-    """An entry that cannot be used. The message names the endpoint, the field and the value."""
+    """An invalid entry. The message names the endpoint, the field and the value."""
 
 
 @dataclass(frozen=True, eq=False)
 class EndpointEntry:
-    """An endpoint as discovery lists it, with the names of the wire. `phase`: SERVING, DRAINING or DELETED;
-    `fields`: all fields, as received."""
+    """An endpoint as discovery lists it. `phase`: SERVING, DRAINING or DELETED; `fields`: all fields of the
+    entry as received."""
 
     id: str
     phase: str
@@ -37,20 +37,20 @@
 
     @cached_property
     def encoded(self) -> bytes:
-        """The entry as JSON, encoded once for all views that have it."""
+        """The entry as JSON, encoded once for all views."""
         return orjson.dumps(self.fields)
 
     @cached_property
     def deleted(self) -> bytes:
-        """The entry as the change that removes the endpoint from a view."""
+        """The entry with phase DELETED, as JSON: the change that removes the endpoint from a view."""
         return orjson.dumps(self.fields | {"phase": DELETED})
 
 
 class ListAnswer(NamedTuple):
-    """An endpoint list, or changes of one, by id.
+    """A complete endpoint list, or changes of one; `entries` by endpoint id.
 
-    `is_complete`: endpoints that it does not have are gone. `unreadable_ids`: of endpoints whose entry was
-    left out as malformed. `invalid_entries`: why, one message for each.
+    `is_complete`: endpoints that are not in it do not exist any more. `unreadable_ids`: endpoints whose entry
+    was left out because it was malformed. `invalid_entries`: one message for each malformed entry.
     """
 
     revision: int
@@ -61,19 +61,19 @@
 
 
 def parse_answer(body: bytes | memoryview) -> ListAnswer:
-    """Decodes the body of an answer; raises MalformedAnswerError.
+    """Decodes the body of a response; raises MalformedAnswerError.
 
-    An entry without a readable id may be that of any endpoint. A list with such an entry removes no endpoint:
-    it counts as changes.
+    An entry without a valid id may belong to any endpoint, so a complete list with such an entry removes no
+    endpoints: it is treated as changes.
     """
     try:
         decoded = orjson.loads(body)
     except orjson.JSONDecodeError as error:
         raise MalformedAnswerError(str(error)) from None
     if not isinstance(decoded, dict) or not isinstance(decoded.get("members"), list):
-        raise MalformedAnswerError("the answer has no list of members")
+        raise MalformedAnswerError("members: expected a list")
     if not is_amount(decoded.get("revision")):
-        raise MalformedAnswerError("the answer has no revision")
+        raise MalformedAnswerError("revision: expected a number of at least 0")
     entries, unreadable_ids, invalid_entries, has_unreadable_id = {}, set(), [], False
     for fields in decoded["members"]:
         try:
@@ -97,24 +97,30 @@
 
 
 def parse_entry(fields: object) -> EndpointEntry:
-    """Checks that a controller can use the fields of an entry; raises MalformedEntryError."""
+    """Checks the fields of an entry as a controller does; raises MalformedEntryError."""
     if not isinstance(fields, dict):
-        raise MalformedEntryError(f"{str(fields)[:MAX_LOGGED_VALUE_LENGTH]!r} is not an entry")
+        raise MalformedEntryError(
+            f"expected an object with an endpoint's fields, got {str(fields)[:MAX_LOGGED_VALUE_LENGTH]!r}"
+        )
     endpoint_id, phase, zone = fields.get("id"), fields.get("phase"), fields.get("locality")
     if not _is_id(endpoint_id):
-        raise MalformedEntryError(f"id: {str(endpoint_id)[:MAX_LOGGED_VALUE_LENGTH]!r} is not an id")
+        raise MalformedEntryError(
+            f"id: expected 1 to 256 characters, got {str(endpoint_id)[:MAX_LOGGED_VALUE_LENGTH]!r}"
+        )
     if phase not in PHASES:
         raise MalformedEntryError(
-            f"{endpoint_id}: phase: {str(phase)[:MAX_LOGGED_VALUE_LENGTH]!r} is not known"
+            f"{endpoint_id}: phase: expected SERVING, DRAINING or DELETED, "
+            f"got {str(phase)[:MAX_LOGGED_VALUE_LENGTH]!r}"
         )
     if not isinstance(zone, str) or not zone:
         raise MalformedEntryError(
-            f"{endpoint_id}: locality: {str(zone)[:MAX_LOGGED_VALUE_LENGTH]!r} is not a zone"
+            f"{endpoint_id}: locality: expected a zone name, got {str(zone)[:MAX_LOGGED_VALUE_LENGTH]!r}"
         )
     for name in "size", "up_since_ms":
         if fields.get(name) is not None and not is_amount(fields[name]):
             raise MalformedEntryError(
-                f"{endpoint_id}: {name}: {str(fields[name])[:MAX_LOGGED_VALUE_LENGTH]!r} is not an amount"
+                f"{endpoint_id}: {name}: expected a number of at least 0, "
+                f"got {str(fields[name])[:MAX_LOGGED_VALUE_LENGTH]!r}"
             )
     _check_address(endpoint_id, fields.get("host_port"))
     return EndpointEntry(endpoint_id, phase, zone, fields)
@@ -126,11 +132,11 @@
 
 def _check_address(endpoint_id: str, host_port: object) -> None:
     if not host_port:
-        return  # an endpoint without an address is listed all the same
+        return  # an endpoint without an address is valid
     try:
         parse_address(host_port)
     except (AttributeError, TypeError, ValueError):
         truncated = str(host_port)[:MAX_LOGGED_VALUE_LENGTH]
         raise MalformedEntryError(
-            f"{endpoint_id}: host_port: {truncated!r} is not a numeric address and port"
+            f"{endpoint_id}: host_port: expected a numeric address and a port, got {truncated!r}"
         ) from None
--- a/oatcart/views/fleet_views.py
+++ b/oatcart/views/fleet_views.py
@@ -1,11 +1,11 @@
-"""Decides the view of each controller of a fleet: which endpoints of which services it is served.
+"""Decides the view of each controller of a fleet: the endpoints that it is served.
 
-`FleetViews` has the records of all endpoints and controllers and gives each controller a view: at most
-`ViewLimits.capacity` endpoints, of each service that it needs at least two, in two zones if there are two.
-The views are a function of the records, the limits and the seed alone. So control roles that know the same
-decide the same, whatever the order of changes, and a change undone restores the views.
+A view has at most `ViewLimits.capacity` endpoints, and at least two of each service that the controller
+needs, in two zones if the service has two. The views depend only on the records, the limits and the seed. So
+control roles with the same records decide the same views, whatever the order of changes, and undoing a
+change restores the views.
 
-How many assignments a change moves, and beyond what share, is defined and measured in `docs/views.md`.
+How many assignments a change moves beyond its share is defined and measured in `docs/views.md`.
 """
 
 from collections.abc import Iterable
@@ -26,7 +26,7 @@
 
 
 class FleetViews:
-    """The views of a fleet's controllers. A change is noted at once and worked out with the next question."""
+    """The views of a fleet's controllers. Changes are recorded when made and applied by the next query."""
 
     def __init__(self, limits: ViewLimits, seed: int) -> None:
         self._limits = limits
@@ -36,18 +36,18 @@
         self._controllers_of_all_services: set[str] = set()
         self._pools: dict[str, ServicePool] = {}
         self._views: dict[str, tuple[str, ...]] = {}
-        # Controllers whose services do not fit in a view, and the capacity that they would need.
+        # Controllers whose services do not fit in a view, with the capacity that they would need.
         self._too_large: dict[str, int] = {}
 
-        # Since the last question: services with another number of endpoints, and the number before; services
-        # with other records or quotas; endpoints that were removed, also from one service to another;
-        # controllers whose quotas may change.
+        # Changes since the last query: the earlier number of endpoints of services where it may differ;
+        # services whose records or quotas changed; endpoints that were removed, also if they moved to another
+        # service; controllers whose quotas may change.
         self._counts_before: dict[str, int] = {}
         self._changed_services: set[str] = set()
         self._removed_endpoints: set[str] = set()
         self._stale_quota_controllers: set[str] = set()
 
-        self._changed: set[str] = set()  # controllers, until they are taken by `pop_changed`
+        self._changed: set[str] = set()  # controllers to report by `pop_changed`
 
     def put_endpoint(self, endpoint: Endpoint) -> None:
         """Adds an endpoint, or replaces its record. Raises InvalidEndpointError if its nominal weight is not
@@ -64,12 +64,12 @@
         self._pool(endpoint.service).put_endpoint(endpoint)
 
     def put_endpoints(self, endpoints: Iterable[Endpoint]) -> None:
-        """`put_endpoint` for each."""
+        """Adds or replaces several endpoints, as `put_endpoint` does."""
         for endpoint in endpoints:
             self.put_endpoint(endpoint)
 
     def remove_endpoint(self, endpoint_id: str) -> None:
-        """Removes an endpoint, if it is known."""
+        """Removes an endpoint. Unknown ids are ignored."""
         endpoint = self._endpoints.pop(endpoint_id, None)
         if endpoint is None:
             return
@@ -90,12 +90,12 @@
         self._stale_quota_controllers.add(controller.name)
 
     def put_controllers(self, controllers: Iterable[Controller]) -> None:
-        """`put_controller` for each."""
+        """Adds or replaces several controllers, as `put_controller` does."""
         for controller in controllers:
             self.put_controller(controller)
 
     def remove_controller(self, name: str) -> None:
-        """Removes a controller, if it is known."""
+        """Removes a controller. Unknown names are ignored."""
         controller = self._controllers.pop(name, None)
         if controller is None:
             return
@@ -106,7 +106,7 @@
         self._changed.discard(name)
 
     def view(self, name: str) -> tuple[str, ...]:
-        """The ids of the endpoints in a controller's view, sorted; ready and draining ones.
+        """The sorted ids of the endpoints in a controller's view, ready and draining ones.
 
         Raises UnknownControllerError, or TooManyServicesError if its services do not fit in a view.
         """
@@ -118,7 +118,7 @@
         return self._views[name]
 
     def holders(self, endpoint_id: str) -> frozenset[str]:
-        """The controllers whose views have an endpoint; none if it is not known."""
+        """The controllers whose views have an endpoint; empty for an unknown id."""
         self._apply_changes()
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is None:
@@ -126,8 +126,8 @@
         return frozenset(self._pools[endpoint.service].holders_of(endpoint_id))
 
     def pop_changed(self) -> frozenset[str]:
-        """The controllers whose view, or a record in it, has changed since the last call, and the holders of
-        endpoints that were removed and are back."""
+        """The controllers for which, since the last call, the view or a record in it has changed, or an
+        endpoint in the view was removed and added again."""
         self._apply_changes()
         changed = frozenset(self._changed)
         self._changed.clear()
@@ -154,7 +154,7 @@
         return controller.services or self._pools.keys()
 
     def _apply_changes(self) -> None:
-        """Works out all changes noted: quotas first, then services, then the views that this concerns."""
+        """Applies all recorded changes: to the quotas, then to the services, then to the affected views."""
         if not self._changed_services and not self._stale_quota_controllers:
             return
         self._note_quota_changes()
@@ -169,13 +169,14 @@
         self._changed_services.clear()
         for name in reassigned & self._controllers.keys():
             self._update_view(self._controllers[name])
-        # Their holders may have been served the removal, though an endpoint that is back leaves views equal.
+        # An endpoint that was removed and added again leaves the views equal, but its holders may have been
+        # served the removal.
         for endpoint_id in self._removed_endpoints & self._endpoints.keys():
             self._changed |= self._pools[self._endpoints[endpoint_id].service].holders_of(endpoint_id)
         self._removed_endpoints.clear()
 
     def _note_quota_changes(self) -> None:
-        """Notes the controllers whose quotas change with the numbers of the services' endpoints."""
+        """Collects the controllers whose quotas change because services have more or fewer endpoints."""
         for service, count_before in self._counts_before.items():
             pool = self._pools[service]
             count = len(pool.endpoints)
@@ -183,7 +184,7 @@
                 continue
             if not count or not count_before:
                 self._stale_quota_controllers |= self._controllers_of_all_services
-            # A quota below both numbers depends on other services only.
+            # A quota below both counts does not depend on this service.
             lower = min(count, count_before)
             self._stale_quota_controllers.update(
                 name for name, quota in pool.quotas.items() if quota.total >= lower
@@ -194,7 +195,7 @@
         self._counts_before.clear()
 
     def _assign_quotas(self, controller: Controller) -> None:
-        """Works out how many endpoints of each service a controller's view has."""
+        """Computes how many endpoints of each service a controller's view has."""
         services = self._ordered_services(controller)
         counts = {service: len(self._pool(service).endpoints) for service in services}
         needed = min_capacity(counts)
@@ -209,7 +210,8 @@
             self._set_quota(service, controller.name, quota)
 
     def _ordered_services(self, controller: Controller) -> list[str]:
-        """A controller's services in its own random order: what the quotas leave over goes to the first."""
+        """A controller's services in a pseudorandom order of its own; the first ones get the remainder of the
+        view's capacity."""
 
         def rank(service: str) -> tuple[float, str]:
             return unit_hash(_ORDER_KIND, f"{controller.name}\0{service}", self._seed), service
--- a/oatcart/views/greedy.py
+++ b/oatcart/views/greedy.py
@@ -1,10 +1,10 @@
 """Rendezvous hashing with bounded loads, for all pairs of a service at once.
 
-The pairs of a controller and an endpoint are visited from the smallest key up. A pair is assigned if the
-controller's quota and the endpoint's holder limit allow it; the last endpoint of a quota is not taken from
-the zone that has all the others. The outcome depends on the records alone: it is the one stable matching, in
-which no controller and endpoint would both rather have each other; it is unique, as both sides order their
-pairs by the same key.
+The pairs of a controller and an endpoint are visited in ascending order of their keys. A pair is assigned if
+the controller's quota and the endpoint's holder limit allow it, but the last endpoint of a quota must not be
+in the same zone as all the others. The result depends on the records alone: it is the stable matching, in
+which no controller and endpoint both prefer each other to an assigned partner. It is unique, as both sides
+order their pairs by the same key.
 """
 
 from typing import NamedTuple
@@ -13,20 +13,20 @@
 
 from oatcart.views.keys import pair_keys
 
-_INITIAL_CANDIDATES_PER_QUOTA = 1.4  # pairs that are visited, for each endpoint of the largest quota,
-_MIN_CANDIDATES = 24  # and these in addition
-_CANDIDATE_GROWTH = 2.0  # factor, while quotas are not filled
+_INITIAL_CANDIDATES_PER_QUOTA = 1.4  # pairs visited for a controller, per endpoint of the largest quota
+_MIN_CANDIDATES = 24  # pairs visited for a controller, in addition
+_CANDIDATE_GROWTH = 2.0  # factor for another run, until all quotas are filled
 _MIN_BLOCK_PAIRS = 256
 
 
 class ServiceArrays(NamedTuple):
-    """The controllers and endpoints of one service, one array element each."""
+    """The controllers and endpoints of one service, as arrays with one element for each."""
 
     controller_hashes: numpy.ndarray  # uint64
     quotas: numpy.ndarray  # int64, endpoints to assign to each controller
     endpoint_hashes: numpy.ndarray  # uint64
     weights: numpy.ndarray  # float64
-    zones: numpy.ndarray  # int64, indices of any order
+    zones: numpy.ndarray  # int64, any distinct number for each zone
     holder_limits: numpy.ndarray  # int64
 
 
@@ -43,7 +43,8 @@
 
 
 def _candidates(service: ServiceArrays, limit: float) -> tuple[numpy.ndarray, numpy.ndarray]:
-    """The controllers and the endpoints of all pairs with a key below the limit, the smallest key first."""
+    """The controllers and the endpoints of all pairs with a key below the limit, in ascending order of
+    keys."""
     controller_parts, key_parts, endpoint_parts = [], [], []
     for controller, controller_hash in enumerate(service.controller_hashes):
         keys = pair_keys(controller_hash, service.endpoint_hashes, service.weights)
@@ -58,8 +59,9 @@
 class _GreedyMatcher:
     """Assigns pairs in order, block by block.
 
-    Within a block, a controller or endpoint that has more left than it has pairs in the block cannot run out.
-    If that holds for both ends of a pair, it is assigned at once; the few other pairs are visited one by one.
+    A controller whose remaining quota, or an endpoint whose remaining number of holders, exceeds its number
+    of pairs in a block cannot run out within the block. Pairs for which both sides cannot run out are
+    assigned at once; the few other pairs are visited one by one.
     """
 
     def __init__(self, service: ServiceArrays) -> None:
@@ -97,6 +99,6 @@
         self.holders_left[endpoint] = holders - 1
 
     def _leaves_one_zone(self, controller: int, endpoint: int) -> bool:
-        """Whether a controller would have, with this endpoint, all in one zone though there are several."""
+        """Whether, with this endpoint, all endpoints of a controller would be in one of several zones."""
         zones = self.zones[self.assigned[controller]]
         return self.has_several_zones and len(zones) > 0 and bool((zones == self.zones[endpoint]).all())
--- a/oatcart/views/history.py
+++ b/oatcart/views/history.py
@@ -1,8 +1,8 @@
 """One view's revisions and its bounded change log. Free of I/O.
 
-The log has a record for each revision: the ids of the endpoints that it changed. A watcher that holds a
-revision which the log still covers gets what has changed since, each endpoint once, with its present entry.
-Any other watcher gets the complete view.
+For each revision the log has the ids of the endpoints that it changed. A watch from a revision that the log
+still covers is answered with the changes since then: each changed endpoint once, with its current entry. Any
+other watch is answered with the complete view.
 """
 
 from collections import deque
@@ -11,7 +11,7 @@
 
 from oatcart.views.entries import EndpointEntry
 
-# As many ids as a view has: for a watcher that missed more, the complete view is shorter.
+# The maximum size of a view: beyond it the complete view is shorter than the changes.
 MAX_LOGGED_IDS = 500
 
 
@@ -23,10 +23,10 @@
 
 
 class ViewHistory:
-    """The present entries of one view and the changes that led to them.
+    """The current entries of one view and the changes that led to them.
 
-    `first_revision` is the revision of `entries`; `max_logged_ids` bounds the ids in the log, over all of its
-    records.
+    `first_revision` is the revision of `entries`; `max_logged_ids` bounds the total number of ids in the
+    log.
     """
 
     def __init__(
@@ -37,19 +37,19 @@
         self.max_logged_ids = max_logged_ids
         self.changes: deque[ViewChange] = deque()
         self.logged_ids = 0
-        # Of the endpoints in the log: the newest revision that changed each, and the last entries of those
-        # that the view has no longer.
+        # For the endpoints in the log: the last revision that changed each, and the last entries of those
+        # that are no longer in the view.
         self.last_changed: dict[str, int] = {}
         self.removed_entries: dict[str, EndpointEntry] = {}
 
     def replace(self, entries: Mapping[str, EndpointEntry], revision: int) -> bool:
-        """Replaces the entries from that revision on. Returns whether anything differs; if nothing does, the
-        view keeps its revision.
+        """Replaces the entries at a new revision. Returns whether any entry differs; if none does, the view
+        keeps its revision.
 
-        Raises ValueError if the revision is not above the present one.
+        Raises ValueError if the revision is not above the current one.
         """
         if revision <= self.revision:
-            raise ValueError(f"revision {revision} after {self.revision}")
+            raise ValueError(f"revision {revision} is not above the current one, {self.revision}")
         endpoint_ids = tuple(self._differing_ids(entries))
         if not endpoint_ids:
             return False
@@ -67,12 +67,12 @@
         return True
 
     def complete_list(self) -> bytes:
-        """The body of an answer with the complete view."""
+        """The body of a response with the complete view."""
         return _encode_list(self.revision, True, (entry.encoded for entry in self.entries.values()))
 
     def changes_since(self, revision: int) -> bytes | None:
-        """The body with what has changed since a revision, None if nothing has. For a revision that the log
-        does not cover, or that this history has not issued, it is the complete view."""
+        """The body of a response with the changes since a revision, None if there are none. For a revision
+        that the log does not cover, or that this history never had, it is the complete view."""
         if revision == self.revision:
             return None
         endpoint_ids = self._ids_changed_since(revision)
@@ -81,7 +81,7 @@
         return _encode_list(self.revision, False, map(self._encoded, endpoint_ids))
 
     def no_changes(self) -> bytes:
-        """The body that ends a watch without changes."""
+        """The body of the response to a watch without changes."""
         return _encode_list(self.revision, False, ())
 
     def _differing_ids(self, entries: Mapping[str, EndpointEntry]) -> Iterator[str]:
@@ -92,8 +92,8 @@
         yield from (endpoint_id for endpoint_id in self.entries if endpoint_id not in entries)
 
     def _ids_changed_since(self, revision: int) -> list[str] | None:
-        """The endpoints changed since a revision; None if the log does not cover it, or it was never issued
-        here."""
+        """The endpoints changed since a revision; None if the log does not cover it or this history never had
+        it."""
         if revision == self.oldest_revision:
             return list(self.last_changed)
         endpoint_ids: dict[str, None] = {}
--- a/oatcart/views/leases.py
+++ b/oatcart/views/leases.py
@@ -1,8 +1,7 @@
-"""The leases of the controllers that the deploy file lists: which have expired, which are renewed. Free of
-I/O; the clock is handed in, in seconds.
+"""The leases of the controllers listed in the deploy file. Free of I/O; times are passed in, in seconds.
 
-`ControllerLiveness` decides which expired leases end. A listed controller has a lease from the start of the
-control role, although it has never called, so that a restart expires nobody.
+`ControllerLiveness` decides which lapsed leases expire. Every listed controller has a lease from the start of
+the control role, before its first call, so that a restart of the control role expires no controller.
 """
 
 from collections.abc import Mapping
@@ -15,10 +14,10 @@
 
 
 class LeaseCheck(NamedTuple):
-    """The result of a check, by the names of controllers.
+    """The result of a check: names of controllers.
 
-    `expired` have no lease from now on. `retained` are overdue and keep theirs, as too many are at once.
-    `is_retention_new`: none was retained at the check before.
+    `expired`: lost their lease by this check. `retained`: overdue, but kept because of a mass expiry.
+    `is_retention_new`: the previous check retained none.
     """
 
     expired: tuple[str, ...]
@@ -27,7 +26,7 @@
 
 
 class LeaseTable:
-    """The leases of all listed controllers. `now`: s, when the control role started."""
+    """The leases of all listed controllers. `now`: when the control role started, in seconds."""
 
     def __init__(self, settings: LivenessSettings, controllers: Mapping[str, Controller], now: float) -> None:
         self.check_interval = settings.lease_duration / CHECKS_PER_LEASE  # s
@@ -37,8 +36,8 @@
         self._liveness = ControllerLiveness(settings, now, controllers.values())
 
     def renew(self, name: str, now: float) -> bool:
-        """Renews the lease of a controller that called. Returns whether it had expired. Names that are not
-        listed are ignored."""
+        """Renews the lease of a controller that called. Returns whether it had expired. Unlisted names are
+        ignored."""
         controller = self.controllers.get(name)
         if controller is None:
             return False
@@ -48,7 +47,7 @@
         return was_expired
 
     def configure(self, controllers: Mapping[str, Controller], now: float) -> None:
-        """Takes over another list of controllers. New ones get a lease now, expired ones stay expired."""
+        """Replaces the list of controllers. New ones get a lease now, expired ones stay expired."""
         for name in self.controllers.keys() - controllers.keys():
             self._liveness.remove(name)
         for name in controllers.keys() - self.controllers.keys():
@@ -57,7 +56,7 @@
         self.controllers = dict(controllers)
 
     def check(self, now: float) -> LeaseCheck:
-        """Ends the leases that are overdue, as far as `ControllerLiveness` does not retain them."""
+        """Expires the overdue leases, except those that `ControllerLiveness` retains."""
         decision = self._liveness.decide(now)
         expired = tuple(name for name in decision.expired if name in self.controllers)
         self.expired.update(expired)
--- a/oatcart/views/list_guard.py
+++ b/oatcart/views/list_guard.py
@@ -1,14 +1,14 @@
-"""Decides which parts of discovery's answers are accepted. Free of I/O.
+"""Decides which parts of discovery's responses are accepted. Free of I/O.
 
-All views are made from one endpoint list, so one wrong answer would be felt everywhere at once. The rules:
+All views are decided from one endpoint list, so one wrong response would affect every controller. The rules:
 
 - New endpoints, changed entries and draining are accepted at once.
 - Endpoints that were draining may be removed at once.
-- An answer that removes more than a stated share of the ready endpoints is a mass removal: these stay as
-  they are, unconfirmed, and the complete list is fetched again after a delay. Those still missing then are
-  removed.
-- A complete list with fewer endpoints than a stated minimum is rejected.
-- An endpoint whose entry is malformed stays as it was.
+- A response that removes more than a configured share of the ready endpoints is a mass removal: these
+  endpoints are kept unchanged, their removal unconfirmed, and the complete list is fetched again after a
+  delay. Those still missing from it are removed.
+- A complete list with fewer endpoints than a configured minimum is rejected.
+- An endpoint whose entry is malformed is kept unchanged.
 """
 
 from math import inf
@@ -18,11 +18,11 @@
 
 
 class ListGuard(NamedTuple):
-    """Bounds of what one answer may remove.
+    """Limits of what one response may remove.
 
-    `max_removed_share`: of the ready endpoints; `mass_removal_count`: as many may be removed at once however
-    few endpoints there are; `confirmation_delay`: s until the complete list is fetched again after a mass
-    removal; `min_endpoints`: of a complete list.
+    `max_removed_share`: share of the ready endpoints that may be removed at once; `mass_removal_count`:
+    number that may be removed at once even if it exceeds that share; `confirmation_delay`: s until the
+    complete list is fetched again after a mass removal; `min_endpoints`: of a complete list.
     """
 
     max_removed_share: float = 0.25
@@ -32,11 +32,12 @@
 
 
 class RejectedAnswerError(Exception):
-    """An answer of which nothing is accepted; the list stays as it was."""
+    """A response that is rejected as a whole; the list is unchanged."""
 
 
 class ListChanges(NamedTuple):
-    """What an answer has changed. `unconfirmed`: the number of endpoints that it removes and that stay."""
+    """The changes by one response. `unconfirmed`: the number of endpoints that it removes but that are
+    kept."""
 
     changed: dict[str, EndpointEntry]
     removed: frozenset[str]
@@ -44,17 +45,19 @@
 
 
 class AcceptedList:
-    """The endpoint list in force, by id."""
+    """The accepted endpoint list; entries by endpoint id."""
 
     def __init__(self, guard: ListGuard) -> None:
         self.guard = guard
         self.entries: dict[str, EndpointEntry] = {}
-        self.unconfirmed_since: dict[str, float] = {}  # s, by endpoint: the first answer without it
+        self.unconfirmed_since: dict[
+            str, float
+        ] = {}  # by endpoint: time (s) of the first response without it
 
     def accept(self, now: float, answer: ListAnswer) -> ListChanges:
-        """Applies what is accepted of an answer that came at `now` (s) and returns the changes.
+        """Applies the accepted part of a response received at `now` (s) and returns the changes.
 
-        Raises RejectedAnswerError if the answer has too few endpoints.
+        Raises RejectedAnswerError if the response has too few endpoints.
         """
         listed = {entry.id: entry for entry in answer.entries.values() if entry.phase != DELETED}
         if answer.is_complete and len(listed) < self.guard.min_endpoints:
@@ -72,7 +75,7 @@
         return ListChanges(changed, removed, len(unconfirmed))
 
     def refetch_at(self) -> float:
-        """When the complete list is to be fetched to confirm removals, s; inf if there are none."""
+        """The time (s) to fetch the complete list that confirms removals; inf if none is unconfirmed."""
         return min(self.unconfirmed_since.values(), default=inf) + self.guard.confirmation_delay
 
     def _missing(self, answer: ListAnswer, listed: dict[str, EndpointEntry]) -> set[str]:
@@ -81,7 +84,8 @@
         return (answer.entries.keys() - listed.keys()) & self.entries.keys()
 
     def _unconfirmed(self, now: float, missing: set[str], is_complete: bool) -> set[str]:
-        """The missing endpoints that stay. Only a complete list after the delay confirms their removal."""
+        """The missing endpoints that are kept: only a complete list after the delay confirms their
+        removal."""
         missing_ready = {endpoint_id for endpoint_id in missing if self.entries[endpoint_id].phase == SERVING}
         newly_missing = missing_ready - self.unconfirmed_since.keys()
         unconfirmed = newly_missing if self._is_mass_removal(len(newly_missing)) else set()
--- a/oatcart/views/list_watcher.py
+++ b/oatcart/views/list_watcher.py
@@ -1,8 +1,8 @@
-"""Watches the complete endpoint list at discovery, once for all controllers.
+"""Watches the endpoint list at discovery, once for all controllers.
 
-The complete list comes first, then watch after watch on one connection. After any failure the complete list
-is fetched again, as discovery may have restarted meanwhile; so it is when changes go backwards, to confirm
-removals, and from time to time. Whatever comes, the last accepted list stays in force.
+First fetches the complete list, then watches for changes on the same connection. The complete list is fetched
+again after any failure, as discovery may have restarted meanwhile, also if the revision decreases, to confirm
+removals, and periodically. The last accepted list stays in force throughout.
 """
 
 from collections.abc import Callable, Generator
@@ -18,20 +18,19 @@
 from oatcart.views.list_guard import AcceptedList, ListChanges, RejectedAnswerError
 from oatcart.xds.backoff import Backoff
 
-WATCH_ALLOWANCE = 2.0  # s beyond the time that a watch asks discovery to wait
-EARLIEST_EMPTY_ANSWER = 0.5  # of that time; an empty answer before it shows a discovery that does not wait
-MIN_WATCH = 0.05  # s; a shorter watch is not worth a call
+WATCH_ALLOWANCE = 2.0  # s that a watch may take beyond its timeout
+EARLIEST_EMPTY_ANSWER = 0.5  # share of the watch timeout; before it, discovery did not wait
+MIN_WATCH = 0.05  # s; no watch is started for less
 
 
 class DiscoveryRestartedError(Exception):
-    """Changes that may not continue from the revision held: discovery may count revisions from another
-    start."""
+    """The changes received may not follow the last revision: discovery may have restarted its revisions."""
 
 
 class ListWatcher:
-    """Keeps `accepted` up to date. `on_changes` is called with each change, and once with the first list.
+    """Keeps `accepted` up to date. `on_changes` is called with the first list and with all later changes.
 
-    `uniform` draws a number between two bounds, for the backoff.
+    `uniform` returns a random number between two bounds, for the backoff.
     """
 
     def __init__(
@@ -47,27 +46,27 @@
         self.accepted, self.on_changes = accepted, on_changes
         self.uniform = uniform
         self.revision = 0
-        self.last_answer_at = -inf  # s, the last usable answer
-        self.last_complete_at = -inf  # s, the last request of a complete list
+        self.last_answer_at = -inf  # s, when the last valid response was received
+        self.last_complete_at = -inf  # s, when the last complete list was requested
         self.task: Task | None = None
 
     @property
     def failed(self) -> bool:
-        """Whether its task has ended by an unexpected error."""
+        """Whether the watching task ended with an unexpected error."""
         return self.task is not None and self.task.done
 
     def start(self) -> None:
-        """Begins to watch, with the complete list."""
+        """Starts watching, with the complete list first."""
         self.task = self.loop.spawn(self._run())
 
     def stop(self) -> None:
-        """Stops watching; the list stays."""
+        """Stops watching; the list is kept."""
         if self.task is not None and not self.task.done:
             self.loop.cancel(self.task)
         self.task = None
 
     def change_source(self, source: DiscoverySettings) -> None:
-        """Watches at another address, or with other timeouts, from the complete list on."""
+        """Watches with other settings, starting with the complete list, if `source` differs."""
         if source != self.source:
             self.stop()
             self.source = source
@@ -87,12 +86,12 @@
                 wait = backoff.next()
                 self.log.write(
                     "source",
-                    f"{self._peer()}: {error}; the last list stays in force, next try in {wait:.2f} s",
+                    f"{self._peer()}: {error}; the last list stays in force, next attempt in {wait:.2f} s",
                 )
                 yield Wait(deadline=self.loop.now + wait)
 
     def _watch_connection(self, backoff: Backoff) -> Generator[Wait, bool, None]:
-        """Calls on one connection, from the complete list to the first failure."""
+        """Fetches and watches the list on one connection until a call fails."""
         client = HttpClient(self.loop, self.source.address, self.source.max_list_bytes)
         try:
             while True:
@@ -105,12 +104,12 @@
                     yield from self._watch(client)
                     backoff.answered()
         finally:
-            self.last_complete_at = -inf  # after any failure the complete list comes first
+            self.last_complete_at = -inf  # after any failure the complete list is fetched first
             client.close()
 
     def _complete_list_due(self) -> float:
-        """When the next complete list is due, s. A removal may stay unconfirmed after one (its entry was
-        malformed), so the next is never sooner than the confirmation delay."""
+        """The time (s) when the next complete list is due. Removals can stay unconfirmed after a list (if
+        their entries were malformed), so two lists are at least the confirmation delay apart."""
         earliest = self.last_complete_at + self.accepted.guard.confirmation_delay
         confirmation_due = max(self.accepted.refetch_at(), earliest)
         return min(confirmation_due, self.last_complete_at + self.source.refetch_interval)
@@ -133,13 +132,15 @@
         body = yield from client.get(watch_path(since, wait), requested_at + wait + WATCH_ALLOWANCE)
         if connection is not None and client.stream is not connection:
             raise DiscoveryRestartedError(
-                "another connection, so revisions may be those of another incarnation"
+                "the watch used a new connection, so its revisions may be those of another incarnation"
             )
         answer = parse_answer(body)
         if answer.is_complete:
             return self._accept(answer)
         if answer.revision < since:
-            raise DiscoveryRestartedError(f"changes up to revision {answer.revision} after {since}")
+            raise DiscoveryRestartedError(
+                f"changes up to revision {answer.revision}, below the last revision {since}"
+            )
         if answer.revision > since:
             return self._accept(answer)
         if answer.entries or self.loop.now - requested_at < EARLIEST_EMPTY_ANSWER * wait:
@@ -157,8 +158,8 @@
             known = len(self.accepted.entries)
             self.log.write(
                 "mass removal",
-                f"{self._peer()}: an answer removes {changes.unconfirmed} of {known} endpoints at once; they "
-                f"stay, the complete list is fetched again in {delay:g} s",
+                f"{self._peer()}: a response removes {changes.unconfirmed} of {known} endpoints at once; "
+                f"they are kept, the complete list is fetched again in {delay:g} s",
             )
         if changes.changed or changes.removed or is_first:
             self.on_changes(changes)
--- a/oatcart/views/listener.py
+++ b/oatcart/views/listener.py
@@ -9,23 +9,22 @@
 from oatcart.net.loop import READABLE, Loop, Task, Wait
 from oatcart.net.stream import Address, Stream
 
-BACKLOG = 64  # connections that wait to be accepted, of one address
-MAX_ACCEPTS = 64  # of one address in one turn of the loop
-ACCEPT_BACKOFF = 0.2  # s without accepting after an error, as when there are no descriptors
+BACKLOG = 64  # connections of one address that wait to be accepted
+MAX_ACCEPTS = 64  # connections of one address in one turn of the loop
+ACCEPT_BACKOFF = 0.2  # s without accepting after an error, such as too many open files
 
 
 class Listener:
-    """A listening socket. `view`: the name of the controller whose address it is, None for the main
-    address."""
+    """A listening socket. `view`: the controller whose own address this is, None for the main address."""
 
     def __init__(self, sock: socket.socket, view: str | None) -> None:
         self.sock, self.view = sock, view
-        self.streams: dict[Stream, None] = {}  # the connections accepted here
+        self.streams: dict[Stream, None] = {}  # the open connections accepted here
         self.accept_task: Task | None = None
 
     @property
     def address(self) -> Address:
-        """The address in fact, also if any free port was asked for."""
+        """The bound address, with the actual port if port 0 was requested."""
         return self.sock.getsockname()
 
 
@@ -45,7 +44,7 @@
 def accept_connections(
     loop: Loop, log: Log, listener: Listener, on_connection: Callable[[socket.socket], None]
 ) -> Generator[Wait, bool, None]:
-    """A task that accepts the connections of a listener, until it is ended."""
+    """A task that accepts the connections of a listener until it is cancelled."""
     while True:
         yield Wait(listener.sock.fileno(), READABLE)
         try:
--- a/oatcart/views/liveness.py
+++ b/oatcart/views/liveness.py
@@ -1,9 +1,10 @@
-"""Decides which controllers have a lease. Free of I/O; the clock is handed in, in seconds.
+"""Decides which controllers have a lease. Free of I/O; times are passed in, in seconds.
 
 - Each call of a controller renews its lease.
-- A controller whose lease has lapsed keeps its place for a grace period, so that a restart changes no view.
-- While more than a stated share of the leases has lapsed, those that are overdue are retained: a network
-  partition is likelier than the loss of so many controllers. Each is retained for a bounded time.
+- A lapsed lease is kept for a grace period, after which it is overdue, so that the restart of a controller
+  changes no view.
+- While more than a configured share of all leases is lapsed (a mass expiry), overdue leases are retained for
+  a bounded time: a network partition is likelier than the loss of so many controllers.
 """
 
 from collections.abc import Iterable
@@ -16,11 +17,11 @@
 
 @dataclass(frozen=True)
 class LivenessSettings:
-    """For how long a controller may be silent. Times in seconds.
+    """How long a controller may go without a call. Times in seconds.
 
-    `lease_duration`: from a call to the end of its lease; `grace_period`: from there until it is overdue;
-    `retention`: for which an overdue one stays at most in a mass expiry. It is a mass expiry while the lapsed
-    leases are more than `mass_expiry_share` of all and more than `mass_expiry_count`.
+    `lease_duration`: from a call until the lease lapses; `grace_period`: from then until it is overdue;
+    `retention`: the longest time that an overdue lease is retained in a mass expiry. A mass expiry lasts
+    while more than `mass_expiry_share` of all leases, and more than `mass_expiry_count` of them, are lapsed.
     """
 
     lease_duration: float = 30.0
@@ -31,11 +32,11 @@
 
 
 class LivenessDecision(NamedTuple):
-    """What has changed since the last decision.
+    """The changes since the last decision.
 
-    `added` are new or have another record, `expired` count no longer. `retained` are overdue and count still,
-    because of a mass expiry. `next_decision_at` is when the next decision is due without a call; inf if no
-    lease is known.
+    `added`: new controllers, or those with a changed record; `expired`: no longer have a lease; `retained`:
+    overdue, but kept because of a mass expiry. `next_decision_at`: when the next decision is due if no
+    controller calls; inf without any lease.
     """
 
     added: tuple[Controller, ...]
@@ -51,10 +52,10 @@
 
 
 class ControllerLiveness:
-    """The controllers that count, each with the end of its lease.
+    """The leases of all controllers.
 
-    `known` are those that counted before this start, if any: their leases begin at `now`, so that a restart
-    decides the same views as before.
+    `known`: controllers that had a lease before the start, if any. Their leases begin at `now`, so that a
+    restart leads to the same views as before.
     """
 
     def __init__(self, settings: LivenessSettings, now: float, known: Iterable[Controller] = ()) -> None:
@@ -66,7 +67,8 @@
             self.renew(controller, now)
 
     def renew(self, controller: Controller, called_at: float) -> None:
-        """Renews a lease, by a call at `called_at`. Calls may be reported in any order; the latest counts."""
+        """Renews a lease for a call at `called_at`. Calls may be reported in any order; the latest one
+        applies."""
         expires_at = called_at + self._settings.lease_duration
         lease = self._leases.get(controller.name)
         if lease is None:
@@ -78,15 +80,14 @@
             lease.controller, lease.expires_at = controller, expires_at
 
     def remove(self, name: str) -> None:
-        """Removes a controller that is gone for good: it expires with the next decision, mass expiry or
-        not."""
+        """Removes a controller for good: it expires with the next decision, even in a mass expiry."""
         if self._leases.pop(name, None) is None:
             return
         self._added.pop(name, None)
         self._removed.add(name)
 
     def decide(self, now: float) -> LivenessDecision:
-        """Ends the leases that are overdue and not retained, and returns all that changed."""
+        """Expires the leases that are overdue and not retained, and returns all changes."""
         lapsed = {name: lease for name, lease in self._leases.items() if lease.expires_at <= now}
         overdue = {name for name in lapsed if self._overdue_at(name) <= now}
         retained: set[str] = set()
--- a/oatcart/views/matching.py
+++ b/oatcart/views/matching.py
@@ -1,7 +1,7 @@
-"""The matching of one service, kept up to date: which of its endpoints are assigned to which controllers.
+"""The matching of one service: which of its endpoints are assigned to which controllers.
 
-The outcome is that of `greedy.match_greedily` for the records as they are, whatever came before. After a few
-changes it is repaired, after many it is recomputed.
+The result always equals that of `greedy.match_greedily` for the current records. After a few changes the
+matching is repaired, after many it is recomputed.
 """
 
 from collections.abc import Iterator
@@ -19,7 +19,7 @@
 
 
 class Spread(NamedTuple):
-    """The number of ready endpoints of a controller, and of their zones (2: two or more)."""
+    """The number of ready endpoints of a controller, and of their zones (2 means two or more)."""
 
     ready: int
     zones: int
@@ -28,8 +28,8 @@
 class Matching:
     """Controllers with quotas, endpoints with holder limits, and the assigned pairs.
 
-    `add_*`, `remove_*` and `resize_controller` note changes; `repair` or `recompute` works them out.
-    `overload` is how many times its expected number of holders an endpoint may have.
+    `add_*`, `remove_*` and `resize_controller` record changes; `repair` or `recompute` updates the matching.
+    `overload` is the factor by which an endpoint's number of holders may exceed the expected number.
     """
 
     def __init__(self, overload: float, seed: int) -> None:
@@ -43,11 +43,11 @@
         return set(self._state.controllers.index_of)
 
     def has_controller(self, name: str) -> bool:
-        """Whether a controller takes part."""
+        """Whether the matching includes a controller."""
         return name in self._state.controllers.index_of
 
     def has_endpoint(self, endpoint_id: str) -> bool:
-        """Whether an endpoint takes part."""
+        """Whether the matching includes an endpoint."""
         return endpoint_id in self._state.endpoints.index_of
 
     def endpoints_of(self, name: str) -> list[str]:
@@ -112,7 +112,7 @@
         state.changed.discard(name)
 
     def resize_controller(self, name: str, quota: int) -> None:
-        """Gives a controller another quota."""
+        """Changes the quota of a controller."""
         row = self._state.controllers.index_of[name]
         self._state.quotas[row] = quota
         self._state.mark_unfilled(row)
@@ -132,11 +132,11 @@
         state.reopened_columns.add(column)
 
     def set_ready(self, endpoint_id: str, is_ready: bool) -> None:
-        """Notes that an endpoint is ready, or draining, which does not change the matching."""
+        """Records whether an endpoint is ready or draining, which does not change the matching."""
         self._state.is_ready[self._state.endpoints.index_of[endpoint_id]] = is_ready
 
     def remove_endpoint(self, endpoint_id: str) -> None:
-        """Removes an endpoint, which its holders replace."""
+        """Removes an endpoint; its holders get others in its place."""
         state = self._state
         column = state.endpoints.release(endpoint_id)
         for row in numpy.flatnonzero(state.assigned[:, column]).tolist():
@@ -149,12 +149,12 @@
         state.reopened_columns.discard(column)
 
     def pop_changed(self) -> set[str]:
-        """The controllers that may have other endpoints than at the last call."""
+        """The controllers whose endpoints may have changed since the last call."""
         changed, self._state.changed = self._state.changed, set()
         return changed
 
     def recompute(self) -> None:
-        """Works out the matching from nothing."""
+        """Computes the complete matching from scratch."""
         state = self._state
         state.update_holder_limits(self._overload)
         before = state.assigned
@@ -166,7 +166,7 @@
         state.update_all_thresholds()
 
     def repair(self) -> None:
-        """Works out what the changes since the last time disturbed."""
+        """Updates the matching only where the changes since the last update affect it."""
         had_several_zones = self._state.has_several_zones
         self._state.update_holder_limits(self._overload)
         if self._state.has_several_zones != had_several_zones:
--- a/oatcart/views/matching_repair.py
+++ b/oatcart/views/matching_repair.py
@@ -1,9 +1,9 @@
-"""Repairs a matching after a few changes: only what they disturbed is worked out.
+"""Repairs a matching after a few changes, computing only the affected part again.
 
-A controller with an unfilled quota takes the best endpoints that admit it, and an endpoint below its holder
-limit takes the best controllers that want it, until nothing is left to repair. Each step replaces a pair by
-one with a smaller key, so this ends; and as the stable matching is unique, it ends at the one of
-`greedy.match_greedily`.
+A controller with an unfilled quota gets the endpoints with the smallest keys whose thresholds allow the pair,
+and an endpoint below its holder limit gets the controllers with the smallest keys whose thresholds allow the
+pair, until nothing is left to repair. Each step replaces a pair by one with a smaller key, so this
+terminates; as the stable matching is unique, the result is that of `greedy.match_greedily`.
 """
 
 import numpy
@@ -12,7 +12,7 @@
 
 
 def repair(state: MatchingState) -> None:
-    """Repairs the matching for the holder limits in `state`."""
+    """Repairs the matching in `state`, whose holder limits are up to date."""
     _evict_beyond_limits(state)
     _reopen_below_limits(state)
     while state.unfilled_rows or state.reopened_columns:
@@ -30,7 +30,7 @@
 
 
 def _reopen_below_limits(state: MatchingState) -> None:
-    """Brings the thresholds of all endpoints in line with their limits, which may have changed."""
+    """Updates the thresholds of all endpoints whose holder limits have changed."""
     is_open = state.holder_counts < state.holder_limits
     newly_open = numpy.flatnonzero(is_open & numpy.isfinite(state.column_thresholds))
     state.reopened_columns.update(newly_open.tolist())
@@ -40,7 +40,8 @@
 
 
 def _fill_quota(state: MatchingState, row: int) -> None:
-    """A controller chooses anew among the endpoints that it has and those that admit it."""
+    """Selects the endpoints of a controller again, among its own and those whose thresholds allow the
+    pair."""
     keys = state.keys(row, slice(None))
     assigned = state.assigned[row]
     keys[~assigned & (keys >= state.column_thresholds)] = numpy.inf
@@ -57,8 +58,8 @@
 
 
 def _best_columns(state: MatchingState, keys: numpy.ndarray, quota: int) -> numpy.ndarray:
-    """The endpoints of the smallest finite keys. If all were in one zone of several, the last is of another
-    zone or none."""
+    """The endpoints with the smallest finite keys. If these were all in one of several zones, the last one is
+    replaced by the best of another zone, or left out if there is none."""
     best = _smallest(keys, quota)
     zones = state.zones[best]
     if not state.has_several_zones or quota < 2 or len(best) < quota or (zones != zones[0]).any():
@@ -68,7 +69,8 @@
 
 
 def _add_holders(state: MatchingState, column: int) -> None:
-    """An endpoint takes the best controllers that want it, also in place of holders that came meanwhile."""
+    """Assigns an endpoint to the controllers with the smallest keys whose thresholds allow the pair,
+    replacing holders with larger keys."""
     state.update_column_threshold(column)
     keys = state.keys(slice(None), column)
     is_excluded = state.assigned[:, column] | (keys >= state.row_thresholds)
@@ -84,8 +86,8 @@
 
 
 def _try_assign(state: MatchingState, row: int, column: int, key: float) -> bool:
-    """A controller takes an endpoint, within its quota or in place of one with a larger key. Returns False if
-    neither is possible."""
+    """Assigns an endpoint to a controller, within its quota or in place of an endpoint with a larger key.
+    Returns False if neither is possible."""
     replaceable = _replaceable_columns(state, row, column)
     if len(replaceable):
         replaceable_keys = state.keys(row, replaceable)
@@ -99,8 +101,8 @@
 
 
 def _replaceable_columns(state: MatchingState, row: int, column: int) -> numpy.ndarray:
-    """The endpoints of which the controller would release one for this endpoint; none if its quota has
-    room."""
+    """The endpoints of which the controller must release one to get this endpoint; empty if its quota is not
+    filled."""
     columns = numpy.flatnonzero(state.assigned[row])
     quota = int(state.quotas[row])
     if state.has_several_zones and quota > 1:
@@ -111,7 +113,7 @@
 
 
 def _smallest(keys: numpy.ndarray, count: int) -> numpy.ndarray:
-    """The indices of the `count` smallest finite keys, the smallest first; fewer if fewer are finite."""
+    """The indices of the `count` smallest finite keys in ascending order; fewer if fewer are finite."""
     finite = numpy.flatnonzero(numpy.isfinite(keys))
     if len(finite) > count:
         finite = finite[numpy.argpartition(keys[finite], count)[:count]]
--- a/oatcart/views/matching_state.py
+++ b/oatcart/views/matching_state.py
@@ -1,7 +1,7 @@
 """The arrays of one service's matching: a row for each controller, a column for each endpoint.
 
-Beside the matrix of assigned pairs it keeps, for each controller and endpoint, the key above which a further
-pair is of no use to it (its threshold), so that a repair looks at few pairs.
+Besides the matrix of assigned pairs it has a threshold for each controller and endpoint: pairs with keys
+above it cannot be assigned. So a repair examines few pairs.
 """
 
 import numpy
@@ -10,21 +10,21 @@
 from oatcart.views.keys import pair_keys
 from oatcart.views.name_index import NameIndex
 
-NO_ZONE = -1  # of a column that is free
-_GROWTH = 1.25  # factor by which arrays grow that are too short
+NO_ZONE = -1  # zone of a free column
+_GROWTH = 1.25  # factor by which too short arrays grow
 _MIN_SPARE = 8  # elements
 
 
 class MatchingState:
-    """Rows of controllers, columns of endpoints and the pairs assigned. A free row has the quota 0, a free
-    column the zone `NO_ZONE`."""
+    """Rows of controllers, columns of endpoints and the assigned pairs. A free row has quota 0, a free column
+    has zone `NO_ZONE`."""
 
     def __init__(self) -> None:
         self.controllers = NameIndex()
         self.endpoints = NameIndex()
-        self.changed: set[str] = set()  # controllers that may have other endpoints than before
-        self.unfilled_rows: set[int] = set()  # controllers that may take more endpoints, or others
-        self.reopened_columns: set[int] = set()  # endpoints that may take more holders
+        self.changed: set[str] = set()  # controllers whose endpoints may have changed
+        self.unfilled_rows: set[int] = set()  # controllers that may get more or other endpoints
+        self.reopened_columns: set[int] = set()  # endpoints that may get more holders
         self.has_several_zones = False
 
         self.controller_hashes = numpy.zeros(0, dtype=numpy.uint64)
@@ -43,7 +43,7 @@
         self.assigned = numpy.zeros((0, 0), dtype=bool)
 
     def keys(self, rows: object, columns: object) -> numpy.ndarray:
-        """The keys of pairs, by any index that numpy knows."""
+        """The keys of pairs; `rows` and `columns` are any numpy indices."""
         return pair_keys(self.controller_hashes[rows], self.endpoint_hashes[columns], self.weights[columns])
 
     def endpoint_names(self, columns: numpy.ndarray) -> list[str]:
@@ -57,7 +57,8 @@
         self.mark_changed(row)
 
     def release(self, row: int, column: int) -> None:
-        """Releases a pair. The endpoint is reopened if its holder limit may have kept others away."""
+        """Releases a pair. The endpoint is reopened if its holder limit may have excluded other
+        controllers."""
         self.assigned[row, column] = False
         self.holder_counts[column] -= 1
         if numpy.isfinite(self.column_thresholds[column]):
@@ -66,7 +67,7 @@
         self.mark_changed(row)
 
     def evict_last_holder(self, column: int) -> None:
-        """Releases the holder with the largest key, which then seeks another endpoint."""
+        """Releases the holder with the largest key, which then gets another endpoint."""
         holders = numpy.flatnonzero(self.assigned[:, column])
         last = int(holders[numpy.argmax(self.keys(holders, column))])
         self.assigned[last, column] = False
@@ -74,19 +75,19 @@
         self.mark_unfilled(last)
 
     def mark_unfilled(self, row: int) -> None:
-        """Notes that a controller is to choose anew."""
+        """Records that the endpoints of a controller must be selected again."""
         self.unfilled_rows.add(row)
         self.row_thresholds[row] = numpy.inf
         self.mark_changed(row)
 
     def mark_changed(self, row: int) -> None:
-        """Notes that a controller may have other endpoints than before."""
+        """Records that the endpoints of a controller may have changed."""
         name = self.controllers.names[row]
         if name is not None:
             self.changed.add(name)
 
     def update_holder_limits(self, overload: float) -> None:
-        """Works out the holder limits, and whether there are several zones, for the records as they are."""
+        """Computes the holder limits, and whether there are several zones, from the current records."""
         columns = self.zones != NO_ZONE
         zones = self.zones[columns]
         self.has_several_zones = bool((zones != zones[:1]).any())
@@ -96,15 +97,14 @@
         self.holder_limits[columns] = max_holders(expected, controllers, overload, offsets)
 
     def update_row_threshold(self, row: int) -> None:
-        """A controller with a filled quota wants only keys below its largest; any other wants all."""
+        """Sets a controller's threshold: its largest key if its quota is filled, else infinite."""
         columns = numpy.flatnonzero(self.assigned[row])
         is_filled = len(columns) >= self.quotas[row]
         largest = self.keys(row, columns).max(initial=-numpy.inf) if is_filled else numpy.inf
         self.row_thresholds[row] = largest
 
     def update_column_threshold(self, column: int) -> None:
-        """An endpoint with as many holders as its limit admits only keys below its largest; any other admits
-        all."""
+        """Sets an endpoint's threshold: its largest key if its holder limit is reached, else infinite."""
         if self.holder_counts[column] < self.holder_limits[column]:
             self.column_thresholds[column] = numpy.inf
         else:
@@ -112,7 +112,7 @@
             self.column_thresholds[column] = self.keys(holders, column).max(initial=-numpy.inf)
 
     def update_all_thresholds(self) -> None:
-        """Holder counts and thresholds of all rows and columns at once."""
+        """Computes the holder counts, and the thresholds of all rows and columns."""
         rows, columns = numpy.nonzero(self.assigned)
         keys = self.keys(rows, columns)
         self.holder_counts = self.assigned.sum(axis=0, dtype=numpy.int64)
@@ -125,7 +125,7 @@
         self.column_thresholds[self.holder_counts < self.holder_limits] = numpy.inf
 
     def grow(self) -> None:
-        """Makes the arrays long enough for all indices in use, with some to spare."""
+        """Extends the arrays, with spare elements, if they are too short for the indices in use."""
         rows, columns = self.assigned.shape
         if len(self.controllers.names) > rows:
             rows = _with_spare(len(self.controllers.names))
--- a/oatcart/views/name_index.py
+++ b/oatcart/views/name_index.py
@@ -1,4 +1,4 @@
-"""Gives names the indices of arrays, from 0 up; the indices of removed names are used again."""
+"""Maps names to array indices from 0; indices of removed names are reused."""
 
 
 class NameIndex:
@@ -10,7 +10,7 @@
         self._free: list[int] = []
 
     def allocate(self, name: str) -> int:
-        """Gives an index to a name that has none."""
+        """Allocates and returns an index for a name that has none."""
         if self._free:
             index = self._free.pop()
             self.names[index] = name
--- a/oatcart/views/publisher.py
+++ b/oatcart/views/publisher.py
@@ -1,9 +1,9 @@
-"""The views in force: the entries of all endpoints, the view decided for each controller, and the history of
+"""The current views: the entries of all endpoints, the view decided for each controller, and the history of
 each view that was requested. Free of I/O.
 
-A change of an endpoint's entry (draining, another address, its removal) is published at once to the
-controllers whose view has it. Which endpoints a view has is decided elsewhere (`decisions`) and may follow
-later. A view's history begins with the first request of its controller.
+A change of an endpoint's entry (draining, another address, its removal) is published without waiting for a
+decision to the controllers whose view has the endpoint. Which endpoints a view has is decided by `decisions`
+and may be published later. A view's history begins with the first request of its controller.
 """
 
 from collections.abc import Callable, Collection, Iterable, Mapping
@@ -16,18 +16,18 @@
 from oatcart.views.records import Controller, Endpoint, UnknownControllerError, ViewError, ViewLimits
 from oatcart.views.revisions import RevisionSequence
 
-DEFAULT_SERVICE = "default"  # of an entry that names none
-DEFAULT_NOMINAL_WEIGHT = 1.0  # of an entry whose size is missing or 0, as at a controller
+DEFAULT_SERVICE = "default"  # of an entry without a service
+DEFAULT_NOMINAL_WEIGHT = 1.0  # of an entry whose size is missing or 0; controllers use the same
 
 
 class ViewNotDecidedError(ViewError):
-    """A view cannot be served yet: there is no endpoint list, or the decision is under way."""
+    """A view cannot be served yet: no endpoint list was received, or the view is not decided yet."""
 
 
 class Publisher:
     """Applies changes of the endpoint list and of the views, and keeps the history of each view.
 
-    `decide` is called with the records that changed; the views decided from them are handed to `apply_views`.
+    `decide` is called with changes of the records; the views decided from them are passed to `apply_views`.
     """
 
     def __init__(
@@ -38,14 +38,14 @@
     ) -> None:
         self.configuration, self.revisions, self.decide = configuration, revisions, decide
         self.entries: dict[str, EndpointEntry] = {}
-        self.views: dict[str, View] = {}  # as last decided; they may have endpoints that are gone since
+        self.views: dict[str, View] = {}  # as last decided; may have endpoints removed since
         self.histories: dict[str, ViewHistory] = {}
         self.unpublished: set[str] = set()  # views that may differ from their histories
         self.controllers = _records_by_name(configuration.controllers)
-        self.expired: set[str] = set()  # controllers without a lease: no view is decided for them
+        self.expired: set[str] = set()  # controllers without a lease, for which no view is decided
 
     def configure(self, configuration: Configuration) -> None:
-        """Takes over another configuration. Views that stay the same get no new revision."""
+        """Applies another configuration. Views that stay the same get no new revision."""
         old, self.configuration = self.configuration, configuration
         controllers = _records_by_name(configuration.controllers)
         gone = self.controllers.keys() - controllers.keys()
@@ -58,23 +58,24 @@
             self.decide(RecordChanges(controllers=self._live_controllers(), removed_controllers=gone))
 
     def expire(self, names: Collection[str]) -> None:
-        """The leases of these controllers have expired: the others' views are decided without them."""
+        """Drops the views of controllers whose leases have expired, and has the others decided without
+        them."""
         self.expired.update(names)
         self._drop_views(names)
         if self.entries:
             self.decide(RecordChanges(removed_controllers=names))
 
     def restore(self, name: str) -> None:
-        """An expired controller has a lease again: its view is decided anew."""
+        """Has the view of an expired controller decided again, as it has a lease again."""
         self.expired.discard(name)
         if self.entries:
             self.decide(RecordChanges(controllers=[self.controllers[name]]))
 
     def apply_list_changes(self, changes: ListChanges) -> None:
-        """Applies changes of the endpoint list; `publish` makes them known.
+        """Applies changes of the endpoint list, to be published by `publish`.
 
-        Nothing is decided before the first list: the views would be empty, and a controller that receives an
-        empty list drops the one it has.
+        No view is decided before the first list: it would be empty, and a controller that receives an empty
+        list drops the list it has.
         """
         if not self.entries:
             self.entries.update(changes.changed)
@@ -92,17 +93,17 @@
         self.decide(RecordChanges(endpoints=endpoints, removed_endpoints=changes.removed))
 
     def apply_views(self, views: Mapping[str, View]) -> None:
-        """Takes over views as decided; `publish` makes them known."""
+        """Stores decided views, to be published by `publish`."""
         for name, view in views.items():
             if name in self.controllers and name not in self.expired:
                 self.views[name] = view
                 self.unpublished.add(name)
 
     def publish(self, names: Iterable[str]) -> list[str]:
-        """Brings the histories of these views up to date and returns the names of those that changed.
+        """Updates the histories of these views and returns the names of those that changed.
 
-        A view that cannot be decided stays as it was last published. No two views share a revision, so a
-        controller that asks with the revision of another view gets the complete list.
+        A view that cannot be decided is left as last published. No two views share a revision, so a
+        controller that watches from the revision of another view gets the complete list.
         """
         published = []
         for name in names:
@@ -115,17 +116,17 @@
         return published
 
     def history(self, name: str) -> ViewHistory:
-        """The history of a controller's view, which begins with the first call.
+        """The history of a controller's view, created by the first call.
 
-        Raises UnknownControllerError, ViewNotDecidedError, or the ViewError for which the view cannot be
-        decided.
+        Raises UnknownControllerError, ViewNotDecidedError, or the ViewError that is the reason why the view
+        cannot be decided.
         """
         if name not in self.controllers:
             raise UnknownControllerError(name)
         if name not in self.histories:
             view = self.views.get(name)
             if not self.entries or view is None:
-                raise ViewNotDecidedError("no list of nodes is known yet, or the view is not decided yet")
+                raise ViewNotDecidedError("no endpoint list was received yet, or the view is not decided yet")
             if isinstance(view, ViewError):
                 raise view
             self.histories[name] = ViewHistory(self.revisions.next(), self._entries_of(view))
@@ -133,7 +134,7 @@
         return self.histories[name]
 
     def failures(self) -> dict[str, str]:
-        """The reasons for which views cannot be decided, by the names of controllers."""
+        """The reasons why views cannot be decided, by the names of controllers."""
         return {name: str(view) for name, view in self.views.items() if isinstance(view, ViewError)}
 
     def _live_controllers(self) -> list[Controller]:
@@ -162,7 +163,7 @@
 
 
 def endpoint_record(entry: EndpointEntry, fields: EndpointFields) -> Endpoint:
-    """The record of an entry, from which views are decided; `fields` names those of service and region."""
+    """The record of an entry, from which views are decided. `fields`: its service and region fields."""
     service, region = entry.fields.get(fields.service_field), entry.fields.get(fields.region_field)
     return Endpoint(
         entry.id,
@@ -175,7 +176,7 @@
 
 
 def _decision_inputs(configuration: Configuration) -> tuple[ViewLimits, int, EndpointFields]:
-    """What all decisions depend on, apart from endpoints and controllers."""
+    """The settings that all decisions depend on."""
     return configuration.limits, configuration.seed, configuration.endpoint_fields
 
 
--- a/oatcart/views/quotas.py
+++ b/oatcart/views/quotas.py
@@ -1,32 +1,34 @@
-"""How many endpoints of each service one controller's view has: max-min fair sharing of the view's capacity.
+"""Computes how many endpoints of each service a controller's view has: max-min fair sharing of its capacity.
 
-Every service gets the same number, the level, but never more than it has endpoints; what small services leave
-goes to the larger ones. A service with more endpoints than its quota keeps a reserve for ready endpoints that
-replace draining ones. A service that grows beyond the level changes no quota, so its growth moves nothing.
+Every service gets the same number, the fair share, but at most as many as it has endpoints; the rest goes to
+the larger services. A service with more endpoints than its quota has a reserve for ready endpoints that
+replace draining ones. The growth of a service beyond the fair share changes no quota, so it moves no
+assignments.
 """
 
 from collections.abc import Mapping
 from typing import NamedTuple
 
 MIN_ENDPOINTS = 2  # of a service in a view
-REPLACEMENT_RESERVE = 2  # endpoints of a service's quota that the matching does not assign
+REPLACEMENT_RESERVE = 2  # endpoints of a service's quota that the matching leaves free
 
 
 class Quota(NamedTuple):
-    """Endpoints of one service in a view. `matched` are assigned by the matching, `total` bounds all."""
+    """The numbers of endpoints of one service in a view. `matched`: assigned by the matching; `total`:
+    maximum, with replacements."""
 
     matched: int
     total: int
 
 
 def min_capacity(endpoint_counts: Mapping[str, int]) -> int:
-    """The view capacity below which some service would have less than `MIN_ENDPOINTS` of its endpoints."""
+    """The smallest view capacity that holds `MIN_ENDPOINTS` of each service, or all if it has fewer."""
     return sum(min(count, MIN_ENDPOINTS) for count in endpoint_counts.values())
 
 
 def assign_quotas(endpoint_counts: Mapping[str, int], capacity: int) -> dict[str, Quota]:
-    """Shares `capacity` endpoints among the services. What the level leaves over goes to the first services,
-    one endpoint each.
+    """Divides a view's `capacity` among the services. The remainder goes to the first services, one endpoint
+    each.
 
     >>> assign_quotas({"api": 900, "tiny": 3}, 100)
     {'api': Quota(matched=95, total=97), 'tiny': Quota(matched=3, total=3)}
@@ -45,9 +47,9 @@
 
 
 def _max_min_fair_share(counts: list[int], capacity: int) -> int:
-    """The greatest whole level at which the services together fit in the capacity.
+    """The largest whole fair share with which all services fit in the capacity.
 
-    If all services fit completely, the level lies above all counts by the reserve.
+    If all services fit completely, it exceeds the largest count by the reserve.
     """
     remaining = capacity
     ascending = sorted(counts)
--- a/oatcart/views/records.py
+++ b/oatcart/views/records.py
@@ -1,4 +1,4 @@
-"""The records that views are decided from, the bounds of a view, and the errors."""
+"""The records that views are decided from, the limits of a view, and the errors."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -8,7 +8,7 @@
     """An endpoint as discovery lists it.
 
     `nominal_weight` is its relative capacity (above zero, no unit). `ready` is False while it drains. A zone
-    lies in one region; the same zone name in two regions names two zones.
+    belongs to one region; the same zone name in two regions means two different zones.
     """
 
     id: str
@@ -20,7 +20,7 @@
 
 
 class Controller(NamedTuple):
-    """A controller that is served a view. No `services` means that it needs all of them."""
+    """A controller that is served a view. If `services` is empty, it needs all services."""
 
     name: str
     region: str
@@ -30,11 +30,11 @@
 
 @dataclass(frozen=True)
 class ViewLimits:
-    """The bounds of one view, and of how unevenly endpoints may be held.
+    """The limits of one view's size, and of how unevenly endpoints are distributed over views.
 
-    `max_endpoints` counts ready and draining ones. `max_bytes` bounds the list as it is served, of which one
-    entry takes at most `max_entry_bytes`. `overload` is how many times its proportional number of holders an
-    endpoint may have.
+    `max_endpoints` includes ready and draining endpoints. `max_bytes` limits the encoded list, in which one
+    entry takes at most `max_entry_bytes`. `overload` is the factor by which an endpoint's number of holders
+    (controllers whose view has it) may exceed the number proportional to its weight.
     """
 
     max_endpoints: int = 500
@@ -44,19 +44,20 @@
 
     @property
     def capacity(self) -> int:
-        """The number of endpoints that keeps both bounds, whatever their entries are."""
+        """The largest number of endpoints that stays within both limits, even if all entries have maximum
+        size."""
         return min(self.max_endpoints, self.max_bytes // self.max_entry_bytes)
 
 
 class ViewError(Exception):
-    """A view cannot be decided. The message is served in answers of status 503 and in `/v1/views`."""
+    """A view cannot be decided. The message is part of responses with status 503 and of `/v1/views`."""
 
 
 class UnknownControllerError(ViewError):
-    """No controller of that name is known."""
+    """No controller of that name is configured."""
 
     def __init__(self, name: str) -> None:
-        super().__init__(f"no conductor named {name!r} is known")
+        super().__init__(f"no controller named {name!r} is configured")
         self.name = name
 
 
@@ -65,16 +66,19 @@
 
     def __init__(self, endpoint: Endpoint) -> None:
         weight = endpoint.nominal_weight
-        super().__init__(f"node {endpoint.id!r} has size {weight!r}, not a finite number above zero")
+        super().__init__(
+            f"endpoint {endpoint.id!r}: size: expected a finite number above zero, got {weight!r}"
+        )
         self.endpoint = endpoint
 
 
 class TooManyServicesError(ViewError):
-    """A controller's services do not fit in its view with two endpoints each (one, if a service has one)."""
+    """A controller's view cannot hold two endpoints of each of its services (one, if a service has only
+    one)."""
 
     def __init__(self, name: str, needed: int, capacity: int) -> None:
         super().__init__(
-            f"conductor {name!r} needs {needed} nodes for two of each service, its view holds {capacity}"
+            f"controller {name!r} needs {needed} endpoints for two of each service, its view holds {capacity}"
         )
         self.name = name
         self.needed = needed
--- a/oatcart/views/requests.py
+++ b/oatcart/views/requests.py
@@ -1,6 +1,6 @@
-"""Calls to the control role as they stand on the wire, and the bodies of rejections. Free of I/O.
+"""Parses requests to the control role and encodes the bodies of rejections. Free of I/O.
 
-Source: the discovery protocol, `GET /v1/servers`, and `docs/views-operations.md`.
+The requests are described in the discovery protocol (`GET /v1/servers`) and in `docs/views-operations.md`.
 """
 
 from typing import NamedTuple
@@ -12,14 +12,14 @@
 
 GET = b"GET"
 VIEWS_PATH = "/v1/views"
-MAX_WATCH_TIMEOUT = 60.0  # s, by the protocol; a longer one is cut
+MAX_WATCH_TIMEOUT = 60.0  # s, set by the protocol; longer timeouts are reduced to it
 MAX_SHOWN_CHARACTERS = 80  # of a rejected method, path or value
 MAX_DIGITS = 16  # of a number in a query
 OK, BAD_REQUEST, NOT_FOUND, METHOD_NOT_ALLOWED, UNAVAILABLE = 200, 400, 404, 405, 503
 
 
 class RejectedRequestError(Exception):
-    """A call that is answered with an error: the HTTP status, what is rejected and the reason."""
+    """A request that is answered with an error: the HTTP status, what is rejected, and the reason."""
 
     def __init__(self, status: int, subject: str, reason: str) -> None:
         super().__init__(f"{status}: {subject}: {reason}")
@@ -27,13 +27,13 @@
 
     @property
     def body(self) -> bytes:
-        """The body of the answer, JSON."""
+        """The body of the response, JSON."""
         return orjson.dumps({"error": self.subject, "why": self.reason})
 
 
 class ListRequest(NamedTuple):
-    """A call for a view. `since`: the revision held, None for the complete list; `timeout`: s to wait for
-    changes."""
+    """A request for a view. `since`: the revision that the client has, None for the complete list; `timeout`:
+    s to wait for changes."""
 
     view: str
     since: int | None = None
@@ -41,12 +41,12 @@
 
 
 class StatusRequest(NamedTuple):
-    """A call for the state of the control role."""
+    """A request for the state of the control role."""
 
 
 def parse_request(method: bytes, target: bytes, own_view: str | None) -> ListRequest | StatusRequest:
-    """Parses a request line; raises RejectedRequestError. `own_view`: the controller whose address was
-    called, None at the main address."""
+    """Parses a request line; raises RejectedRequestError. `own_view`: the controller whose own address
+    received the request, None at the main address."""
     if method != GET:
         raise RejectedRequestError(METHOD_NOT_ALLOWED, _truncated(method), "only GET is served")
     path, _, query = target.decode("ascii", "replace").partition("?")
@@ -64,7 +64,7 @@
     if path != f"{VIEWS_PATH}/{name}/servers" or not name or "/" in name:
         paths = f"{VIEWS_PATH}/NAME/servers and {VIEWS_PATH}"
         raise RejectedRequestError(
-            NOT_FOUND, _truncated(path), f"this address serves {paths}; NAME is a conductor's"
+            NOT_FOUND, _truncated(path), f"this address serves {paths}; NAME is the name of a controller"
         )
     return _list_request(unquote(name), query)
 
@@ -80,7 +80,9 @@
 
 def _parse_count(field: str, value: str) -> int:
     if not (value.isascii() and value.isdigit()) or len(value) > MAX_DIGITS:
-        raise RejectedRequestError(BAD_REQUEST, f"{field}={_truncated(value)}", "it is no whole number")
+        raise RejectedRequestError(
+            BAD_REQUEST, f"{field}={_truncated(value)}", "expected a whole number of at most 16 digits"
+        )
     return int(value)
 
 
--- a/oatcart/views/role.py
+++ b/oatcart/views/role.py
@@ -25,22 +25,22 @@
 from oatcart.views.revisions import RevisionSequence
 from oatcart.views.server import Server
 
-VIEWS_PER_TURN = 32  # that are published in one turn of the loop
-TURNS_LOG_INTERVAL = 30.0  # s between two log lines with the longest turn
+VIEWS_PER_TURN = 32  # published in one turn of the loop
+TURNS_LOG_INTERVAL = 30.0  # s between log lines with the longest turn
 MAX_LOGGED_NAMES = 5  # of controllers in a log line
-RESTART_ONLY_SETTINGS = "listen", "bounds", "leases"  # settings that a reload does not change
+RESTART_ONLY_SETTINGS = "listen", "bounds", "leases"  # settings that only take effect at a restart
 
 
 class ListenKey(NamedTuple):
-    """An address of the deploy file. `name`: of the controller if the address is any free port, which several
-    may ask for."""
+    """An address in the deploy file. `name`: the controller if the port is 0 (any free port), as several
+    controllers may request that; else empty."""
 
     address: Address
     name: str
 
 
 def _served_by_key(configuration: Configuration) -> dict[ListenKey, ServedController]:
-    """The controllers that have an address of their own."""
+    """The controllers with an address of their own."""
     return {
         ListenKey(served.address, "" if served.address[1] else served.record.name): served
         for served in configuration.controllers
@@ -71,14 +71,14 @@
             loop, log, configuration.source, self.accepted, random.uniform, self._apply_list_changes
         )
         self.server = Server(loop, log, self.publisher, configuration.bounds, self.status, self._renew_lease)
-        self.leases: LeaseTable | None = None  # None: every listed controller counts
-        self.listeners: dict[ListenKey, Listener] = {}  # of controllers' own addresses
+        self.leases: LeaseTable | None = None  # None: no controller needs a lease
+        self.listeners: dict[ListenKey, Listener] = {}  # at controllers' own addresses
         self.is_publishing = False
-        self.failure: Exception | None = None  # of publishing
-        self.longest_turn = 0.0  # s, since the last log line on it
+        self.failure: Exception | None = None  # why publishing failed
+        self.longest_turn = 0.0  # s, since it was last logged
 
     def start(self) -> None:
-        """Listens at all addresses and begins to watch the endpoint list. Raises OSError."""
+        """Listens at all addresses and starts to watch the endpoint list. Raises OSError."""
         self.main_listener = self.server.listen(self.configuration.listen)
         self.listeners = self._listen(_served_by_key(self.configuration))
         address = "{}:{}".format(*self.main_listener.address)
@@ -94,10 +94,10 @@
         self._log_turns()
 
     def turn(self, max_wait: float = inf) -> None:
-        """One turn of the loop, which waits at most `max_wait` s.
+        """Runs one turn of the loop, which waits at most `max_wait` s.
 
-        Raises RuntimeError if watching, deciding or publishing has failed by an unexpected error. Whoever
-        supervises the process starts it again; controllers keep their lists meanwhile.
+        Raises RuntimeError if watching, deciding or publishing failed with an unexpected error. The process
+        then has to be restarted by its supervisor; controllers keep their lists meanwhile.
         """
         self.loop.turn(max_wait)
         if self.watcher.failed:
@@ -109,7 +109,7 @@
         self.longest_turn = max(self.longest_turn, self.loop.clock() - self.loop.now)
 
     def stop(self) -> None:
-        """Stops watching, deciding and serving; all connections are closed."""
+        """Stops watching, deciding and serving, and closes all connections."""
         self.watcher.stop()
         self.decisions.stop()
         for listener in (self.main_listener, *self.listeners.values()):
@@ -121,13 +121,13 @@
         return {listener.view: listener for listener in self.listeners.values()}[name].address
 
     def reload(self, path: str | Path) -> str:
-        """Reads the deploy file again and returns what to log. An invalid file changes nothing and raises
-        InvalidConfigurationError."""
+        """Reads the deploy file again, applies it and returns the text to log. An invalid file changes
+        nothing and raises InvalidConfigurationError."""
         return self.reconfigure(read(path))
 
     def reconfigure(self, new: Configuration) -> str:
-        """Takes over another configuration and returns what to log. Raises InvalidConfigurationError, and
-        changes nothing, if an address cannot be listened at."""
+        """Applies another configuration and returns the text to log. Raises InvalidConfigurationError, and
+        changes nothing, if listening at an address fails."""
         old, served_by_key = self.configuration, _served_by_key(new)
         added_keys = served_by_key.keys() - self.listeners.keys()
         try:
@@ -145,7 +145,7 @@
         self._schedule_publication()
         unapplied = [key for key in RESTART_ONLY_SETTINGS if getattr(new, key) != getattr(old, key)]
         restart = f"; only a restart changes {', '.join(unapplied)}" if unapplied else ""
-        return f"{len(new.controllers)} controllers, {len(added)} addresses new, {removed} gone{restart}"
+        return f"{len(new.controllers)} controllers, {len(added)} addresses added, {removed} removed{restart}"
 
     def status(self) -> bytes:
         """The state of the control role, as JSON for `GET /v1/views`."""
@@ -186,7 +186,7 @@
         return {"silent": sorted(self.leases.expired), "doubted": len(self.leases.retained)}
 
     def _listen(self, served_by_key: Mapping[ListenKey, ServedController]) -> dict[ListenKey, Listener]:
-        """Listeners for controllers; all or, with OSError, none."""
+        """Opens listeners for controllers. Raises OSError, and opens none, if one of them fails."""
         listeners: dict[ListenKey, Listener] = {}
         for key, served in served_by_key.items():
             try:
@@ -201,7 +201,7 @@
     def _replace_listeners(
         self, added: dict[ListenKey, Listener], served_by_key: Mapping[ListenKey, ServedController]
     ) -> int:
-        """Closes the listeners that are no longer wanted and returns their number."""
+        """Adds the new listeners, closes those no longer configured and returns the number of closed ones."""
         removed = [key for key in self.listeners if key not in served_by_key]
         for key in removed:
             self.server.close_listener(self.listeners.pop(key))
@@ -216,8 +216,8 @@
         self._schedule_publication()
 
     def _check_entry_sizes(self, changes: ListChanges) -> None:
-        """The size of a view in bytes is bounded by its number of endpoints and the stated size of an entry,
-        so a longer entry is logged."""
+        """Logs if an entry is longer than configured: the size of a view in bytes is limited by its number of
+        endpoints times the configured maximum size of an entry."""
         longest = max((len(entry.encoded) for entry in changes.changed.values()), default=0)
         limit = self.configuration.limits.max_entry_bytes
         if longest > limit:
@@ -234,27 +234,27 @@
             self.loop.spawn(self._answer_undecided(awaited))
 
     def _answer_undecided(self, names: list[str]) -> Generator[Wait, bool, None]:
-        """Wakes the calls that wait for these views, for some views in a turn of the loop."""
+        """Wakes the calls that wait for these views, `VIEWS_PER_TURN` views in a turn of the loop."""
         for start in range(0, len(names), VIEWS_PER_TURN):
             self.server.wake_undecided(names[start : start + VIEWS_PER_TURN])
             yield self._next_turn()
 
     def _next_turn(self) -> Wait:
-        """Waits for the next turn. The clock is later than `loop.now`, and a wait until `loop.now` would end
-        in this turn."""
+        """A wait for the next turn of the loop. Its deadline is the current clock time, later than
+        `loop.now`, as a wait until `loop.now` would end in the current turn."""
         return Wait(deadline=self.loop.clock())
 
     def _renew_lease(self, name: str) -> None:
         if self.leases is not None and self.leases.renew(name, self.loop.now):
             self.publisher.restore(name)
-            self.log.write("leases", f"{name} called after its lease had expired; its view is decided anew")
+            self.log.write("leases", f"{name} called after its lease had expired; its view is decided again")
 
     def _schedule_lease_check(self) -> None:
         self.loop.call_at(self.loop.now + self.leases.check_interval, self._check_leases)
 
     def _check_leases(self) -> None:
-        """Ends overdue leases. A waiting call renews its lease first, so that a stall of this process expires
-        no watcher."""
+        """Expires overdue leases. Calls that wait for a response renew their leases first, so that a stall of
+        this process expires no controller with a watch."""
         for calls in self.server.watching, self.server.undecided:
             for name in [name for name, streams in calls.items() if streams]:
                 self._renew_lease(name)
@@ -273,7 +273,7 @@
         if lease_check.is_retention_new:
             self.log.write(
                 "leases",
-                f"{_format_names(lease_check.retained)} overdue, too many at once: a mass expiry, they stay",
+                f"{_format_names(lease_check.retained)} overdue, a mass expiry: their leases are retained",
             )
 
     def _schedule_publication(self) -> None:
@@ -282,7 +282,8 @@
             self.loop.spawn(self._publish())
 
     def _publish(self) -> Generator[Wait, bool, None]:
-        """Collects changes for a while, then publishes them, some views in a turn of the loop."""
+        """Waits for the batching delay, then publishes all changes, `VIEWS_PER_TURN` views in a turn of the
+        loop."""
         try:
             yield Wait(deadline=self.loop.now + self.configuration.bounds.batching_delay)
             while self.publisher.unpublished:
--- a/oatcart/views/server.py
+++ b/oatcart/views/server.py
@@ -1,7 +1,7 @@
-"""The HTTP server of the control role: each controller's view as an ordinary endpoint list, on the project's
-event loop.
+"""The HTTP server of the control role, on the project's event loop. It serves each controller's view as an
+ordinary endpoint list.
 
-A connection is one task from its accept to its end: request, answer, next request.
+Each connection has a task that reads a request, writes the response and reads the next request.
 """
 
 import socket
@@ -31,13 +31,13 @@
     parse_request,
 )
 
-READ_BYTES = 1024  # of a connection at a time; a controller's request takes some hundred
+READ_BYTES = 1024  # read from a connection at once; a controller's request has a few hundred bytes
 
 
 @dataclass
 class UndecidedCalls:
-    """How many calls for an undecided view were answered with it in the end, and how many with 503 when their
-    time was over."""
+    """Counts calls for a view that was not decided yet: `answered` with the view once it was decided,
+    `rejected` with status 503 after `undecided_timeout`."""
 
     answered: int = 0
     rejected: int = 0
@@ -46,8 +46,8 @@
 class Server:
     """Serves the histories of a publisher.
 
-    `status` gives the body that answers `GET /v1/views`. `on_call` is called with the name in each call for a
-    view.
+    `status` returns the response body for `GET /v1/views`. `on_call` is called with the name of the view in
+    each request for one.
     """
 
     def __init__(
@@ -62,15 +62,15 @@
         self.loop, self.log, self.publisher, self.bounds, self.status = loop, log, publisher, bounds, status
         self.on_call = on_call
         self.tasks: dict[Stream, Task] = {}  # of all connections
-        self.unidentified: dict[Stream, None] = {}  # connections without a request so far, oldest first
+        self.unidentified: dict[Stream, None] = {}  # connections without a request yet, oldest first
         self.view_of: dict[Stream, str] = {}  # the view that a connection last requested
-        self.streams_of_view: dict[str, dict[Stream, None]] = {}  # by that view, oldest first
-        self.watching: dict[str, dict[Stream, None]] = {}  # by view: connections with a watch
-        self.undecided: dict[str, dict[Stream, None]] = {}  # by view: connections that wait for its decision
+        self.streams_of_view: dict[str, dict[Stream, None]] = {}  # by last requested view, oldest first
+        self.watching: dict[str, dict[Stream, None]] = {}  # by view: connections with a waiting watch
+        self.undecided: dict[str, dict[Stream, None]] = {}  # by view: connections waiting for a decision
         self.undecided_calls = UndecidedCalls()
 
     def listen(self, address: Address, view: str | None = None) -> Listener:
-        """Listens at an address, of one controller or the main one; raises OSError."""
+        """Listens at the main address, or at the own address of controller `view`; raises OSError."""
         listener = open_listener(address, view)
         accepting = accept_connections(
             self.loop, self.log, listener, lambda sock: self._admit(sock, listener)
@@ -86,18 +86,18 @@
         self._close_all(listener)
 
     def reassign(self, listener: Listener, view: str) -> None:
-        """Gives an address to another controller."""
+        """Assigns an address to a controller and closes its connections if it was that of another one."""
         if listener.view != view:
             listener.view = view
             self._close_all(listener)
 
     def wake_watches(self, names: Iterable[str]) -> None:
-        """Has the watches of these views check for changes."""
+        """Wakes the watches of these views, which check for changes."""
         for name in names:
             self._wake(self.watching.get(name, ()))
 
     def wake_undecided(self, names: Iterable[str]) -> None:
-        """Has the calls that wait for these views check whether they are decided."""
+        """Wakes the calls that wait for these views, which check whether the views are decided."""
         for name in names:
             self._wake(self.undecided.get(name, ()))
 
@@ -107,14 +107,15 @@
                 self.loop.expire(self.tasks[stream])
 
     def _admit(self, sock: socket.socket, listener: Listener) -> None:
-        """Serves a new connection. Beyond the limit the oldest unidentified ones are closed, or else the new
-        one, but never one in use. What the oldest has received is read first, as it may be a request."""
+        """Serves a new connection. Beyond the limit the oldest unidentified connections are closed, or else
+        the new one, but never one that has sent a request. Data that an unidentified connection has already
+        received is read before it is closed, as it may be a request."""
         stream = Stream(self.loop, sock, READ_BYTES, MAX_HEAD_BYTES, MAX_MESSAGE_BYTES)
         self.unidentified[stream] = None
         listener.streams[stream] = None
         task = self.loop.spawn(self._serve(stream, listener))
         if stream.sock.fileno() < 0:
-            return  # it has ended already
+            return  # already closed
         self.tasks[stream] = task
         while len(self.tasks) > self.bounds.max_connections and self.unidentified:
             oldest = next(iter(self.unidentified))
@@ -128,7 +129,7 @@
             self._close(stream)
 
     def _serve(self, stream: Stream, listener: Listener) -> Generator[Wait, bool, None]:
-        """The task of a connection. Its end is logged unless the other side closed it."""
+        """The task of a connection. Its end is logged unless the client closed it."""
         connection = HttpConnection(self.loop, stream, self.bounds.write_timeout)
         until = self.loop.now + self.bounds.first_request_timeout
         try:
@@ -151,7 +152,7 @@
     def _exchange(
         self, connection: HttpConnection, own_view: str | None, until: float
     ) -> Generator[Wait, bool, None]:
-        """One request and its answer."""
+        """Reads one request and writes its response."""
         try:
             request = yield from connection.read_request(until)
             self.unidentified.pop(connection.stream, None)
@@ -172,7 +173,7 @@
             raise ConnectionClosedError(CloseReason.MALFORMED, str(error)) from None
 
     def _list(self, connection: HttpConnection, call: ListRequest) -> Generator[Wait, bool, bytes]:
-        """The body that answers a call for a view; a watch waits here for changes until its time is over."""
+        """The response body for a view. A watch waits for changes until its timeout."""
         self.on_call(call.view)
         until = self.loop.now + call.timeout
         while True:
@@ -188,9 +189,9 @@
             yield from connection.wait(self.watching.setdefault(call.view, {}), until)
 
     def _history(self, connection: HttpConnection, view: str) -> Generator[Wait, bool, ViewHistory]:
-        """The history of a view; a call for an undecided one waits a bounded time for its decision.
+        """The history of a view. If the view is not decided yet, waits for at most `undecided_timeout`.
 
-        Raises RejectedRequestError if there is no such view, or none in time.
+        Raises RejectedRequestError if the view does not exist, cannot be decided or is not decided in time.
         """
         until = self.loop.now + self.bounds.undecided_timeout
         has_waited = False
@@ -213,7 +214,8 @@
             yield from connection.wait(self.undecided.setdefault(view, {}), until)
 
     def _track_view(self, stream: Stream, view: str) -> None:
-        """A connection has requested a view; beyond the limit of that view the oldest is closed."""
+        """Records which view a connection requested. Beyond the limit of connections for the view, closes the
+        oldest."""
         if self.view_of.get(stream) == view:
             return
         self._untrack_view(stream)
@@ -232,7 +234,7 @@
             del self.streams_of_view[view]
 
     def _peer(self, stream: Stream) -> str:
-        """The name of the controller at the other end, if it is known."""
+        """The name of the controller that uses a connection, for log lines."""
         return self.view_of.get(stream, "unidentified connection")
 
     def _close(self, stream: Stream) -> None:
--- a/oatcart/views/service_pool.py
+++ b/oatcart/views/service_pool.py
@@ -1,8 +1,7 @@
-"""One service: its endpoints, the controllers that need it, and which of the endpoints are in each one's
-view.
+"""One service: its endpoints, the controllers that need it, and the endpoints in each controller's view.
 
-A controller whose quota allows all endpoints is a complete holder. The others share the endpoints by the
-matching.
+A controller whose quota allows all endpoints is a complete holder: its view has all of them. The endpoints of
+the other controllers are assigned by the matching.
 """
 
 from collections import Counter
@@ -21,17 +20,16 @@
 from oatcart.views.quotas import Quota
 from oatcart.views.records import Endpoint
 
-# The matching is repaired after at most this many changes, and one more for so many records; after more it is
-# cheaper to recompute it.
+# The matching is repaired after up to _MIN_REPAIRED_CHANGES changes, plus one for every _RECORDS_PER_CHANGE
+# records; after more changes it is cheaper to recompute it.
 _MIN_REPAIRED_CHANGES = 4
 _RECORDS_PER_CHANGE = 50
 
 
 class AffectedControllers(NamedTuple):
-    """The names of controllers that changes concern.
+    """The names of controllers affected by changes.
 
-    `reassigned` may have other endpoints than before, `updated` have an endpoint that stays with another
-    record.
+    `reassigned`: may have other endpoints than before; `updated`: have an endpoint whose record changed.
     """
 
     reassigned: set[str]
@@ -39,9 +37,9 @@
 
 
 class ServicePool:
-    """The records of one service. Changes are noted at once and worked out together by `apply_changes`.
+    """The records of one service. Changes are recorded when made and applied together by `apply_changes`.
 
-    `overload`: see `Matching`.
+    `overload` is the factor by which an endpoint's number of holders may exceed the expected number.
     """
 
     def __init__(self, overload: float, seed: int) -> None:
@@ -52,7 +50,7 @@
         self._matching = Matching(overload, seed)
         self._complete_holders: set[str] = set()
         self._swaps: dict[str, list[Swap]] = {}
-        # By controller: its endpoints, if they are not those of the matching.
+        # By controller: its endpoints, if they differ from those of the matching.
         self._overrides: dict[str, list[str]] = {}
         self._needs = CoverageNeeds(0, 0)
         self._endpoints_before: dict[str, Endpoint | None] = {}
@@ -68,23 +66,24 @@
             self._ready_by_zone[zone_of(endpoint)] += 1
 
     def remove_endpoint(self, endpoint_id: str) -> None:
-        """Removes an endpoint. Raises KeyError if it is not known."""
+        """Removes an endpoint. Raises KeyError for an unknown id."""
         self._endpoints_before.setdefault(endpoint_id, self.endpoints.get(endpoint_id))
         del self.endpoints[endpoint_id]
         self._remove_ready(endpoint_id)
 
     def set_quota(self, name: str, quota: Quota) -> None:
-        """Gives a controller its quota of the service, the first or another one."""
+        """Sets or replaces a controller's quota of the service."""
         self.quotas[name] = quota
         self._controllers_changed.add(name)
 
     def remove_controller(self, name: str) -> None:
-        """Removes a controller that needs the service no longer, if it did."""
+        """Removes a controller that no longer needs the service. Other names are ignored."""
         if self.quotas.pop(name, None) is not None:
             self._controllers_changed.add(name)
 
     def endpoints_of(self, name: str) -> list[str]:
-        """The endpoints in a controller's view, once settled; none if it does not need the service."""
+        """The endpoints in a controller's view as of the last `apply_changes`; empty if it does not need the
+        service."""
         if name in self._complete_holders:
             return list(self.endpoints)
         if name in self._overrides:
@@ -92,7 +91,7 @@
         return self._matching.endpoints_of(name) if self._matching.has_controller(name) else []
 
     def holders_of(self, endpoint_id: str) -> set[str]:
-        """The controllers whose views have an endpoint, once settled."""
+        """The controllers whose views have an endpoint, as of the last `apply_changes`."""
         holders = set(self._complete_holders)
         if self._matching.has_endpoint(endpoint_id):
             holders.update(self._matching.holders_of(endpoint_id))
@@ -104,7 +103,7 @@
         return holders
 
     def apply_changes(self) -> AffectedControllers:
-        """Works the noted changes out."""
+        """Applies the recorded changes."""
         if not self._endpoints_before and not self._controllers_changed:
             return AffectedControllers(set(), set())
         updated_endpoints = self._change_endpoints()
@@ -133,7 +132,7 @@
         return (self._endpoints_before[endpoint_id] is None) != (endpoint_id not in self.endpoints)
 
     def _change_endpoints(self) -> list[str]:
-        """Brings the endpoints of the matching up to date; returns those that stay with another record."""
+        """Updates the endpoints of the matching; returns those that stay with a changed record."""
         updated = []
         for endpoint_id, before in self._endpoints_before.items():
             endpoint = self.endpoints.get(endpoint_id)
@@ -151,7 +150,7 @@
         return updated
 
     def _change_controllers(self) -> set[str]:
-        """Brings the controllers of the matching up to date; returns those that this concerns."""
+        """Updates the controllers of the matching; returns those that changed."""
         count = len(self.endpoints)
         self._controllers_changed.update(
             name
@@ -163,7 +162,8 @@
         return set(self._controllers_changed)
 
     def _change_controller(self, name: str, count: int) -> None:
-        """Moves a controller in or out of the matching, whose service has `count` endpoints."""
+        """Adds, removes or resizes a controller in the matching. `count`: the number of endpoints of the
+        service."""
         quota = self.quotas.get(name)
         self._complete_holders.discard(name)
         is_partial = quota is not None and quota.matched < count
@@ -179,7 +179,7 @@
                 self._complete_holders.add(name)
 
     def _update_overrides(self, reassigned: set[str], updated_endpoints: list[str]) -> set[str]:
-        """Works out swaps and replacements where they may have changed, and adds to `reassigned`. Returns the
+        """Computes swaps and replacements where they may have changed, and adds to `reassigned`. Returns the
         controllers that have one of the updated endpoints."""
         swaps = swaps_for_unheld(self._matching, self.endpoints)
         for name in swaps.keys() | self._swaps.keys():
@@ -198,8 +198,8 @@
         return holders.union(*(self.holders_of(endpoint_id) for endpoint_id in updated_endpoints))
 
     def _update_override(self, name: str) -> bool:
-        """Works out whether a controller has other endpoints than by the matching; returns whether that
-        changed."""
+        """Computes which endpoints a controller has if they differ from those of the matching. Returns
+        whether that changed."""
         before = self._overrides.pop(name, None)
         if not self._matching.has_controller(name):
             return before is not None
--- a/tests/views/test_views_configuration.py
+++ b/tests/views/test_views_configuration.py
@@ -109,7 +109,7 @@
         read(written(tmp_path, "conductors_file: more.jsonl"))
     said = str(wrong.value)
     assert "more.jsonl:2: unexpected" in said and "more.jsonl:3: the file is no table of keys" in said
-    assert "more.jsonl:4: zone is missing" in said and "more.jsonl:5: conductors: the name c stands" in said
+    assert "more.jsonl:4: zone is missing" in said and "more.jsonl:5: conductors: duplicate name c" in said
     assert "more.jsonl:6: zne is not known; did you mean zone?" in said
     with pytest.raises(InvalidConfigurationError, match="none.jsonl: No such file"):
         read(written(tmp_path, "conductors_file: none.jsonl"))
@@ -118,24 +118,33 @@
 @pytest.mark.parametrize(
     "text, said",
     [
-        ("listen: here", ["1: listen: 'here' is not a numeric IPv4 address and a port"]),
+        (
+            "listen: here",
+            ["1: listen: expected a numeric IPv4 address and a port such as 127.0.0.1:8600, got 'here'"],
+        ),
         ("lisen: 127.0.0.1:1", ["1: lisen is not known; did you mean listen?"]),
-        ("base: 127.0.0.1:0", ["1: base: '127.0.0.1:0' has no port to count from"]),
-        ("source:\n  wait: 61s\n  list_most: 4MB\n", ["2: source.wait: 61s is long", "3: source.list_most"]),
+        ("base: 127.0.0.1:0", ["1: base: expected an address with a port above 0, got '127.0.0.1:0'"]),
+        (
+            "source:\n  wait: 61s\n  list_most: 4MB\n",
+            [
+                "2: source.wait: expected at most 60s, the longest that a watch may wait, got 61s",
+                "3: source.list_most",
+            ],
+        ),
         ("source: yes", ["1: source. is no table of keys"]),
         (
             "guard:\n  drop_share: 0.2\n  hold: 5\nviews:\n  most_members: 0\n",
             [
-                "2: guard.drop_share: 0.2 is no share",
+                "2: guard.drop_share: expected a percentage from 1% to 99%, got 0.2",
                 "3: guard.hold: 5 has no unit",
                 "5: views.most_members: 0 is not a whole number",
             ],
         ),
-        ("views: {overload: 0.5}", ["1: views.overload: 0.5 is no factor"]),
-        ("regions:\n  n: [a]\n  s: [a]\n", ["3: regions.s: zone a is in n already"]),
+        ("views: {overload: 0.5}", ["1: views.overload: expected a factor from 1 to 100, got 0.5"]),
+        ("regions:\n  n: [a]\n  s: [a]\n", ["3: regions.s: zone a is already in region n"]),
         ("regions: [a]", ["1: regions. is no table of keys"]),
-        ("regions: {n: a}", ["1: regions.n: a is no list of distinct names"]),
-        ("conductors: {}", ["1: conductors is no list"]),
+        ("regions: {n: a}", ["1: regions.n: expected a list of distinct names, got a"]),
+        ("conductors: {}", ["1: conductors: expected a list"]),
         ("conductors:\n  - c\n", ["2: conductors[0]. is no table of keys"]),
         ("conductors:\n  - name: c\n", ["2: conductors[0].zone is missing"]),
         (
@@ -143,25 +152,28 @@
             "  - {name: c, zone: a}\n",
             [
                 "3: conductors[1].servces is not known; did you mean services?",
-                "4: conductors: the name c stands there twice",
+                "4: conductors: duplicate name c",
             ],
         ),
-        ("conductors:\n  - {name: c, count: 2, zone: a}\n", ["2: conductors[0].name: a group's needs"]),
+        (
+            "conductors:\n  - {name: c, count: 2, zone: a}\n",
+            ["2: conductors[0].name: expected {number} in it, as count is set"],
+        ),
         (
             "conductors:\n  - {name: 'c{number}', count: 2, zone: a, address: 127.0.0.1:7}\n",
-            ["2: conductors[0].address: a group is listened for above the base"],
+            ["2: conductors[0].address: not allowed with count; the addresses of a group follow base"],
         ),
         (
             "conductors:\n  - {name: c, zone: a, services: [x, x]}\n",
-            ["2: conductors[0].services: ['x', 'x'] is no list"],
+            ["2: conductors[0].services: expected a list of distinct names, got ['x', 'x']"],
         ),
         (
             f"base: 127.0.0.1:65535\nconductors:\n  - {GROUP_OF_TWO}\n",
-            ["3: conductors: c1 would have port 65536; set a lower base"],
+            ["3: conductors: c1 would get port 65536, above 65535; set a lower base"],
         ),
         (
             "listen: 127.0.0.1:9\nconductors:\n  - {name: c, zone: a, address: 127.0.0.1:9}\n",
-            ["3: conductors: c and listen would both have 127.0.0.1:9"],
+            ["3: conductors: c and listen would both have the address 127.0.0.1:9"],
         ),
         ("conductors: [1\n", ["2: "]),
         ("- 1\n", ["1: the file is no table"]),
--- a/tests/views/test_views_decisions.py
+++ b/tests/views/test_views_decisions.py
@@ -150,7 +150,7 @@
     views = decider.decide(
         [RecordChanges(controllers=[Controller("c0", "r", "a", ())], limits=ViewLimits(3)), *services]
     )
-    assert isinstance(views["c0"], TooManyServicesError) and "needs 6 nodes" in str(views["c0"])
+    assert isinstance(views["c0"], TooManyServicesError) and "needs 6 endpoints" in str(views["c0"])
 
 
 def test_entries_longer_than_the_file_tells_are_logged(stage):
--- a/tests/views/test_views_history.py
+++ b/tests/views/test_views_history.py
@@ -97,7 +97,7 @@
 
 def test_a_revision_must_grow():
     history = ViewHistory(5, {})
-    with pytest.raises(ValueError, match="revision 5 after 5"):
+    with pytest.raises(ValueError, match="revision 5 is not above the current one, 5"):
         history.replace(entries({"s-0": ("SERVING", 0)}), 5)
 
 
--- a/tests/views/test_views_leases.py
+++ b/tests/views/test_views_leases.py
@@ -198,14 +198,14 @@
     before = views(stage)
     for caller in callers[:4]:
         caller.stop()
-    stage.until(lambda: stage.logged("overdue, too many at once: a mass expiry, they stay"), "the doubt")
+    stage.until(lambda: stage.logged("overdue, a mass expiry: their leases are retained"), "the doubt")
     (overdue,) = re.findall(r"leases: \d controllers \(([^)]*)\) overdue", stage.out.getvalue())
     assert set(overdue.split(", ")) <= set(NAMES[:4])  # the others of the four may be overdue a little later
     stage.until(lambda: lease_status(stage)["doubted"] == 4, "all four doubted")
     stage.for_(1.5 * OVERDUE)
     assert views(stage) == before
     assert lease_status(stage) == {"silent": [], "doubted": 4}
-    assert stage.out.getvalue().count("a mass expiry, they stay") == 1
+    assert stage.out.getvalue().count("a mass expiry: their leases are retained") == 1
 
 
 def test_a_role_just_started_without_any_call_expires_nobody(stages):
@@ -449,18 +449,30 @@
     "text, said",
     [
         ("leases:\n  enabled: yes please", "2: leases.enabled: 'yes please' is neither true nor false"),
-        ("leases:\n  grace: 5m\n  enabled: true", "3: leases.enabled: control roles do not tell one another"),
-        ("leases: {enabled: true, only_control_role: false}", "1: leases.enabled: control roles do not tell"),
-        ("leases: {enabled: true}", "add only_control_role: true"),
+        (
+            "leases:\n  grace: 5m\n  enabled: true",
+            "3: leases.enabled: control roles do not exchange which controllers called",
+        ),
+        (
+            "leases: {enabled: true, only_control_role: false}",
+            "1: leases.enabled: control roles do not exchange",
+        ),
+        ("leases: {enabled: true}", "set only_control_role: true"),
         ("leases:\n  lease: 30", "2: leases.lease: 30 has no unit"),
-        ("leases:\n  lease: 500ms", "2: leases.lease: 500ms is shorter than 1s"),
+        ("leases:\n  lease: 500ms", "2: leases.lease: expected at least 1s, got 500ms"),
         ("leases:\n  grace: 2h", "2: leases.grace: 2h has no unit"),
         ("leases:\n  hold: 61m", "2: leases.hold: 61m is not between 0 and an hour"),
-        ("leases:\n  doubt_share: 0.1", "2: leases.doubt_share: 0.1 is no share"),
+        (
+            "leases:\n  doubt_share: 0.1",
+            "2: leases.doubt_share: expected a percentage from 1% to 99%, got 0.1",
+        ),
         ("leases:\n  doubt_least: 0", "2: leases.doubt_least: 0 is not a whole number"),
         ("leases:\n  least: 30s", "2: leases.least is not known; did you mean lease?"),
         ("leases: yes", "1: leases. is no table of keys"),
-        ("bounds:\n  undecided_wait: 4s", "2: bounds.undecided_wait: 4s is longer than 3s"),
+        (
+            "bounds:\n  undecided_wait: 4s",
+            "2: bounds.undecided_wait: expected at most 3s, as a controller ends its call after 4s, got 4s",
+        ),
     ],
 )
 def test_bad_values_are_rejected_with_file_line_and_field(tmp_path, text, said):
--- a/tests/views/test_views_process.py
+++ b/tests/views/test_views_process.py
@@ -99,7 +99,7 @@
     assert process.logged("conductors[1].zne is not known; did you mean zone?") and process.served() == held
     process.write("- {name: c1, zone: a}\n")
     process.process.send_signal(signal.SIGHUP)
-    stage.until(lambda: process.logged("reload: 2 controllers, 0 addresses new, 0 gone"), "the reload")
+    stage.until(lambda: process.logged("reload: 2 controllers, 0 addresses added, 0 removed"), "the reload")
     assert process.served() == held
 
 
--- a/tests/views/test_views_server.py
+++ b/tests/views/test_views_server.py
@@ -138,7 +138,10 @@
     status, told = raw(
         stage, stage.role.main_listener.address, "/v1/views/nobody/servers?since=4&timeout_ms=2000"
     )
-    assert status == 404 and told == {"error": "unknown view", "why": "no conductor named 'nobody' is known"}
+    assert status == 404 and told == {
+        "error": "unknown view",
+        "why": "no controller named 'nobody' is configured",
+    }
     after = stage.call(stage.role.main_listener.address, "/v1/views").result(stage)
     assert (after["conductors"], after["views"]) == (before["conductors"], before["views"]) == (3, {})
 
@@ -146,13 +149,23 @@
 @pytest.mark.parametrize(
     "target, method, status, why",
     [
-        ("/v1/servers", "GET", 404, "NAME is a conductor's"),
-        ("/v1/views//servers", "GET", 404, "NAME is a conductor's"),
-        ("/v1/views/c0/servers/more", "GET", 404, "NAME is a conductor's"),
+        ("/v1/servers", "GET", 404, "NAME is the name of a controller"),
+        ("/v1/views//servers", "GET", 404, "NAME is the name of a controller"),
+        ("/v1/views/c0/servers/more", "GET", 404, "NAME is the name of a controller"),
         ("/v1/views/c0/servers", "POST", 405, "only GET is served"),
-        ("/v1/views/c0/servers?since=-1", "GET", 400, "no whole number"),
-        ("/v1/views/c0/servers?since=4&timeout_ms=1.5", "GET", 400, "no whole number"),
-        ("/v1/views/c0/servers?since=99999999999999999999", "GET", 400, "no whole number"),
+        ("/v1/views/c0/servers?since=-1", "GET", 400, "expected a whole number of at most 16 digits"),
+        (
+            "/v1/views/c0/servers?since=4&timeout_ms=1.5",
+            "GET",
+            400,
+            "expected a whole number of at most 16 digits",
+        ),
+        (
+            "/v1/views/c0/servers?since=99999999999999999999",
+            "GET",
+            400,
+            "expected a whole number of at most 16 digits",
+        ),
     ],
 )
 def test_invalid_values_for_leases_are_rejected(stage, target, method, status, why):
@@ -189,7 +202,7 @@
         stage.discovery.put(*complete_fleet())
         stage.ready()
         status, told = raw(stage, stage.role.address_of("wide"), "/v1/servers")
-        assert status == 503 and "needs 4 nodes" in told["why"]
+        assert status == 503 and "needs 4 endpoints" in told["why"]
         assert len(stage.get("c0")["members"]) <= 3
     finally:
         stage.close()
@@ -372,7 +385,7 @@
     stage.discovery.log = []
     del stage.discovery.entries["x-a3"]
     stage.discovery.wake()
-    stage.until(lambda: stage.logged("changes up to revision 0 after"), "a log line")
+    stage.until(lambda: stage.logged("changes up to revision 0, below the last revision"), "a log line")
     stage.until(lambda: "x-a3" not in ids(stage.get("c0")), "the whole list taken anew")
 
 
@@ -396,7 +409,7 @@
         held = stage.get("c0")
         watching = watch(stage, "c0", held["revision"], 5000)
         stage.discovery.start_over(fleet[:4])
-        stage.until(lambda: stage.logged("an answer removes 16 of 20 endpoints at once"), "the doubt")
+        stage.until(lambda: stage.logged("a response removes 16 of 20 endpoints at once"), "the doubt")
         assert len(stage.get("c0")["members"]) == 20 and not watching.over
         told = phases(watching.result(stage))
         assert list(told.values()) == ["DELETED"] * 16
@@ -436,7 +449,9 @@
         endpoint_entry("x-a0", service="x", phase="HALF"),
         endpoint_entry("x-a1", service="x", phase="DRAINING"),
     )
-    stage.until(lambda: stage.logged("x-a0: phase: 'HALF' is not known"), "a log line")
+    stage.until(
+        lambda: stage.logged("x-a0: phase: expected SERVING, DRAINING or DELETED, got 'HALF'"), "a log line"
+    )
     stage.until(lambda: phases(stage.get("c0"))["x-a1"] == "DRAINING", "the change beside it")
     assert phases(stage.get("c0"))["x-a0"] == "SERVING"
 
@@ -457,7 +472,7 @@
     )
     stage.for_(0.1)
     said = reconfigured(stage, controller("c0", ["x"]), controller("c3", ["y"]))
-    assert said == "2 controllers, 1 addresses new, 2 gone"
+    assert said == "2 controllers, 1 addresses added, 2 removed"
     assert stage.get("c0") == kept and len(stage.get("c3")["members"]) == 4
     stage.until(lambda: watching.over, "the rejection of a view that is gone")
     assert "404" in str(watching.ended)
@@ -490,7 +505,7 @@
     (tmp_path / "views.yaml").write_text("conductors: 7\nguard: {hold: 4}\n")
     with pytest.raises(InvalidConfigurationError) as unusable:
         stage.role.reload(tmp_path / "views.yaml")
-    assert "views.yaml:1: conductors is no list" in str(unusable.value)
+    assert "views.yaml:1: conductors: expected a list" in str(unusable.value)
     assert "views.yaml:2: guard.hold" in str(unusable.value)
     assert len(stage.get("c2")["members"]) == 12
 
