--- a/tests/views/test_views_configuration.py
+++ b/tests/views/test_views_configuration.py
@@ -1,4 +1,5 @@
-"""`deploy/views.yaml`: what is read of it, and that every error names file, line and field, all at once."""
+"""`deploy/views.yaml`: reading it, and errors, which name file, line and field and are all reported at
+once."""
 
 import subprocess
 import sys
@@ -24,16 +25,16 @@
 
 
 def test_the_shipped_file_holds_the_defaults_and_two_controllers():
-    found = read(SHIPPED)
-    assert found._replace(controllers=()) == Configuration()
-    assert [(one.record.name, one.address[1]) for one in found.controllers] == [
+    loaded = read(SHIPPED)
+    assert loaded._replace(controllers=()) == Configuration()
+    assert [(one.record.name, one.address[1]) for one in loaded.controllers] == [
         ("example-0", 21000),
         ("example-1", 21001),
     ]
 
 
-def test_all_that_is_set_is_read(tmp_path):
-    found = read(
+def test_all_settings_are_read(tmp_path):
+    loaded = read(
         written(
             tmp_path,
             """
@@ -50,17 +51,21 @@
 """,
         )
     )
-    assert found.listen == ("127.0.0.1", 1)
-    assert found.endpoint_fields.service_field == "svc" and found.endpoint_fields.region_field == "geo"
-    assert found.source == DiscoverySettings(("127.0.0.1", 2), 30.0, 3.0, 2.0, 300.0, 8 << 20)
-    assert found.guard == ListGuard(0.1, 3, 4.0, 20)
-    assert found.limits == ViewLimits(50, 9000, 180, 1.5) and found.seed == 7
-    assert found.bounds == ServerBounds(0.1, 1.0, 2.0, 3.0, 9, 2)
-    assert [found.endpoint_fields.region(zone) for zone in ("n2", "s1", "x")] == ["north", "south", "default"]
+    assert loaded.listen == ("127.0.0.1", 1)
+    assert loaded.endpoint_fields.service_field == "svc" and loaded.endpoint_fields.region_field == "geo"
+    assert loaded.source == DiscoverySettings(("127.0.0.1", 2), 30.0, 3.0, 2.0, 300.0, 8 << 20)
+    assert loaded.guard == ListGuard(0.1, 3, 4.0, 20)
+    assert loaded.limits == ViewLimits(50, 9000, 180, 1.5) and loaded.seed == 7
+    assert loaded.bounds == ServerBounds(0.1, 1.0, 2.0, 3.0, 9, 2)
+    assert [loaded.endpoint_fields.region(zone) for zone in ("n2", "s1", "x")] == [
+        "north",
+        "south",
+        "default",
+    ]
 
 
-def test_positions_are_ports_groups_count_and_an_own_address_takes_its_position_with_it(tmp_path):
-    found = read(
+def test_ports_follow_the_position_in_the_list_and_an_own_address_takes_up_a_position(tmp_path):
+    loaded = read(
         written(
             tmp_path,
             """
@@ -73,7 +78,7 @@
 """,
         )
     )
-    assert [(one.record, one.address) for one in found.controllers] == [
+    assert [(one.record, one.address) for one in loaded.controllers] == [
         (Controller("edge-0", "north", "a", ("x", "y")), ("127.0.0.1", 3000)),
         (Controller("edge-1", "north", "a", ("x", "y")), ("127.0.0.1", 3001)),
         (Controller("own", "south", "b", ()), ("127.0.0.2", 9)),
@@ -81,15 +86,15 @@
     ]
 
 
-def test_without_a_base_controllers_ask_by_name_alone(tmp_path):
-    found = read(written(tmp_path, "conductors: [{name: c, zone: a}]"))
-    assert found.controllers[0].address is None
+def test_without_a_base_controllers_have_no_address_of_their_own(tmp_path):
+    loaded = read(written(tmp_path, "conductors: [{name: c, zone: a}]"))
+    assert loaded.controllers[0].address is None
 
 
 GROUP_OF_TWO = "{name: 'c{number}', count: 2, zone: a}"
 
 
-def test_a_file_of_json_lines_follows_the_listed_ones(tmp_path):
+def test_controllers_of_a_json_lines_file_follow_the_listed_ones(tmp_path):
     (tmp_path / "more.jsonl").write_text(
         '{"name":"d","zone":"b","services":["x"]}\n\n{"name":"e","zone":"a","region":"r"}\n'
     )
@@ -105,18 +110,20 @@
     (tmp_path / "more.jsonl").write_text(
         '{"name":"c","zone":"a"}\n{"name":\n7\n{"name":"d"}\n{"name":"c","zone":"a"}\n{"name":"e","zne":"a"}\n'
     )
-    with pytest.raises(InvalidConfigurationError) as wrong:
+    with pytest.raises(InvalidConfigurationError) as raised:
         read(written(tmp_path, "conductors_file: more.jsonl"))
-    said = str(wrong.value)
-    assert "more.jsonl:2: unexpected" in said and "more.jsonl:3: the file is no table of keys" in said
-    assert "more.jsonl:4: zone is missing" in said and "more.jsonl:5: conductors: duplicate name c" in said
-    assert "more.jsonl:6: zne is not known; did you mean zone?" in said
+    message = str(raised.value)
+    assert "more.jsonl:2: unexpected" in message and "more.jsonl:3: the file is no table of keys" in message
+    assert (
+        "more.jsonl:4: zone is missing" in message and "more.jsonl:5: conductors: duplicate name c" in message
+    )
+    assert "more.jsonl:6: zne is not known; did you mean zone?" in message
     with pytest.raises(InvalidConfigurationError, match="none.jsonl: No such file"):
         read(written(tmp_path, "conductors_file: none.jsonl"))
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, messages",
     [
         (
             "listen: here",
@@ -179,14 +186,14 @@
         ("- 1\n", ["1: the file is no table"]),
     ],
 )
-def test_errors_name_file_line_and_field(tmp_path, text, said):
-    with pytest.raises(InvalidConfigurationError) as wrong:
+def test_errors_name_file_line_and_field(tmp_path, text, messages):
+    with pytest.raises(InvalidConfigurationError) as raised:
         read(written(tmp_path, text))
-    for one in said:
-        assert f"views.yaml:{one}" in str(wrong.value), str(wrong.value)
+    for message in messages:
+        assert f"views.yaml:{message}" in str(raised.value), str(raised.value)
 
 
-def test_more_descriptors_than_the_process_may_have_are_rejected(monkeypatch):
+def test_a_limit_of_descriptors_that_is_too_low_is_rejected(monkeypatch):
     configuration = read(SHIPPED)
     assert required_descriptors(configuration) == 2 + 4096 + 32
     monkeypatch.setattr("resource.getrlimit", lambda _: (4129, 4129))
@@ -194,29 +201,29 @@
         check_descriptors(configuration)
 
 
-def run(*words):
-    command = [sys.executable, "-m", "oatcart.views", *map(str, words)]
+def run(*arguments):
+    command = [sys.executable, "-m", "oatcart.views", *map(str, arguments)]
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=20, check=False)
 
 
-def test_a_check_starts_nothing_and_ends_with_0():
-    found = run(SHIPPED, "--check")
-    assert (found.returncode, found.stderr) == (0, "") and "can be used: 2 controllers" in found.stdout
+def test_a_check_ends_with_exit_code_0():
+    result = run(SHIPPED, "--check")
+    assert (result.returncode, result.stderr) == (0, "") and "can be used: 2 controllers" in result.stdout
 
 
-def test_a_file_that_cannot_be_used_ends_with_2_and_says_all(tmp_path):
-    found = run(written(tmp_path, "listen: 1\nguard: {hold: 1}\n"), "--check")
-    assert found.returncode == 2 and "views.yaml:1: listen" in found.stderr
-    assert "views.yaml:2: guard.hold" in found.stderr
+def test_an_invalid_file_ends_with_exit_code_2_and_all_errors(tmp_path):
+    result = run(written(tmp_path, "listen: 1\nguard: {hold: 1}\n"), "--check")
+    assert result.returncode == 2 and "views.yaml:1: listen" in result.stderr
+    assert "views.yaml:2: guard.hold" in result.stderr
     assert run(tmp_path / "none.yaml").returncode == 2
 
 
-def test_the_platforms_controller_imports_none_of_it():
+def test_the_controller_imports_no_module_of_the_control_role():
     code = (
         "import sys, oatcart.__main__\n"
         "print([name for name in sys.modules if name.startswith('oatcart.views')])"
     )
-    found = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=False, timeout=20
     )
-    assert found.stdout.strip() == "[]", found.stderr
+    assert result.stdout.strip() == "[]", result.stderr
--- a/tests/views/test_views_fleet.py
+++ b/tests/views/test_views_fleet.py
@@ -1,4 +1,4 @@
-"""Views: their size, balance, zones, what changes move, draining, and that history does not matter."""
+"""Views: size, balance, zones, moves by changes, draining, and independence of the order of changes."""
 
 from collections import Counter
 from math import ceil
@@ -25,9 +25,9 @@
 SMALL = ViewLimits(max_endpoints=12)
 
 
-def endpoints_of(service: str, count: int, zones=ZONES, size: float = 1.0) -> list[Endpoint]:
+def endpoints_of(service: str, count: int, zones=ZONES, weight: float = 1.0) -> list[Endpoint]:
     return [
-        Endpoint(f"{service}-{number}", *zones[number % len(zones)], service, size, True)
+        Endpoint(f"{service}-{number}", *zones[number % len(zones)], service, weight, True)
         for number in range(count)
     ]
 
@@ -50,24 +50,25 @@
 
 
 class Fleet(RuleBasedStateMachine):
-    """Endpoints and controllers come, change and go; the views are those of a fresh start, within bounds."""
+    """Endpoints and controllers are added, changed and removed; the views always equal those decided from
+    scratch and are within the limits."""
 
     def __init__(self) -> None:
         super().__init__()
         self.fleet_views = FleetViews(SMALL, SEED)
         self.endpoints: dict[str, Endpoint] = {}
         self.controllers: dict[str, Controller] = {}
-        self.told: dict[str, tuple[tuple[str, ...], tuple[Endpoint, ...]]] = {}
+        self.reported: dict[str, tuple[tuple[str, ...], tuple[Endpoint, ...]]] = {}
 
     @rule(
         number=st.integers(0, 30),
-        place=st.sampled_from(ZONES),
+        zone=st.sampled_from(ZONES),
         service=st.sampled_from(SERVICES),
         weight=st.sampled_from((1.0, 2.0, 4.0)),
         ready=st.booleans(),
     )
-    def put_endpoint(self, number, place, service, weight, ready):
-        endpoint = Endpoint(f"node-{number}", *place, service, weight, ready)
+    def put_endpoint(self, number, zone, service, weight, ready):
+        endpoint = Endpoint(f"node-{number}", *zone, service, weight, ready)
         self.endpoints[endpoint.id] = endpoint
         self.fleet_views.put_endpoint(endpoint)
 
@@ -90,11 +91,9 @@
         del self.endpoints[endpoint_id]
         self.fleet_views.remove_endpoint(endpoint_id)
 
-    @rule(
-        number=st.integers(0, 15), place=st.sampled_from(ZONES), services=st.sets(st.sampled_from(SERVICES))
-    )
-    def put_controller(self, number, place, services):
-        controller = Controller(f"conductor-{number}", *place, tuple(sorted(services)))
+    @rule(number=st.integers(0, 15), zone=st.sampled_from(ZONES), services=st.sets(st.sampled_from(SERVICES)))
+    def put_controller(self, number, zone, services):
+        controller = Controller(f"conductor-{number}", *zone, tuple(sorted(services)))
         self.controllers[controller.name] = controller
         self.fleet_views.put_controller(controller)
 
@@ -103,11 +102,11 @@
     def remove_controller(self, data):
         name = data.draw(st.sampled_from(sorted(self.controllers)))
         del self.controllers[name]
-        self.told.pop(name, None)
+        self.reported.pop(name, None)
         self.fleet_views.remove_controller(name)
 
     @invariant()
-    def history_does_not_matter(self):
+    def views_equal_those_decided_from_scratch(self):
         fresh = fleet_views_of(
             reversed(list(self.endpoints.values())), reversed(list(self.controllers.values()))
         )
@@ -115,41 +114,43 @@
         assert views_of(self.fleet_views, controllers) == views_of(fresh, controllers)
 
     @invariant()
-    def views_are_small_and_hold_what_is_needed(self):
+    def views_are_within_the_limits_and_have_all_needed_services(self):
         for controller in self.controllers.values():
             view = self.fleet_views.view(controller.name)
             assert len(set(view)) == len(view) <= SMALL.capacity
-            held = [self.endpoints[endpoint_id] for endpoint_id in view]
-            assert {endpoint.service for endpoint in held} <= set(controller.services or SERVICES)
+            in_view = [self.endpoints[endpoint_id] for endpoint_id in view]
+            assert {endpoint.service for endpoint in in_view} <= set(controller.services or SERVICES)
             for service in controller.services or SERVICES:
-                there = [endpoint for endpoint in self.endpoints.values() if endpoint.service == service]
-                assert_enough(there, [endpoint for endpoint in held if endpoint.service == service])
+                existing = [endpoint for endpoint in self.endpoints.values() if endpoint.service == service]
+                assert_enough(existing, [endpoint for endpoint in in_view if endpoint.service == service])
 
     @invariant()
-    def holders_are_those_that_hold(self):
+    def holders_match_the_views(self):
         for endpoint_id in self.endpoints:
-            holding = {name for name in self.controllers if endpoint_id in self.fleet_views.view(name)}
-            assert self.fleet_views.holders(endpoint_id) == holding
+            controllers_with_endpoint = {
+                name for name in self.controllers if endpoint_id in self.fleet_views.view(name)
+            }
+            assert self.fleet_views.holders(endpoint_id) == controllers_with_endpoint
 
     @invariant()
-    def changes_are_told(self):
+    def all_changes_are_reported(self):
         changed = self.fleet_views.pop_changed()
         assert changed <= self.controllers.keys()
         for name in self.controllers:
             view = self.fleet_views.view(name)
-            now = (view, tuple(self.endpoints[endpoint_id] for endpoint_id in view))
-            assert name in changed or self.told.get(name) == now
-            self.told[name] = now
+            current = (view, tuple(self.endpoints[endpoint_id] for endpoint_id in view))
+            assert name in changed or self.reported.get(name) == current
+            self.reported[name] = current
 
 
-def assert_enough(there: list[Endpoint], held: list[Endpoint]) -> None:
-    """Two ready endpoints, in two zones, wherever the service has them."""
-    ready_there = [endpoint for endpoint in there if endpoint.ready]
-    ready_held = [endpoint for endpoint in held if endpoint.ready]
-    assert len(ready_held) >= min(2, len(ready_there))
-    zones_there = {(endpoint.region, endpoint.zone) for endpoint in ready_there}
-    zones_held = {(endpoint.region, endpoint.zone) for endpoint in ready_held}
-    assert len(zones_held) >= min(2, len(zones_there))
+def assert_enough(existing: list[Endpoint], in_view: list[Endpoint]) -> None:
+    """Two ready endpoints in two zones, or all that the service has."""
+    ready_existing = [endpoint for endpoint in existing if endpoint.ready]
+    ready_in_view = [endpoint for endpoint in in_view if endpoint.ready]
+    assert len(ready_in_view) >= min(2, len(ready_existing))
+    zones_existing = {(endpoint.region, endpoint.zone) for endpoint in ready_existing}
+    zones_in_view = {(endpoint.region, endpoint.zone) for endpoint in ready_in_view}
+    assert len(zones_in_view) >= min(2, len(zones_existing))
 
 
 TestFleet = Fleet.TestCase
@@ -168,20 +169,20 @@
     assert fleet_views.view("conductor-1") == tuple(sorted(endpoint.id for endpoint in endpoints))
 
 
-def test_the_bound_in_bytes_bounds_the_number_of_endpoints():
+def test_the_limit_in_bytes_limits_the_number_of_endpoints():
     assert ViewLimits().capacity == 70_000 // 145
     limits = ViewLimits(max_endpoints=500, max_bytes=1450, max_entry_bytes=145)
     fleet_views = fleet_views_of(endpoints_of("api", 100), controllers_of(20, ("api",)), limits)
     assert max(len(view) for view in views_of(fleet_views, controllers_of(20, ("api",))).values()) <= 10
 
 
-def test_unknown_controllers_and_unusable_sizes_are_rejected():
+def test_unknown_controllers_and_invalid_weights_are_rejected():
     fleet_views = fleet_views_of(endpoints_of("api", 5), controllers_of(1, ("api",)))
     with pytest.raises(UnknownControllerError):
         fleet_views.view("nobody")
-    for size in (0.0, -1.0, float("inf"), float("nan")):
+    for weight in (0.0, -1.0, float("inf"), float("nan")):
         with pytest.raises(InvalidEndpointError):
-            fleet_views.put_endpoint(Endpoint("odd", *ZONES[0], "api", size, True))
+            fleet_views.put_endpoint(Endpoint("odd", *ZONES[0], "api", weight, True))
     assert fleet_views.holders("odd") == frozenset()
 
 
@@ -192,9 +193,9 @@
         endpoints, [Controller("greedy", *ZONES[0], services), Controller("all", *ZONES[0], ())]
     )
     for name in ("greedy", "all"):
-        with pytest.raises(TooManyServicesError) as refused:
+        with pytest.raises(TooManyServicesError) as raised:
             fleet_views.view(name)
-        assert (refused.value.needed, refused.value.capacity) == (14, 12)
+        assert (raised.value.needed, raised.value.capacity) == (14, 12)
     for endpoint in endpoints_of(services[0], 4):
         fleet_views.remove_endpoint(endpoint.id)
     assert fleet_views.pop_changed() == {"greedy", "all"}
@@ -203,20 +204,20 @@
 
 @pytest.mark.parametrize("controllers", [40, 80, 300])
 def test_busiest_to_mean_is_within_the_overload_and_none_is_unheld(controllers):
-    sizes = (1.0, 2.0, 4.0)
+    weights = (1.0, 2.0, 4.0)
     endpoints = [
-        endpoint._replace(nominal_weight=sizes[number % len(sizes)])
+        endpoint._replace(nominal_weight=weights[number % len(weights)])
         for number, endpoint in enumerate(endpoints_of("api", 150))
     ]
     fleet_views = fleet_views_of(
         endpoints, controllers_of(controllers, ("api",)), ViewLimits(max_endpoints=50)
     )
-    seats = sum(
+    quota_sum = sum(
         len(fleet_views.view(controller.name)) for controller in controllers_of(controllers, ("api",))
     )
-    by_size = seats / sum(endpoint.nominal_weight for endpoint in endpoints)
+    holders_per_weight = quota_sum / sum(endpoint.nominal_weight for endpoint in endpoints)
     for endpoint in endpoints:
-        expected = by_size * endpoint.nominal_weight
+        expected = holders_per_weight * endpoint.nominal_weight
         holders = len(fleet_views.holders(endpoint.id))
         assert 0 < holders <= min(controllers, max(1.25 * expected, expected + 1))
 
@@ -225,24 +226,24 @@
 def test_none_is_unheld_where_quotas_just_suffice(controllers):
     endpoints = endpoints_of("api", 95)
     fleet_views = fleet_views_of(endpoints, controllers_of(controllers, ("api",)))
-    seen = Counter(
+    holder_counts = Counter(
         endpoint_id
         for controller in controllers_of(controllers, ("api",))
         for endpoint_id in fleet_views.view(controller.name)
     )
-    assert len(seen) == len(endpoints)
-    mean = sum(seen.values()) / len(endpoints)
-    assert max(seen.values()) <= max(1.25 * mean, mean + 1)
+    assert len(holder_counts) == len(endpoints)
+    mean = sum(holder_counts.values()) / len(endpoints)
+    assert max(holder_counts.values()) <= max(1.25 * mean, mean + 1)
 
 
-def test_with_smaller_quotas_than_endpoints_no_endpoint_is_held_twice():
+def test_with_fewer_quotas_than_endpoints_no_endpoint_has_two_holders():
     controllers = controllers_of(4, ("api",))
     fleet_views = fleet_views_of(endpoints_of("api", 300), controllers)
-    seen = Counter(
+    holder_counts = Counter(
         endpoint_id for controller in controllers for endpoint_id in fleet_views.view(controller.name)
     )
-    assert max(seen.values()) == 1
-    assert sum(seen.values()) == 4 * 10
+    assert max(holder_counts.values()) == 1
+    assert sum(holder_counts.values()) == 4 * 10
 
 
 FLEET_SERVICES = {"api": 200, "cart": 110, "search": 60, "tiny": 5, "single": 1}
@@ -250,10 +251,10 @@
 
 
 def planned_endpoints() -> list[Endpoint]:
-    """A fleet with a few large services and small ones, sizes of 1, 2 and 4, over four zones."""
-    sizes = (1.0, 1.0, 2.0, 1.0, 4.0)
+    """A fleet with a few large and some small services, weights of 1, 2 and 4, and four zones."""
+    weights = (1.0, 1.0, 2.0, 1.0, 4.0)
     return [
-        endpoint._replace(nominal_weight=sizes[number % len(sizes)])
+        endpoint._replace(nominal_weight=weights[number % len(weights)])
         for service, count in FLEET_SERVICES.items()
         for number, endpoint in enumerate(endpoints_of(service, count))
     ]
@@ -282,11 +283,11 @@
 
 
 def allowed(share: int) -> int:
-    """The share and a twentieth of it, rounded up to a whole pair."""
+    """The share plus a twentieth of it, rounded up to a whole pair."""
     return share + ceil(share / 20)
 
 
-def test_endpoints_that_go_and_come_move_their_share_and_a_twentieth_and_leave_no_trace():
+def test_removing_an_endpoint_moves_at_most_its_share_and_a_twentieth_and_adding_it_restores_the_views():
     endpoints, controllers = planned_endpoints(), planned_controllers()
     fleet_views = fleet_views_of(endpoints, controllers, FLEET_LIMITS)
     before = held_pairs(fleet_views, controllers)
@@ -301,7 +302,7 @@
     assert all(moved <= allowed(share) for moved, share in moves)
 
 
-def test_controllers_that_go_and_come_move_their_share_and_a_twentieth_and_leave_no_trace():
+def test_removing_a_controller_moves_at_most_its_share_and_a_twentieth_and_adding_it_restores_the_views():
     controllers = planned_controllers()
     fleet_views = fleet_views_of(planned_endpoints(), controllers, FLEET_LIMITS)
     before = held_pairs(fleet_views, controllers)
@@ -309,8 +310,8 @@
     for controller in controllers[::13]:
         share = len(fleet_views.view(controller.name))
         fleet_views.remove_controller(controller.name)
-        left = [other for other in controllers if other != controller]
-        moves.append((pairs_moved(before, held_pairs(fleet_views, left)), share))
+        remaining = [other for other in controllers if other != controller]
+        moves.append((pairs_moved(before, held_pairs(fleet_views, remaining)), share))
         fleet_views.put_controller(controller)
         assert held_pairs(fleet_views, controllers) == before
     assert sum(moved for moved, _ in moves) <= 1.05 * sum(share for _, share in moves)
@@ -318,45 +319,45 @@
 
 
 @pytest.mark.parametrize("lost", ZONES)
-def test_a_lost_zone_leaves_usable_views_and_comes_back_without_a_trace(lost):
+def test_views_stay_usable_without_a_zone_and_are_restored_with_it(lost):
     endpoints, controllers = planned_endpoints(), planned_controllers()
     fleet_views = fleet_views_of(endpoints, controllers, FLEET_LIMITS)
     before = held_pairs(fleet_views, controllers)
-    gone = [endpoint for endpoint in endpoints if (endpoint.region, endpoint.zone) == lost]
-    left = [endpoint for endpoint in endpoints if (endpoint.region, endpoint.zone) != lost]
-    for endpoint in gone:
+    removed = [endpoint for endpoint in endpoints if (endpoint.region, endpoint.zone) == lost]
+    remaining = [endpoint for endpoint in endpoints if (endpoint.region, endpoint.zone) != lost]
+    for endpoint in removed:
         fleet_views.remove_endpoint(endpoint.id)
     for controller in controllers:
-        assert_usable(left, controller, fleet_views.view(controller.name))
-    fleet_views.put_endpoints(reversed(gone))
+        assert_usable(remaining, controller, fleet_views.view(controller.name))
+    fleet_views.put_endpoints(reversed(removed))
     assert held_pairs(fleet_views, controllers) == before
 
 
-def test_regions_apart_decide_usable_views_and_agree_again_when_healed():
+def test_partitioned_regions_decide_usable_views_and_agree_after_the_partition():
     endpoints, controllers = planned_endpoints(), planned_controllers()
-    whole = held_pairs(fleet_views_of(endpoints, controllers, FLEET_LIMITS), controllers)
+    complete = held_pairs(fleet_views_of(endpoints, controllers, FLEET_LIMITS), controllers)
     for region in ("west", "east"):
-        machine = fleet_views_of(endpoints, controllers, FLEET_LIMITS)
-        near_endpoints = [endpoint for endpoint in endpoints if endpoint.region == region]
-        near_controllers = [controller for controller in controllers if controller.region == region]
+        fleet_views = fleet_views_of(endpoints, controllers, FLEET_LIMITS)
+        local_endpoints = [endpoint for endpoint in endpoints if endpoint.region == region]
+        local_controllers = [controller for controller in controllers if controller.region == region]
         for endpoint in endpoints:
             if endpoint.region != region:
-                machine.remove_endpoint(endpoint.id)
+                fleet_views.remove_endpoint(endpoint.id)
         for controller in controllers:
             if controller.region != region:
-                machine.remove_controller(controller.name)
-        for controller in near_controllers:
-            assert_usable(near_endpoints, controller, machine.view(controller.name))
-        machine.put_controllers(controllers)
-        machine.put_endpoints(endpoints)
-        assert held_pairs(machine, controllers) == whole
+                fleet_views.remove_controller(controller.name)
+        for controller in local_controllers:
+            assert_usable(local_endpoints, controller, fleet_views.view(controller.name))
+        fleet_views.put_controllers(controllers)
+        fleet_views.put_endpoints(endpoints)
+        assert held_pairs(fleet_views, controllers) == complete
 
 
-def test_seven_control_roles_decide_the_same_whatever_order_they_hear_in():
+def test_seven_control_roles_decide_the_same_views_whatever_the_order_of_changes():
     endpoints, controllers = planned_endpoints(), planned_controllers()
     decided = []
-    for machine in range(7):
-        random = Random(machine)
+    for role in range(7):
+        random = Random(role)
         fleet_views = FleetViews(FLEET_LIMITS, SEED)
         random.shuffle(endpoints)
         random.shuffle(controllers)
@@ -368,14 +369,12 @@
     assert all(pairs == decided[0] for pairs in decided[1:])
 
 
-def test_control_roles_that_differ_in_one_endpoint_and_one_controller_differ_by_little():
+def test_control_roles_that_differ_in_one_endpoint_and_one_controller_differ_in_few_pairs():
     endpoints, controllers = planned_endpoints(), planned_controllers()
     one = held_pairs(fleet_views_of(endpoints, controllers, FLEET_LIMITS), controllers)
     other = held_pairs(fleet_views_of(endpoints[1:], controllers[1:], FLEET_LIMITS), controllers[1:])
-    concerned = sum(
-        name == controllers[0].name or endpoint_id == endpoints[0].id for name, endpoint_id in one
-    )
-    assert pairs_moved(one, other) <= allowed(concerned)
+    share = sum(name == controllers[0].name or endpoint_id == endpoints[0].id for name, endpoint_id in one)
+    assert pairs_moved(one, other) <= allowed(share)
 
 
 def test_another_seed_gives_other_views():
@@ -388,7 +387,7 @@
     )
 
 
-def test_holders_are_notified_of_an_endpoint_that_changes_its_service_though_they_hold_the_same_endpoints():
+def test_a_changed_service_of_an_endpoint_is_reported_to_holders_though_no_view_differs():
     endpoint, controller = endpoints_of("api", 1)[0], controllers_of(1, ("api", "cart"))[0]
     fleet_views = fleet_views_of([endpoint], [controller])
     fleet_views.pop_changed()
@@ -397,7 +396,7 @@
     assert fleet_views.pop_changed() == {controller.name}
 
 
-def test_holders_are_notified_of_an_endpoint_that_was_removed_and_is_back_though_no_view_differs():
+def test_a_removal_and_return_of_an_endpoint_is_reported_to_holders_though_no_view_differs():
     endpoints, controllers = planned_endpoints(), planned_controllers()
     fleet_views = fleet_views_of(endpoints, controllers, FLEET_LIMITS)
     before = held_pairs(fleet_views, controllers)
@@ -409,7 +408,7 @@
     assert held_pairs(fleet_views, controllers) == before
 
 
-def test_a_drain_reaches_every_holder_and_moves_nobody():
+def test_a_drain_is_reported_to_every_holder_and_moves_no_assignment():
     endpoints, controllers = planned_endpoints(), planned_controllers()
     fleet_views = fleet_views_of(endpoints, controllers, FLEET_LIMITS)
     before = held_pairs(fleet_views, controllers)
@@ -420,7 +419,7 @@
     assert before <= held_pairs(fleet_views, controllers)
 
 
-def test_ready_endpoints_replace_others_while_a_zone_and_more_drain_within_the_bound():
+def test_ready_endpoints_replace_draining_ones_within_the_limits_while_three_of_four_zones_drain():
     endpoints, controllers = planned_endpoints(), planned_controllers()
     fleet_views = fleet_views_of(endpoints, controllers, FLEET_LIMITS)
     before = held_pairs(fleet_views, controllers)
@@ -436,7 +435,7 @@
     assert held_pairs(fleet_views, controllers) == before
 
 
-def test_a_service_of_one_tiny_zone_is_held_in_both_zones_before_it_is_balanced():
+def test_the_only_endpoint_of_a_second_zone_is_in_every_view():
     large, tiny = ZONES[0], ZONES[2]
     endpoints = endpoints_of("api", 100, [large]) + [Endpoint("lonely", *tiny, "api", 1.0, True)]
     controllers = controllers_of(50, ("api",))
@@ -451,22 +450,24 @@
     records = {endpoint.id: endpoint for endpoint in endpoints}
     assert len(view) <= FLEET_LIMITS.capacity
     for service in controller.services:
-        there = [endpoint for endpoint in endpoints if endpoint.service == service]
+        existing = [endpoint for endpoint in endpoints if endpoint.service == service]
         assert_enough(
-            there, [records[endpoint_id] for endpoint_id in view if records[endpoint_id].service == service]
+            existing,
+            [records[endpoint_id] for endpoint_id in view if records[endpoint_id].service == service],
         )
 
 
 def test_where_endpoints_have_few_holders_a_change_moves_its_share_and_at_most_a_twentieth_of_all_pairs():
-    """A bound of 1.25 is then few whole pairs, and to keep it moves more than a twentieth of the share."""
+    """With few holders the limit of 1.25 is only a few whole pairs above the expected number, and staying
+    within it moves more than a twentieth of the share."""
     endpoints, controllers = planned_endpoints(), planned_controllers()[:60]
     fleet_views = fleet_views_of(endpoints, controllers, FLEET_LIMITS)
     before = held_pairs(fleet_views, controllers)
     for controller in controllers[::4]:
         share = len(fleet_views.view(controller.name))
         fleet_views.remove_controller(controller.name)
-        left = [other for other in controllers if other != controller]
-        assert pairs_moved(before, held_pairs(fleet_views, left)) <= share + len(before) / 20
+        remaining = [other for other in controllers if other != controller]
+        assert pairs_moved(before, held_pairs(fleet_views, remaining)) <= share + len(before) / 20
         fleet_views.put_controller(controller)
     for endpoint in endpoints[::20]:
         share = len(fleet_views.holders(endpoint.id))
--- a/tests/views/test_views_leases.py
+++ b/tests/views/test_views_leases.py
@@ -1,12 +1,12 @@
-"""Leases of controllers at the control role: who leaves, who stays, who comes back; and calls that are held
-open until a view is decided."""
+"""Leases of controllers at the control role: expiry, retention and renewal. Also calls that wait until a view
+is decided."""
 
 import re
 from pathlib import Path
 
 import orjson
 import pytest
-from views_stage import BOUNDS, Stage, controller, endpoint_entry, ids
+from views_harness import BOUNDS, Harness, endpoint_entry, ids, served_controller
 
 from oatcart.errors import InvalidConfigurationError
 from oatcart.net.http_client import HttpClient
@@ -26,7 +26,7 @@
     lease_duration=0.1, grace_period=0.2, retention=60.0, mass_expiry_share=0.2, mass_expiry_count=1
 )
 OVERDUE = QUICK.lease_duration + QUICK.grace_period
-TURNS_MOST = 30  # of the loop, until all views are told
+MAX_TURNS = 30  # of the loop, until all views are handled
 PATIENT = LivenessSettings(
     lease_duration=0.1, grace_period=30.0, retention=60.0, mass_expiry_share=0.2, mass_expiry_count=1
 )
@@ -36,67 +36,68 @@
     return [endpoint_entry(f"s-{number:02}", "ab"[number % 2], service="x") for number in range(40)]
 
 
-def staged(leases, names=NAMES, bounds=BOUNDS):
-    return Stage([controller(name, ["x"]) for name in names], bounds, limits=LIMITS, leases=leases)
+def make_harness(leases, names=NAMES, bounds=BOUNDS):
+    return Harness([served_controller(name, ["x"]) for name in names], bounds, limits=LIMITS, leases=leases)
 
 
 @pytest.fixture
-def stages():
-    """Starts stages whose first views are decided, and closes them."""
+def start_harness():
+    """Creates harnesses whose first views are decided, and closes them."""
     opened = []
 
     def start(leases, names=NAMES):
-        stage = staged(leases, names)
-        opened.append(stage)
-        stage.discovery.put(*fleet())
-        stage.ready()
-        return stage
+        harness = make_harness(leases, names)
+        opened.append(harness)
+        harness.discovery.put(*fleet())
+        harness.wait_ready()
+        return harness
 
     yield start
-    for stage in opened:
-        stage.close()
+    for harness in opened:
+        harness.close()
 
 
 class Caller:
-    """A controller: the complete list, then watch after watch, at its own address or by its name."""
+    """A controller that fetches the complete list and then watches, at its own address or by name at the main
+    address."""
 
-    def __init__(self, stage, name, by_name=False):
-        self.stage, self.told = stage, None
-        address = stage.role.main_listener.address if by_name else stage.role.address_of(name)
+    def __init__(self, harness, name, by_name=False):
+        self.harness, self.complete_list = harness, None
+        address = harness.role.main_listener.address if by_name else harness.role.address_of(name)
         self.path = f"/v1/views/{name}/servers" if by_name else "/v1/servers"
-        self.client = HttpClient(stage.loop, address)
-        self.task = stage.loop.spawn(self._run())
-        stage.until(lambda: self.told is not None, f"the list of {name}")
+        self.client = HttpClient(harness.loop, address)
+        self.task = harness.loop.spawn(self._run())
+        harness.wait_until(lambda: self.complete_list is not None, f"the list of {name}")
 
     def _run(self):
         query = ""
         while True:
-            body = yield from self.client.get(self.path + query, self.stage.loop.now + 8.0)
+            body = yield from self.client.get(self.path + query, self.harness.loop.now + 8.0)
             answer = orjson.loads(body)
-            self.told = answer if answer["complete"] else self.told
+            self.complete_list = answer if answer["complete"] else self.complete_list
             query = f"?since={answer['revision']}&timeout_ms=5000"
 
     def stop(self):
-        self.stage.loop.cancel(self.task)
+        self.harness.loop.cancel(self.task)
         self.client.close()
 
 
-def views(stage):
-    return dict(stage.role.publisher.views)
+def views(harness):
+    return dict(harness.role.publisher.views)
 
 
-def pairs(found):
-    return {(name, held) for name, view in found.items() for held in view}
+def pairs(views_by_name):
+    return {(name, endpoint_id) for name, view in views_by_name.items() for endpoint_id in view}
 
 
-def decided_for(stage, names):
-    """The views of these controllers as a fresh start decides them."""
-    publisher = stage.role.publisher
-    nodes = publisher.configuration.endpoint_fields
+def decided_for(harness, names):
+    """The views of these controllers, decided from scratch."""
+    publisher = harness.role.publisher
+    fields = publisher.configuration.endpoint_fields
     return ViewDecider().decide(
         [
             RecordChanges(
-                endpoints=[endpoint_record(entry, nodes) for entry in publisher.entries.values()],
+                endpoints=[endpoint_record(entry, fields) for entry in publisher.entries.values()],
                 controllers=[publisher.controllers[name] for name in names],
                 limits=publisher.configuration.limits,
             )
@@ -104,286 +105,299 @@
     )
 
 
-def call_complete(stage, name):
-    return stage.call(stage.role.address_of(name), "/v1/servers")
+def call_complete(harness, name):
+    return harness.call(harness.role.address_of(name), "/v1/servers")
 
 
-def lease_status(stage):
-    return stage.call(stage.role.main_listener.address, "/v1/views").result(stage)["leases"]
+def lease_status(harness):
+    return harness.call(harness.role.main_listener.address, "/v1/views").result(harness)["leases"]
 
 
-def undecided_status(stage):
-    return stage.call(stage.role.main_listener.address, "/v1/views").result(stage)["undecided_calls"]
+def undecided_status(harness):
+    return harness.call(harness.role.main_listener.address, "/v1/views").result(harness)["undecided_calls"]
 
 
-def raw_answer(stage, name):
+def raw_answer(harness, name):
     request = b"GET /v1/servers HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
-    return stage.asked(stage.role.address_of(name), request)
+    return harness.exchange(harness.role.address_of(name), request)
 
 
-def gone(stage, name):
-    """Wait until a silent controller has left and what that changes is decided."""
-    rest = [one for one in NAMES if one != name]
-    stage.until(lambda: views(stage) == decided_for(stage, rest), f"{name} gone")
+def wait_for_expiry(harness, name):
+    """Waits until the lease of a controller has expired and the other views are decided without it."""
+    others = [other for other in NAMES if other != name]
+    harness.wait_until(lambda: views(harness) == decided_for(harness, others), f"the expiry of {name}")
 
 
 # Over loopback.
 
 
-def test_an_expired_lease_moves_only_its_share(stages):
-    stage = stages(QUICK)
-    callers = [Caller(stage, name) for name in NAMES]
-    before = views(stage)
+def test_an_expired_lease_moves_only_its_share(start_harness):
+    harness = start_harness(QUICK)
+    callers = [Caller(harness, name) for name in NAMES]
+    before = views(harness)
     callers[3].stop()
-    gone(stage, "c3")
-    after = views(stage)
+    wait_for_expiry(harness, "c3")
+    after = views(harness)
     moved = max(len(pairs(before) - pairs(after)), len(pairs(after) - pairs(before)))
-    assert moved <= 2 * len(before["c3"])  # 17 holders and fewer of an endpoint: its share again, at the most
-    assert lease_status(stage) == {"silent": ["c3"], "doubted": 0}
-    assert stage.logged("leases: 1 controllers (c3) expired")
-
-
-def test_a_watch_that_stands_renews_the_lease(stages):
-    stage = stages(QUICK)
-    callers = [Caller(stage, name, by_name=number % 2 == 0) for number, name in enumerate(NAMES)]
-    revisions = [caller.told["revision"] for caller in callers]
-    stage.for_(2 * OVERDUE)
-    assert lease_status(stage) == {"silent": [], "doubted": 0}
-    assert [caller.told["revision"] for caller in callers] == revisions
-
-
-def overdue_after(stage, calls):
-    """Who is overdue so long after these calls that leases which began before are over with their grace."""
-    stage.for_(0.2)
-    began = stage.loop.clock()
+    # Where endpoints have 17 holders or fewer, the share and at most as much again moves.
+    assert moved <= 2 * len(before["c3"])
+    assert lease_status(harness) == {"silent": ["c3"], "doubted": 0}
+    assert harness.has_logged("leases: 1 controllers (c3) expired")
+
+
+def test_a_waiting_watch_renews_the_lease(start_harness):
+    harness = start_harness(QUICK)
+    callers = [Caller(harness, name, by_name=number % 2 == 0) for number, name in enumerate(NAMES)]
+    revisions = [caller.complete_list["revision"] for caller in callers]
+    harness.run_for(2 * OVERDUE)
+    assert lease_status(harness) == {"silent": [], "doubted": 0}
+    assert [caller.complete_list["revision"] for caller in callers] == revisions
+
+
+def overdue_after(harness, calls):
+    """The names of controllers that are overdue if they made no call during `calls`: leases that began before
+    are checked at the end of their grace period."""
+    harness.run_for(0.2)
+    began = harness.loop.clock()
     calls()
-    return set(stage.role.leases.check(began + PATIENT.lease_duration + PATIENT.grace_period - 0.05).retained)
+    return set(
+        harness.role.leases.check(began + PATIENT.lease_duration + PATIENT.grace_period - 0.05).retained
+    )
 
 
-def test_a_call_that_is_no_watch_renews_the_lease(stages):
-    stage = stages(PATIENT)
+def test_a_call_other_than_a_watch_renews_the_lease(start_harness):
+    harness = start_harness(PATIENT)
 
     def calls():
-        call_complete(stage, "c0").result(stage)
-        stage.call(stage.role.main_listener.address, "/v1/views/c1/servers").result(stage)
+        call_complete(harness, "c0").result(harness)
+        harness.call(harness.role.main_listener.address, "/v1/views/c1/servers").result(harness)
 
-    assert overdue_after(stage, calls) == set(NAMES[2:])
+    assert overdue_after(harness, calls) == set(NAMES[2:])
 
 
 def test_a_call_that_is_answered_with_503_renews_the_lease():
-    stage = staged(PATIENT)
+    harness = make_harness(PATIENT)
     try:
-        put_off = []
-        assert overdue_after(stage, lambda: put_off.append(raw_answer(stage, "c0"))) == set(NAMES[1:])
-        assert put_off[0].startswith(b"HTTP/1.1 503")
+        responses = []
+        assert overdue_after(harness, lambda: responses.append(raw_answer(harness, "c0"))) == set(NAMES[1:])
+        assert responses[0].startswith(b"HTTP/1.1 503")
     finally:
-        stage.close()
+        harness.close()
 
 
-def test_a_restart_within_the_grace_moves_nothing(stages):
-    stage = stages(PATIENT)
-    callers = [Caller(stage, name) for name in NAMES]
-    before, revision = views(stage), callers[3].told["revision"]
+def test_a_restart_within_the_grace_period_moves_no_assignment(start_harness):
+    harness = start_harness(PATIENT)
+    callers = [Caller(harness, name) for name in NAMES]
+    before, revision = views(harness), callers[3].complete_list["revision"]
     callers[3].stop()
-    stage.for_(3 * PATIENT.lease_duration)
-    back = Caller(stage, "c3")
-    stage.for_(2 * PATIENT.lease_duration)
-    assert views(stage) == before and back.told["revision"] == revision
-    assert not stage.logged("leases:")
+    harness.run_for(3 * PATIENT.lease_duration)
+    back = Caller(harness, "c3")
+    harness.run_for(2 * PATIENT.lease_duration)
+    assert views(harness) == before and back.complete_list["revision"] == revision
+    assert not harness.has_logged("leases:")
 
 
-def test_half_of_all_silent_at_once_moves_nothing(stages):
-    stage = stages(QUICK)
-    callers = [Caller(stage, name) for name in NAMES]
-    before = views(stage)
+def test_the_lapse_of_half_of_all_leases_at_once_moves_no_assignment(start_harness):
+    harness = start_harness(QUICK)
+    callers = [Caller(harness, name) for name in NAMES]
+    before = views(harness)
     for caller in callers[:4]:
         caller.stop()
-    stage.until(lambda: stage.logged("overdue, a mass expiry: their leases are retained"), "the doubt")
-    (overdue,) = re.findall(r"leases: \d controllers \(([^)]*)\) overdue", stage.out.getvalue())
+    harness.wait_until(
+        lambda: harness.has_logged("overdue, a mass expiry: their leases are retained"), "the mass expiry"
+    )
+    (overdue,) = re.findall(r"leases: \d controllers \(([^)]*)\) overdue", harness.log_output.getvalue())
     assert set(overdue.split(", ")) <= set(NAMES[:4])  # the others of the four may be overdue a little later
-    stage.until(lambda: lease_status(stage)["doubted"] == 4, "all four doubted")
-    stage.for_(1.5 * OVERDUE)
-    assert views(stage) == before
-    assert lease_status(stage) == {"silent": [], "doubted": 4}
-    assert stage.out.getvalue().count("a mass expiry: their leases are retained") == 1
+    harness.wait_until(lambda: lease_status(harness)["doubted"] == 4, "all four retained")
+    harness.run_for(1.5 * OVERDUE)
+    assert views(harness) == before
+    assert lease_status(harness) == {"silent": [], "doubted": 4}
+    assert harness.log_output.getvalue().count("a mass expiry: their leases are retained") == 1
 
 
-def test_a_role_just_started_without_any_call_expires_nobody(stages):
-    stage = stages(PATIENT)
-    before = views(stage)
-    stage.for_(4 * PATIENT.lease_duration)
-    assert len(before) == len(NAMES) and views(stage) == before
-    assert ids(stage.get("c5")) == sorted(before["c5"])
+def test_a_control_role_just_started_expires_no_controller_before_its_first_call(start_harness):
+    harness = start_harness(PATIENT)
+    before = views(harness)
+    harness.run_for(4 * PATIENT.lease_duration)
+    assert len(before) == len(NAMES) and views(harness) == before
+    assert ids(harness.get_view("c5")) == sorted(before["c5"])
 
 
-def test_a_controller_that_never_calls_expires_after_the_grace_period(stages):
-    stage = stages(QUICK)
+def test_a_controller_that_never_calls_expires_after_the_grace_period(start_harness):
+    harness = start_harness(QUICK)
     for name in NAMES:
         if name != "c3":
-            Caller(stage, name)
-    gone(stage, "c3")
+            Caller(harness, name)
+    wait_for_expiry(harness, "c3")
 
 
-def test_who_returns_gets_its_view_in_the_same_call_and_all_is_as_before(stages):
-    stage = stages(QUICK)
-    callers = [Caller(stage, name) for name in NAMES]
-    before = views(stage)
+def test_an_expired_controller_that_calls_gets_its_view_in_that_call_and_views_are_restored(start_harness):
+    harness = start_harness(QUICK)
+    callers = [Caller(harness, name) for name in NAMES]
+    before = views(harness)
     callers[3].stop()
-    gone(stage, "c3")
-    back = Caller(stage, "c3")
-    assert ids(back.told) == sorted(before["c3"])
-    stage.until(lambda: views(stage) == before, "the views as before")
-    assert lease_status(stage)["silent"] == [] and stage.logged(
+    wait_for_expiry(harness, "c3")
+    back = Caller(harness, "c3")
+    assert ids(back.complete_list) == sorted(before["c3"])
+    harness.wait_until(lambda: views(harness) == before, "the views as before")
+    assert lease_status(harness)["silent"] == [] and harness.has_logged(
         "leases: c3 called after its lease had expired"
     )
-    assert undecided_status(stage) == {"held": 0, "answered": 1, "refused": 0}
+    assert undecided_status(harness) == {"held": 0, "answered": 1, "refused": 0}
 
 
-def test_who_returns_while_a_decision_lasts_is_answered_with_503_and_never_served_an_empty_list(stages):
-    stage = stages(QUICK)
-    callers = [Caller(stage, name) for name in NAMES]
+def test_an_expired_controller_that_calls_during_a_decision_gets_503_and_no_empty_list(start_harness):
+    harness = start_harness(QUICK)
+    callers = [Caller(harness, name) for name in NAMES]
     callers[3].stop()
-    gone(stage, "c3")
-    held_back = []
-    decide, stage.role.publisher.decide = stage.role.publisher.decide, held_back.append
-    answer = raw_answer(stage, "c3")
+    wait_for_expiry(harness, "c3")
+    deferred = []
+    decide, harness.role.publisher.decide = harness.role.publisher.decide, deferred.append
+    answer = raw_answer(harness, "c3")
     assert answer.startswith(b"HTTP/1.1 503") and b"Retry-After: 1" in answer
-    for update in held_back:
+    for update in deferred:
         decide(update)
-    told = ids(stage.get("c3"))
-    assert told and told == sorted(views(stage)["c3"])
+    served = ids(harness.get_view("c3"))
+    assert served and served == sorted(views(harness)["c3"])
 
 
-def test_what_was_decided_before_a_controller_left_is_not_published_afterwards(stages):
-    """Failure: a decision under way while a controller leaves brings its view back for good."""
-    stage = stages(PATIENT)
-    view = views(stage)["c3"]
-    stage.role.publisher.expire(["c3"])
-    stage.role.publisher.apply_views({"c3": view})
-    assert "c3" not in views(stage)
+def test_a_view_decided_before_the_expiry_of_its_controller_is_not_published_afterwards(start_harness):
+    """Failure: a decision in progress while a lease expires brings back the view of the controller,
+    permanently."""
+    harness = start_harness(PATIENT)
+    view = views(harness)["c3"]
+    harness.role.publisher.expire(["c3"])
+    harness.role.publisher.apply_views({"c3": view})
+    assert "c3" not in views(harness)
 
 
-def test_off_by_default_all_controllers_count_whether_they_call_or_not(stages):
+def test_leases_are_off_by_default_and_controllers_that_never_call_keep_their_views(start_harness):
     assert Configuration().leases is None
-    stage = stages(None)
-    before = views(stage)
-    stage.for_(2 * OVERDUE)
-    assert views(stage) == before and len(before) == len(NAMES)
-    assert lease_status(stage) is None and not stage.logged("leases:")
+    harness = start_harness(None)
+    before = views(harness)
+    harness.run_for(2 * OVERDUE)
+    assert views(harness) == before and len(before) == len(NAMES)
+    assert lease_status(harness) is None and not harness.has_logged("leases:")
 
 
-def test_a_reload_keeps_leases_and_expired_ones(stages):
-    stage = stages(QUICK)
-    callers = [Caller(stage, name) for name in NAMES]
+def test_a_reload_keeps_leases_and_expired_controllers(start_harness):
+    harness = start_harness(QUICK)
+    callers = [Caller(harness, name) for name in NAMES]
     callers[3].stop()
-    gone(stage, "c3")
+    wait_for_expiry(harness, "c3")
     callers[7].stop()
-    listed = [one for one in stage.configuration.controllers if one.record.name != "c7"]
-    listed.append(controller("new", ["x"]))
-    new = stage.configuration._replace(controllers=tuple(listed), leases=PATIENT, limits=ViewLimits(9))
-    assert "only a restart changes leases" in stage.role.reconfigure(new)
+    listed = [one for one in harness.configuration.controllers if one.record.name != "c7"]
+    listed.append(served_controller("new", ["x"]))
+    new = harness.configuration._replace(controllers=tuple(listed), leases=PATIENT, limits=ViewLimits(9))
+    assert "only a restart changes leases" in harness.role.reconfigure(new)
     alive = {*NAMES, "new"} - {"c3", "c7"}
-    new_caller = Caller(stage, "new")
-    stage.until(lambda: views(stage) == decided_for(stage, alive), "the new views")
-    assert lease_status(stage)["silent"] == ["c3"]
+    new_caller = Caller(harness, "new")
+    harness.wait_until(lambda: views(harness) == decided_for(harness, alive), "the new views")
+    assert lease_status(harness)["silent"] == ["c3"]
     new_caller.stop()
-    stage.until(lambda: lease_status(stage)["silent"] == ["c3", "new"], "the new one gone")
+    harness.wait_until(
+        lambda: lease_status(harness)["silent"] == ["c3", "new"], "the expiry of the new controller"
+    )
 
 
-# Calls that are held open until a view is decided.
+# Calls that wait until a view is decided.
 
 
-def test_a_call_before_the_first_list_is_held_open_and_answered_with_the_view():
-    stage = staged(None, bounds=BOUNDS._replace(undecided_timeout=3.0))
+def test_a_call_before_the_first_list_waits_and_is_answered_with_the_view():
+    harness = make_harness(None, bounds=BOUNDS._replace(undecided_timeout=3.0))
     try:
-        early = [call_complete(stage, name) for name in NAMES]
-        stage.for_(0.1)
-        assert undecided_status(stage) == {"held": 8, "answered": 0, "refused": 0}
-        began = stage.loop.clock()
-        stage.discovery.put(*fleet())
-        answers = [call.result(stage) for call in early]
-        assert max(call.at for call in early) - began < 2.0  # well before their time is over
-        found = views(stage)
-        assert [ids(answer) for answer in answers] == [sorted(found[name]) for name in NAMES]
-        assert all(found.values())
-        assert undecided_status(stage) == {"held": 0, "answered": 8, "refused": 0}
+        early_calls = [call_complete(harness, name) for name in NAMES]
+        harness.run_for(0.1)
+        assert undecided_status(harness) == {"held": 8, "answered": 0, "refused": 0}
+        began = harness.loop.clock()
+        harness.discovery.put(*fleet())
+        answers = [call.result(harness) for call in early_calls]
+        assert max(call.finished_at for call in early_calls) - began < 2.0  # well before undecided_timeout
+        decided = views(harness)
+        assert [ids(answer) for answer in answers] == [sorted(decided[name]) for name in NAMES]
+        assert all(decided.values())
+        assert undecided_status(harness) == {"held": 0, "answered": 8, "refused": 0}
     finally:
-        stage.close()
+        harness.close()
 
 
-def test_a_held_call_ends_with_503_when_its_time_is_over():
-    stage = staged(None)
+def test_a_waiting_call_is_answered_with_503_after_undecided_timeout():
+    harness = make_harness(None)
     try:
-        began = stage.loop.clock()
-        refused = call_complete(stage, "c0")
-        stage.until(lambda: refused.over, "an answer")
-        assert "status 503" in str(refused.ended)
-        assert BOUNDS.undecided_timeout <= refused.at - began < BOUNDS.undecided_timeout + 1.0
-        assert undecided_status(stage) == {"held": 0, "answered": 0, "refused": 1}
+        began = harness.loop.clock()
+        rejected_call = call_complete(harness, "c0")
+        harness.wait_until(lambda: rejected_call.is_done, "a response")
+        assert "status 503" in str(rejected_call.error)
+        assert BOUNDS.undecided_timeout <= rejected_call.finished_at - began < BOUNDS.undecided_timeout + 1.0
+        assert undecided_status(harness) == {"held": 0, "answered": 0, "refused": 1}
     finally:
-        stage.close()
+        harness.close()
 
 
-def test_held_calls_of_one_controller_are_bounded_and_end_with_their_connections():
-    stage = staged(None, bounds=BOUNDS._replace(undecided_timeout=3.0, max_connections_per_view=2))
+def test_waiting_calls_of_one_controller_are_limited_and_end_with_their_connections():
+    harness = make_harness(None, bounds=BOUNDS._replace(undecided_timeout=3.0, max_connections_per_view=2))
     try:
-        calls = [call_complete(stage, "c0") for _ in range(5)]
-        stage.until(lambda: sum(call.over for call in calls) == 3, "the oldest made way")
-        assert undecided_status(stage)["held"] == 2
+        calls = [call_complete(harness, "c0") for _ in range(5)]
+        harness.wait_until(lambda: sum(call.is_done for call in calls) == 3, "the close of the oldest")
+        assert undecided_status(harness)["held"] == 2
         for call in calls:
             call.client.close()
-        stage.until(lambda: undecided_status(stage)["held"] == 0, "the calls are gone")
+        harness.wait_until(lambda: undecided_status(harness)["held"] == 0, "the end of the calls")
     finally:
-        stage.close()
+        harness.close()
 
 
-def test_a_held_call_for_a_controller_that_leaves_the_file_is_rejected_at_once():
-    stage = staged(None, bounds=BOUNDS._replace(undecided_timeout=3.0))
+def test_a_waiting_call_for_a_controller_removed_by_a_reload_is_rejected_at_once():
+    harness = make_harness(None, bounds=BOUNDS._replace(undecided_timeout=3.0))
     try:
-        call = stage.call(stage.role.main_listener.address, "/v1/views/c7/servers")
-        stage.for_(0.1)
-        began = stage.loop.clock()
-        stage.role.reconfigure(stage.configuration._replace(controllers=stage.configuration.controllers[:7]))
-        stage.until(lambda: call.over, "an answer")
-        assert "status 404" in str(call.ended) and call.at - began < 1.5
+        call = harness.call(harness.role.main_listener.address, "/v1/views/c7/servers")
+        harness.run_for(0.1)
+        began = harness.loop.clock()
+        harness.role.reconfigure(
+            harness.configuration._replace(controllers=harness.configuration.controllers[:7])
+        )
+        harness.wait_until(lambda: call.is_done, "a response")
+        assert "status 404" in str(call.error) and call.finished_at - began < 1.5
     finally:
-        stage.close()
+        harness.close()
 
 
-def most_of_one_turn(stage, told, wanted):
-    """How many views are told in one turn of the loop, at the most, until so many are."""
-    most = before = len(told)  # a task runs up to its first wait as it is started
-    for _ in range(TURNS_MOST):
-        stage.loop.turn(0.01)
-        most, before = max(most, len(told) - before), len(told)
-    assert before == wanted
-    return most
+def max_in_one_turn(harness, handled, expected):
+    """The maximum number of names added to `handled` in one turn of the loop, until there are `expected`."""
+    largest = before = len(handled)  # a task runs up to its first wait as it is started
+    for _ in range(MAX_TURNS):
+        harness.loop.turn(0.01)
+        largest, before = max(largest, len(handled) - before), len(handled)
+    assert before == expected
+    return largest
 
 
-def test_held_calls_are_answered_over_several_turns_of_the_loop(stages):
-    """Failure: what waits until `loop.now` runs in the same turn, so all views are told in one long turn."""
-    stage, told = stages(None), []
+def test_waiting_calls_are_answered_over_several_turns_of_the_loop(start_harness):
+    """Failure: a wait until `loop.now` ends in the same turn, so all views are handled in one long turn."""
+    harness, handled = start_harness(None), []
     names = [f"view-{number}" for number in range(3 * VIEWS_PER_TURN)]
-    stage.role.server.wake_undecided = told.extend
-    stage.loop.spawn(stage.role._answer_undecided(names))
-    assert most_of_one_turn(stage, told, len(names)) == VIEWS_PER_TURN and told == names
+    harness.role.server.wake_undecided = handled.extend
+    harness.loop.spawn(harness.role._answer_undecided(names))
+    assert max_in_one_turn(harness, handled, len(names)) == VIEWS_PER_TURN and handled == names
 
 
-def test_views_are_published_over_several_turns_of_the_loop(stages):
-    """Failure: as above."""
-    stage, told = stages(None), []
-    stage.until(lambda: not stage.role.is_publishing, "all published")
-    publisher, names = stage.role.publisher, [f"view-{number}" for number in range(3 * VIEWS_PER_TURN)]
+def test_views_are_published_over_several_turns_of_the_loop(start_harness):
+    """Failure: a wait until `loop.now` ends in the same turn, so all views are published in one long turn."""
+    harness, handled = start_harness(None), []
+    harness.wait_until(lambda: not harness.role.is_publishing, "all published")
+    publisher, names = harness.role.publisher, [f"view-{number}" for number in range(3 * VIEWS_PER_TURN)]
 
-    def publish(part):
-        told.extend(part)
-        publisher.unpublished.difference_update(part)
+    def publish(batch):
+        handled.extend(batch)
+        publisher.unpublished.difference_update(batch)
         return []
 
     publisher.publish = publish
     publisher.unpublished.update(names)
-    stage.role._schedule_publication()
-    assert most_of_one_turn(stage, told, len(names)) == VIEWS_PER_TURN and sorted(told) == sorted(names)
+    harness.role._schedule_publication()
+    assert max_in_one_turn(harness, handled, len(names)) == VIEWS_PER_TURN and sorted(handled) == sorted(
+        names
+    )
 
 
 # Free of I/O.
@@ -391,10 +405,10 @@
 SLOW = LivenessSettings(
     lease_duration=30.0, grace_period=300.0, retention=3600.0, mass_expiry_share=0.1, mass_expiry_count=2
 )
-CONTROLLERS = {name: controller(name).record for name in NAMES}
+CONTROLLERS = {name: served_controller(name).record for name in NAMES}
 
 
-def test_all_that_never_call_stay_through_the_grace_and_while_they_are_many():
+def test_controllers_that_never_call_are_kept_in_the_grace_period_and_retained_in_a_mass_expiry():
     leases = LeaseTable(SLOW, CONTROLLERS, 0.0)
     assert leases.check(329.0) == ((), (), False)
     expired, retained, is_retention_new = leases.check(330.0)
@@ -402,7 +416,7 @@
     assert not leases.check(345.0).is_retention_new and not leases.expired
 
 
-def test_a_controller_expires_once_and_returns_once():
+def test_expiry_and_return_of_a_controller_are_reported_once():
     leases = LeaseTable(SLOW, CONTROLLERS, 0.0)
     for name in NAMES[1:]:
         leases.renew(name, 320.0)
@@ -412,19 +426,19 @@
     assert not leases.renew("nobody", 402.0)
 
 
-def test_other_controllers_in_the_file():
+def test_controllers_added_by_a_reload_get_a_lease_from_then_on():
     leases = LeaseTable(SLOW, CONTROLLERS, 0.0)
-    kept = {name: controller for name, controller in CONTROLLERS.items() if name != "c0"}
-    leases.configure(kept | {"new": controller("new").record}, 200.0)
-    for name in kept:
+    remaining = {name: controller for name, controller in CONTROLLERS.items() if name != "c0"}
+    leases.configure(remaining | {"new": served_controller("new").record}, 200.0)
+    for name in remaining:
         leases.renew(name, 200.0)
     assert leases.check(529.0) == ((), (), False)
-    for name in kept:
+    for name in remaining:
         leases.renew(name, 529.0)
     assert leases.check(530.0).expired == ("new",)
 
 
-# The file.
+# The settings in the file.
 
 
 def test_the_shipped_file_holds_the_default_leases(tmp_path):
@@ -446,7 +460,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, message",
     [
         ("leases:\n  enabled: yes please", "2: leases.enabled: 'yes please' is neither true nor false"),
         (
@@ -475,9 +489,9 @@
         ),
     ],
 )
-def test_bad_values_are_rejected_with_file_line_and_field(tmp_path, text, said):
+def test_invalid_values_are_rejected_with_file_line_and_field(tmp_path, text, message):
     path = tmp_path / "views.yaml"
     path.write_text(text)
-    with pytest.raises(InvalidConfigurationError) as wrong:
+    with pytest.raises(InvalidConfigurationError) as raised:
         read(path)
-    assert f"{path}:" in str(wrong.value) and said in str(wrong.value)
+    assert f"{path}:" in str(raised.value) and message in str(raised.value)
--- a/tests/views/test_views_list_guard.py
+++ b/tests/views/test_views_list_guard.py
@@ -1,5 +1,5 @@
-"""What is accepted of discovery's answers: draining at once, a mass removal only when a later list confirms
-it."""
+"""Which parts of discovery's responses are accepted: draining at once, a mass removal only after a later list
+confirms it."""
 
 import orjson
 import pytest
@@ -28,8 +28,10 @@
     return accepted
 
 
-def accept_complete(accepted, now, left, **phases):
-    return accepted.accept(now, answer([endpoint_entry(name, phases.get(name, "SERVING")) for name in left]))
+def accept_complete(accepted, now, listed, **phases):
+    return accepted.accept(
+        now, answer([endpoint_entry(name, phases.get(name, "SERVING")) for name in listed])
+    )
 
 
 def test_removals_within_the_share_are_accepted_at_once():
@@ -47,7 +49,7 @@
     assert len(accepted.entries) == 14 and accepted.refetch_at() > 1e9
 
 
-def test_an_endpoint_listed_again_within_the_delay_was_never_removed():
+def test_an_endpoint_listed_again_within_the_delay_is_not_removed():
     accepted = accepted_list()
     accept_complete(accepted, 1.0, names(2))
     changes = accept_complete(accepted, 11.0, names(20))
@@ -78,13 +80,13 @@
     assert len(accept_complete(accepted, 2.0, names(20)[18:]).removed) == 18
 
 
-def test_deletions_among_changes_are_unconfirmed_like_gaps_in_a_list():
+def test_many_deletions_among_changes_are_unconfirmed_like_those_by_a_complete_list():
     accepted = accepted_list()
-    gone = [endpoint_entry(name, "DELETED") for name in names(8)]
-    changes = accepted.accept(1.0, answer(gone, 2, complete=False))
+    deletions = [endpoint_entry(name, "DELETED") for name in names(8)]
+    changes = accepted.accept(1.0, answer(deletions, 2, complete=False))
     assert (changes.removed, changes.unconfirmed) == (frozenset(), 8)
-    again = accepted.accept(20.0, answer(gone, 3, complete=False))
-    assert again.unconfirmed == 8, "only a complete list confirms"
+    repeated = accepted.accept(20.0, answer(deletions, 3, complete=False))
+    assert repeated.unconfirmed == 8, "only a complete list confirms"
     assert len(accept_complete(accepted, 21.0, names(20)[8:]).removed) == 8
 
 
@@ -96,12 +98,12 @@
     assert changes.removed == {"s-0"} and not changes.changed
 
 
-def test_a_small_fleet_may_lose_as_many_as_are_no_mass_removal():
+def test_in_a_small_fleet_removals_up_to_the_count_are_accepted():
     accepted = accepted_list(4)
     assert accept_complete(accepted, 1.0, names(2)).removed == {"s-2", "s-3"}
 
 
-def test_an_endpoint_whose_entry_is_malformed_stays_as_it_was():
+def test_an_endpoint_whose_entry_is_malformed_is_kept_unchanged():
     accepted = accepted_list()
     endpoints = [endpoint_entry(name) for name in names(20)]
     endpoints[4]["phase"] = "SPOILT"
@@ -113,7 +115,7 @@
     assert accepted.entries["s-4"].phase == "SERVING"
 
 
-def test_an_unconfirmed_endpoint_whose_entry_is_malformed_is_listed():
+def test_an_unconfirmed_endpoint_with_a_malformed_entry_counts_as_listed():
     accepted = accepted_list()
     accept_complete(accepted, 1.0, names(10))
     accepted.accept(
@@ -125,10 +127,10 @@
     assert len(accepted.entries) == 20 and not accepted.unconfirmed_since
 
 
-@pytest.mark.parametrize("spoilt", [7, None, {}, {"id": ""}, {"id": 5}, {"id": "x" * 257}])
-def test_a_list_with_an_entry_without_readable_id_removes_nobody(spoilt):
+@pytest.mark.parametrize("entry", [7, None, {}, {"id": ""}, {"id": 5}, {"id": "x" * 257}])
+def test_a_list_with_an_entry_without_a_valid_id_removes_no_endpoint(entry):
     accepted = accepted_list()
-    received = answer([spoilt, *map(endpoint_entry, names(18))])
+    received = answer([entry, *map(endpoint_entry, names(18))])
     assert not received.is_complete and accepted.accept(1.0, received).removed == frozenset()
 
 
--- a/tests/views/test_views_liveness.py
+++ b/tests/views/test_views_liveness.py
@@ -29,7 +29,7 @@
         liveness.renew(controller, now)
 
 
-def test_a_controller_counts_from_its_first_call_and_is_reported_once():
+def test_a_controller_has_a_lease_from_its_first_call_and_is_reported_once():
     liveness = ControllerLiveness(SETTINGS, 0.0)
     liveness.renew(FLEET[0], 1.0)
     assert liveness.decide(1.0).added == (FLEET[0],)
@@ -39,9 +39,9 @@
 
 def test_a_controller_with_other_services_is_reported_again():
     liveness = liveness_of()
-    moved = FLEET[3]._replace(services=("api", "cart"))
-    liveness.renew(moved, 1.0)
-    assert liveness.decide(1.0).added == (moved,)
+    changed = FLEET[3]._replace(services=("api", "cart"))
+    liveness.renew(changed, 1.0)
+    assert liveness.decide(1.0).added == (changed,)
 
 
 def test_a_restart_within_the_grace_period_changes_nothing():
@@ -52,7 +52,7 @@
     assert liveness.decide(OVERDUE_AFTER + 1)[:3] == ((), (), ())
 
 
-def test_a_silent_controller_expires_at_the_end_of_its_grace_period_and_not_before():
+def test_a_controller_that_stops_calling_expires_at_the_end_of_its_grace_period_and_not_before():
     liveness = liveness_of()
     renew_all(liveness, FLEET[1:], OVERDUE_AFTER - 1)
     decision = liveness.decide(OVERDUE_AFTER - 1)
@@ -62,7 +62,7 @@
     assert liveness.decide(OVERDUE_AFTER + 1).added == (FLEET[0],)
 
 
-def test_half_of_the_fleet_silent_at_once_is_retained_and_returns_unchanged():
+def test_half_of_all_leases_lapsed_at_once_are_retained_and_renewed_without_changes():
     liveness = liveness_of()
     lapsed, calling = FLEET[:20], FLEET[20:]
     for now in (30.0, OVERDUE_AFTER, OVERDUE_AFTER + 300.0):
@@ -74,7 +74,7 @@
     assert liveness.decide(OVERDUE_AFTER + 301.0)[:3] == ((), (), ())
 
 
-def test_many_that_fall_silent_one_after_the_other_are_retained_too():
+def test_many_leases_that_lapse_one_after_the_other_are_retained_too():
     liveness = liveness_of()
     renew_all(liveness, FLEET[20:], 30.0)
     for number, controller in enumerate(FLEET[:20]):
@@ -92,7 +92,7 @@
     assert liveness.decide(RETENTION_END).expired == tuple(controller.name for controller in FLEET[:20])
 
 
-def test_a_mass_expiry_ends_when_most_call_again_and_the_few_others_expire():
+def test_a_mass_expiry_ends_when_most_controllers_call_and_the_few_others_expire():
     liveness = liveness_of()
     renew_all(liveness, FLEET[20:], OVERDUE_AFTER + 5)
     assert len(liveness.decide(OVERDUE_AFTER + 5).retained) == 20
@@ -100,7 +100,7 @@
     assert liveness.decide(OVERDUE_AFTER + 6).expired == (FLEET[0].name,)
 
 
-def test_a_control_role_that_nobody_calls_retains_the_complete_fleet():
+def test_a_control_role_without_any_calls_retains_all_leases():
     liveness = liveness_of()
     decision = liveness.decide(OVERDUE_AFTER + 1)
     assert (decision.expired, len(decision.retained)) == ((), len(FLEET))
@@ -123,7 +123,7 @@
     assert liveness.decide(100.0)[:3] == ((), (), ())
 
 
-def test_a_controller_that_is_forgotten_expires_at_once_in_a_mass_expiry_too():
+def test_a_removed_controller_expires_at_once_even_in_a_mass_expiry():
     liveness = liveness_of()
     liveness.remove(FLEET[5].name)
     liveness.remove("nobody")
@@ -131,12 +131,13 @@
     assert (decision.expired, len(decision.retained)) == ((FLEET[5].name,), len(FLEET) - 1)
 
 
-def test_nothing_is_due_without_controllers():
+def test_no_decision_is_due_without_controllers():
     assert ControllerLiveness(SETTINGS, 0.0).decide(0.0) == ((), (), (), inf)
 
 
 class Calls(RuleBasedStateMachine):
-    """Controllers call and fall silent; the decisions add up to those not overdue or retained."""
+    """Controllers call, stop calling and are removed; the reported changes add up to the controllers that are
+    not overdue, or retained."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -163,7 +164,7 @@
         self.liveness.remove(name)
 
     @invariant()
-    def decided_as_stated(self):
+    def decisions_match_the_rules(self):
         decision = self.liveness.decide(self.now)
         for name in decision.expired:
             self.reported.pop(name, None)
@@ -172,11 +173,11 @@
         for name in self.called_at.keys() - self.reported.keys():
             assert self.now - self.called_at.pop(name) >= OVERDUE_AFTER
         assert self.reported.keys() == self.called_at.keys()
-        silent_for = {name: self.now - called_at for name, called_at in self.called_at.items()}
+        time_since_call = {name: self.now - called_at for name, called_at in self.called_at.items()}
         assert set(decision.retained) == {
-            name for name, seconds in silent_for.items() if seconds >= OVERDUE_AFTER
+            name for name, seconds in time_since_call.items() if seconds >= OVERDUE_AFTER
         }
-        assert all(silent_for[name] < RETENTION_END for name in decision.retained)
+        assert all(time_since_call[name] < RETENTION_END for name in decision.retained)
         assert decision.next_decision_at > self.now
 
 
