--- a/oatcart/views/configuration_file.py
+++ b/oatcart/views/configuration_file.py
@@ -205,21 +205,22 @@
 
     def _region_of_zone(self) -> dict[str, str]:
         """The region of each zone; the file lists the zones by region."""
-        found: dict[str, str] = {}
+        region_by_zone: dict[str, str] = {}
         if "regions" not in self.top:
-            return found
+            return region_by_zone
         regions = self.top["regions"]
         parsers = dict.fromkeys(regions or (), distinct_names) if isinstance(regions, CommentedMap) else {}
         line = self._line("regions")
         for region, zones in table(regions, parsers, "regions.", self.where, self.problems, line).items():
             for zone in zones:
-                if zone in found:
+                if zone in region_by_zone:
                     location = self.where(regions.lc.key(region)[0])
                     self.problems.append(
-                        f"{location}: regions.{region}: zone {zone} is already in region {found[zone]}"
+                        f"{location}: regions.{region}: zone {zone} is already in region "
+                        f"{region_by_zone[zone]}"
                     )
-                found[zone] = str(region)
-        return found
+                region_by_zone[zone] = str(region)
+        return region_by_zone
 
     def _controllers(self, fields: EndpointFields) -> tuple[ServedController, ...]:
         """The controllers listed in the file, then those of the JSON lines file, whose path is relative to
--- a/oatcart/views/connection.py
+++ b/oatcart/views/connection.py
@@ -29,7 +29,7 @@
         self.http = h11.Connection(h11.SERVER, MAX_HEAD_BYTES)
 
     @property
-    def can_answer(self) -> bool:
+    def can_respond(self) -> bool:
         """Whether a response to the current request can still be started."""
         return self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE)
 
@@ -62,7 +62,7 @@
             else:
                 raise ConnectionClosedError(CloseReason.CLOSED_BY_PEER)
 
-    def write_answer(self, status: int, body: bytes) -> Generator[Wait, bool, None]:
+    def write_response(self, status: int, body: bytes) -> Generator[Wait, bool, None]:
         """Writes a response and waits until it is sent, as long as the client keeps reading."""
         headers = [(b"Content-Type", b"application/json"), (b"Content-Length", b"%d" % len(body))]
         if status == UNAVAILABLE:
--- a/oatcart/views/controllers.py
+++ b/oatcart/views/controllers.py
@@ -53,7 +53,7 @@
     """Checks a list of distinct names; raises ValueError."""
     if not isinstance(value, list) or len(set(map(str, value))) < len(value):
         raise ValueError(f"expected a list of distinct names, got {value}")
-    return tuple(name(one) for one in value)
+    return tuple(name(item) for item in value)
 
 
 GROUP_KEYS = {
@@ -103,10 +103,10 @@
     """A JSON object as a YAML map whose keys are all at this line; any other value unchanged."""
     if not isinstance(value, dict):
         return value
-    found = CommentedMap(value)
+    mapping = CommentedMap(value)
     for key in value:
-        found.lc.add_kv_line_col(key, [line, 0, line, 0])
-    return found
+        mapping.lc.add_kv_line_col(key, [line, 0, line, 0])
+    return mapping
 
 
 def expand_groups(
@@ -118,16 +118,16 @@
 ) -> tuple[ServedController, ...]:
     """All controllers of all groups. If there is a `base`, a controller without an address of its own gets
     the port of `base` plus its position in the list."""
-    found: list[ServedController] = []
+    expanded: list[ServedController] = []
     names: set[str] = set()
     names_by_address = {listen: "listen"}
     for group in groups:
-        for served in _expand_group(group, base, len(found), region_of, problems):
+        for served in _expand_group(group, base, len(expanded), region_of, problems):
             _check_distinct(served, names, names_by_address, group.where(group.line), problems)
-            found.append(served)
-    if len(found) > MAX_CONTROLLERS:
-        problems.append(f"conductors: {len(found)}, more than {MAX_CONTROLLERS}")
-    return tuple(found)
+            expanded.append(served)
+    if len(expanded) > MAX_CONTROLLERS:
+        problems.append(f"conductors: {len(expanded)} controllers, expected at most {MAX_CONTROLLERS}")
+    return tuple(expanded)
 
 
 def _expand_group(
--- a/oatcart/views/coverage.py
+++ b/oatcart/views/coverage.py
@@ -91,8 +91,8 @@
     for _, endpoint_id in ranked:
         if matching.holder_count(endpoint_id) - releases.get(endpoint_id, 0) < 2:
             continue
-        kept_zones = {zone_of(endpoints[other]) for other in own_ids if other != endpoint_id}
-        if has_several_zones and len(kept_zones | {zone_of(endpoints[acquired])}) < 2:
+        remaining_zones = {zone_of(endpoints[other]) for other in own_ids if other != endpoint_id}
+        if has_several_zones and len(remaining_zones | {zone_of(endpoints[acquired])}) < 2:
             continue
         return endpoint_id
     return None
@@ -100,8 +100,8 @@
 
 def _after_swaps(endpoint_ids: list[str], swaps: list[Swap]) -> list[str]:
     released = {swap.released for swap in swaps}
-    kept = [endpoint_id for endpoint_id in endpoint_ids if endpoint_id not in released]
-    return kept + [swap.acquired for swap in swaps]
+    remaining = [endpoint_id for endpoint_id in endpoint_ids if endpoint_id not in released]
+    return remaining + [swap.acquired for swap in swaps]
 
 
 def with_replacements(
--- a/oatcart/views/entries.py
+++ b/oatcart/views/entries.py
@@ -17,7 +17,7 @@
 PHASES = frozenset((SERVING, DRAINING, DELETED))
 
 
-class MalformedAnswerError(ValueError):
+class MalformedResponseError(ValueError):
     """A response that is not an endpoint list."""
 
 
@@ -46,7 +46,7 @@
         return orjson.dumps(self.fields | {"phase": DELETED})
 
 
-class ListAnswer(NamedTuple):
+class ListResponse(NamedTuple):
     """A complete endpoint list, or changes of one; `entries` by endpoint id.
 
     `is_complete`: endpoints that are not in it do not exist any more. `unreadable_ids`: endpoints whose entry
@@ -60,8 +60,8 @@
     invalid_entries: tuple[str, ...]
 
 
-def parse_answer(body: bytes | memoryview) -> ListAnswer:
-    """Decodes the body of a response; raises MalformedAnswerError.
+def parse_response(body: bytes | memoryview) -> ListResponse:
+    """Decodes the body of a response; raises MalformedResponseError.
 
     An entry without a valid id may belong to any endpoint, so a complete list with such an entry removes no
     endpoints: it is treated as changes.
@@ -69,11 +69,11 @@
     try:
         decoded = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise MalformedAnswerError(str(error)) from None
+        raise MalformedResponseError(str(error)) from None
     if not isinstance(decoded, dict) or not isinstance(decoded.get("members"), list):
-        raise MalformedAnswerError("members: expected a list")
+        raise MalformedResponseError("members: expected a list")
     if not is_amount(decoded.get("revision")):
-        raise MalformedAnswerError("revision: expected a number of at least 0")
+        raise MalformedResponseError("revision: expected a number of at least 0")
     entries, unreadable_ids, invalid_entries, has_unreadable_id = {}, set(), [], False
     for fields in decoded["members"]:
         try:
@@ -87,7 +87,7 @@
             else:
                 has_unreadable_id = True
     is_complete = decoded.get("complete") is True and not has_unreadable_id
-    return ListAnswer(
+    return ListResponse(
         int(decoded["revision"]),
         is_complete,
         entries,
--- a/oatcart/views/list_guard.py
+++ b/oatcart/views/list_guard.py
@@ -14,7 +14,7 @@
 from math import inf
 from typing import NamedTuple
 
-from oatcart.views.entries import DELETED, SERVING, EndpointEntry, ListAnswer
+from oatcart.views.entries import DELETED, SERVING, EndpointEntry, ListResponse
 
 
 class ListGuard(NamedTuple):
@@ -31,7 +31,7 @@
     min_endpoints: int = 1
 
 
-class RejectedAnswerError(Exception):
+class RejectedResponseError(Exception):
     """A response that is rejected as a whole; the list is unchanged."""
 
 
@@ -54,21 +54,21 @@
             str, float
         ] = {}  # by endpoint: time (s) of the first response without it
 
-    def accept(self, now: float, answer: ListAnswer) -> ListChanges:
+    def accept(self, now: float, response: ListResponse) -> ListChanges:
         """Applies the accepted part of a response received at `now` (s) and returns the changes.
 
-        Raises RejectedAnswerError if the response has too few endpoints.
+        Raises RejectedResponseError if the response has too few endpoints.
         """
-        listed = {entry.id: entry for entry in answer.entries.values() if entry.phase != DELETED}
-        if answer.is_complete and len(listed) < self.guard.min_endpoints:
-            raise RejectedAnswerError(
+        listed = {entry.id: entry for entry in response.entries.values() if entry.phase != DELETED}
+        if response.is_complete and len(listed) < self.guard.min_endpoints:
+            raise RejectedResponseError(
                 f"complete list of {len(listed)} endpoints, fewer than {self.guard.min_endpoints}"
             )
-        missing = self._missing(answer, listed)
-        unconfirmed = self._unconfirmed(now, missing, answer.is_complete)
+        missing = self._missing(response, listed)
+        unconfirmed = self._unconfirmed(now, missing, response.is_complete)
         removed = frozenset(missing - unconfirmed)
         changed = {entry.id: entry for entry in listed.values() if self._is_changed(entry)}
-        self._note_unconfirmed(now, unconfirmed, listed.keys() | removed | answer.unreadable_ids)
+        self._note_unconfirmed(now, unconfirmed, listed.keys() | removed | response.unreadable_ids)
         self.entries.update(changed)
         for endpoint_id in removed:
             del self.entries[endpoint_id]
@@ -78,10 +78,10 @@
         """The time (s) to fetch the complete list that confirms removals; inf if none is unconfirmed."""
         return min(self.unconfirmed_since.values(), default=inf) + self.guard.confirmation_delay
 
-    def _missing(self, answer: ListAnswer, listed: dict[str, EndpointEntry]) -> set[str]:
-        if answer.is_complete:
-            return self.entries.keys() - listed.keys() - answer.unreadable_ids
-        return (answer.entries.keys() - listed.keys()) & self.entries.keys()
+    def _missing(self, response: ListResponse, listed: dict[str, EndpointEntry]) -> set[str]:
+        if response.is_complete:
+            return self.entries.keys() - listed.keys() - response.unreadable_ids
+        return (response.entries.keys() - listed.keys()) & self.entries.keys()
 
     def _unconfirmed(self, now: float, missing: set[str], is_complete: bool) -> set[str]:
         """The missing endpoints that are kept: only a complete list after the delay confirms their
--- a/oatcart/views/list_watcher.py
+++ b/oatcart/views/list_watcher.py
@@ -14,12 +14,12 @@
 from oatcart.net.log import Log
 from oatcart.net.loop import Loop, Task, Wait
 from oatcart.views.configuration import DiscoverySettings
-from oatcart.views.entries import ListAnswer, MalformedAnswerError, parse_answer
-from oatcart.views.list_guard import AcceptedList, ListChanges, RejectedAnswerError
+from oatcart.views.entries import ListResponse, MalformedResponseError, parse_response
+from oatcart.views.list_guard import AcceptedList, ListChanges, RejectedResponseError
 from oatcart.xds.backoff import Backoff
 
 WATCH_ALLOWANCE = 2.0  # s that a watch may take beyond its timeout
-EARLIEST_EMPTY_ANSWER = 0.5  # share of the watch timeout; before it, discovery did not wait
+EARLIEST_EMPTY_RESPONSE = 0.5  # share of the watch timeout; before it, discovery did not wait
 MIN_WATCH = 0.05  # s; no watch is started for less
 
 
@@ -46,7 +46,7 @@
         self.accepted, self.on_changes = accepted, on_changes
         self.uniform = uniform
         self.revision = 0
-        self.last_answer_at = -inf  # s, when the last valid response was received
+        self.last_response_at = -inf  # s, when the last valid response was received
         self.last_complete_at = -inf  # s, when the last complete list was requested
         self.task: Task | None = None
 
@@ -79,8 +79,8 @@
                 yield from self._watch_connection(backoff)
             except (
                 ConnectionClosedError,
-                MalformedAnswerError,
-                RejectedAnswerError,
+                MalformedResponseError,
+                RejectedResponseError,
                 DiscoveryRestartedError,
             ) as error:
                 wait = backoff.next()
@@ -117,11 +117,12 @@
     def _fetch_complete_list(self, client: HttpClient) -> Generator[Wait, bool, None]:
         requested_at = self.loop.now
         body = yield from client.get(ENDPOINT_LIST_PATH, requested_at + self.source.fetch_timeout)
-        answer = parse_answer(body)
-        self._accept(answer)
+        response = parse_response(body)
+        self._accept(response)
         self.log.write(
             "source",
-            f"{self._peer()}: complete list of {len(answer.entries)} endpoints at revision {answer.revision}",
+            f"{self._peer()}: complete list of {len(response.entries)} endpoints at revision "
+            f"{response.revision}",
         )
         self.last_complete_at = requested_at
 
@@ -134,24 +135,24 @@
             raise DiscoveryRestartedError(
                 "the watch used a new connection, so its revisions may be those of another incarnation"
             )
-        answer = parse_answer(body)
-        if answer.is_complete:
-            return self._accept(answer)
-        if answer.revision < since:
+        response = parse_response(body)
+        if response.is_complete:
+            return self._accept(response)
+        if response.revision < since:
             raise DiscoveryRestartedError(
-                f"changes up to revision {answer.revision}, below the last revision {since}"
+                f"changes up to revision {response.revision}, below the last revision {since}"
             )
-        if answer.revision > since:
-            return self._accept(answer)
-        if answer.entries or self.loop.now - requested_at < EARLIEST_EMPTY_ANSWER * wait:
-            raise DiscoveryRestartedError(f"an empty answer at revision {since} before the watch timeout")
-        self.last_answer_at = self.loop.now
+        if response.revision > since:
+            return self._accept(response)
+        if response.entries or self.loop.now - requested_at < EARLIEST_EMPTY_RESPONSE * wait:
+            raise DiscoveryRestartedError(f"an empty response at revision {since} before the watch timeout")
+        self.last_response_at = self.loop.now
 
-    def _accept(self, answer: ListAnswer) -> None:
+    def _accept(self, response: ListResponse) -> None:
         is_first = not self.accepted.entries
-        changes = self.accepted.accept(self.loop.now, answer)
-        self.revision, self.last_answer_at = answer.revision, self.loop.now
-        for problem in answer.invalid_entries:
+        changes = self.accepted.accept(self.loop.now, response)
+        self.revision, self.last_response_at = response.revision, self.loop.now
+        for problem in response.invalid_entries:
             self.log.write("invalid entry", problem)
         if changes.unconfirmed:
             delay = self.accepted.guard.confirmation_delay
--- a/oatcart/views/publisher.py
+++ b/oatcart/views/publisher.py
@@ -181,4 +181,4 @@
 
 
 def _records_by_name(served: Iterable[ServedController]) -> dict[str, Controller]:
-    return {one.record.name: one.record for one in served}
+    return {served_controller.record.name: served_controller.record for served_controller in served}
--- a/oatcart/views/role.py
+++ b/oatcart/views/role.py
@@ -149,7 +149,7 @@
 
     def status(self) -> bytes:
         """The state of the control role, as JSON for `GET /v1/views`."""
-        source_age = self.loop.now - self.watcher.last_answer_at
+        source_age = self.loop.now - self.watcher.last_response_at
         calls = self.server.undecided_calls
         return orjson.dumps(
             {
--- a/oatcart/views/server.py
+++ b/oatcart/views/server.py
@@ -162,14 +162,14 @@
                 body = self.status()
             else:
                 body = yield from self._list(connection, call)
-            yield from connection.write_answer(OK, body)
+            yield from connection.write_response(OK, body)
         except RejectedRequestError as rejected:
             self.log.write("rejected", f"{self._peer(connection.stream)}: {rejected}")
-            yield from connection.write_answer(rejected.status, rejected.body)
+            yield from connection.write_response(rejected.status, rejected.body)
         except h11.RemoteProtocolError as error:
-            if connection.can_answer:
+            if connection.can_respond:
                 rejected = RejectedRequestError(BAD_REQUEST, "the request cannot be read", str(error))
-                yield from connection.write_answer(rejected.status, rejected.body)
+                yield from connection.write_response(rejected.status, rejected.body)
             raise ConnectionClosedError(CloseReason.MALFORMED, str(error)) from None
 
     def _list(self, connection: HttpConnection, call: ListRequest) -> Generator[Wait, bool, bytes]:
--- a/tests/views/test_views_configuration.py
+++ b/tests/views/test_views_configuration.py
@@ -18,7 +18,7 @@
 SHIPPED = ROOT / "deploy" / "views.yaml"
 
 
-def written(folder, text):
+def write_file(folder, text):
     path = folder / "views.yaml"
     path.write_text(text)
     return path
@@ -27,7 +27,7 @@
 def test_the_shipped_file_holds_the_defaults_and_two_controllers():
     loaded = read(SHIPPED)
     assert loaded._replace(controllers=()) == Configuration()
-    assert [(one.record.name, one.address[1]) for one in loaded.controllers] == [
+    assert [(served.record.name, served.address[1]) for served in loaded.controllers] == [
         ("example-0", 21000),
         ("example-1", 21001),
     ]
@@ -35,7 +35,7 @@
 
 def test_all_settings_are_read(tmp_path):
     loaded = read(
-        written(
+        write_file(
             tmp_path,
             """
 listen: 127.0.0.1:1
@@ -66,7 +66,7 @@
 
 def test_ports_follow_the_position_in_the_list_and_an_own_address_takes_up_a_position(tmp_path):
     loaded = read(
-        written(
+        write_file(
             tmp_path,
             """
 base: 127.0.0.1:3000
@@ -78,7 +78,7 @@
 """,
         )
     )
-    assert [(one.record, one.address) for one in loaded.controllers] == [
+    assert [(served.record, served.address) for served in loaded.controllers] == [
         (Controller("edge-0", "north", "a", ("x", "y")), ("127.0.0.1", 3000)),
         (Controller("edge-1", "north", "a", ("x", "y")), ("127.0.0.1", 3001)),
         (Controller("own", "south", "b", ()), ("127.0.0.2", 9)),
@@ -87,7 +87,7 @@
 
 
 def test_without_a_base_controllers_have_no_address_of_their_own(tmp_path):
-    loaded = read(written(tmp_path, "conductors: [{name: c, zone: a}]"))
+    loaded = read(write_file(tmp_path, "conductors: [{name: c, zone: a}]"))
     assert loaded.controllers[0].address is None
 
 
@@ -99,7 +99,9 @@
         '{"name":"d","zone":"b","services":["x"]}\n\n{"name":"e","zone":"a","region":"r"}\n'
     )
     text = "base: 127.0.0.1:3000\nconductors_file: more.jsonl\nconductors: [{name: c, zone: a}]\n"
-    assert [(one.record, one.address[1]) for one in read(written(tmp_path, text)).controllers] == [
+    assert [
+        (served.record, served.address[1]) for served in read(write_file(tmp_path, text)).controllers
+    ] == [
         (Controller("c", "default", "a", ()), 3000),
         (Controller("d", "default", "b", ("x",)), 3001),
         (Controller("e", "r", "a", ()), 3002),
@@ -111,7 +113,7 @@
         '{"name":"c","zone":"a"}\n{"name":\n7\n{"name":"d"}\n{"name":"c","zone":"a"}\n{"name":"e","zne":"a"}\n'
     )
     with pytest.raises(InvalidConfigurationError) as raised:
-        read(written(tmp_path, "conductors_file: more.jsonl"))
+        read(write_file(tmp_path, "conductors_file: more.jsonl"))
     message = str(raised.value)
     assert "more.jsonl:2: unexpected" in message and "more.jsonl:3: the file is no table of keys" in message
     assert (
@@ -119,7 +121,7 @@
     )
     assert "more.jsonl:6: zne is not known; did you mean zone?" in message
     with pytest.raises(InvalidConfigurationError, match="none.jsonl: No such file"):
-        read(written(tmp_path, "conductors_file: none.jsonl"))
+        read(write_file(tmp_path, "conductors_file: none.jsonl"))
 
 
 @pytest.mark.parametrize(
@@ -188,7 +190,7 @@
 )
 def test_errors_name_file_line_and_field(tmp_path, text, messages):
     with pytest.raises(InvalidConfigurationError) as raised:
-        read(written(tmp_path, text))
+        read(write_file(tmp_path, text))
     for message in messages:
         assert f"views.yaml:{message}" in str(raised.value), str(raised.value)
 
@@ -212,7 +214,7 @@
 
 
 def test_an_invalid_file_ends_with_exit_code_2_and_all_errors(tmp_path):
-    result = run(written(tmp_path, "listen: 1\nguard: {hold: 1}\n"), "--check")
+    result = run(write_file(tmp_path, "listen: 1\nguard: {hold: 1}\n"), "--check")
     assert result.returncode == 2 and "views.yaml:1: listen" in result.stderr
     assert "views.yaml:2: guard.hold" in result.stderr
     assert run(tmp_path / "none.yaml").returncode == 2
--- a/tests/views/test_views_controller.py
+++ b/tests/views/test_views_controller.py
@@ -34,7 +34,7 @@
             [sys.executable, "-m", "oatcart"],
             cwd=ROOT,
             stderr=subprocess.PIPE,
-            env=os.environ | {"EDGE_CONFIG": str(folder / "conductor.json")},
+            env=os.environ | {"EDGE_CONFIG": str(folder / "controller.json")},
         )
         os.set_blocking(self.process.stderr.fileno(), False)
         self.log_text = ""
@@ -50,7 +50,7 @@
             "seed": "5f",
         }
         configuration |= {"limits": {"sockets": 200}, "settings": SETTINGS}
-        (self.folder / "conductor.json").write_text(json.dumps(configuration))
+        (self.folder / "controller.json").write_text(json.dumps(configuration))
 
     def log(self):
         self.log_text += (self.process.stderr.read() or b"").decode()
--- a/tests/views/test_views_decisions.py
+++ b/tests/views/test_views_decisions.py
@@ -69,16 +69,20 @@
     try:
         harness.wait_until(has_begun.is_set, "the decision that later changes wait for")
         harness.discovery.remove("s-0")
-        gone = harness.get_view("c0", f"?since={revision}&timeout_ms=4000")
+        after_removal = harness.get_view("c0", f"?since={revision}&timeout_ms=4000")
         harness.discovery.put(endpoint_entry("s-0", up_since_ms=9))
         harness.wait_until(
             lambda: harness.role.decisions.changes.qsize() == 2, "both changes wait to be decided"
         )
     finally:
         may_end.set()
-    back = harness.get_view("c0", f"?since={gone['revision']}&timeout_ms=4000")
-    assert phases(gone) == {"s-0": "DELETED"} and phases(back) == {"s-0": "SERVING"}
-    assert back["members"][0]["up_since_ms"] == 9 and not gone["complete"] and not back["complete"]
+    after_return = harness.get_view("c0", f"?since={after_removal['revision']}&timeout_ms=4000")
+    assert phases(after_removal) == {"s-0": "DELETED"} and phases(after_return) == {"s-0": "SERVING"}
+    assert (
+        after_return["members"][0]["up_since_ms"] == 9
+        and not after_removal["complete"]
+        and not after_return["complete"]
+    )
     assert ids(harness.get_view("c0")) == ["s-0", "s-1", "s-2", "s-3"]
 
 
--- a/tests/views/test_views_fleet.py
+++ b/tests/views/test_views_fleet.py
@@ -107,11 +107,11 @@
 
     @invariant()
     def views_equal_those_decided_from_scratch(self):
-        fresh = fleet_views_of(
+        from_scratch = fleet_views_of(
             reversed(list(self.endpoints.values())), reversed(list(self.controllers.values()))
         )
         controllers = self.controllers.values()
-        assert views_of(self.fleet_views, controllers) == views_of(fresh, controllers)
+        assert views_of(self.fleet_views, controllers) == views_of(from_scratch, controllers)
 
     @invariant()
     def views_are_within_the_limits_and_have_all_needed_services(self):
--- a/tests/views/test_views_history.py
+++ b/tests/views/test_views_history.py
@@ -34,16 +34,16 @@
         self.revision, self.entries = 0, {}
 
     def apply(self, body):
-        answer = orjson.loads(body)
-        assert answer["revision"] >= self.revision
-        if answer["complete"]:
+        response = orjson.loads(body)
+        assert response["revision"] >= self.revision
+        if response["complete"]:
             self.entries = {}
-        for entry in answer["members"]:
+        for entry in response["members"]:
             self.entries[entry["id"]] = entry
             if entry["phase"] == DELETED:
                 del self.entries[entry["id"]]
-        self.revision = answer["revision"]
-        return answer
+        self.revision = response["revision"]
+        return response
 
     def watch(self, history):
         body = history.changes_since(self.revision)
@@ -82,9 +82,9 @@
     history = ViewHistory(1, entries({"s-0": ("SERVING", 0), "s-1": ("SERVING", 0), "s-2": ("SERVING", 0)}))
     history.replace(entries({"s-0": ("DRAINING", 0), "s-1": ("SERVING", 0), "s-2": ("SERVING", 0)}), 2)
     history.replace(entries({"s-1": ("SERVING", 5), "s-2": ("SERVING", 0)}), 3)
-    answer = orjson.loads(history.changes_since(1))
-    assert answer["complete"] is False and answer["revision"] == 3
-    assert {entry["id"]: (entry["phase"], entry["up_since_ms"]) for entry in answer["members"]} == {
+    response = orjson.loads(history.changes_since(1))
+    assert response["complete"] is False and response["revision"] == 3
+    assert {entry["id"]: (entry["phase"], entry["up_since_ms"]) for entry in response["members"]} == {
         "s-0": ("DELETED", 0),
         "s-1": ("SERVING", 5),
     }
@@ -110,8 +110,8 @@
     history = ViewHistory(10, entries({"s-0": ("SERVING", 0)}))
     history.replace(entries({"s-0": ("SERVING", 0), "s-1": ("SERVING", 0)}), 14)
     history.replace(entries({"s-1": ("SERVING", 0)}), 20)
-    answer = orjson.loads(history.changes_since(foreign))
-    assert answer["complete"] is True and [entry["id"] for entry in answer["members"]] == ["s-1"]
+    response = orjson.loads(history.changes_since(foreign))
+    assert response["complete"] is True and [entry["id"] for entry in response["members"]] == ["s-1"]
 
 
 def test_a_revision_before_the_log_gets_the_complete_view_and_the_log_stays_bounded():
@@ -133,8 +133,8 @@
 def test_a_view_that_has_become_empty_is_served_as_deletions_not_as_an_empty_list():
     history = ViewHistory(1, entries({"s-0": ("SERVING", 0), "s-1": ("SERVING", 0)}))
     history.replace({}, 2)
-    answer = orjson.loads(history.changes_since(1))
-    assert answer["complete"] is False and {entry["phase"] for entry in answer["members"]} == {"DELETED"}
+    response = orjson.loads(history.changes_since(1))
+    assert response["complete"] is False and {entry["phase"] for entry in response["members"]} == {"DELETED"}
 
 
 def first_draw(number):
--- a/tests/views/test_views_leases.py
+++ b/tests/views/test_views_leases.py
@@ -73,9 +73,9 @@
         query = ""
         while True:
             body = yield from self.client.get(self.path + query, self.harness.loop.now + 8.0)
-            answer = orjson.loads(body)
-            self.complete_list = answer if answer["complete"] else self.complete_list
-            query = f"?since={answer['revision']}&timeout_ms=5000"
+            response = orjson.loads(body)
+            self.complete_list = response if response["complete"] else self.complete_list
+            query = f"?since={response['revision']}&timeout_ms=5000"
 
     def stop(self):
         self.harness.loop.cancel(self.task)
@@ -117,7 +117,7 @@
     return harness.call(harness.role.main_listener.address, "/v1/views").result(harness)["undecided_calls"]
 
 
-def raw_answer(harness, name):
+def raw_response(harness, name):
     request = b"GET /v1/servers HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
     return harness.exchange(harness.role.address_of(name), request)
 
@@ -179,7 +179,7 @@
     harness = make_harness(PATIENT)
     try:
         responses = []
-        assert overdue_after(harness, lambda: responses.append(raw_answer(harness, "c0"))) == set(NAMES[1:])
+        assert overdue_after(harness, lambda: responses.append(raw_response(harness, "c0"))) == set(NAMES[1:])
         assert responses[0].startswith(b"HTTP/1.1 503")
     finally:
         harness.close()
@@ -191,9 +191,9 @@
     before, revision = views(harness), callers[3].complete_list["revision"]
     callers[3].stop()
     harness.run_for(3 * PATIENT.lease_duration)
-    back = Caller(harness, "c3")
+    returned = Caller(harness, "c3")
     harness.run_for(2 * PATIENT.lease_duration)
-    assert views(harness) == before and back.complete_list["revision"] == revision
+    assert views(harness) == before and returned.complete_list["revision"] == revision
     assert not harness.has_logged("leases:")
 
 
@@ -237,8 +237,8 @@
     before = views(harness)
     callers[3].stop()
     wait_for_expiry(harness, "c3")
-    back = Caller(harness, "c3")
-    assert ids(back.complete_list) == sorted(before["c3"])
+    returned = Caller(harness, "c3")
+    assert ids(returned.complete_list) == sorted(before["c3"])
     harness.wait_until(lambda: views(harness) == before, "the views as before")
     assert lease_status(harness)["silent"] == [] and harness.has_logged(
         "leases: c3 called after its lease had expired"
@@ -253,8 +253,8 @@
     wait_for_expiry(harness, "c3")
     deferred = []
     decide, harness.role.publisher.decide = harness.role.publisher.decide, deferred.append
-    answer = raw_answer(harness, "c3")
-    assert answer.startswith(b"HTTP/1.1 503") and b"Retry-After: 1" in answer
+    response = raw_response(harness, "c3")
+    assert response.startswith(b"HTTP/1.1 503") and b"Retry-After: 1" in response
     for update in deferred:
         decide(update)
     served = ids(harness.get_view("c3"))
@@ -311,10 +311,10 @@
         assert undecided_status(harness) == {"held": 8, "answered": 0, "refused": 0}
         began = harness.loop.clock()
         harness.discovery.put(*fleet())
-        answers = [call.result(harness) for call in early_calls]
+        responses = [call.result(harness) for call in early_calls]
         assert max(call.finished_at for call in early_calls) - began < 2.0  # well before undecided_timeout
         decided = views(harness)
-        assert [ids(answer) for answer in answers] == [sorted(decided[name]) for name in NAMES]
+        assert [ids(response) for response in responses] == [sorted(decided[name]) for name in NAMES]
         assert all(decided.values())
         assert undecided_status(harness) == {"held": 0, "answered": 8, "refused": 0}
     finally:
--- a/tests/views/test_views_list_guard.py
+++ b/tests/views/test_views_list_guard.py
@@ -4,8 +4,8 @@
 import orjson
 import pytest
 
-from oatcart.views.entries import MalformedAnswerError, parse_answer
-from oatcart.views.list_guard import AcceptedList, ListGuard, RejectedAnswerError
+from oatcart.views.entries import MalformedResponseError, parse_response
+from oatcart.views.list_guard import AcceptedList, ListGuard, RejectedResponseError
 
 GUARD = ListGuard(max_removed_share=0.25, mass_removal_count=2, confirmation_delay=10.0, min_endpoints=2)
 
@@ -14,8 +14,8 @@
     return {"id": name, "host_port": "127.0.0.1:5", "locality": "a", "phase": phase} | more
 
 
-def answer(endpoints, revision=1, complete=True):
-    return parse_answer(orjson.dumps({"revision": revision, "complete": complete, "members": endpoints}))
+def response(endpoints, revision=1, complete=True):
+    return parse_response(orjson.dumps({"revision": revision, "complete": complete, "members": endpoints}))
 
 
 def names(count):
@@ -24,13 +24,13 @@
 
 def accepted_list(count=20, guard=GUARD):
     accepted = AcceptedList(guard)
-    accepted.accept(0.0, answer([endpoint_entry(name) for name in names(count)]))
+    accepted.accept(0.0, response([endpoint_entry(name) for name in names(count)]))
     return accepted
 
 
 def accept_complete(accepted, now, listed, **phases):
     return accepted.accept(
-        now, answer([endpoint_entry(name, phases.get(name, "SERVING")) for name in listed])
+        now, response([endpoint_entry(name, phases.get(name, "SERVING")) for name in listed])
     )
 
 
@@ -66,10 +66,10 @@
 @pytest.mark.parametrize("count", [0, 1])
 def test_a_list_with_fewer_endpoints_than_the_minimum_is_rejected_and_removes_nothing(count):
     accepted = accepted_list()
-    with pytest.raises(RejectedAnswerError, match=f"{count} endpoints, fewer than 2"):
+    with pytest.raises(RejectedResponseError, match=f"{count} endpoints, fewer than 2"):
         accept_complete(accepted, 1.0, names(count))
     assert len(accepted.entries) == 20
-    with pytest.raises(RejectedAnswerError):
+    with pytest.raises(RejectedResponseError):
         accept_complete(accepted, 100.0, names(count))
 
 
@@ -83,9 +83,9 @@
 def test_many_deletions_among_changes_are_unconfirmed_like_those_by_a_complete_list():
     accepted = accepted_list()
     deletions = [endpoint_entry(name, "DELETED") for name in names(8)]
-    changes = accepted.accept(1.0, answer(deletions, 2, complete=False))
+    changes = accepted.accept(1.0, response(deletions, 2, complete=False))
     assert (changes.removed, changes.unconfirmed) == (frozenset(), 8)
-    repeated = accepted.accept(20.0, answer(deletions, 3, complete=False))
+    repeated = accepted.accept(20.0, response(deletions, 3, complete=False))
     assert repeated.unconfirmed == 8, "only a complete list confirms"
     assert len(accept_complete(accepted, 21.0, names(20)[8:]).removed) == 8
 
@@ -93,7 +93,8 @@
 def test_a_few_deletions_among_changes_are_accepted():
     accepted = accepted_list()
     changes = accepted.accept(
-        1.0, answer([endpoint_entry("s-0", "DELETED"), endpoint_entry("never", "DELETED")], 2, complete=False)
+        1.0,
+        response([endpoint_entry("s-0", "DELETED"), endpoint_entry("never", "DELETED")], 2, complete=False),
     )
     assert changes.removed == {"s-0"} and not changes.changed
 
@@ -109,7 +110,7 @@
     endpoints[4]["phase"] = "SPOILT"
     endpoints[5]["host_port"] = "nowhere"
     endpoints[6]["up_since_ms"] = -1
-    received = answer(endpoints)
+    received = response(endpoints)
     changes = accepted.accept(1.0, received)
     assert received.is_complete and len(received.invalid_entries) == 3 and changes == ({}, frozenset(), 0)
     assert accepted.entries["s-4"].phase == "SERVING"
@@ -120,7 +121,7 @@
     accept_complete(accepted, 1.0, names(10))
     accepted.accept(
         11.0,
-        answer(
+        response(
             [*map(endpoint_entry, names(10)), *(endpoint_entry(name, "SPOILT") for name in names(20)[10:])]
         ),
     )
@@ -130,7 +131,7 @@
 @pytest.mark.parametrize("entry", [7, None, {}, {"id": ""}, {"id": 5}, {"id": "x" * 257}])
 def test_a_list_with_an_entry_without_a_valid_id_removes_no_endpoint(entry):
     accepted = accepted_list()
-    received = answer([entry, *map(endpoint_entry, names(18))])
+    received = response([entry, *map(endpoint_entry, names(18))])
     assert not received.is_complete and accepted.accept(1.0, received).removed == frozenset()
 
 
@@ -149,14 +150,14 @@
     ],
 )
 def test_an_answer_that_is_not_a_list_is_malformed(body):
-    with pytest.raises(MalformedAnswerError):
-        parse_answer(body)
+    with pytest.raises(MalformedResponseError):
+        parse_response(body)
 
 
 def test_entries_are_passed_on_as_received():
     fields = endpoint_entry(
         "s-1", flavor="m2", cell=3, size=1.5, up_since_ms=1700000000123, other={"a": [1, None]}
     )
-    entry = answer([fields]).entries["s-1"]
+    entry = response([fields]).entries["s-1"]
     assert orjson.loads(entry.encoded) == fields
     assert orjson.loads(entry.deleted) == fields | {"phase": "DELETED"}
--- a/tests/views/test_views_process.py
+++ b/tests/views/test_views_process.py
@@ -88,8 +88,8 @@
     harness.discovery.remove("s-1")
     process.start()
     process.served_view()
-    answer = process.call(f"?since={before['revision']}&timeout_ms=2000").result(harness)
-    assert answer["complete"] is True and ids(answer) == ["s-0", "s-2", "s-3"]
+    response = process.call(f"?since={before['revision']}&timeout_ms=2000").result(harness)
+    assert response["complete"] is True and ids(response) == ["s-0", "s-2", "s-3"]
 
 
 def test_a_reload_applies_a_valid_file_and_rejects_an_invalid_one(harness, process):
--- a/tests/views/test_views_server.py
+++ b/tests/views/test_views_server.py
@@ -36,8 +36,8 @@
     return harness.call(harness.role.address_of(name), f"/v1/servers?since={since}&timeout_ms={wait_ms}")
 
 
-def parse_rejection(answer):
-    head, _, body = answer.partition(b"\r\n\r\n")
+def parse_rejection(response):
+    head, _, body = response.partition(b"\r\n\r\n")
     return int(head.split()[1]), orjson.loads(body)
 
 
@@ -47,9 +47,9 @@
 
 
 def test_a_controller_gets_its_complete_view_with_unchanged_entries(harness):
-    answer = harness.get_view("c1")
-    assert answer["complete"] is True and answer["revision"] > 0
-    assert {entry["id"]: entry for entry in answer["members"]} == {
+    response = harness.get_view("c1")
+    assert response["complete"] is True and response["revision"] > 0
+    assert {entry["id"]: entry for entry in response["members"]} == {
         entry["id"]: entry for entry in endpoint_entries("y", 4)
     }
     assert ids(harness.get_view("c0")) == ids(
@@ -69,9 +69,9 @@
     harness.run_for(0.1)
     assert not watching.is_done
     harness.discovery.put(endpoint_entry("x-a0", service="x", up_since_ms=77))
-    answer = watching.result(harness)
-    assert answer["complete"] is False and answer["revision"] > revision
-    assert [(entry["id"], entry["up_since_ms"]) for entry in answer["members"]] == [("x-a0", 77)]
+    response = watching.result(harness)
+    assert response["complete"] is False and response["revision"] > revision
+    assert [(entry["id"], entry["up_since_ms"]) for entry in response["members"]] == [("x-a0", 77)]
 
 
 def test_changes_between_the_complete_list_and_the_watch_are_served(harness):
@@ -92,8 +92,8 @@
 def test_a_watch_without_changes_returns_after_its_timeout(harness):
     revision, began = harness.get_view("c0")["revision"], harness.loop.now
     watching = watch(harness, "c0", revision, 300)
-    answer = watching.result(harness)
-    assert answer == {"revision": revision, "complete": False, "members": []}
+    response = watching.result(harness)
+    assert response == {"revision": revision, "complete": False, "members": []}
     assert 0.3 <= watching.finished_at - began < 1.0
 
 
@@ -103,19 +103,19 @@
     for start in range(1, 6):
         following = first.next_call(f"/v1/servers?since={revision}&timeout_ms=4000")
         harness.discovery.put(endpoint_entry("x-a0", service="x", up_since_ms=start))
-        answer = following.result(harness)
-        assert [entry["up_since_ms"] for entry in answer["members"]] == [start]
-        revision = answer["revision"]
+        response = following.result(harness)
+        assert [entry["up_since_ms"] for entry in response["members"]] == [start]
+        revision = response["revision"]
     assert len(harness.role.server.tasks) == 1
 
 
 def test_the_removal_and_the_return_of_an_endpoint_are_both_served(harness):
     revision = harness.get_view("c0")["revision"]
     harness.discovery.remove("x-a0")
-    gone = watch(harness, "c0", revision).result(harness)
+    after_removal = watch(harness, "c0", revision).result(harness)
     harness.discovery.put(endpoint_entry("x-a0", service="x", up_since_ms=9))
-    back = watch(harness, "c0", gone["revision"]).result(harness)
-    assert phases(gone) == {"x-a0": "DELETED"} and phases(back) == {"x-a0": "SERVING"}
+    after_return = watch(harness, "c0", after_removal["revision"]).result(harness)
+    assert phases(after_removal) == {"x-a0": "DELETED"} and phases(after_return) == {"x-a0": "SERVING"}
 
 
 def test_the_drain_of_a_zone_reaches_every_holder():
@@ -186,10 +186,10 @@
     harness = Harness([served_controller("c0")])
     try:
         harness.discovery.status = 503
-        answer = harness.exchange(
+        response = harness.exchange(
             harness.role.address_of("c0"), b"GET /v1/servers HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
         )
-        assert answer.startswith(b"HTTP/1.1 503") and b"Retry-After: 1" in answer
+        assert response.startswith(b"HTTP/1.1 503") and b"Retry-After: 1" in response
         harness.discovery.status = 200
         harness.discovery.put(*endpoint_entries("x", 3))
         harness.wait_ready()
@@ -217,8 +217,8 @@
 @pytest.mark.parametrize("revision", [0, 1, 7 * 10**12])
 def test_a_foreign_revision_gets_the_complete_list_at_once(harness, revision):
     harness.get_view("c0")
-    answer = watch(harness, "c0", revision).result(harness)
-    assert answer["complete"] is True and len(answer["members"]) == 8
+    response = watch(harness, "c0", revision).result(harness)
+    assert response["complete"] is True and len(response["members"]) == 8
 
 
 def test_a_revision_of_another_controllers_view_gets_the_complete_list(harness):
@@ -228,8 +228,8 @@
         harness.get_view(name)
     harness.discovery.drain("x-a1", "x-a2")
     harness.run_for(0.2)
-    answer = watch(harness, "c0", harness.get_view("c2")["revision"]).result(harness)
-    assert answer["complete"] is True
+    response = watch(harness, "c0", harness.get_view("c2")["revision"]).result(harness)
+    assert response["complete"] is True
 
 
 def test_a_watch_from_a_revision_before_the_log_gets_the_complete_list(harness):
@@ -239,8 +239,8 @@
     for start in range(1, 5):
         harness.discovery.put(endpoint_entry("x-a0", service="x", up_since_ms=start))
         harness.wait_until(lambda start=start: history.entries["x-a0"].fields["up_since_ms"] == start)
-    answer = watch(harness, "c0", revision).result(harness)
-    assert answer["complete"] is True and history.logged_ids == 3
+    response = watch(harness, "c0", revision).result(harness)
+    assert response["complete"] is True and history.logged_ids == 3
 
 
 # Clients that use too many resources.
--- a/tests/views/views_harness.py
+++ b/tests/views/views_harness.py
@@ -140,11 +140,11 @@
         if self.body_override is not None:
             return self.body_override
         if since is None:
-            answer = {"revision": self.revision, "complete": True, "members": [*self.entries.values()]}
+            response = {"revision": self.revision, "complete": True, "members": [*self.entries.values()]}
         else:
             changed = {entry["id"]: entry for at, entry in self.change_log if at > since}
-            answer = {"revision": self.revision, "complete": False, "members": [*changed.values()]}
-        return orjson.dumps(answer)
+            response = {"revision": self.revision, "complete": False, "members": [*changed.values()]}
+        return orjson.dumps(response)
 
 
 class Harness:
@@ -269,9 +269,9 @@
             yield Wait(self.stream.fd, READABLE)
 
 
-def ids(answer):
-    return sorted(entry["id"] for entry in answer["members"])
+def ids(response):
+    return sorted(entry["id"] for entry in response["members"])
 
 
-def phases(answer):
-    return {entry["id"]: entry["phase"] for entry in answer["members"]}
+def phases(response):
+    return {entry["id"]: entry["phase"] for entry in response["members"]}
