--- a/oatcart/views/matching_state.py
+++ b/oatcart/views/matching_state.py
@@ -67,7 +67,7 @@
         self.mark_changed(row)
 
     def evict_last_holder(self, column: int) -> None:
-        """Releases the holder with the largest key, which then gets another endpoint."""
+        """Releases the holder with the largest key, whose endpoints are then selected again."""
         holders = numpy.flatnonzero(self.assigned[:, column])
         last = int(holders[numpy.argmax(self.keys(holders, column))])
         self.assigned[last, column] = False
