--- a/oatcart/views/entries.py
+++ b/oatcart/views/entries.py
@@ -105,7 +105,7 @@
     endpoint_id, phase, zone = fields.get("id"), fields.get("phase"), fields.get("locality")
     if not _is_id(endpoint_id):
         raise MalformedEntryError(
-            f"id: expected 1 to 256 characters, got {str(endpoint_id)[:MAX_LOGGED_VALUE_LENGTH]!r}"
+            f"id: expected a text of 1 to 256 characters, got {str(endpoint_id)[:MAX_LOGGED_VALUE_LENGTH]!r}"
         )
     if phase not in PHASES:
         raise MalformedEntryError(
