--- a/oatcart/net/assembly.py
+++ b/oatcart/net/assembly.py
@@ -89,7 +89,7 @@
 
 
 def _make_codec(settings: Mapping) -> Codec:
-    request_classes = [grade["name"] for grade in settings["grades"]]
+    request_classes = [request_class["name"] for request_class in settings["grades"]]
     return Codec(request_classes, settings["zones"], settings["specifics"]["proxyCount"])
 
 
--- a/oatcart/net/rounds.py
+++ b/oatcart/net/rounds.py
@@ -39,7 +39,10 @@
         self.failed_streams: list[Stream] = []  # that could not be written to in this round
         self.is_due = self.gap_timer_set = False
         self.last_round_at = -inf  # not now - min_gap, which may be rounded to a later time
-        self.rounds_since_line, self.longest_turn = 0, 0.0  # since the last line on them; longest in s
+        self.rounds_since_log_line, self.max_turn_duration = (
+            0,
+            0.0,
+        )  # since the last line on them; longest in s
         self._log_statistics()
 
     def start(self, decide: Decide, watcher: EndpointListWatcher, health_checker: HealthChecker) -> None:
@@ -95,12 +98,12 @@
         """Run a round if one is due and the last one began long enough ago; called after each loop turn."""
         if self.is_due and self.loop.now - self.last_round_at >= self.min_gap:
             self.is_due, self.last_round_at = False, self.loop.now
-            self.rounds_since_line += 1
+            self.rounds_since_log_line += 1
             self._run(self.loop.now + self.unix_offset)
         elif self.is_due and not self.gap_timer_set:
             self.gap_timer_set = True
             self.loop.call_at(self.last_round_at + self.min_gap, self._on_gap_over)
-        self.longest_turn = max(self.longest_turn, self.loop.clock() - self.loop.now)
+        self.max_turn_duration = max(self.max_turn_duration, self.loop.clock() - self.loop.now)
 
     def _on_gap_over(self) -> None:
         self.gap_timer_set = False
@@ -151,11 +154,11 @@
             self.failed_streams.append(self.streams[proxy])
 
     def _log_statistics(self) -> None:
-        if self.rounds_since_line:
+        if self.rounds_since_log_line:
             self.logger.write(
                 "loop",
-                f"longest turn {self.longest_turn * 1000:.1f} ms, {self.rounds_since_line} rounds, "
+                f"longest turn {self.max_turn_duration * 1000:.1f} ms, {self.rounds_since_log_line} rounds, "
                 f"{len(self.streams)} proxies joined, {len(self.loop.registered)} descriptors waited for",
             )
-        self.rounds_since_line, self.longest_turn = 0, 0.0
+        self.rounds_since_log_line, self.max_turn_duration = 0, 0.0
         self.loop.call_at(self.loop.now + STATISTICS_PERIOD_S, self._log_statistics)
