--- a/oatcart/net/acceptor.py
+++ b/oatcart/net/acceptor.py
@@ -1,6 +1,6 @@
-"""The listening socket and the connections that came in by it.
+"""The listening socket and the connections accepted on it.
 
-A connection is unidentified until its first message says whether a proxy or a collector is at its other end.
+A connection is unidentified until its first message shows whether the peer is a proxy or a collector.
 """
 
 import errno
@@ -18,16 +18,16 @@
 from oatcart.net.rounds import Rounds
 from oatcart.net.stream import Address, Stream
 
-IDENTIFICATION_TIMEOUT_S = 1.5  # from the accept; a proxy identifies itself with its first bytes
-MAX_UNIDENTIFIED_BYTES = 1024  # of its message, and of what it leaves unread: ten times a joining
-COLLECTOR_BUFFER_BYTES = 16 * 1024  # read at a time, some hundred reports
-MAX_COLLECTORS_PER_ZONE = 2  # one that reconnects leaves connections behind whose end nobody notices
+IDENTIFICATION_TIMEOUT_S = 1.5  # from the accept; a proxy identifies itself with its first message
+MAX_UNIDENTIFIED_BYTES = 1024  # of its message, and of data sent to it but unread: ten `joined` messages
+COLLECTOR_BUFFER_BYTES = 16 * 1024  # read at once; about a hundred reports
+MAX_COLLECTORS_PER_ZONE = 2  # one that reconnects may leave broken connections that are not detected
 # Descriptors that are not for connections: standard streams, epoll, the listener, the reload signal, two
-# calls to discovery; half of them spare.
+# requests to discovery; half of them are spare.
 RESERVED_DESCRIPTORS = 16
 BACKLOG = 1024  # connections not yet accepted: a whole fleet may connect at once
-MAX_ACCEPTS_PER_TURN = 64  # so that the connections in use are read in between
-ACCEPT_PAUSE_S = 0.2  # without descriptors or memory; far within the time in which a proxy reconnects
+MAX_ACCEPTS_PER_TURN = 64  # so that open connections are read in between
+ACCEPT_PAUSE_S = 0.2  # when out of descriptors or memory; far shorter than a proxy's time to reconnect
 
 
 class Acceptor:
@@ -42,11 +42,11 @@
         rounds.set_close_stream(self._close)
 
     def set_limit(self, descriptors: int) -> None:
-        """Let the process use so many descriptors from now on; no open connection is closed for it."""
+        """Set how many descriptors the process may use; no open connection is closed."""
         self.loop.connection_limit = max(1, descriptors - RESERVED_DESCRIPTORS)
 
     def listen(self, address: Address) -> socket.socket:
-        """Listen at an address and accept from now on; raises OSError."""
+        """Listen on an address and start accepting; returns the listening socket, raises OSError."""
         self.listener = sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind(address)
@@ -71,10 +71,10 @@
                     yield Wait(deadline=self.loop.now + ACCEPT_PAUSE_S)
 
     def _admit(self, sock: socket.socket) -> None:
-        """Start the task of a connection, and close unidentified ones while there are too many.
+        """Start the task of a connection, and close unidentified connections while there are too many.
 
-        The oldest unidentified connection is closed first, then this one; never one that is in use. What has
-        come already on either is read before, so that a proxy among many others gets in.
+        The oldest unidentified connections are closed first, then this one; other identified connections stay
+        open. Data already received is read before, so that a proxy among many such connections can join.
         """
         stream = Stream(
             self.loop, sock, MAX_UNIDENTIFIED_BYTES, MAX_UNIDENTIFIED_BYTES, MAX_UNIDENTIFIED_BYTES
@@ -82,7 +82,7 @@
         self.unidentified[stream] = None
         task = self.loop.spawn(self._serve(stream))
         if stream.sock.fileno() < 0:
-            return  # closed within its first step
+            return  # closed before its first wait
         self.tasks[stream] = task
         while self.loop.connections > self.loop.connection_limit and self.unidentified:
             oldest = next(iter(self.unidentified))
@@ -93,10 +93,10 @@
             self._close(stream)
 
     def _serve(self, stream: Stream) -> Generator[Wait, bool, None]:
-        """The task of a connection, from its accept to its end.
+        """Serve a connection from its accept to its end.
 
-        Until it is identified it has one deadline, whatever it sends, and a small buffer, so that it costs
-        the others nothing.
+        Until the peer is identified, the connection has one deadline, whatever is received, and small
+        buffers, so that it does not affect other connections.
         """
         peer = "unidentified peer"
         try:
@@ -121,7 +121,7 @@
             stream.close()
 
     def _admit_collector(self, stream: Stream, zone: str) -> None:
-        """Register a collector; of too many of its zone the oldest is closed."""
+        """Register a collector; closes the oldest one of its zone if there are too many."""
         del self.unidentified[stream]
         stream.set_limits(COLLECTOR_BUFFER_BYTES)
         self.collectors[stream] = zone
@@ -140,5 +140,8 @@
         self.log.write("acceptor", f"connection of {peer} ended: {error}")
 
     def _log_invalid(self, error: InvalidMessageError) -> None:
-        """The connection goes on: closed, a proxy would get no updates until it has reconnected."""
+        """Log an invalid message.
+
+        The connection stays open: if it were closed, a proxy would get no updates until it has reconnected.
+        """
         self.log.write("invalid", str(error))
--- a/oatcart/net/assembly.py
+++ b/oatcart/net/assembly.py
@@ -1,4 +1,4 @@
-"""The parts of a controller on sockets, made from its configuration and connected to each other."""
+"""Assembles a controller on sockets from its configuration."""
 
 import socket
 import time
@@ -19,17 +19,17 @@
 from oatcart.policy import Controller
 from oatcart.settings import read_seconds, read_socket_controller_settings
 
-IDENTITY_FIELDS = ("name", "listen")  # a file in which these differ is another controller's
+IDENTITY_FIELDS = ("name", "listen")  # a file in which these differ belongs to another controller
 RESTART_FIELDS = ("settings",)  # changed only by a restart
-# A watch waits for this part of the time within which discovery must be called (`askWithin`), so that a watch
-# that was lost is noticed well within it
+# A watch waits for this fraction of the time within which discovery must be polled (`askWithin`), so that a
+# lost watch is detected well within that time
 WATCH_WAIT_FRACTION = 0.5
-DEFAULT_POLL_WITHIN_S = 8.0  # that time, if the settings give none: half of it and 2 s are the protocol's 6 s
-DEFAULT_HEALTH_CHECK_TIMEOUT_S = 1.0  # if the settings give none: the next check comes a second later
+DEFAULT_POLL_WITHIN_S = 8.0  # default of `askWithin`: half of it and 2 s are the protocol's 6 s
+DEFAULT_HEALTH_CHECK_TIMEOUT_S = 1.0  # default of `connectTimeout`: the next check comes a second later
 
 
 class Assembly(NamedTuple):
-    """A controller that listens; its owner calls `loop.turn` and `rounds.run_if_due` in turns."""
+    """A listening controller; its owner calls `loop.turn` and `rounds.run_if_due` alternately."""
 
     loop: Loop
     rounds: Rounds
@@ -39,10 +39,10 @@
 def assemble(
     configuration: dict, signalled: socket.socket, make_rounds: Callable[..., Rounds] = Rounds
 ) -> Assembly:
-    """Make all parts, run the first round and listen; raises InvalidConfigurationError.
+    """Create all parts, run the first round and start listening; raises InvalidConfigurationError.
 
-    `signalled`: readable once the configuration is to be read again. `make_rounds`: makes a subclass of
-    `Rounds` that serves another protocol as well.
+    `signalled`: readable when the configuration is to be reloaded. `make_rounds`: creates a subclass of
+    `Rounds` if another protocol is served as well.
     """
     settings = read_field(configuration, "settings", dict)
     controller_settings = read_field(configuration, "settings", read_socket_controller_settings)
@@ -57,8 +57,8 @@
     acceptor = Acceptor(loop, log, codec, rounds, read_descriptors(configuration))
     if "known" in configuration:
         watcher.receive(read_field(configuration, "known", codec.decode_endpoint_list))
-    rounds.is_due = True  # without a list as well: this round is what asks discovery for one
-    rounds.run_if_due()  # from here on the controller can decide, so connections may come in
+    rounds.is_due = True  # also without a list: this round requests one from discovery
+    rounds.run_if_due()  # from here on the controller can decide, so it may accept connections
     listener = read_field(configuration, "listen", lambda at: acceptor.listen(parse_address(at)))
     host, port = listener.getsockname()
     name, known = configuration.get("name"), len(codec.endpoint_ids)
@@ -70,10 +70,10 @@
 
 
 def apply_changes(configuration: Mapping, acceptor: Acceptor, watcher: EndpointListWatcher) -> str:
-    """Read the file again and apply what a running controller can change; returns what is to be logged.
+    """Reload the file and apply what a running controller can change; returns the text to log.
 
-    `configuration` is the one that it was started with. Raises InvalidConfigurationError and changes
-    nothing if a field is invalid or the file is another controller's.
+    `configuration` is the one at the start. Raises InvalidConfigurationError and changes nothing if a field
+    is invalid or the file belongs to another controller.
     """
     new = read_configuration()
     for field in IDENTITY_FIELDS:
--- a/oatcart/net/codec.py
+++ b/oatcart/net/codec.py
@@ -1,6 +1,7 @@
-"""The protocol on sockets: its messages and field names stand here and nowhere else in `oatcart/net`.
+"""Decodes and encodes the messages of the socket protocol.
 
-Names on the wire become small integers inside; milliseconds become seconds.
+The protocol's message and field names are used in no other module of `oatcart/net`. Names on the wire become
+small integers, milliseconds become seconds.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -24,8 +25,8 @@
 
 ENDPOINT_LIST_PATH, HEALTH_PATH, LOAD_PATH = "/v1/servers", "/healthz", "/load"
 PONG = b'{"msg":"pong"}\n'
-MAX_COUNT = 10**7  # requests of a report or a second, proxies, nonces: more than a fleet has in any window
-MAX_DURATION_MS = 3.6e6  # an hour: no window covers so much and no request takes so long
+MAX_COUNT = 10**7  # requests in a report or per second, proxies, nonces: more than a fleet has in any window
+MAX_DURATION_MS = 3.6e6  # an hour: longer than any window or request
 MAX_ID_LENGTH = 256  # characters of an endpoint's id
 MAX_LOGGED_VALUE_LENGTH = 80  # characters of an invalid value in an error
 MAX_LOGGED_ENTRY_LENGTH = 300  # characters of an invalid entry of the endpoint list in the log
@@ -35,16 +36,16 @@
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.GONE,
 }
-# What decoding a parsed object raises where a field is missing, or has another type or an impossible value.
+# Raised when a parsed object is decoded and a field is missing, has the wrong type or an impossible value.
 _DECODING_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
 
 
 class Ping(NamedTuple):
-    """The peer asks for a pong."""
+    """A request for a pong."""
 
 
 class CollectorConnected(NamedTuple):
-    """A collector has said who it is."""
+    """A collector has identified itself."""
 
     zone: str
 
@@ -52,28 +53,28 @@
 Message = (
     Ping | CollectorConnected | ProxyJoined | UpdateAcknowledged | EndpointLoadReported | ProxyLoadReported
 )
-"""What a peer of the controller can say."""
+"""A decoded message of a proxy or a collector."""
 
 
 class EndpointList(NamedTuple):
-    """Discovery's list of endpoints, or what changed in it up to a revision."""
+    """The endpoint list from discovery, or the changes to it up to a revision."""
 
     revision: int
-    complete: bool  # endpoints that it leaves out are gone
+    complete: bool  # endpoints that are not in it are gone
     entries: list[EndpointEntry]
     addresses: list[tuple[int, Address]]  # of the endpoints that have one
-    invalid_entries: list[str]  # what was left out and why, for the log
+    invalid_entries: list[str]  # entries left out and why, for the log
 
 
 class _InvalidFieldError(ValueError):
-    """A field whose value cannot be used; `expected` says what could be."""
+    """The value of a field is invalid; `expected` describes valid values."""
 
     def __init__(self, field: str, value: object, expected: str) -> None:
-        super().__init__(f"{field} is {_shown(value)}, not {expected}")
+        super().__init__(f"{field}: expected {expected}, got {_shown(value)}")
 
 
 def watch_path(revision: int, wait: float) -> str:
-    """The path of a call that is answered once the list is newer than `revision`, or after `wait` seconds.
+    """Return the path of a watch: answered once the list is newer than `revision`, or after `wait` seconds.
 
     >>> watch_path(41, 2.5)
     '/v1/servers?since=41&timeout_ms=2500'
@@ -82,33 +83,35 @@
 
 
 def parse_address(host_port: str) -> Address:
-    """The IPv4 address and port of `host:port`; raises ValueError. Names are not looked up: that would block.
+    """Return the address and port of `host:port`; raises ValueError.
+
+    Only IPv4 addresses are valid: resolving a host name would block the loop.
 
     >>> parse_address("127.0.0.1:5000")
     ('127.0.0.1', 5000)
     """
     host, _, port = host_port.rpartition(":")
     if not 0 <= int(port) < 65536:
-        raise ValueError(f"{host_port!r} is not host:port")
+        raise ValueError(f"expected host:port with a port below 65536, got {host_port!r}")
     return str(IPv4Address(host)), int(port)
 
 
 def parse_object(data: memoryview) -> dict:
-    """A JSON object; raises ConnectionClosedError (MALFORMED) over anything else."""
+    """Parse a JSON object; raises ConnectionClosedError (MALFORMED) for anything else."""
     try:
         message = orjson.loads(data)
     except orjson.JSONDecodeError as error:
         raise ConnectionClosedError(CloseReason.MALFORMED, str(error)) from None
     if not isinstance(message, dict):
-        raise ConnectionClosedError(CloseReason.MALFORMED, "not an object")
+        raise ConnectionClosedError(CloseReason.MALFORMED, "expected a JSON object")
     return message
 
 
 class Codec:
-    """Decodes and encodes messages; keeps the numbers of endpoints by their ids.
+    """Decodes and encodes messages; assigns numbers to endpoint ids.
 
-    `request_classes` and `zones` are the names of the settings in their order; proxies are numbered from 0 to
-    `proxy_count` - 1. An endpoint gets a number when a list first names it, until `release`.
+    `request_classes` and `zones` are the names in the settings, in their order; proxies are numbered from 0
+    to `proxy_count` - 1. An endpoint has a number from its first entry in a list until `release`.
     """
 
     def __init__(self, request_classes: Sequence[str], zones: Sequence[str], proxy_count: int) -> None:
@@ -117,13 +120,15 @@
         self.zones = {name: number for number, name in enumerate(zones)}
         self.proxy_count = proxy_count
         self.endpoint_numbers: dict[str, int] = {}
-        self.endpoint_ids: list[str] = []  # by number; one that is released keeps its last id
-        self.released: list[int] = []  # numbers that are to be used again
+        self.endpoint_ids: list[str] = []  # by number; a released number keeps its last id
+        self.released: list[int] = []  # numbers to be reused
 
     def number_of(self, endpoint_id: str) -> int:
-        """The number of an endpoint, a new one if it has none; raises TypeError if that is not an id."""
+        """Return the number of an endpoint, a new one if it has none; raises TypeError for an invalid id."""
         if not isinstance(endpoint_id, str) or not 0 < len(endpoint_id) <= MAX_ID_LENGTH:
-            raise TypeError(f"{_shown(endpoint_id)} is not the id of an endpoint")
+            raise TypeError(
+                f"id: expected a string of 1 to {MAX_ID_LENGTH} characters, got {_shown(endpoint_id)}"
+            )
         number = self.endpoint_numbers.get(endpoint_id)
         if number is None:
             if self.released:
@@ -136,15 +141,15 @@
         return number
 
     def release(self, number: int) -> None:
-        """Let another endpoint have a number; else memory would grow with every endpoint ever listed."""
+        """Make a number available again; otherwise memory would grow with every endpoint ever listed."""
         del self.endpoint_numbers[self.endpoint_ids[number]]
         self.released.append(number)
 
     def decode_message(self, line: memoryview) -> Message:
-        """A message of a peer; no endpoint gets a number by it.
+        """Decode a message of a peer; assigns no endpoint numbers.
 
-        Raises InvalidMessageError, with message and field, where it is an object that cannot be used, and
-        ConnectionClosedError (MALFORMED) where it is none.
+        Raises InvalidMessageError, with message type and field, for an object that is no valid message, and
+        ConnectionClosedError (MALFORMED) for anything but a JSON object.
         """
         message = parse_object(line)
         try:
@@ -177,8 +182,8 @@
     def _decode_heard(self, message: dict) -> EndpointLoadReported:
         attempts, errors = _count(message, "n"), _count(message, "bad")
         if errors > attempts:
-            raise _InvalidFieldError("bad", errors, f"up to n, {attempts}")
-        # Where every attempt failed there is no mean, whatever the field says.
+            raise _InvalidFieldError("bad", errors, f"at most n, {attempts}")
+        # If every attempt failed there is no mean duration; the field is ignored.
         mean_duration = _milliseconds(message, "avg") if attempts > errors else 0.0
         return EndpointLoadReported(
             _number("host", self.endpoint_numbers, message["host"]),
@@ -191,7 +196,7 @@
         )
 
     def _decode_usage(self, message: dict) -> ProxyLoadReported:
-        """Errors may exceed requests: those may have come in an earlier window."""
+        """Decode a proxy's load report; errors may exceed requests, which may be of an earlier window."""
         return ProxyLoadReported(
             self._proxy(message),
             _number("kind", self.request_classes, message["kind"]),
@@ -203,20 +208,20 @@
     def _proxy(self, message: dict) -> int:
         proxy = _count(message, "sidecar")
         if proxy >= self.proxy_count:
-            raise _InvalidFieldError("sidecar", proxy, f"below {self.proxy_count}")
+            raise _InvalidFieldError("sidecar", proxy, f"a number below {self.proxy_count}")
         return proxy
 
     def _zone(self, message: dict) -> int:
         return _number("az", self.zones, message["az"])
 
     def decode_endpoint_list(self, message: dict) -> EndpointList:
-        """The endpoint list; raises ConnectionClosedError (MALFORMED) where it is none.
+        """Decode an endpoint list; raises ConnectionClosedError (MALFORMED) for any other message.
 
-        An entry that cannot be used is left out. As it may be about any endpoint, such a list counts as
-        changes: nobody is gone because it leaves them out.
+        Invalid entries are left out. As such an entry may describe any endpoint, the list then counts as
+        changes: endpoints that are not in it are not removed.
         """
         if not is_amount(message.get("revision")) or not isinstance(message.get("members"), list):
-            raise ConnectionClosedError(CloseReason.MALFORMED, "no list of endpoints")
+            raise ConnectionClosedError(CloseReason.MALFORMED, "expected an endpoint list")
         entries, addresses, invalid_entries = [], [], []
         for member in message["members"]:
             try:
@@ -241,7 +246,7 @@
         return EndpointEntry(endpoint, zone, started_at, state, nominal_weight), address or None
 
     def encode_update(self, parts: tuple[UpdatePart, ...]) -> bytes:
-        """One update to a proxy, a line for each part."""
+        """Encode an update to a proxy, one line for each part."""
         last = len(parts) - 1
         return b"".join(orjson.dumps(self._update(part, at < last)) + b"\n" for at, part in enumerate(parts))
 
@@ -281,7 +286,7 @@
 
 
 def _shown(value: object, max_length: int = MAX_LOGGED_VALUE_LENGTH) -> str:
-    """A value as errors show it; of one that is nested deeper than `repr` goes the type alone."""
+    """Return a value as shown in errors; only its type if it is nested too deeply for `repr`."""
     try:
         return repr(value)[:max_length]
     except RecursionError:
@@ -289,7 +294,7 @@
 
 
 def _describe(error: Exception) -> str:
-    """What the log says of a decoding error: the field and its value, as far as they are known."""
+    """Describe a decoding error for the log: the field and its value, as far as they are known."""
     if isinstance(error, KeyError):
         return f"{str(error)[:MAX_LOGGED_VALUE_LENGTH]} is missing or unknown"
     return str(error)[: 2 * MAX_LOGGED_VALUE_LENGTH]
@@ -309,19 +314,19 @@
 
 
 def _milliseconds(message: dict, field: str) -> float:
-    """A field in milliseconds, in seconds."""
+    """Return the value in seconds of a field in milliseconds."""
     return _amount(field, message[field], MAX_DURATION_MS) / 1000
 
 
 def _window(message: dict) -> float:
-    """The window of a report in seconds."""
+    """Return the window of a report in seconds."""
     if window := _milliseconds(message, "window"):
         return window
-    raise _InvalidFieldError("window", 0, "above 0")
+    raise _InvalidFieldError("window", 0, "a number above 0")
 
 
 def _count(message: dict, field: str) -> int:
     value = message[field]
-    if not isinstance(value, int):  # a fraction would pass for the integer below it
+    if not isinstance(value, int):  # a fraction would be rounded down
         raise _InvalidFieldError(field, value, "an integer")
     return int(_amount(field, value, MAX_COUNT))
--- a/oatcart/net/collector_stream.py
+++ b/oatcart/net/collector_stream.py
@@ -1,4 +1,4 @@
-"""The stream of a collector: load reports come in, nothing but pongs is written."""
+"""The stream of a collector: receives load reports, sends nothing but pongs."""
 
 from collections.abc import Callable, Generator
 
@@ -16,10 +16,10 @@
 def serve_collector(
     stream: Stream, codec: Codec, rounds: Rounds, on_invalid: Callable[[InvalidMessageError], None]
 ) -> Generator[Wait, bool, None]:
-    """Pass on the load reports of a collector until its stream ends; raises ConnectionClosedError."""
+    """Add the load reports of a collector to rounds until its stream ends; raises ConnectionClosedError."""
     while True:
         event = yield from read_message(stream, codec, on_invalid)
         if isinstance(event, COLLECTOR_EVENTS):
             rounds.add_event(event)
         else:
-            on_invalid(InvalidMessageError(f"a collector sent {event}, which is no load report"))
+            on_invalid(InvalidMessageError(f"expected a load report from a collector, got {event}"))
--- a/oatcart/net/configuration.py
+++ b/oatcart/net/configuration.py
@@ -9,8 +9,8 @@
 
 ENVIRONMENT_VARIABLE = "EDGE_CONFIG"
 
-# What reading a field raises if its value cannot be used. RecursionError: JSON that is nested without end;
-# ConnectionClosedError: an endpoint list that is none.
+# Raised when a field is read whose value is invalid. RecursionError: JSON that is nested too deeply;
+# ConnectionClosedError: an invalid endpoint list.
 _READING_ERRORS = (
     ArithmeticError,
     AttributeError,
@@ -26,7 +26,7 @@
 
 
 def read_field(table: Mapping, field: str, parse: Callable[[object], Value]) -> Value:
-    """The parsed value of a field; raises InvalidConfigurationError that names it."""
+    """Return the parsed value of a field; raises InvalidConfigurationError, which names the field."""
     try:
         return parse(table[field])
     except _READING_ERRORS as error:
@@ -36,12 +36,12 @@
 
 
 def read_configuration() -> dict:
-    """The fields of the file as they stand; raises InvalidConfigurationError."""
+    """Return the fields of the file, not yet parsed; raises InvalidConfigurationError."""
     return read_field(os.environ, ENVIRONMENT_VARIABLE, _read_file)
 
 
 def read_descriptors(configuration: Mapping) -> int:
-    """How many descriptors the process may use; raises InvalidConfigurationError."""
+    """Return how many descriptors the process may use; raises InvalidConfigurationError."""
     return read_field(configuration, "limits", lambda limits: int(limits["sockets"]))
 
 
--- a/oatcart/net/configuration_reload.py
+++ b/oatcart/net/configuration_reload.py
@@ -1,7 +1,7 @@
-"""Reload of the configuration: SIGHUP wakes the event loop, where one task reads the file again.
+"""Reload of the configuration: SIGHUP wakes the event loop, in which a task reads the file again.
 
 The signal handler does nothing; the byte that the interpreter writes to a socket pair wakes the loop. Signals
-in quick succession are one reload; a signal that comes during a reload causes another.
+in quick succession cause one reload; a signal during a reload causes another.
 """
 
 import signal
@@ -14,13 +14,13 @@
 from oatcart.net.log import Log
 from oatcart.net.loop import READABLE, Loop, Wait
 
-RETRY_AFTER_S = 0.5  # an invalid file may be half written
+RETRY_AFTER_S = 0.5  # an invalid file may be incompletely written
 MAX_RETRIES = 6
-WAKE_BYTES = 64  # read at a time; their number means nothing
+WAKE_BYTES = 64  # read at once; how many there are does not matter
 
 
 def reload_signal() -> socket.socket:
-    """Handle SIGHUP from now on; the socket that is returned is readable after each signal."""
+    """Handle SIGHUP from now on; returns a socket that is readable after each signal."""
     receiver, sender = socket.socketpair()
     receiver.setblocking(False)
     sender.setblocking(False)
@@ -32,10 +32,10 @@
 def reload_on_signal(
     loop: Loop, log: Log, signalled: socket.socket, reload: Callable[[], str]
 ) -> Generator[Wait, bool, None]:
-    """The task that reloads the configuration for the life of the process.
+    """Reload the configuration after each signal, for the lifetime of the process.
 
-    `reload` applies the file and returns what is to be logged, or raises InvalidConfigurationError and has
-    changed nothing. An invalid file is read again some times; a problem is logged once until the next signal.
+    `reload` applies the file and returns the text to log, or raises InvalidConfigurationError and changes
+    nothing. An invalid file is read again up to MAX_RETRIES times; the same error is logged once a signal.
     """
     retry_at, failures, logged_problem = inf, 0, ""
     while True:
--- a/oatcart/net/endpoint_list.py
+++ b/oatcart/net/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: watched and fetched at discovery on behalf of the decisions."""
+"""The endpoint list: watched and fetched from discovery as the decisions command."""
 
 from collections.abc import Callable, Generator
 from math import inf
@@ -11,20 +11,20 @@
 from oatcart.net.loop import Loop, Task, Wait
 from oatcart.net.stream import Address
 
-# Of a call that is to be answered at once. A busy discovery needs 2 s; 6 s after the last call the protocol
-# counts all changes as known here.
+# Of a request that is answered at once. A busy discovery service needs 2 s; the protocol takes all changes as
+# known to the controller 6 s after its last request.
 CALL_TIMEOUT_S = 4.0
-WATCH_TIMEOUT_S = 2.0  # beyond the wait that a watch asks for
-# A watch that brings nothing is answered at the end of its wait; one answered within this part of it would
-# be answered so again and again, as fast as the network goes.
+WATCH_TIMEOUT_S = 2.0  # in addition to the wait that a watch requests
+# A watch without changes is answered at the end of its wait. One answered within this fraction of the wait
+# has failed: repeated at once it would be answered so again, as fast as the network allows.
 EARLY_ANSWER_FRACTION = 0.5
 
 
 class EndpointListWatcher:
-    """Brings the endpoint list from discovery and keeps its revision and the endpoints' addresses.
+    """Gets the endpoint list from discovery and keeps its revision and the endpoints' addresses.
 
-    `wait`: seconds that a watch asks discovery to wait for changes. The decisions ask for a watch or a fetch,
-    and decide what follows on a failure: nothing is retried here.
+    `wait`: seconds that a watch asks discovery to wait for changes. The decisions command a watch or a fetch,
+    and decide what follows a failure: nothing is retried here.
     """
 
     def __init__(
@@ -39,17 +39,18 @@
         self.loop, self.codec, self.log, self.discovery = loop, codec, log, discovery
         self.wait, self.add_event = wait, add_event
         self.revision = 0
-        # Another address or another incarnation of discovery: revisions seen so far mean nothing there.
+        # Discovery has moved or restarted: revisions received so far are not valid there.
         self.must_start_over = False
-        self.watch_enabled = False  # also while no watch is open, until the decisions ask again
+        self.watch_enabled = False  # also after a watch has failed, until the decisions command another
         self.addresses: dict[int, Address] = {}  # by endpoint
         self.watch_task: Task | None = None
         self.fetch_task: Task | None = None
 
     def set_discovery(self, discovery: Address) -> None:
-        """Call another address from now on. Open calls at the old one are cancelled; a watch is opened anew.
+        """Send requests to another address from now on.
 
-        Streams, tables and the list stay as they are.
+        Open requests to the old one are cancelled, and a watch is opened again. Streams, tables and the list
+        do not change.
         """
         if discovery == self.discovery:
             return
@@ -65,10 +66,10 @@
         self.addresses.pop(endpoint, None)
 
     def receive(self, received: EndpointList, since: float = 0) -> None:
-        """Take in a list, or the changes since a revision.
+        """Process a list, or the changes since a revision.
 
-        One that is older than what is known came late and says nothing new; one that is older than `since`
-        shows that discovery has started over, and is believed.
+        One that is older than the known revision arrived late and brings no changes. One that is older than
+        `since` shows that discovery has restarted, and is accepted.
         """
         for problem in received.invalid_entries:
             self.log.write("invalid", problem)
@@ -80,7 +81,7 @@
             self.add_event(EndpointListReceived(False, []))
 
     def set_watch(self, enabled: bool) -> None:
-        """Open a watch on the list, anew if one is open, or close it."""
+        """Open a watch on the list, in place of an open one, or close it."""
         self.watch_enabled = enabled
         if self.watch_task is not None:
             self.loop.cancel(self.watch_task)
@@ -90,13 +91,13 @@
             self.watch_task = None if task.done else task  # it may fail before its first wait
 
     def fetch(self) -> None:
-        """Ask for the complete list, unless that is under way."""
+        """Fetch the complete list, unless a fetch is already open."""
         if self.fetch_task is None:
             task = self.loop.spawn(self._fetch())
             self.fetch_task = None if task.done else task
 
     def _watch(self) -> Generator[Wait, bool, None]:
-        """Watch until a call fails. The first call is answered at once, each later one as changes come."""
+        """Watch until a request fails. The first is answered at once, later ones when there are changes."""
         client, wait = HttpClient(self.loop, self.discovery), 0.0
         try:
             while True:
@@ -109,10 +110,10 @@
             client.close()
 
     def _watch_once(self, client: HttpClient, wait: float) -> Generator[Wait, bool, None]:
-        """One call: changes since the revision that is known, or the complete list of one that starts over.
+        """Request changes since the known revision, or the complete list if discovery has moved or restarted.
 
-        Changes up to an older revision show that discovery has started over: they don't tell which endpoints
-        are gone, so the next call asks for the complete list.
+        Changes up to an older revision show that discovery has restarted. They don't tell which endpoints are
+        gone, so the next request is for the complete list.
         """
         started_at, since = self.loop.now, self.revision
         path = ENDPOINT_LIST_PATH if self.must_start_over else watch_path(since, wait)
--- a/oatcart/net/health_checks.py
+++ b/oatcart/net/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: one call to an endpoint each; how the call ended is the outcome."""
+"""Health checks: each is one request to an endpoint; how the request ended is the outcome."""
 
 from collections.abc import Callable, Generator
 
@@ -11,9 +11,9 @@
 from oatcart.net.loop import Loop, Wait
 from oatcart.net.stream import Address
 
-MAX_CHECKS_AT_ONCE = 64  # each takes a descriptor; a round asks for one of each ejected endpoint
+MAX_CHECKS_AT_ONCE = 64  # each takes a descriptor; a round may start one for each ejected endpoint
 
-# What the end of a call shows of the endpoint; no capacity here shows nothing of it.
+# The outcome by how the request ended; a lack of descriptors here shows nothing about the endpoint.
 OUTCOMES = {
     CloseReason.COMPLETED: HealthCheckOutcome.PASSED,
     CloseReason.ERROR_RESPONSE: HealthCheckOutcome.FAILED,
@@ -30,9 +30,9 @@
 
 
 class HealthChecker:
-    """Makes the health checks that the decisions ask for.
+    """Makes the health checks that the decisions command.
 
-    `with_load`: endpoints answer with a load report, which is asked for in place of the plain check.
+    `with_load`: a load report is requested in place of the plain health check.
     `timeout`: seconds for a check. `addresses`: of endpoints, by number, as the endpoint list keeps them.
     """
 
@@ -49,11 +49,11 @@
         self.running = 0
 
     def check(self, endpoint: int) -> None:
-        """Start a check; its end is an event."""
+        """Start a health check; its outcome is added as an event."""
         self.loop.spawn(self._check(endpoint))
 
     def _check(self, endpoint: int) -> Generator[Wait, bool, None]:
-        """If the endpoint's address has changed meanwhile, another process answered: there is no event."""
+        """Check an endpoint. No event follows if its address has changed: another process answered."""
         address, started_at = self.addresses.get(endpoint), self.loop.now
         load_report, reason = LoadReport(), CloseReason.COMPLETED
         self.running += 1
--- a/oatcart/net/http_client.py
+++ b/oatcart/net/http_client.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 client, parsed by h11; the connection is kept open for the next call."""
+"""An HTTP/1.1 client on h11; the connection is kept open for the next request."""
 
 from collections.abc import Generator
 
@@ -10,14 +10,14 @@
 
 STATUS_OK = 200
 MAX_HEAD_BYTES = 16 * 1024  # of a response's status line and headers; h11's default
-# Seconds from the start of a call in which a connection that was kept open may turn out to be closed, and the
-# call is repeated on a new one: the protocol's limit until a watch counts as new. Closed later without a
-# byte, it was closed because of this call.
+# If a connection that was kept open is found closed within this time from the start of a request, the request
+# is repeated on a new one: after it, the protocol counts a watch as new. A connection that is closed later
+# without a byte of a response was closed because of this request.
 REPEAT_WITHIN_S = 0.2
 
 
 class HttpClient:
-    """Calls to one address, one at a time. `max_body_bytes` bounds the body of a response."""
+    """Makes requests to one address, one at a time. `max_body_bytes` limits the body of a response."""
 
     def __init__(self, loop: Loop, address: Address, max_body_bytes: int = MAX_MESSAGE_BYTES) -> None:
         self.loop, self.address, self.max_body_bytes = loop, address, max_body_bytes
@@ -25,13 +25,13 @@
         self.stream: Stream | None = None
 
     def get(self, path: str, deadline: float) -> Generator[Wait, bool, memoryview]:
-        """The body of the response to one GET.
+        """Return the body of the response to a GET request.
 
         Raises ConnectionClosedError, with the reason ERROR_RESPONSE for any status but 200.
 
-        A connection that was kept open may have been closed between two calls with nobody at fault. One that
-        is closed already, or holds bytes that answer nothing, is replaced; a call that finds it closed before
-        a byte of the response is repeated once.
+        A connection that was kept open may be closed between two requests without a fault of the peer. One
+        that is already closed, or has received bytes that belong to no response, is replaced. A request that
+        finds the connection closed before the first byte of the response is repeated once.
         """
         if self.stream is not None and not self.stream.is_idle():
             self.close()
@@ -61,7 +61,7 @@
             self.close()
             raise
         both_done = self.http.our_state is h11.DONE and self.http.their_state is h11.DONE
-        # Bytes beyond this response would pass for the response to the next call.
+        # Bytes beyond this response would be taken for the response to the next request.
         if both_done and not self.http.trailing_data[0]:
             self.http.start_next_cycle()
         else:
@@ -91,7 +91,7 @@
                 return status, memoryview(b"".join(parts))
 
     def close(self) -> None:
-        """Close the connection, if one is open; the next call opens another."""
+        """Close the connection, if one is open; the next request opens another."""
         if self.stream is not None:
             self.stream.close()
             self.stream = None
--- a/oatcart/net/log.py
+++ b/oatcart/net/log.py
@@ -1,6 +1,6 @@
-"""The log: plain lines on standard error, with a limit per kind, so that a storm of one buries no other.
+"""The log: lines on standard error, with a limit per kind, so that many lines of one kind hide no other.
 
-Whoever reads the log may be slow or gone: a line that cannot be written without waiting is left out.
+The reader of the log may be slow or gone: a line that cannot be written without blocking is left out.
 """
 
 import os
@@ -13,11 +13,11 @@
 
 MAX_LINES_PER_PERIOD = 5  # of one kind
 PERIOD_S = 10.0
-MAX_LINE_BYTES = select.PIPE_BUF  # a pipe that is ready to be written to takes so much without waiting
+MAX_LINE_BYTES = select.PIPE_BUF  # a pipe that is writable takes this much without blocking
 
 
 def _write_without_waiting(descriptor: int, line: str) -> bool:
-    """Write a line if that needs no waiting; whether it was written. A reader that is gone is no error."""
+    """Write a line if that does not block; return whether it was written. A closed pipe is not an error."""
     data = line.encode(errors="replace")[: MAX_LINE_BYTES - 1] + b"\n"
     poll = select.poll()
     poll.register(descriptor, select.POLLOUT)
@@ -36,7 +36,7 @@
 
 
 class Log:
-    """Writes lines as `KIND: TEXT`; those over the limit are counted, and the count is written later.
+    """Writes lines as `KIND: TEXT`; those over the limit are counted, and their number is logged later.
 
     `clock`: seconds. `out`: None where the process was started with standard error closed.
 
@@ -67,7 +67,7 @@
             period.left_out += 1
 
     def _write_line(self, line: str) -> bool:
-        """Whether the line was written."""
+        """Write a line without blocking; return whether it was written."""
         if self.out is None:
             return False
         try:
--- a/oatcart/net/loop.py
+++ b/oatcart/net/loop.py
@@ -13,8 +13,8 @@
 READABLE = select.EPOLLIN
 WRITABLE = select.EPOLLOUT
 HUNG_UP = select.EPOLLERR | select.EPOLLHUP
-MAX_EVENTS_PER_TURN = 256  # the rest is taken in the next turn, so that timers are not late
-NO_DESCRIPTOR = -1  # of a wait for time alone
+MAX_EVENTS_PER_TURN = 256  # the rest is handled in the next turn, so that timers are not late
+NO_DESCRIPTOR = -1  # of a wait for a deadline only
 
 
 class Wait(NamedTuple):
@@ -40,7 +40,7 @@
 
     @property
     def done(self) -> bool:
-        """Whether the coroutine has returned, raised or been cancelled."""
+        """Return whether the coroutine has returned, raised or been cancelled."""
         return self.coroutine.gi_frame is None
 
 
@@ -52,8 +52,8 @@
     """Runs tasks and timers in one thread.
 
     `clock`: seconds, monotonic. `on_error`: called with the exception of a task that raised; that task
-    is over, all others go on. `connections` and `connection_limit` are kept by
-    the code that opens connections.
+    ends, all others continue. `connections` and `connection_limit` are maintained by the code that opens
+    connections.
     """
 
     def __init__(self, clock: Callable[[], float], on_error: Callable[[BaseException], None]) -> None:
@@ -89,7 +89,7 @@
         self._resume(task, False)
 
     def unregister(self, fd: int) -> None:
-        """Forget a descriptor that the caller is about to close."""
+        """Remove a descriptor that the caller is about to close."""
         self.closed_this_turn.add(fd)
         if self.registered.pop(fd, 0):
             self.epoll.unregister(fd)
@@ -97,7 +97,7 @@
             self.waiting.pop((fd, event), None)
 
     def seconds_to_next_timer(self) -> float:
-        """Seconds until the next timer is due: negative where it is late, infinite where none is set."""
+        """Return seconds until the next timer is due: negative if it is late, infinite if none is set."""
         return self.timers[0][0] - self.clock() if self.timers else inf
 
     def turn(self, max_wait: float = inf) -> None:
@@ -108,8 +108,8 @@
         self.now = self.clock()
         for fd, mask in events:
             for event in (READABLE, WRITABLE):
-                # The number of a descriptor that was closed in this turn may belong to a new connection
-                # already; this event is the old one's, and would pass for a completed connect of the new one.
+                # The number of a descriptor that was closed in this turn may already belong to a new
+                # connection. This event is for the old one and would be taken for a completed connect.
                 if fd in self.closed_this_turn:
                     break
                 if mask & (event | HUNG_UP) and (task := self.waiting.get((fd, event))):
--- a/oatcart/net/message_reader.py
+++ b/oatcart/net/message_reader.py
@@ -1,4 +1,4 @@
-"""Reading messages from a connection: pings are answered, invalid messages are skipped or end it."""
+"""Reads messages from a connection and answers pings; invalid messages are skipped or close it."""
 
 from collections.abc import Callable, Generator
 from math import inf
@@ -12,9 +12,9 @@
 def read_message(
     stream: Stream, codec: Codec, on_invalid: Callable[[InvalidMessageError], None], deadline: float = inf
 ) -> Generator[Wait, bool, Message]:
-    """The next message but pings, by the deadline however many of those come before it.
+    """Return the next message other than a ping; pings do not extend the deadline.
 
-    `on_invalid` is called with each message that can be parsed but not used; it may raise
+    `on_invalid` is called with the error of each message that is JSON but invalid; it may raise
     ConnectionClosedError, as reading may.
     """
     while True:
--- a/oatcart/net/proxy_stream.py
+++ b/oatcart/net/proxy_stream.py
@@ -1,4 +1,4 @@
-"""The stream of a proxy, from its joining to its end."""
+"""The stream of a proxy, from its `joined` message to its end."""
 
 from collections.abc import Callable, Generator
 
@@ -10,7 +10,7 @@
 from oatcart.net.rounds import Rounds
 from oatcart.net.stream import Stream
 
-PROXY_EVENTS = (UpdateAcknowledged, ProxyLoadReported)  # what a proxy may say once it has joined
+PROXY_EVENTS = (UpdateAcknowledged, ProxyLoadReported)  # what a proxy may send once it has joined
 
 
 def serve_proxy(
@@ -21,9 +21,9 @@
     on_invalid: Callable[[InvalidMessageError], None],
     close_stream: Callable[[Stream], None],
 ) -> Generator[Wait, bool, None]:
-    """Pass on the events of a joined proxy until its stream ends; raises ConnectionClosedError.
+    """Add the events of a joined proxy to rounds until its stream ends; raises ConnectionClosedError.
 
-    An older stream of the same proxy is closed: it may have broken without anybody noticing.
+    An older stream of the same proxy is closed: it may be broken without this having been detected.
     """
     proxy = joined.proxy
     older = rounds.streams.get(proxy)
@@ -35,9 +35,13 @@
         while True:
             event = yield from read_message(stream, codec, on_invalid)
             if not isinstance(event, PROXY_EVENTS) or event.proxy != proxy:
-                on_invalid(InvalidMessageError(f"proxy {proxy} sent {event}, which is not its own"))
+                on_invalid(
+                    InvalidMessageError(
+                        f"proxy {proxy}: expected an acknowledgement or a load report of its own, got {event}"
+                    )
+                )
             elif isinstance(event, UpdateAcknowledged) and not rounds.was_sent(proxy, event.nonce):
-                # Taken as an acknowledgement, it would cover updates that the proxy does not have.
+                # Accepted, it would acknowledge updates that the proxy has not received.
                 on_invalid(InvalidMessageError(f"proxy {proxy} was not asked for nonce {event.nonce}"))
             else:
                 rounds.add_event(event)
--- a/oatcart/net/rounds.py
+++ b/oatcart/net/rounds.py
@@ -16,18 +16,18 @@
 from oatcart.net.stream import Stream
 from oatcart.routing_tables import RoutingTables, UpdatePart
 
-RETRY_AFTER_S = 0.25  # until the round after one that failed and may not have scheduled another
-STATISTICS_PERIOD_S = 30.0  # between two lines on how this process keeps up
+RETRY_AFTER_S = 0.25  # until the next round, as one that failed may not have scheduled another
+STATISTICS_PERIOD_S = 30.0  # between two `loop` log lines
 
 Decide = Callable[[float, Events, CommandWriter], None]
-"""A round of the decisions: Unix time in seconds, the events, and where the commands go."""
+"""Runs the decisions of a round; takes Unix time in seconds, the events, and the writer of commands."""
 
 
 class Rounds(RoutingTables):
-    """Runs rounds and carries out their commands; the state of the routing tables is that of `RoutingTables`.
+    """Runs rounds and carries out their commands; the base class keeps the state of the routing tables.
 
-    `min_gap`: seconds between the starts of two rounds. `unix_time`: that of `loop.now`; read once, so that a
-    step of the system's clock does not move the decisions' time.
+    `min_gap`: least seconds between the starts of two rounds. `unix_time`: Unix time at `loop.now`; read
+    once, so that a step of the system clock does not affect the decisions.
     """
 
     def __init__(self, loop: Loop, log: Log, codec: Codec, min_gap: float, unix_time: float) -> None:
@@ -38,19 +38,16 @@
         self.streams: dict[int, Stream] = {}  # of joined proxies
         self.failed_streams: list[Stream] = []  # that could not be written to in this round
         self.is_due = self.gap_timer_set = False
-        self.last_round_at = -inf  # not now - min_gap, which may be rounded to a later time
-        self.rounds_since_log_line, self.max_turn_duration = (
-            0,
-            0.0,
-        )  # since the last line on them; longest in s
+        self.last_round_at = -inf  # now - min_gap may be rounded to a later time
+        self.rounds_since_log_line, self.max_turn_duration = 0, 0.0  # since the last `loop` log line; s
         self._log_statistics()
 
     def start(self, decide: Decide, watcher: EndpointListWatcher, health_checker: HealthChecker) -> None:
-        """Set what rounds call and what carries out their commands; before the first round."""
+        """Set the decisions and what carries out their commands; called before the first round."""
         self.decide, self.watcher, self.health_checker = decide, watcher, health_checker
 
     def set_close_stream(self, close: Callable[[Stream], None]) -> None:
-        """Set what closes a stream; its task then calls `leave`."""
+        """Set the function that closes a stream; the stream's task then calls `leave`."""
         self.close_stream = close
 
     def add_event(self, event: Event) -> None:
@@ -64,7 +61,7 @@
         self.add_proxy(proxy, unconfigured)
 
     def leave(self, proxy: int, stream: Stream) -> bool:
-        """Whether the proxy has left with the end of this stream: not if it has joined on another since."""
+        """Handle the end of a stream; return False if the proxy has joined on another stream since."""
         if self.streams.get(proxy) is not stream:
             return False
         del self.streams[proxy]
@@ -72,26 +69,26 @@
         return True
 
     def check_health(self, endpoint: int) -> None:
-        """See `CommandWriter`."""
+        """Start a health check of an endpoint."""
         self.health_checker.check(endpoint)
 
     def watch_endpoints(self, enabled: bool) -> None:
-        """See `CommandWriter`."""
+        """Open a watch on the endpoint list, or close it."""
         self.watcher.set_watch(enabled)
 
     def fetch_endpoints(self) -> None:
-        """See `CommandWriter`."""
+        """Fetch the complete endpoint list."""
         self.watcher.fetch()
 
     def schedule_round(self, delay: float) -> None:
-        """See `CommandWriter`."""
+        """Make a round due after `delay` (s)."""
         self.loop.call_at(self.loop.now + delay, self._on_scheduled)
 
     def _on_scheduled(self) -> None:
         self.is_due = True
 
     def log(self, text: str) -> None:
-        """See `CommandWriter`."""
+        """Write a line of the kind `note` to the log."""
         self.logger.write("note", text)
 
     def run_if_due(self) -> None:
@@ -115,12 +112,12 @@
             self._send_updates()
         except Exception:
             self.logger.write("round", f"updates cannot be sent\n{traceback.format_exc()}")
-        for endpoint in forgotten:  # after the updates, as these name it by its id
+        for endpoint in forgotten:  # after the updates, which contain its id
             self.codec.release(endpoint)
             self.watcher.forget(endpoint)
 
     def _decide(self, unix_time: float) -> None:
-        """An error over one event costs that event alone: the decisions are called again with the rest."""
+        """Run the decisions; if they raise, they are called again with the events that are left."""
         while True:
             try:
                 return self.decide(unix_time, self._take_events(), self)
@@ -138,13 +135,13 @@
         encoded: dict[tuple[UpdatePart, ...], bytes] = {}
         for proxy, parts in self.updates():
             self._send_update(proxy, parts, encoded)
-        while self.failed_streams:  # before the next round, which would count these updates as sent
+        while self.failed_streams:  # before the next round, which takes these updates as sent
             self.close_stream(self.failed_streams.pop())
 
     def _send_update(
         self, proxy: int, parts: tuple[UpdatePart, ...], encoded: dict[tuple[UpdatePart, ...], bytes]
     ) -> None:
-        """Write an update to a proxy. `encoded`: updates of this round, as many proxies get the same."""
+        """Write an update to a proxy. `encoded`: the updates of this round, as many proxies get the same."""
         if parts not in encoded:
             encoded[parts] = self.codec.encode_update(parts)
         try:
--- a/oatcart/net/stream.py
+++ b/oatcart/net/stream.py
@@ -1,6 +1,6 @@
-"""A TCP connection as a stream of bytes, read by one coroutine and written to without waiting.
+"""A TCP connection as a stream of bytes, read by one coroutine and written to without blocking.
 
-What is read stays in one buffer; lines are slices of it and valid until the next read.
+Received bytes are kept in one buffer; lines are slices of it and valid until the next read.
 """
 
 import socket
@@ -11,9 +11,11 @@
 from oatcart.errors import CloseReason, ConnectionClosedError
 from oatcart.net.loop import READABLE, WRITABLE, Loop, Wait
 
-READ_BUFFER_BYTES = 4 * 1024  # some dozen reports; there are hundreds of connections
+READ_BUFFER_BYTES = 4 * 1024  # about a dozen reports; there are hundreds of connections
 MAX_MESSAGE_BYTES = 1024 * 1024  # of a line or a response body: the protocol's limit
-MAX_UNSENT_BYTES = 256 * 1024  # hundreds of routing tables: whoever leaves that unread has stopped reading
+MAX_UNSENT_BYTES = (
+    256 * 1024
+)  # hundreds of routing tables: a peer that leaves this unread has stopped reading
 
 Address = tuple[str, int]
 
@@ -21,8 +23,8 @@
 class Stream:
     """One connection, counted against the loop's limit until `close`.
 
-    `buffer_bytes` are read at a time, `max_message_bytes` bound a line, `max_unsent_bytes` bound what waits
-    to be sent. `timeout_reason` is the close reason of a read whose deadline has passed.
+    `buffer_bytes` are read at once, `max_message_bytes` limits a line, `max_unsent_bytes` limits the data
+    queued to be sent. `timeout_reason` is the close reason of a read whose deadline has passed.
     """
 
     def __init__(
@@ -41,10 +43,10 @@
         # to `end`.
         self.start = self.searched = self.end = 0
         self.unsent = bytearray()
-        # A message that was left out or cut would corrupt all later ones, so nothing is written any more.
+        # After a failed write nothing more is written: a lost or cut message would corrupt all later ones.
         self.write_failure: CloseReason | None = None
         self.timeout_reason = CloseReason.TIMED_OUT
-        self._never_read = True  # bytes may have come with the connection: the first read does not wait
+        self._never_read = True  # data may have come with the connection: the first read does not wait
         self._read_past_deadline = False
         self.set_limits(buffer_bytes, max_message_bytes, max_unsent_bytes)
 
@@ -60,7 +62,7 @@
         self.max_unsent_bytes = max_unsent_bytes
 
     def read_line(self, deadline: float = inf) -> Generator[Wait, bool, memoryview]:
-        """The next line without its line feed, valid until the next read.
+        """Return the next line without its line feed, valid until the next read.
 
         Raises ConnectionClosedError: CLOSED_BY_PEER, MESSAGE_TOO_LONG, the timeout reason or a socket's.
         """
@@ -77,7 +79,7 @@
                 raise ConnectionClosedError(CloseReason.CLOSED_BY_PEER)
 
     def read_available(self, deadline: float = inf) -> Generator[Wait, bool, memoryview]:
-        """All bytes that have come, at least one; empty once the peer has closed its sending side."""
+        """Return all received bytes, at least one; none once the peer has closed its sending side."""
         if self.start == self.end:
             yield from self._fill_buffer(deadline)
         data, self.start = self.buffer[self.start : self.end], self.end
@@ -85,7 +87,7 @@
         return data
 
     def is_idle(self) -> bool:
-        """Whether nothing has come, not even the end. A stream that is not idle loses a byte: close it."""
+        """Return whether neither data nor the end was received. If not, a byte is lost: close the stream."""
         try:
             self.sock.recv(1)
         except BlockingIOError:
@@ -97,7 +99,7 @@
     def _fill_buffer(self, deadline: float) -> Generator[Wait, bool, int]:
         """Wait for bytes and read them; returns how many, 0 at the end of the stream.
 
-        What has come by the deadline is still read, once: a peer that never stops sending is late too.
+        Data that is there at the deadline is still read, once: a peer that never stops sending times out too.
         """
         self._make_space()
         while True:
@@ -133,7 +135,7 @@
         self.start, self.end = 0, unread
 
     def write(self, data: bytes) -> None:
-        """Send what the socket takes at once and queue the rest in order; never waits.
+        """Send what the socket takes at once and queue the rest in order; never blocks.
 
         Raises ConnectionClosedError: SEND_BUFFER_FULL or a socket's error. The coroutine that reads is woken
         and gets the same reason.
@@ -159,7 +161,7 @@
             raise self._stop_writing(ConnectionClosedError.from_os_error(error)) from None
 
     def _stop_writing(self, error: ConnectionClosedError) -> ConnectionClosedError:
-        """Write nothing from here on, and wake the coroutine that reads; returns the error, to be raised."""
+        """Write nothing more, and wake the coroutine that reads; returns the error, to be raised."""
         self.write_failure = error.reason
         self.unsent.clear()
         with suppress(OSError):
@@ -169,12 +171,12 @@
     def _flush(self) -> Generator[Wait, bool, None]:
         while self.unsent:
             yield Wait(self.fd, WRITABLE)
-            with suppress(ConnectionClosedError):  # raised to the coroutine that reads as well
+            with suppress(ConnectionClosedError):  # the coroutine that reads gets it as well
                 del self.unsent[: self._send(self.unsent)]
 
     def close(self) -> None:
         """Close the socket; closing again does nothing."""
-        if self.sock.fileno() >= 0:  # else the descriptor may be another's by now
+        if self.sock.fileno() >= 0:  # otherwise the descriptor may belong to another connection by now
             self.loop.unregister(self.fd)
             self.loop.connections -= 1
             self.sock.close()
