--- a/oatcart/proxy/disconnected.py
+++ b/oatcart/proxy/disconnected.py
@@ -86,5 +86,5 @@
         expired_for = now - self.disconnected_at - self.quota_valid_for
         if expired_for <= 0.0:
             return quota
-        opened = min(1.0, expired_for / self.quota_valid_for)
-        return min(fallback_quota, quota + (fallback_quota - quota) * opened)
+        risen_fraction = min(1.0, expired_for / self.quota_valid_for)
+        return min(fallback_quota, quota + (fallback_quota - quota) * risen_fraction)
--- a/oatcart/proxy/endpoint_selection.py
+++ b/oatcart/proxy/endpoint_selection.py
@@ -39,8 +39,8 @@
         """Return one endpoint, with a probability in proportion to its weight."""
         endpoints = list(weights)
         cumulative = list(accumulate(weights.values()))
-        place = bisect(cumulative, self._random() * cumulative[-1])
-        return endpoints[min(place, len(endpoints) - 1)]
+        index = bisect(cumulative, self._random() * cumulative[-1])
+        return endpoints[min(index, len(endpoints) - 1)]
 
     def attempt_started(self, endpoint: str) -> None:
         """Count one more request in flight at an endpoint."""
--- a/oatcart/proxy/retries.py
+++ b/oatcart/proxy/retries.py
@@ -145,11 +145,11 @@
     group = ""
     if request.idempotency == Idempotency.KEYED and not never_processed(failed):
         group = failed.deduplication_group
-        if not group or not _key_outlasts(request, now, usual_duration):
+        if not group or not _key_is_kept_until_end(request, now, usual_duration):
             return NO_RETRY
     return RetryDecision(budget.try_spend(now), group)
 
 
-def _key_outlasts(request: Request, now: float, duration: float) -> bool:
+def _key_is_kept_until_end(request: Request, now: float, duration: float) -> bool:
     """Whether endpoints still know the request's key after an attempt of `duration` (s)."""
     return now + duration - request.started_at < request.key_lifetime
--- a/oatcart/simhost/adapter.py
+++ b/oatcart/simhost/adapter.py
@@ -68,9 +68,9 @@
                 events.pop(number, None)
             elif number in self._instances:
                 event = self._instances[number].decode(record)
-                its_events = events.setdefault(number, [])
+                instance_events = events.setdefault(number, [])
                 if event is not None:
-                    its_events.append(event)
+                    instance_events.append(event)
         return events
 
     def _start(self, record: Record, replies: list[bytes]) -> None:
--- a/oatcart/simhost/frames.py
+++ b/oatcart/simhost/frames.py
@@ -156,40 +156,40 @@
     TIMER 3 (77,)
     PROXY_LEFT 5 (41,)
     """
-    at = _BATCH_HEADER.size
+    offset = _BATCH_HEADER.size
     try:
         for _ in range(count):
-            layout = _LAYOUTS.get(frame[at])
+            layout = _LAYOUTS.get(frame[offset])
             if layout is None:
                 raise MalformedFrameError(
-                    f"record code {frame[at]} at byte {at} is unknown and has no length to skip by"
+                    f"record code {frame[offset]} at byte {offset} is unknown and has no length to skip by"
                 )
-            fixed = layout.fixed.unpack_from(frame, at + 1)
-            at += 1 + layout.fixed.size
+            fixed = layout.fixed.unpack_from(frame, offset + 1)
+            offset += 1 + layout.fixed.size
             if layout.content is _Content.NONE:
                 yield Record(layout.code, fixed[0], fixed[1:])
                 continue
-            content, at = _read_content(frame, at, layout.content)
+            content, offset = _read_content(frame, offset, layout.content)
             yield Record(layout.code, fixed[0], (*fixed[1:], content))
     except (IndexError, struct.error) as error:
-        raise MalformedFrameError(f"a record is cut short near byte {at}") from error
-    if at != len(frame):
-        raise MalformedFrameError(f"{len(frame) - at} bytes follow the last record")
+        raise MalformedFrameError(f"a record is cut short near byte {offset}") from error
+    if offset != len(frame):
+        raise MalformedFrameError(f"{len(frame) - offset} bytes follow the last record")
 
 
-def _read_content(frame: bytes, at: int, content: _Content) -> tuple[object, int]:
-    """The content that begins with its count at byte `at`, and where it ends."""
+def _read_content(frame: bytes, offset: int, content: _Content) -> tuple[object, int]:
+    """The content that begins with its count at byte `offset`, and where it ends."""
     count_struct = _COUNTS[content]
-    (count,) = count_struct.unpack_from(frame, at)
-    at += count_struct.size
+    (count,) = count_struct.unpack_from(frame, offset)
+    offset += count_struct.size
     if content is _Content.LOAD:
-        return struct.unpack_from(f">{count}f", frame, at), at + 4 * count
-    end = at + count * (_ENTRY.size if content is _Content.ENTRIES else 1)
+        return struct.unpack_from(f">{count}f", frame, offset), offset + 4 * count
+    end = offset + count * (_ENTRY.size if content is _Content.ENTRIES else 1)
     if end > len(frame):
         raise IndexError
     if content is _Content.ENTRIES:
-        return list(map(EntryFields._make, _ENTRY.iter_unpack(frame[at:end]))), end
-    return frame[at:end], end
+        return list(map(EntryFields._make, _ENTRY.iter_unpack(frame[offset:end]))), end
+    return frame[offset:end], end
 
 
 def write_reply(sink: BinaryIO, reply: Reply) -> None:
