--- a/oatcart/proxy/admission.py
+++ b/oatcart/proxy/admission.py
@@ -1,7 +1,7 @@
 """Admission control of a proxy: quotas as a share of requests or as a rate.
 
-A rejected request is answered at once, with a Retry-After that grows as less is admitted and that is spread
-at random, so that rejected clients do not return together.
+A rejected request is answered at once, with a Retry-After that is longer the less is admitted, and random
+within a range, so that rejected clients do not return together.
 """
 
 from collections.abc import Callable
@@ -21,12 +21,12 @@
     status: (
         HTTPStatus  # 503 where a share is admitted, as that is a sign of load; 429 where a rate is exceeded
     )
-    retry_after: int  # whole seconds, as the header has them
+    retry_after: int  # whole seconds, as in the header
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Requests of one class that may be admitted at once."""
+    """The requests of one class that may be admitted without waiting."""
 
     tokens: float  # requests
     refilled_at: float  # s of the caller's clock
@@ -39,14 +39,14 @@
 
 
 def bucket_size(rate: float) -> float:
-    """Requests that a rate (requests/s) admits at once: at least one."""
+    """Return the requests that a rate (requests/s) admits at once: at least one."""
     return max(1.0, rate * BURST_SECONDS)
 
 
 class AdmissionControl:
     """Admits or rejects requests by the quota of their class.
 
-    `uniform(a, b)` is the random source, for shares and for the spread of Retry-After.
+    `uniform(a, b)` is the source of random numbers, for shares and for the spread of Retry-After.
     """
 
     def __init__(self, uniform: Callable[[float, float], float]) -> None:
@@ -54,7 +54,7 @@
         self._buckets: dict[str, TokenBucket] = {}  # by request class
 
     def check_share(self, admitted_share: float) -> Rejection | None:
-        """Admit a request with the probability `admitted_share` (0 to 1); None where it is admitted."""
+        """Admit a request with the probability `admitted_share` (0 to 1); return None if it is admitted."""
         if admitted_share >= 1.0 or self._uniform(0.0, 1.0) < admitted_share:
             return None
         smallest_share = RETRY_AFTER_MIN_SECONDS / RETRY_AFTER_MAX_SECONDS
@@ -62,7 +62,7 @@
         return Rejection(HTTPStatus.SERVICE_UNAVAILABLE, self._retry_after(shortest_wait))
 
     def check_rate(self, now: float, request_class: str, rate: float) -> Rejection | None:
-        """Admit a request of a class up to `rate` (requests/s); None where it is admitted."""
+        """Admit a request of a class up to `rate` (requests/s); return None if it is admitted."""
         bucket = self._buckets.setdefault(request_class, TokenBucket(bucket_size(rate), now))
         bucket.refill(now, rate)
         if bucket.tokens >= 1.0:
@@ -72,6 +72,6 @@
         return Rejection(HTTPStatus.TOO_MANY_REQUESTS, self._retry_after(until_next_token))
 
     def _retry_after(self, shortest_wait: float) -> int:
-        """Retry-After in whole seconds, between a wait (s) and that wait times the spread, within bounds."""
+        """Return Retry-After in whole seconds: a wait (s) times 1 to the spread, within the bounds."""
         wait = shortest_wait * self._uniform(1.0, RETRY_AFTER_SPREAD)
         return round(min(RETRY_AFTER_MAX_SECONDS, max(RETRY_AFTER_MIN_SECONDS, wait)))
--- a/oatcart/proxy/connection_pool.py
+++ b/oatcart/proxy/connection_pool.py
@@ -1,8 +1,8 @@
 """Pool of a proxy's connections to one endpoint.
 
-An endpoint that closes a connection while a request is on its way costs an attempt. So a connection is not
-used again after a long idle time, after many requests, or when it was idle while another one to the same
-endpoint failed. A request waits for a connection only for a part of the time that it has left.
+If an endpoint closes a connection while a request is on its way, the attempt fails. So a connection is not
+reused after a long idle time, after many requests, or if it was idle while another one to the same endpoint
+failed. A request waits for a connection only for a fraction of its remaining time.
 
 Requests and connections are small integers; the caller numbers the requests, the pool the connections. Times
 are seconds of the caller's clock.
@@ -14,8 +14,8 @@
 from typing import NamedTuple
 
 MAX_IDLE_SECONDS = 10.0  # below the idle timeout of endpoints, which is some tens of seconds
-MAX_REQUESTS_PER_CONNECTION = 1000  # so that load moves to where new connections go
-MAX_CONCURRENT_DIALS = 4  # so that an endpoint that starts is not met by a storm of handshakes
+MAX_REQUESTS_PER_CONNECTION = 1000  # so that load moves to the endpoints of new connections
+MAX_CONCURRENT_DIALS = 4  # limits the handshakes at an endpoint that starts
 DIAL_AHEAD_PAUSE_SECONDS = 1.0  # after a connection failed
 MAX_WAIT_SHARE = 0.5  # of a request's remaining time; the rest is left for the request itself
 
@@ -38,7 +38,7 @@
 
 
 class Assignment(NamedTuple):
-    """What became of a connection: assigned to a queued request, idle (no request), or closed (neither)."""
+    """The new use of a connection: assigned to a queued request, idle (no request), or closed (neither)."""
 
     request_id: int | None = None
     connection_id: int | None = None
@@ -60,15 +60,15 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no request is on it."""
+        """Return whether no request is on it."""
         return self.idle_since is not None
 
 
 @dataclass(slots=True)
 class ConnectionPool:
-    """Open, dialed and awaited connections to one endpoint.
+    """The open connections to one endpoint, those being dialed, and the requests that wait for one.
 
-    `max_connections` bounds open and dialed ones together, `max_queued` the requests that wait.
+    `max_connections` limits open and dialed ones together, `max_queued` the requests that wait.
     """
 
     max_connections: int
@@ -76,7 +76,7 @@
     connections: dict[int, PooledConnection] = field(default_factory=dict)
     dialing: int = 0
     queued: deque[QueuedRequest] = field(default_factory=deque)  # oldest first
-    timed_out: list[int] = field(default_factory=list)  # requests whose wait is over, not yet taken
+    timed_out: list[int] = field(default_factory=list)  # requests that have timed out, until `take_timed_out`
     failed_at: float = -DIAL_AHEAD_PAUSE_SECONDS  # s; when a connection or a dial last failed
     last_connection_id: int = 0
     draining: bool = False
@@ -107,7 +107,7 @@
         return self._assign_to_queued(now, self.last_connection_id)
 
     def dial_failed(self, now: float) -> list[int]:
-        """Return the queued requests that are rejected: all, where no connection is open or dialed."""
+        """Return the queued requests to reject: all of them if no connection is open or being dialed."""
         self.dialing -= 1
         self.failed_at = now
         if self.dialing or self.connections:
@@ -117,7 +117,7 @@
     def release(self, now: float, connection_id: int, usable: bool) -> Assignment:
         """Take back the connection of a request that has ended, and assign it to the next one.
 
-        It is closed instead where it is not `usable`, has served enough requests, or the endpoint is
+        It is closed instead if it is not `usable`, has served MAX_REQUESTS_PER_CONNECTION, or the endpoint is
         draining.
         """
         connection = self.connections.get(connection_id)
@@ -130,7 +130,7 @@
         return self._assign_to_queued(now, connection_id)
 
     def connection_failed(self, now: float, connection_id: int) -> None:
-        """Forget a connection that the endpoint or the network ended; those idle now are not used again."""
+        """Remove a connection that the endpoint or the network closed; those idle now are not reused."""
         self.connections.pop(connection_id, None)
         self.failed_at = now
 
@@ -146,9 +146,9 @@
         return evicted
 
     def dial_for_queued(self, now: float) -> bool:
-        """Whether to dial for queued requests; True counts as a dial.
+        """Return whether to dial for queued requests; True counts as a dial.
 
-        Asked after a connection is gone, as a request that waits for it would wait in vain.
+        Called after a connection was closed, as a request that waits for it would time out.
         """
         self._expire_waits(now)
         if self.draining or not self._dial_is_needed():
@@ -157,9 +157,9 @@
         return True
 
     def dial_ahead(self, now: float) -> bool:
-        """Whether to dial ahead of need; True counts as a dial.
+        """Return whether to dial before a request needs it; True counts as a dial.
 
-        Only where the endpoint is in use, no connection is idle, and none failed in the last moments.
+        Only if the endpoint is in use, no connection is idle, and none failed in DIAL_AHEAD_PAUSE_SECONDS.
         """
         in_use = any(not connection.idle for connection in self.connections.values())
         if self.draining or not in_use or self.dialing or not self._may_dial():
@@ -170,12 +170,12 @@
         return True
 
     def drain(self) -> list[int]:
-        """Take no further requests; return the queued ones, which need another endpoint."""
+        """Accept no further requests; return the queued ones, which need another endpoint."""
         self.draining = True
         return self._clear_queue()
 
     def take_timed_out(self, now: float) -> list[int]:
-        """Return the requests that waited as long as they may, each once; they are to be answered."""
+        """Return the queued requests that have timed out, each once; the caller answers them."""
         self._expire_waits(now)
         timed_out, self.timed_out = self.timed_out, []
         return timed_out
@@ -190,11 +190,11 @@
         self.queued = deque(queued for queued in self.queued if queued.wait_until > now)
 
     def _is_reusable(self, now: float, idle: PooledConnection) -> bool:
-        """Whether an idle connection is neither old nor was idle when another one failed."""
+        """Return whether a connection has been idle neither too long nor since before another one failed."""
         return now - idle.idle_since < MAX_IDLE_SECONDS and idle.idle_since > self.failed_at
 
     def _most_recently_used(self, now: float) -> int | None:
-        """The reusable idle connection that was used last; of equals the newest."""
+        """Return the reusable idle connection that was used last; the newest of equals."""
         candidates = [
             (connection.idle_since, connection_id)
             for connection_id, connection in self.connections.items()
@@ -212,7 +212,7 @@
         return self.dialing < MAX_CONCURRENT_DIALS and pool_size < self.max_connections
 
     def _dial_is_needed(self) -> bool:
-        """Whether a queued request has no dial of its own yet, and one is permitted."""
+        """Return whether there are more queued requests than dials, and another dial is permitted."""
         return len(self.queued) > self.dialing and self._may_dial()
 
     def _assign_to_queued(self, now: float, connection_id: int) -> Assignment:
--- a/oatcart/proxy/disconnected.py
+++ b/oatcart/proxy/disconnected.py
@@ -1,8 +1,8 @@
-"""Operation of a proxy that no controller serves.
+"""Operation of a proxy without a controller.
 
-The endpoints of a routing table stay valid for long; what it says of load does not. The proxy keeps serving
-by the table it has and restores no ejected endpoint. Its quota opens with time to what the proxy itself can
-judge, and endpoints that refuse connections are excluded for some seconds, with backoff.
+The endpoints of a routing table stay valid for a long time; what it reflects of the load does not. The proxy
+continues with its last table and restores no ejected endpoint. A reduced quota rises with time to the proxy's
+own fallback quota, and endpoints that refuse connections are excluded for some seconds, with backoff.
 """
 
 from dataclasses import dataclass, field
@@ -21,16 +21,17 @@
     next_exclusion: float = EXCLUSION_MIN_SECONDS  # s
 
     def exclude(self, now: float) -> None:
-        """Exclude the endpoint from `now` (s) on, and double the next exclusion up to its bound."""
+        """Exclude the endpoint from `now` (s) on, and double the next exclusion up to its maximum."""
         self.excluded_until = now + self.next_exclusion
         self.next_exclusion = min(EXCLUSION_MAX_SECONDS, self.next_exclusion * 2)
 
 
 @dataclass(slots=True)
 class DisconnectedOperation:
-    """What one proxy may use while it has no controller; times are s of the caller's clock.
+    """The endpoints and quotas of one proxy while it has no controller; times are s of the caller's clock.
 
-    `quota_valid_for` (s): how long a reduced quota holds after the controller was lost, as nobody lifts it.
+    `quota_valid_for` (s): how long a reduced quota applies after the controller was lost; none can raise it
+    then.
     """
 
     quota_valid_for: float
@@ -38,17 +39,17 @@
     suspects: dict[str, SuspectEndpoint] = field(default_factory=dict)
 
     def controller_lost(self, now: float) -> None:
-        """The last stream has ended."""
+        """Record that the last stream has ended."""
         if self.disconnected_at is None:
             self.disconnected_at = now
 
     def controller_restored(self) -> None:
-        """A controller has sent its routing table, which replaces the proxy's own evidence."""
+        """Record that a controller has sent its routing table, which replaces the proxy's observations."""
         self.disconnected_at = None
         self.suspects.clear()
 
     def connection_refused(self, now: float, endpoint: str) -> None:
-        """An endpoint has refused a connection; without a controller, enough of them in a row exclude it."""
+        """Record a refused connection; without a controller, several in a row exclude the endpoint."""
         suspect = self.suspects.setdefault(endpoint, SuspectEndpoint())
         suspect.refusals += 1
         if self.disconnected_at is None or suspect.refusals < REFUSALS_TO_EXCLUDE:
@@ -57,13 +58,14 @@
             suspect.exclude(now)
 
     def endpoint_answered(self, endpoint: str) -> None:
-        """An endpoint has answered, so it is no longer suspect."""
+        """Record that an endpoint has answered, so it is no longer suspect."""
         self.suspects.pop(endpoint, None)
 
     def usable_weights(self, now: float, weights: dict[str, float]) -> dict[str, float]:
         """Return the weights of the endpoints that are not excluded now.
 
-        Where all are excluded, all are returned: some may be back, and no endpoint at all serves nobody.
+        If all are excluded, all are returned: some may have recovered, and without endpoints no request
+        succeeds.
         """
         if self.disconnected_at is None:
             return weights
@@ -78,8 +80,9 @@
     def quota_in_force(self, now: float, quota: float, fallback_quota: float) -> float:
         """Return the quota to admit by, in the unit of `quota` (a share, or requests/s).
 
-        `quota` is the controller's last; it holds while a controller serves and `quota_valid_for` after. Then
-        it rises in as much time again to `fallback_quota`, the proxy's own. A quota above that stays.
+        `quota` is the last one from a controller; it applies while there is a controller and
+        `quota_valid_for` after. Then it rises in the same time to `fallback_quota`, the proxy's own. A higher
+        quota stays.
         """
         if self.disconnected_at is None or quota >= fallback_quota:
             return quota
--- a/oatcart/proxy/endpoint_selection.py
+++ b/oatcart/proxy/endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Selection of the endpoint of a request: power of two choices.
+"""Selection of the endpoint for a request: power of two choices.
 
 Two endpoints are drawn by weight; the one with fewer requests of this proxy in flight gets the request.
 Weights are those of a routing table, in points.
@@ -12,7 +12,7 @@
 class EndpointSelector:
     """Selects endpoints and counts the requests that this proxy has in flight at each.
 
-    `random()` is the random source, uniform from 0 up to 1.
+    `random()` is the source of random numbers, uniform from 0 to 1.
     """
 
     def __init__(self, random: Callable[[], float]) -> None:
@@ -20,7 +20,7 @@
         self.in_flight: dict[str, int] = {}  # requests by endpoint; endpoints without any are left out
 
     def select(self, weights: Mapping[str, float], attempted: Collection[str] = ()) -> str | None:
-        """Return the endpoint of an attempt; None where the table has none.
+        """Return the endpoint for an attempt; None if the table has none.
 
         Endpoints already attempted are avoided while there are others, as a retry at the endpoint that just
         failed is the least likely to succeed.
@@ -47,7 +47,7 @@
         self.in_flight[endpoint] = self.in_flight.get(endpoint, 0) + 1
 
     def attempt_ended(self, endpoint: str) -> None:
-        """Count one request less in flight at an endpoint; no effect where none is counted."""
+        """Count one request less in flight at an endpoint; no effect if none is counted."""
         remaining = self.in_flight.get(endpoint, 0) - 1
         if remaining > 0:
             self.in_flight[endpoint] = remaining
@@ -56,9 +56,9 @@
 
 
 def selection_probabilities(weights: Mapping[str, float]) -> dict[str, float]:
-    """Return how often each endpoint is selected where all have equally many requests in flight.
+    """Return the probability of each endpoint if all have equally many requests in flight.
 
-    The first of the two drawn is selected then.
+    Then the first of the two drawn is selected.
 
     >>> selection_probabilities({"a": 1.0, "b": 3.0})
     {'a': 0.25, 'b': 0.75}
@@ -68,7 +68,7 @@
 
 
 def idle_selection_probability(weights: Mapping[str, float], idle: str) -> float:
-    """Return how often the only idle endpoint is selected: it is drawn first, or second after another.
+    """Return the probability of the only idle endpoint: it is drawn first, or second after another.
 
     >>> round(idle_selection_probability({"a": 1.0, "b": 1.0, "c": 2.0}, "a"), 4)
     0.5833
--- a/oatcart/proxy/retries.py
+++ b/oatcart/proxy/retries.py
@@ -1,8 +1,8 @@
-"""Whether a proxy retries a failed request.
+"""Retries of failed requests by a proxy.
 
-A request that may have taken effect is retried only where that does no harm. That an attempt was not
-processed is proved by how its connection ended and by what had been sent on it: nothing of the request left
-this process, or the endpoint answered that it did not start. A reset after the first byte proves nothing.
+A request that may have taken effect is retried only if that is safe. An attempt was certainly not processed
+if no byte of the request was handed to its connection, no connection was made, or the endpoint answered that
+it did not start. A reset after the first byte proves nothing.
 
 Times are seconds of the caller's clock.
 """
@@ -17,9 +17,9 @@
     {CloseReason.REFUSED, CloseReason.UNREACHABLE, CloseReason.OUT_OF_RESOURCES}
 )
 RETRY_BUDGET_RATIO = 0.2  # retries for each first attempt
-RETRY_BUDGET_MIN = 3.0  # retries within the window that are permitted however few first attempts there are
-RETRY_BUDGET_WINDOW_SECONDS = 10.0  # both are counted over so long
-MIN_TIME_LEFT = 1.5  # usual durations of an attempt that must be left until the deadline
+RETRY_BUDGET_MIN = 3.0  # retries within the window that are always permitted
+RETRY_BUDGET_WINDOW_SECONDS = 10.0  # over which retries and first attempts are counted
+MIN_TIME_LEFT = 1.5  # until the deadline, as a multiple of the usual duration of an attempt
 MAX_RETRIES = {
     RetryPolicy.NEVER: 0,
     RetryPolicy.IF_NOT_PROCESSED: 1,
@@ -29,18 +29,18 @@
 
 
 class FailedAttempt(NamedTuple):
-    """An attempt that failed, and what is known of it."""
+    """A failed attempt and how it ended."""
 
     reason: CloseReason  # of its connection
     bytes_sent: int  # of the request, handed to the connection
-    not_started: bool = False  # the endpoint answered so: 503 with the header that says it
-    response_bytes: int = 0  # that came before it failed
-    deduplication_group: str = ""  # of its endpoint; "" where that is in none
+    not_started: bool = False  # the endpoint answered so: 503 with the header for it
+    response_bytes: int = 0  # received before it failed
+    deduplication_group: str = ""  # of its endpoint; "" if that is in none
 
 
 @dataclass(slots=True)
 class Request:
-    """A request with what bounds its retries."""
+    """A request with the limits on its retries."""
 
     idempotency: Idempotency
     started_at: float
@@ -50,7 +50,7 @@
 
 
 class RetryDecision(NamedTuple):
-    """Whether to retry; `deduplication_group`: where the retry has to stay, "" where it may go anywhere."""
+    """Whether to retry; `deduplication_group`: the group that it has to go to, "" for any endpoint."""
 
     retry: bool
     deduplication_group: str = ""
@@ -60,7 +60,7 @@
 
 
 def never_processed(failed: FailedAttempt) -> bool:
-    """Whether it is proved that the endpoint processed nothing of an attempt.
+    """Return whether the endpoint certainly processed nothing of an attempt.
 
     >>> never_processed(FailedAttempt(CloseReason.REFUSED, 0))
     True
@@ -77,10 +77,10 @@
 
 
 class RetryBudget:
-    """Bounds retries to a ratio of first attempts, so that retries do not add to the overload they come from.
+    """Limits retries to a ratio of first attempts, so that they do not add to the overload that causes them.
 
-    `ratio`: retries for each first attempt; `minimum`: retries permitted however few those are. Both counts
-    decay over RETRY_BUDGET_WINDOW_SECONDS.
+    `ratio`: retries for each first attempt; `minimum`: retries that are always permitted. Both counts decay
+    over RETRY_BUDGET_WINDOW_SECONDS.
     """
 
     def __init__(self, ratio: float = RETRY_BUDGET_RATIO, minimum: float = RETRY_BUDGET_MIN) -> None:
@@ -96,7 +96,7 @@
         self._first_attempts += 1.0
 
     def try_spend(self, now: float) -> bool:
-        """Count a retry and return True, or return False where the budget is spent."""
+        """Count a retry and return True, or return False if the budget is spent."""
         self._decay(now)
         if self._retries + 1.0 > max(self._minimum, self._ratio * self._first_attempts):
             return False
@@ -112,9 +112,9 @@
 
 
 def retry_permitted(request: Request, failed: FailedAttempt, policy: RetryPolicy) -> bool:
-    """Whether the retry policy of its table and the request's idempotency permit a retry.
+    """Return whether the table's retry policy and the request's idempotency permit a retry.
 
-    Time left and budget aside. None is permitted once bytes of a response were passed on.
+    Remaining time and budget are not checked here. No retry is permitted after bytes of a response.
     """
     if request.attempts > MAX_RETRIES[policy] or failed.response_bytes:
         return False
@@ -135,8 +135,8 @@
 ) -> RetryDecision:
     """Decide whether to retry after `failed`, the last attempt; a retry is taken from the budget.
 
-    `usual_duration`: s that an attempt takes. Where a keyed request may have been processed, its retry stays
-    among the endpoints that know its key, and must reach them while they do.
+    `usual_duration`: s that an attempt takes. If a keyed request may have been processed, its retry goes to
+    the endpoints that keep its idempotency key, and has to end before they drop it.
     """
     if not retry_permitted(request, failed, policy):
         return NO_RETRY
@@ -151,5 +151,5 @@
 
 
 def _key_is_kept_until_end(request: Request, now: float, duration: float) -> bool:
-    """Whether endpoints still know the request's key after an attempt of `duration` (s)."""
+    """Return whether endpoints still keep the request's key after an attempt of `duration` (s)."""
     return now + duration - request.started_at < request.key_lifetime
--- a/oatcart/proxy/routing_state.py
+++ b/oatcart/proxy/routing_state.py
@@ -1,7 +1,7 @@
 """The routing state of a proxy: what controllers have sent it, by request class.
 
-An update may come in parts and takes effect once it is complete. One with an invalid part takes no effect at
-all, and the proxy closes its stream. Source: the operators' protocol, orders on a stream.
+An update may have several parts and takes effect once it is complete. One with an invalid part takes no
+effect at all, and the proxy closes its stream. Source: the operators' protocol, section "orders on a stream".
 """
 
 from collections.abc import Collection
@@ -11,7 +11,7 @@
 from oatcart.proxy.update_decoding import InvalidUpdateError, UpdatePart, decode_update_part
 
 MAX_PARTS_PER_UPDATE = 64  # the protocol's limit
-ADMIT_ALL = 1.0  # the quota, as a share, of a table that none was sent for
+ADMIT_ALL = 1.0  # share; the quota of a table for which none was sent
 DEFAULT_RETRY_POLICY = RetryPolicy.IF_NOT_PROCESSED
 
 
@@ -25,7 +25,7 @@
 
 
 class RoutingState:
-    """All that one proxy holds: a table for each of `request_classes`, and the ejected endpoints."""
+    """The state of one proxy: a table for each of `request_classes`, and the ejected endpoints."""
 
     def __init__(self, request_classes: Collection[str]) -> None:
         self.tables = {request_class: RoutingTable() for request_class in request_classes}
@@ -34,15 +34,17 @@
         self.last_nonce: int | None = None
 
     def receive_part(self, message: dict, known_endpoints: Collection[str]) -> list[int]:
-        """Take one part of an update; return the nonces to acknowledge, none before its last part.
+        """Process one part of an update; return the nonces to acknowledge, none before the last part.
 
-        `known_endpoints`: all that were ever in the endpoint list. Raises InvalidUpdateError, after which the
-        parts of this update are forgotten.
+        `known_endpoints`: all that were ever in the endpoint list. Raises InvalidUpdateError and drops the
+        parts of this update.
         """
         try:
             part = decode_update_part(message, self.tables, known_endpoints)
             if len(self.pending_parts) >= MAX_PARTS_PER_UPDATE:
-                raise InvalidUpdateError(f"continued: more than {MAX_PARTS_PER_UPDATE} parts")
+                raise InvalidUpdateError(
+                    f"continued: expected at most {MAX_PARTS_PER_UPDATE} parts, got another"
+                )
         except InvalidUpdateError:
             self.pending_parts = []
             raise
@@ -55,7 +57,7 @@
         return [part.nonce for part in update if part.nonce is not None]
 
     def stream_closed(self) -> None:
-        """Forget an update without its last part; tables and ejections outlast the stream."""
+        """Drop an incomplete update; tables and ejections are kept after the end of the stream."""
         self.pending_parts = []
 
     def _apply(self, part: UpdatePart) -> None:
--- a/oatcart/proxy/update_decoding.py
+++ b/oatcart/proxy/update_decoding.py
@@ -1,6 +1,6 @@
-"""Decodes one part of an update, as a proxy gets it on its stream from a controller.
+"""Decodes one part of an update that a controller sends to a proxy.
 
-Field names are those of the operators' protocol, orders on a stream; they stand in this module alone.
+Field names are those of the operators' protocol, section "orders on a stream"; only this module uses them.
 """
 
 from collections.abc import Collection
@@ -10,24 +10,24 @@
 from oatcart.model import RetryPolicy
 
 RETRY_POLICIES = tuple(policy.value for policy in RetryPolicy)
-MAX_SHOWN_CHARACTERS = 80  # of a received name, in an error
+MAX_SHOWN_CHARACTERS = 80  # of a received name in an error message
 
 
 class InvalidUpdateError(ValueError):
-    """A part of an update that can be read but not used; the message names the field and the value."""
+    """A part of an update has an invalid field; the message names the field and its value."""
 
 
 class UpdatePart(NamedTuple):
-    """One part of an update; the update takes effect once its last part has come."""
+    """One part of an update; the update takes effect once its last part was received."""
 
     request_classes: tuple[str, ...] | None = None  # None: all
     complete: bool = False  # replaces the tables of these classes
     weights: tuple[tuple[str, float], ...] = ()  # by endpoint, points; 0 removes it
-    quota: float | None = None  # share, or requests/s; None: stays
-    retry_policy: RetryPolicy | None = None  # comes with the quota
+    quota: float | None = None  # share, or requests/s; None: unchanged
+    retry_policy: RetryPolicy | None = None  # set together with the quota
     ejected: tuple[str, ...] = ()
     restored: tuple[str, ...] = ()
-    nonce: int | None = None  # to be acknowledged once the update is in force
+    nonce: int | None = None  # to be acknowledged once the update has taken effect
     continued: bool = False  # more parts of this update follow
 
 
@@ -37,16 +37,18 @@
     """Decode a message that is a JSON object.
 
     `known_endpoints`: all that were ever in the endpoint list. Raises InvalidUpdateError at the first field
-    that has another form, or names an unknown request class or endpoint.
+    of the wrong type, or with an unknown request class or endpoint.
     """
     for name in _list_of(message, "routes"):
         if name not in request_classes:
-            raise InvalidUpdateError(f"routes: {_shown(name)} is no request class")
+            raise InvalidUpdateError(f"routes: expected a known request class, got {_shown(name)}")
     weights = _decode_weights(message, known_endpoints)
     for field in "eject", "restore":
         for endpoint in _list_of(message, field):
             if endpoint not in known_endpoints:
-                raise InvalidUpdateError(f"{field}: {_shown(endpoint)} was never listed")
+                raise InvalidUpdateError(
+                    f"{field}: expected an endpoint that was listed, got {_shown(endpoint)}"
+                )
     quota, retry_policy = _decode_quota(message)
     return UpdatePart(
         request_classes=tuple(message["routes"]) if "routes" in message else None,
@@ -65,41 +67,45 @@
     weights = []
     for entry in _list_of(message, "endpoints"):
         if not isinstance(entry, list) or len(entry) != 2:
-            raise InvalidUpdateError("endpoints: an entry is an endpoint and its weight")
+            raise InvalidUpdateError("endpoints: expected pairs of an endpoint and its weight")
         endpoint, weight = entry
         if endpoint not in known_endpoints:
-            raise InvalidUpdateError(f"endpoints: {_shown(endpoint)} was never listed")
+            raise InvalidUpdateError(
+                f"endpoints: expected an endpoint that was listed, got {_shown(endpoint)}"
+            )
         if not _is_amount(weight):
-            raise InvalidUpdateError(f"endpoints: {endpoint} has weight {weight!r}")
+            raise InvalidUpdateError(
+                f"endpoints: {endpoint}: expected a weight of at least 0, got {weight!r}"
+            )
         weights.append((endpoint, float(weight)))
     return tuple(weights)
 
 
 def _decode_quota(message: dict) -> tuple[float | None, RetryPolicy | None]:
-    """The quota and the retry policy; both or neither are there."""
+    """Return the quota and the retry policy; both or neither are set."""
     if ("admit" in message) != ("policy" in message):
-        raise InvalidUpdateError("admit and policy come together")
+        raise InvalidUpdateError("admit, policy: expected both fields or neither")
     if "admit" not in message:
         return None, None
     quota, retry_policy = message["admit"], message["policy"]
     if not _is_amount(quota):
-        raise InvalidUpdateError(f"admit: {quota!r}")
+        raise InvalidUpdateError(f"admit: expected a number of at least 0, got {quota!r}")
     if isinstance(retry_policy, bool) or retry_policy not in RETRY_POLICIES:
-        raise InvalidUpdateError(f"policy: {retry_policy!r} is no retry policy")
+        raise InvalidUpdateError(f"policy: expected the number of a retry policy, got {retry_policy!r}")
     return float(quota), RetryPolicy(retry_policy)
 
 
 def _decode_nonce(message: dict) -> int | None:
     nonce = message.get("nonce_out")
     if nonce is not None and (isinstance(nonce, bool) or not isinstance(nonce, int) or nonce < 0):
-        raise InvalidUpdateError(f"nonce_out: {nonce!r}")
+        raise InvalidUpdateError(f"nonce_out: expected an integer of at least 0, got {nonce!r}")
     return nonce
 
 
 def _list_of(message: dict, field: str) -> list:
     value = message.get(field, [])
     if not isinstance(value, list):
-        raise InvalidUpdateError(f"{field}: {value!r} is no list")
+        raise InvalidUpdateError(f"{field}: expected a list, got {value!r}")
     return value
 
 
--- a/oatcart/simhost/__init__.py
+++ b/oatcart/simhost/__init__.py
@@ -1,5 +1,5 @@
-"""The adapter that joins the decisions to the simulator's wire.
+"""The adapter that connects the decisions to the simulator's wire.
 
-Source: the operators' page of the adapter protocol (WIRE). Names of its records and their layouts stand in
-`frames.py` and `command_encoding.py` alone; times there are milliseconds, everywhere else seconds.
+Source: the operators' page of the adapter protocol (WIRE). Only `frames.py` and `command_encoding.py` use the
+names of its records and their layouts; times are milliseconds there, and seconds everywhere else.
 """
--- a/oatcart/simhost/__main__.py
+++ b/oatcart/simhost/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the adapter on standard input and output: one reply a batch, until the input ends.
+"""Runs the adapter on standard input and output: one reply for each batch, until the input ends.
 
 Exit code 0 at the end of the input, 2 after a malformed frame, with the reason on standard error.
 """
--- a/oatcart/simhost/adapter.py
+++ b/oatcart/simhost/adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: runs any number of controllers side by side, each on its own records of a batch."""
+"""The adapter: runs any number of controllers in one process, each on its own records of a batch."""
 
 import json
 from collections.abc import Iterable
@@ -15,7 +15,7 @@
     """One controller with the decoder of its records.
 
     `settings_json` is the settings object of the protocol. Raises InvalidSettingError, AttributeError,
-    TypeError or ValueError where it cannot be used.
+    TypeError or ValueError if it is invalid.
     """
 
     def __init__(self, number: int, seed: int, settings_json: bytes) -> None:
@@ -25,28 +25,28 @@
         self._decoder = EventDecoder(list((settings.get("report") or {}).get("fields") or []))
 
     def decode(self, record: Record) -> Event | None:
-        """Return the event of a record; None where the decisions have no use for it."""
+        """Return the event of a record; None if the decisions do not use it."""
         return self._decoder.decode(record)
 
     def decide(self, now: float, events: Iterable[Event]) -> list[bytes]:
-        """Run one round at `now` (s); return its packed commands, with a fault after them if it failed."""
+        """Run one round at `now` (s); return its packed commands, followed by a fault if it failed."""
         records: list[bytes] = []
         encoder = CommandEncoder(self._number, self._decoder.endpoint_ids, records)
         try:
             self._controller.round(now, events, encoder)
-        except Exception as error:  # the protocol has the adapter report a failure and go on
+        except Exception as error:  # the protocol requires a report, and the adapter to continue
             records.append(encode_fault(self._number, f"{type(error).__name__}: {error}"))
         return records
 
 
 class Adapter:
-    """All controllers of one adapter process; they share nothing."""
+    """All controllers of one adapter process; they share no state."""
 
     def __init__(self) -> None:
         self._instances: dict[int, ControllerInstance] = {}
 
     def answer(self, batch: Batch) -> Reply:
-        """Start, stop and play the instances that a batch concerns; return their commands."""
+        """Start, stop and run the instances of a batch's records; return their commands."""
         records: list[bytes] = []
         for number, events in self._collect_events(batch.records, records).items():
             instance = self._instances.get(number)
@@ -55,8 +55,10 @@
         return Reply(len(records), b"".join(records))
 
     def _collect_events(self, batch: Iterable[Record], replies: list[bytes]) -> dict[int, list[Event]]:
-        """The events by instance, in the order of instances' first records; an instance with records that
-        are no events has a round without any."""
+        """Return the events by instance, in the order of the instances' first records.
+
+        An instance whose records are no events has an empty list, and so a round without events.
+        """
         events: dict[int, list[Event]] = {}
         for record in batch:
             number = record.instance
@@ -74,9 +76,9 @@
         return events
 
     def _start(self, record: Record, replies: list[bytes]) -> None:
-        """Start an instance, in place of one of its number; a fault in the reply says that it failed."""
+        """Start an instance, in place of one with its number; a fault in the reply reports a failure."""
         try:
             self._instances[record.instance] = ControllerInstance(record.instance, *record.fields)
-        except Exception as error:  # the protocol has the adapter report a failure and go on
+        except Exception as error:  # the protocol requires a report, and the adapter to continue
             self._instances.pop(record.instance, None)
             replies.append(encode_fault(record.instance, f"start: {error!r}"))
--- a/oatcart/simhost/command_encoding.py
+++ b/oatcart/simhost/command_encoding.py
@@ -1,4 +1,4 @@
-"""Packs the commands of the decisions as records of a reply, see `frames.py`."""
+"""Packs the commands of the decisions as records of a reply; `frames.py` writes the reply."""
 
 import struct
 from collections.abc import Sequence
@@ -7,7 +7,7 @@
 from oatcart.model import RetryPolicy
 from oatcart.simhost.frames import MS_PER_SECOND
 
-MAX_TEXT_BYTES = 0xFFFF  # of a log line or a fault: its length is a u16
+MAX_TEXT_BYTES = 0xFFFF  # of a log line or a fault, whose length is a u16
 TIMER_TOKEN = 0  # all timers only make a round due
 
 
@@ -84,7 +84,7 @@
         self.set_ejected(endpoint, False)
 
     def assign_table(self, table: int, proxy: int, classes: int) -> None:
-        """Let a proxy route classes (bits; 0: all) by a routing table."""
+        """Assign a routing table to a proxy for request classes (bits; 0: all)."""
         self._append(_ASSIGN_TABLE.pack(CommandCode.ASSIGN_TABLE, self._instance, table, proxy, classes))
 
     def set_admission(self, table: int, classes: int, quota: float, retry_policy: RetryPolicy) -> None:
@@ -96,7 +96,7 @@
         )
 
     def request_ack(self, nonce: int, all_proxies: bool) -> None:
-        """Ask for acknowledgement of this reply's updates, from all proxies or those that get one."""
+        """Request acknowledgement of this reply's updates, from all proxies or those that get one."""
         self._append(_REQUEST_ACK.pack(CommandCode.REQUEST_ACK, self._instance, nonce, all_proxies))
 
     def check_health(self, endpoint: int) -> None:
@@ -110,11 +110,11 @@
         self._append(_WATCH_ENDPOINTS.pack(CommandCode.WATCH_ENDPOINTS, self._instance, enabled))
 
     def fetch_endpoints(self) -> None:
-        """Ask for the complete endpoint list."""
+        """Fetch the complete endpoint list."""
         self._append(_FETCH_ENDPOINTS.pack(CommandCode.FETCH_ENDPOINTS, self._instance))
 
     def schedule_round(self, delay: float) -> None:
-        """Ask for a round after `delay` (s)."""
+        """Schedule a round after `delay` (s)."""
         self._append(
             _SCHEDULE_ROUND.pack(
                 CommandCode.SCHEDULE_ROUND, self._instance, TIMER_TOKEN, delay * MS_PER_SECOND
@@ -132,7 +132,7 @@
 
 
 def _encode_text(code: CommandCode, instance: int, text: str) -> bytes:
-    """Pack a log line or a fault, cut to what a record holds.
+    """Pack a log line or a fault, truncated to MAX_TEXT_BYTES.
 
     >>> _encode_text(CommandCode.LOG, 5, "two servers known").hex()
     '0400000005001174776f2073657276657273206b6e6f776e'
--- a/oatcart/simhost/event_decoding.py
+++ b/oatcart/simhost/event_decoding.py
@@ -1,4 +1,4 @@
-"""Turns records of the simulator's wire into events of the decisions.
+"""Decodes records of the simulator's wire to events of the decisions.
 
 The wire's endpoint ids become small numbers and its milliseconds become seconds.
 """
@@ -23,7 +23,7 @@
 
 # Modes of an endpoint list; 0 is a list of changes
 LIST_CACHED, LIST_FULL, LIST_FAILED = 1, 2, 4
-# Outcome codes of a health check; any other is taken as a check that was not made
+# Outcome codes of a health check; any other code counts as a check that was not made
 _OUTCOMES = {
     0: HealthCheckOutcome.PASSED,
     5: HealthCheckOutcome.FAILED,
@@ -39,8 +39,8 @@
 class EventDecoder:
     """Decodes the records of one instance.
 
-    `load_fields`: the settings' names of the numbers of a load report, in their order. Endpoints are numbered
-    as they are met; `endpoint_ids` has the wire's id of each.
+    `load_fields`: the names of a load report's numbers in the settings, in their order. Endpoints are
+    numbered in the order in which they first appear; `endpoint_ids` has the wire's id of each.
     """
 
     def __init__(self, load_fields: Sequence[str]) -> None:
@@ -49,7 +49,7 @@
         self._endpoints: dict[int, int] = {}  # number by id
 
     def decode(self, record: Record) -> Event | None:
-        """Return the event of a record; None where the decisions have no use for it."""
+        """Return the event of a record; None if the decisions do not use it."""
         decode = _DECODERS.get(record.code)
         return decode(self, *record.fields) if decode else None
 
--- a/oatcart/simhost/frames.py
+++ b/oatcart/simhost/frames.py
@@ -1,8 +1,8 @@
 """Frames of the simulator's wire: reads batches of records and writes replies.
 
-All fields are big-endian and packed. A record is its code, fixed fields that begin with the instance's
-number, and for some codes content that begins with its count. Records are split here; `event_decoding.py`
-gives them their meaning.
+All fields are big-endian and packed. A record has a code, fixed fields that begin with the instance's number,
+and for some codes content that begins with its count. Records are split here and decoded in
+`event_decoding.py`.
 """
 
 import struct
@@ -10,18 +10,18 @@
 from enum import Enum, IntEnum, auto
 from typing import BinaryIO, NamedTuple
 
-MS_PER_SECOND = 1000  # the wire has times in ms, all else has seconds
+MS_PER_SECOND = 1000  # times are ms on the wire, seconds elsewhere
 _U8 = struct.Struct(">B")
 _U16 = struct.Struct(">H")
 _U32 = struct.Struct(">I")
 _BATCH_HEADER = struct.Struct(">IId")  # bytes after this field, records, clock in ms
 _REPLY_HEADER = struct.Struct(">II")  # records, bytes after this field
-_ENTRY = struct.Struct(">IHdBBfH")  # of the endpoint list, see EntryFields
-_HEADER_BYTES = _BATCH_HEADER.size - _U32.size  # without the length that stands before
+_ENTRY = struct.Struct(">IHdBBfH")  # fields of EntryFields
+_HEADER_BYTES = _BATCH_HEADER.size - _U32.size  # without the length field before it
 
 
 class MalformedFrameError(Exception):
-    """A frame that is cut short or cannot be understood; the message says where."""
+    """A frame is truncated or cannot be decoded; the message says where."""
 
 
 class RecordCode(IntEnum):
@@ -48,7 +48,7 @@
 
     code: RecordCode
     instance: int
-    fields: tuple  # what follows the instance, in the protocol's order; the content, if any, is the last
+    fields: tuple  # after the instance, in the protocol's order; the content, if any, is the last
 
 
 class EntryFields(NamedTuple):
@@ -64,7 +64,7 @@
 
 
 class Batch(NamedTuple):
-    """The events of one moment, for any number of instances."""
+    """The events at one clock time, for any number of instances."""
 
     clock_ms: float
     records: list[Record]
@@ -133,13 +133,13 @@
     if not length:
         return None
     if len(length) != _U32.size:
-        raise MalformedFrameError("the frame is cut short in its length")
+        raise MalformedFrameError("the frame is truncated in its length field")
     (size,) = _U32.unpack(length)
     if size < _HEADER_BYTES:
-        raise MalformedFrameError(f"a frame of {size} bytes cannot hold a header")
+        raise MalformedFrameError(f"frame length: expected at least the size of the header, got {size} bytes")
     rest = source.read(size)
     if len(rest) != size:
-        raise MalformedFrameError(f"the frame is cut short: {len(rest)} bytes of {size}")
+        raise MalformedFrameError(f"the frame is truncated: got {len(rest)} bytes of {size}")
     frame = length + rest
     _, count, clock_ms = _BATCH_HEADER.unpack_from(frame)
     return Batch(clock_ms, list(split_records(frame, count)))
@@ -162,7 +162,7 @@
             layout = _LAYOUTS.get(frame[offset])
             if layout is None:
                 raise MalformedFrameError(
-                    f"record code {frame[offset]} at byte {offset} is unknown and has no length to skip by"
+                    f"record code {frame[offset]} at byte {offset} is unknown, and so is the record's length"
                 )
             fixed = layout.fixed.unpack_from(frame, offset + 1)
             offset += 1 + layout.fixed.size
@@ -172,13 +172,13 @@
             content, offset = _read_content(frame, offset, layout.content)
             yield Record(layout.code, fixed[0], (*fixed[1:], content))
     except (IndexError, struct.error) as error:
-        raise MalformedFrameError(f"a record is cut short near byte {offset}") from error
+        raise MalformedFrameError(f"a record is truncated near byte {offset}") from error
     if offset != len(frame):
         raise MalformedFrameError(f"{len(frame) - offset} bytes follow the last record")
 
 
 def _read_content(frame: bytes, offset: int, content: _Content) -> tuple[object, int]:
-    """The content that begins with its count at byte `offset`, and where it ends."""
+    """Return the content that begins with its count at byte `offset`, and the offset of its end."""
     count_struct = _COUNTS[content]
     (count,) = count_struct.unpack_from(frame, offset)
     offset += count_struct.size
