--- a/tests/simhost/wire_faults.py
+++ b/tests/simhost/wire_faults.py
@@ -3,59 +3,59 @@
 from typing import TYPE_CHECKING
 
 import wire_frames as wire
-from wire_frames import DELTA, FAILED, PROBE_OK
+from wire_frames import CHECK_OK, DELTA, FAILED
 from wire_model import DRAINING, GONE, READY, Endpoint, Proxy
 
 if TYPE_CHECKING:
     from wire_fleet import Fleet
 
-NOT_A_LOAD = float("nan")
+NOT_A_NUMBER = float("nan")
 UNKNOWN_INSTANCE = 7000
 
 
-def draw(fleet: "Fleet") -> None:
+def update(fleet: "Fleet") -> None:
     """Once a second: faults that end, and those that begin, by the scenario's rates."""
     for endpoint in list(fleet.endpoints.values()):
         if endpoint.fault and fleet.now >= endpoint.fault_ends:
             endpoint.fault = ""
     for name, per_minute in fleet.scenario.faults.items():
         if fleet.now >= fleet.scenario.calm_ms and fleet.random.random() < per_minute / 60.0:
-            CALLS[name](fleet)
+            INJECTORS[name](fleet)
 
 
-def some_endpoints(fleet: "Fleet", part: float) -> list[Endpoint]:
-    ready = [one for one in fleet.endpoints.values() if one.condition == READY]
-    return [one for one in ready if fleet.random.random() < part]
+def some_endpoints(fleet: "Fleet", fraction: float) -> list[Endpoint]:
+    ready = [one for one in fleet.endpoints.values() if one.state == READY]
+    return [one for one in ready if fleet.random.random() < fraction]
 
 
-def strike(fleet: "Fleet", fault: str, part: float) -> None:
-    ends = fleet.now + fleet.between(4000, 18000)
-    for endpoint in some_endpoints(fleet, part):
+def inject(fleet: "Fleet", fault: str, fraction: float) -> None:
+    ends = fleet.now + fleet.random_between(4000, 18000)
+    for endpoint in some_endpoints(fleet, fraction):
         endpoint.fault, endpoint.fault_ends = fault, ends
 
 
 def vanished(fleet: "Fleet") -> None:
-    strike(fleet, "vanished", 0.2)
+    inject(fleet, "vanished", 0.2)
 
 
 def half_vanished(fleet: "Fleet") -> None:
-    strike(fleet, "vanished", 0.6)
+    inject(fleet, "vanished", 0.6)
 
 
 def failing(fleet: "Fleet") -> None:
-    strike(fleet, "failing", 0.2)
+    inject(fleet, "failing", 0.2)
 
 
 def flaky(fleet: "Fleet") -> None:
-    strike(fleet, "flaky", 0.15)
+    inject(fleet, "flaky", 0.15)
 
 
 def all_failing(fleet: "Fleet") -> None:
-    strike(fleet, "failing", 0.95)
+    inject(fleet, "failing", 0.95)
 
 
 def slow(fleet: "Fleet") -> None:
-    strike(fleet, "slow", 0.35)
+    inject(fleet, "slow", 0.35)
 
 
 def restart(fleet: "Fleet") -> None:
@@ -67,7 +67,7 @@
     """All endpoints of a zone stop answering and come back cold."""
     zone = fleet.random.randrange(len(fleet.scenario.zones))
     for endpoint in list(fleet.endpoints.values()):
-        if endpoint.zone == zone and endpoint.condition == READY:
+        if endpoint.zone == zone and endpoint.state == READY:
             endpoint.fault, endpoint.fault_ends = "vanished", fleet.now + 9000
             fleet.later(9000, fleet.restart, endpoint.id)
 
@@ -75,24 +75,24 @@
 def drain(fleet: "Fleet") -> None:
     """Some endpoints drain, go, and are replaced by cold ones."""
     for endpoint in some_endpoints(fleet, fleet.scenario.drain_part):
-        endpoint.condition = DRAINING
-        fleet.note_change(endpoint)
-        fleet.later(fleet.between(2500, 6000), fleet.remove, endpoint.id)
+        endpoint.state = DRAINING
+        fleet.record_change(endpoint)
+        fleet.later(fleet.random_between(2500, 6000), fleet.remove, endpoint.id)
         if fleet.random.random() < fleet.scenario.replaced:
-            fleet.later(fleet.between(500, 5000), fleet.add_cold, endpoint.zone)
+            fleet.later(fleet.random_between(500, 5000), fleet.add_cold, endpoint.zone)
 
 
 def undrain(fleet: "Fleet") -> None:
     """A drain that is taken back."""
-    for endpoint in [one for one in fleet.endpoints.values() if one.condition == DRAINING][:2]:
-        endpoint.condition = READY
-        fleet.note_change(endpoint)
+    for endpoint in [one for one in fleet.endpoints.values() if one.state == DRAINING][:2]:
+        endpoint.state = READY
+        fleet.record_change(endpoint)
 
 
 def vanish_from_list(fleet: "Fleet") -> None:
     for endpoint in some_endpoints(fleet, 0.08):
         fleet.remove(endpoint.id, force=True)
-        fleet.later(fleet.between(4000, 20000), fleet.add_cold, endpoint.zone)
+        fleet.later(fleet.random_between(4000, 20000), fleet.add_cold, endpoint.zone)
 
 
 def controller_restart(fleet: "Fleet") -> None:
@@ -104,44 +104,44 @@
     for proxy in fleet.proxies:
         if fleet.random.random() < 0.25:
             proxy.unconfigured = proxy.unconfigured or fleet.random.random() < 0.3  # a new incarnation
-            fleet.leave(proxy.number, fleet.between(100, 5000))
+            fleet.leave(proxy.number, fleet.random_between(100, 5000))
 
 
 def one_rejoins(fleet: "Fleet") -> None:
     """A proxy whose stream was replaced: it joins again before the old stream's end is noticed."""
     proxy = fleet.proxies[fleet.random.randrange(len(fleet.proxies))]
     if proxy.controller is not None:
-        fleet.controllers[proxy.controller].installed[proxy.number] = {}
+        fleet.controllers[proxy.controller].assigned_tables[proxy.number] = {}
         fleet.events.append(
             wire.subscribed(proxy.controller, False, proxy.number, proxy.zone, sum(proxy.rates))
         )
 
 
-def window(fleet: "Fleet", fault: str, least: int, most: int) -> None:
-    fleet.windows[fault] = fleet.now + fleet.between(least, most)
+def start_window(fleet: "Fleet", fault: str, least: int, most: int) -> None:
+    fleet.window_ends[fault] = fleet.now + fleet.random_between(least, most)
 
 
 def overload(fleet: "Fleet") -> None:
-    window(fleet, "overload", 8000, 20000)
+    start_window(fleet, "overload", 8000, 20000)
 
 
 def reports_late(fleet: "Fleet") -> None:
-    window(fleet, "reports_late", 5000, 12000)
+    start_window(fleet, "reports_late", 5000, 12000)
 
 
 def acks_late(fleet: "Fleet") -> None:
-    window(fleet, "acks_late", 4000, 10000)
+    start_window(fleet, "acks_late", 4000, 10000)
 
 
 def acks_silent(fleet: "Fleet") -> None:
-    window(fleet, "acks_silent", 14000, 22000)
+    start_window(fleet, "acks_silent", 14000, 22000)
 
 
 def discovery_down(fleet: "Fleet") -> None:
-    window(fleet, "discovery_down", 3000, 9000)
+    start_window(fleet, "discovery_down", 3000, 9000)
     for controller in fleet.controllers:
-        if controller.alive and controller.following and fleet.scenario.membership == "subscribe":
-            controller.following = False
+        if controller.alive and controller.watching and fleet.scenario.membership == "subscribe":
+            controller.watching = False
             fleet.events.append(wire.update(controller.number, FAILED, 0))
 
 
@@ -151,7 +151,7 @@
     if not fleet.controllers[number].alive:
         return
     proxy, known = fleet.random.randrange(len(fleet.proxies)), min(fleet.endpoints)
-    odd = [
+    unusual = [
         wire.fired(number, 2**64 - 1),
         wire.peer(number, 1, b"hi 7"),
         wire.pressure(number, 1000.0, 1, 3, 0, 9),
@@ -165,28 +165,30 @@
         wire.ingress(number, 60002, 0, 9, 0, 1000.0),
         wire.observed(number, 1000.0, 48.25, 1, 14, lost, 0, [7.0]),
         wire.observed(number, 0.0, 0.0, 3, 0, known, 99, []),
-        wire.observed(number, 1000.0, 20.0, 9, 4, known, 0, [-1.0, 2e6, NOT_A_LOAD, 0.5]),
-        wire.echo(number, lost, PROBE_OK, 3.0, [1.0]),
+        wire.observed(number, 1000.0, 20.0, 9, 4, known, 0, [-1.0, 2e6, NOT_A_NUMBER, 0.5]),
+        wire.echo(number, lost, CHECK_OK, 3.0, [1.0]),
         wire.echo(number, known, 125, 3.0),
-        wire.update(number, DELTA, fleet.visible, [(lost, 0, 0.0, GONE, 0, 0.0, 0)]),
-        wire.update(number, DELTA, fleet.visible, []),
+        wire.update(number, DELTA, fleet.visible_revision, [(lost, 0, 0.0, GONE, 0, 0.0, 0)]),
+        wire.update(number, DELTA, fleet.visible_revision, []),
         wire.ingress(UNKNOWN_INSTANCE, 0, 0, 1, 0, 1000.0),
         wire.stream_down(UNKNOWN_INSTANCE, 0),
     ]
-    fleet.events += [one for one in odd if fleet.random.random() < 0.5]
+    fleet.events += [one for one in unusual if fleet.random.random() < 0.5]
 
 
 def odd_class(fleet: "Fleet") -> None:
     """A report of the class one past the last."""
-    place = len(fleet.scenario.classes)
-    fleet.events += [wire.ingress(one.controller, one.number, place, 9, 0, 1000.0) for one in joined(fleet)]
+    class_number = len(fleet.scenario.classes)
+    fleet.events += [
+        wire.ingress(one.controller, one.number, class_number, 9, 0, 1000.0) for one in joined_proxies(fleet)
+    ]
 
 
-def joined(fleet: "Fleet") -> list[Proxy]:
+def joined_proxies(fleet: "Fleet") -> list[Proxy]:
     return [one for one in fleet.proxies if one.controller is not None]
 
 
-CALLS = {
+INJECTORS = {
     "vanished": vanished,
     "half_vanished": half_vanished,
     "failing": failing,
--- a/tests/simhost/wire_fleet.py
+++ b/tests/simhost/wire_fleet.py
@@ -15,7 +15,7 @@
 import wire_faults
 import wire_frames as wire
 import wire_traffic
-from wire_frames import CACHED, DELTA, FAILED, FULL, PROBE_LATE, PROBE_OK
+from wire_frames import CACHED, CHECK_OK, CHECK_TIMED_OUT, DELTA, FAILED, FULL
 from wire_model import DRAINING, GONE, READY, Controller, Endpoint, Proxy
 from wire_scenario import CLOCK_START, Scenario
 from wire_settings import settings
@@ -29,29 +29,29 @@
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario, self.random = scenario, Random(scenario.seed)
-        self.now, self.order, self.pending = 0, 0, []  # the heap: (time, order of coming, call, arguments)
+        self.now, self.calls_scheduled, self.pending = 0, 0, []  # a heap: (time, number, call, arguments)
         self.events: list[bytes] = []  # of this step
-        self.windows: dict[str, int] = {}  # fault: when it ends
-        self.log: list[Endpoint] = []  # changes of the list, by revision - 1
-        self.visible = 0  # so many of them are listed
+        self.window_ends: dict[str, int] = {}  # fault: when it ends
+        self.list_changes: list[Endpoint] = []  # changes of the list, by revision - 1
+        self.visible_revision = 0  # so many of them are listed
         self.listed: dict[int, wire.Entry] = {}
         self.endpoints: dict[int, Endpoint] = {}
-        self.retired: list[int] = []  # ids that may come back
+        self.released_ids: list[int] = []  # ids that may come back
         self.controllers = [Controller(number) for number in range(scenario.controllers)]
         self.proxies = [self.new_proxy(number) for number in range(scenario.proxies)]
         for number in range(scenario.endpoints):
             self.add_endpoint(number % len(scenario.zones), 0.0)
-        self.show_list(len(self.log))
-        self.calls = {
+        self.publish_list(len(self.list_changes))
+        self.command_handlers = {
             "NotifyMe": self.set_timer,
-            "AskLoad": self.probe,
-            "Follow": self.follow,
-            "Pull": self.pull,
-            "SetLine": self.set_line,
+            "AskLoad": self.check_health,
+            "Follow": self.set_watch,
+            "Pull": self.fetch_list,
+            "SetLine": self.set_weight,
             "Blank": self.clear_table,
-            "Cordon": self.eject,
-            "Install": self.install,
-            "GateClass": self.set_level,
+            "Cordon": self.set_ejected,
+            "Install": self.assign_table,
+            "GateClass": self.set_admission,
         }
 
     # The play
@@ -73,7 +73,7 @@
                 count += 1
                 if count % CHECKPOINT == 0:
                     checkpoints.append(digest.hexdigest()[:8])
-                self.take(reply)
+                self.apply_reply(reply)
             self.now += STEP
         return {"replies": count, "sha256": digest.hexdigest(), "checkpoints": checkpoints}
 
@@ -84,8 +84,8 @@
 
     def later(self, after: int, call, *arguments: object) -> None:
         """Calls back so many ms from now."""
-        self.order += 1
-        heapq.heappush(self.pending, (self.now + after, self.order, call, arguments))
+        self.calls_scheduled += 1
+        heapq.heappush(self.pending, (self.now + after, self.calls_scheduled, call, arguments))
 
     def step(self) -> None:
         """All that is due, the list's news, and once a second traffic and faults."""
@@ -93,97 +93,97 @@
             _, _, call, arguments = heapq.heappop(self.pending)
             call(*arguments)
         if self.now % 1000 == 0:
-            wire_faults.draw(self)
-            wire_traffic.spread(self)
+            wire_faults.update(self)
+            wire_traffic.distribute_requests(self)
             for controller in self.controllers if self.now % self.scenario.period == 0 else ():
-                late = self.between(300, 1200) + (3000 if self.during("reports_late") else 0)
-                self.later(late, wire_traffic.report, self, controller.number)
+                delay_ms = self.random_between(300, 1200) + (3000 if self.is_active("reports_late") else 0)
+                self.later(delay_ms, wire_traffic.send_reports, self, controller.number)
         for controller in self.controllers:
-            if controller.alive and controller.following and controller.revision < self.visible:
-                self.send_news(controller)
+            if controller.alive and controller.watching and controller.revision < self.visible_revision:
+                self.send_changes(controller)
 
-    def between(self, least: float, most: float) -> int:
+    def random_between(self, least: float, most: float) -> int:
         """A whole number of that range."""
         return int(least + (most - least) * self.random.random())
 
-    def during(self, fault: str) -> bool:
-        return self.now < self.windows.get(fault, 0)
+    def is_active(self, fault: str) -> bool:
+        return self.now < self.window_ends.get(fault, 0)
 
     # Discovery
 
     def add_endpoint(self, zone: int, started: float) -> None:
-        returns = bool(self.retired) and self.random.random() < 0.3
-        number = self.retired.pop() if returns else self.random.randrange(1, 2**32)
+        returns = bool(self.released_ids) and self.random.random() < 0.3
+        number = self.released_ids.pop() if returns else self.random.randrange(1, 2**32)
         size = self.scenario.sizes[self.random.randrange(4)] if self.scenario.weights != "off" else 1.0
         speed = max(size, 0.5) * (0.7 + 0.6 * self.random.random())
         self.endpoints[number] = Endpoint(
             number, zone, started, size, self.scenario.capacity * speed, self.scenario.idle_ms / speed
         )
-        self.note_change(self.endpoints[number])
+        self.record_change(self.endpoints[number])
 
-    def note_change(self, endpoint: Endpoint) -> None:
+    def record_change(self, endpoint: Endpoint) -> None:
         """The list shows it some time later."""
-        self.log.append(endpoint)
-        self.later(self.between(200, 1800), self.show_list, len(self.log))
+        self.list_changes.append(endpoint)
+        self.later(self.random_between(200, 1800), self.publish_list, len(self.list_changes))
 
-    def show_list(self, revision: int) -> None:
-        for endpoint in self.log[self.visible : revision]:
-            if endpoint.condition == GONE:
+    def publish_list(self, revision: int) -> None:
+        for endpoint in self.list_changes[self.visible_revision : revision]:
+            if endpoint.state == GONE:
                 self.listed.pop(endpoint.id, None)
             else:
                 self.listed[endpoint.id] = endpoint.entry()
-        self.visible = max(self.visible, revision)
+        self.visible_revision = max(self.visible_revision, revision)
 
-    def send_news(self, controller: Controller) -> None:
+    def send_changes(self, controller: Controller) -> None:
         """The changes missed, or the whole list where they are many."""
-        changed = {one.id: one for one in self.log[controller.revision : self.visible]}
-        controller.revision = self.visible
+        changed = {one.id: one for one in self.list_changes[controller.revision : self.visible_revision]}
+        controller.revision = self.visible_revision
         if len(changed) > 12:
             self.send_list(controller.number, FULL)
             return
         entries = [
             self.listed.get(one.id) or (one.id, one.zone, 0.0, GONE, 0, 0.0, 0) for one in changed.values()
         ]
-        self.events.append(wire.update(controller.number, DELTA, self.visible, entries))
+        self.events.append(wire.update(controller.number, DELTA, self.visible_revision, entries))
 
     def send_list(self, number: int, mode: int) -> None:
         entries = list(self.listed.values())
         if mode == CACHED:
             entries = entries[: int(len(entries) * self.scenario.cached)]
-        self.events.append(wire.update(number, mode, self.visible, entries))
+        self.events.append(wire.update(number, mode, self.visible_revision, entries))
 
-    def answer_list(self, number: int, follow: bool) -> None:
+    def answer_list_request(self, number: int, watch: bool) -> None:
         """The answer to a call of discovery; a call may fail."""
         controller = self.controllers[number]
         if not controller.alive:
             return
-        fails = self.now < self.scenario.list_after or self.during("discovery_down")
+        fails = self.now < self.scenario.list_after or self.is_active("discovery_down")
         if fails or self.random.random() < 0.03:
-            controller.following = controller.following and not follow
+            controller.watching = controller.watching and not watch
             self.events.append(wire.update(number, FAILED, 0))
-        elif follow:
-            controller.following = True
-            self.send_news(controller)
+        elif watch:
+            controller.watching = True
+            self.send_changes(controller)
         else:
-            controller.revision = max(controller.revision, self.visible)
+            controller.revision = max(controller.revision, self.visible_revision)
             self.send_list(number, FULL)
 
     def restart(self, number: int) -> None:
         endpoint = self.endpoints.get(number)
-        if endpoint and endpoint.condition == READY:
+        if endpoint and endpoint.state == READY:
             endpoint.started, endpoint.fault = CLOCK_START + self.now, ""
-            self.note_change(endpoint)
+            self.record_change(endpoint)
 
     def add_cold(self, zone: int) -> None:
         self.add_endpoint(zone, CLOCK_START + self.now)
 
     def remove(self, number: int, force: bool = False) -> None:
         endpoint = self.endpoints.get(number)
-        if endpoint and (force or endpoint.condition == DRAINING) and len(self.endpoints) > 2:
-            endpoint.condition = GONE
-            self.note_change(endpoint)
+        if endpoint and (force or endpoint.state == DRAINING) and len(self.endpoints) > 2:
+            endpoint.state = GONE
+            self.record_change(endpoint)
             del self.endpoints[number]
-            self.retired.append(number)
+            self.released_ids.append(number)
 
     # Controllers and proxies
 
@@ -192,8 +192,8 @@
         if controller.alive:
             return
         self.controllers[number] = controller = Controller(number, alive=True)
-        controller.following = self.scenario.membership == "automatic"
-        controller.revision = self.visible
+        controller.watching = self.scenario.membership == "automatic"
+        controller.revision = self.visible_revision
         text = json.dumps(settings(self.scenario, number)).encode()
         self.events.append(wire.provision(number, self.random.randrange(2**64), text))
         self.send_list(number, CACHED)
@@ -207,7 +207,7 @@
         for proxy in self.proxies:
             if proxy.controller == number:
                 proxy.controller = None
-                self.later(self.between(300, 3000), self.join, proxy.number)
+                self.later(self.random_between(300, 3000), self.join, proxy.number)
         if restart_after:
             self.later(restart_after, self.start, number)
         else:
@@ -231,107 +231,111 @@
             self.later(500, self.join, number)
             return
         proxy.controller = alive[(proxy.number + self.random.randrange(2)) % len(alive)]
-        self.controllers[proxy.controller].installed[number] = {}
-        usual = 0.0 if number % 7 == 6 else sum(proxy.rates)
-        self.events.append(wire.subscribed(proxy.controller, proxy.unconfigured, number, proxy.zone, usual))
+        self.controllers[proxy.controller].assigned_tables[number] = {}
+        usual_rate = 0.0 if number % 7 == 6 else sum(proxy.rates)
+        self.events.append(
+            wire.subscribed(proxy.controller, proxy.unconfigured, number, proxy.zone, usual_rate)
+        )
 
-    def leave(self, number: int, back_after: int) -> None:
+    def leave(self, number: int, rejoin_after: int) -> None:
         proxy = self.proxies[number]
         if proxy.controller is not None:
-            self.controllers[proxy.controller].installed.pop(number, None)
+            self.controllers[proxy.controller].assigned_tables.pop(number, None)
             self.events.append(wire.stream_down(proxy.controller, number))
             proxy.controller = None
-        self.later(back_after, self.join, number)
+        self.later(rejoin_after, self.join, number)
 
     # Actions of the adapter
 
-    def take(self, reply: bytes) -> None:
-        """Carries out a reply's actions; a message's acknowledgement is drawn for each proxy concerned."""
-        concerned: dict[int, set[int]] = {}
+    def apply_reply(self, reply: bytes) -> None:
+        """Carries out a reply's actions; a message's acknowledgement is drawn for each proxy affected."""
+        affected: dict[int, set[int]] = {}
         nonces: list[tuple[int, int, bool]] = []
         for name, number, *fields in wire.actions(reply[8:]):
             controller = self.controllers[number]
-            reached = concerned.setdefault(number, set())
+            affected_proxies = affected.setdefault(number, set())
             if name == "AskReceipt":
                 nonces.append((number, fields[0], bool(fields[1])))
             elif name == "Panic":
                 raise AssertionError(f"at {self.now} ms the adapter's code broke: {fields[0].decode()}")
             else:
-                reached |= self.calls[name](controller, *fields)
-        for number, nonce, everyone in nonces:
-            joined = self.controllers[number].installed
-            for proxy in sorted(joined if everyone else concerned[number] & joined.keys()):
+                affected_proxies |= self.command_handlers[name](controller, *fields)
+        for number, nonce, all_proxies in nonces:
+            joined = self.controllers[number].assigned_tables
+            for proxy in sorted(joined if all_proxies else affected[number] & joined.keys()):
                 self.proxies[proxy].unconfigured = False
-                self.acknowledge(number, proxy, nonce)
+                self.schedule_ack(number, proxy, nonce)
 
-    def acknowledge(self, number: int, proxy: int, nonce: int) -> None:
-        if self.during("acks_silent") or self.random.random() < self.scenario.acks_lost:
+    def schedule_ack(self, number: int, proxy: int, nonce: int) -> None:
+        if self.is_active("acks_silent") or self.random.random() < self.scenario.acks_lost:
             return
-        late = self.between(*self.scenario.ack_ms) * (8 if self.during("acks_late") else 1)
-        self.later(late, self.send_ack, number, proxy, nonce, late)
+        delay_ms = self.random_between(*self.scenario.ack_ms) * (8 if self.is_active("acks_late") else 1)
+        self.later(delay_ms, self.send_ack, number, proxy, nonce, delay_ms)
 
-    def send_ack(self, number: int, proxy: int, nonce: int, took: int) -> None:
-        if self.controllers[number].alive and proxy in self.controllers[number].installed:
-            self.events.append(wire.installed(number, proxy, nonce, float(took)))
+    def send_ack(self, number: int, proxy: int, nonce: int, duration_ms: int) -> None:
+        if self.controllers[number].alive and proxy in self.controllers[number].assigned_tables:
+            self.events.append(wire.installed(number, proxy, nonce, float(duration_ms)))
 
-    def set_timer(self, controller: Controller, key: int, after: float) -> set[int]:
-        self.later(max(STEP, int(after)), self.fire, controller.number, key)
+    def set_timer(self, controller: Controller, token: int, after: float) -> set[int]:
+        self.later(max(STEP, int(after)), self.fire_timer, controller.number, token)
         return set()
 
-    def fire(self, number: int, key: int) -> None:
+    def fire_timer(self, number: int, token: int) -> None:
         if self.controllers[number].alive:
-            self.events.append(wire.fired(number, key))
+            self.events.append(wire.fired(number, token))
 
-    def probe(self, controller: Controller, endpoint: int) -> set[int]:
-        took = self.between(2, 60)
-        status = wire_traffic.probe_status(self, self.endpoints.get(endpoint))
-        after = 250 if status == PROBE_LATE else took
-        self.later(after, self.send_echo, controller.number, endpoint, status, took)
+    def check_health(self, controller: Controller, endpoint: int) -> set[int]:
+        duration_ms = self.random_between(2, 60)
+        status = wire_traffic.health_check_status(self, self.endpoints.get(endpoint))
+        after = 250 if status == CHECK_TIMED_OUT else duration_ms
+        self.later(after, self.send_health_check_result, controller.number, endpoint, status, duration_ms)
         return set()
 
-    def send_echo(self, number: int, endpoint: int, status: int, took: int) -> None:
+    def send_health_check_result(self, number: int, endpoint: int, status: int, duration_ms: int) -> None:
         if self.controllers[number].alive:
-            held = wire_traffic.load_report(self, self.endpoints.get(endpoint))
-            held = held if status == PROBE_OK else []
-            self.events.append(wire.echo(number, endpoint, status, float(took), held))
+            load = wire_traffic.load_report(self, self.endpoints.get(endpoint))
+            load = load if status == CHECK_OK else []
+            self.events.append(wire.echo(number, endpoint, status, float(duration_ms), load))
 
-    def follow(self, controller: Controller, on: int) -> set[int]:
-        self.later(self.between(50, 700), self.answer_list, controller.number, bool(on))
+    def set_watch(self, controller: Controller, enabled: int) -> set[int]:
+        self.later(self.random_between(50, 700), self.answer_list_request, controller.number, bool(enabled))
         return set()
 
-    def pull(self, controller: Controller) -> set[int]:
-        self.later(self.between(50, 900), self.answer_list, controller.number, False)
+    def fetch_list(self, controller: Controller) -> set[int]:
+        self.later(self.random_between(50, 900), self.answer_list_request, controller.number, False)
         return set()
 
-    def set_line(self, controller: Controller, endpoint: int, weight: float, table: int) -> set[int]:
-        lines = controller.tables.setdefault(table, {})
+    def set_weight(self, controller: Controller, endpoint: int, weight: float, table: int) -> set[int]:
+        weights = controller.tables.setdefault(table, {})
         if weight > 0:
-            lines[endpoint] = weight
+            weights[endpoint] = weight
         else:
-            lines.pop(endpoint, None)
+            weights.pop(endpoint, None)
         return controller.users(table)
 
     def clear_table(self, controller: Controller, table: int) -> set[int]:
         controller.tables[table] = {}
         return controller.users(table)
 
-    def eject(self, controller: Controller, endpoint: int, out: int) -> set[int]:
-        (controller.ejected.add if out else controller.ejected.discard)(endpoint)
-        return set(controller.installed)
+    def set_ejected(self, controller: Controller, endpoint: int, ejected: int) -> set[int]:
+        (controller.ejected.add if ejected else controller.ejected.discard)(endpoint)
+        return set(controller.assigned_tables)
 
-    def install(self, controller: Controller, table: int, proxy: int, classes: int) -> set[int]:
-        if proxy not in controller.installed:
+    def assign_table(self, controller: Controller, table: int, proxy: int, classes: int) -> set[int]:
+        if proxy not in controller.assigned_tables:
             return set()
         classes = classes or (1 << len(self.scenario.classes)) - 1
-        tables = controller.installed[proxy]
+        tables = controller.assigned_tables[proxy]
         for other in list(tables):
             tables[other] &= ~classes
         tables[table] = tables.get(table, 0) | classes
         return {proxy}
 
-    def set_level(self, controller: Controller, how: int, quota: float, classes: int, table: int) -> set[int]:
+    def set_admission(
+        self, controller: Controller, retry_policy: int, quota: float, classes: int, table: int
+    ) -> set[int]:
         share = min(1.0, quota) if self.scenario.admit == "fraction" else 1.0
-        for place in range(len(self.scenario.classes)):
-            if not classes or classes >> place & 1:
-                controller.levels[table, place] = share
-        return set(controller.installed) if table == wire.ANY_TABLE else controller.users(table)
+        for class_number in range(len(self.scenario.classes)):
+            if not classes or classes >> class_number & 1:
+                controller.quotas[table, class_number] = share
+        return set(controller.assigned_tables) if table == wire.ANY_TABLE else controller.users(table)
--- a/tests/simhost/wire_frames.py
+++ b/tests/simhost/wire_frames.py
@@ -13,7 +13,7 @@
 ROOT = Path(__file__).parents[2]
 ANY_TABLE = 0xFFFF  # in GateClass: every table
 DELTA, CACHED, FULL, FAILED = 0, 1, 2, 4  # modes of Update
-PROBE_OK, PROBE_ERROR, PROBE_BUSY, PROBE_LATE, PROBE_REFUSED, PROBE_RESET = 0, 5, 11, 110, 111, 104
+CHECK_OK, CHECK_ERROR, CHECK_BUSY, CHECK_TIMED_OUT, CHECK_REFUSED, CHECK_RESET = 0, 5, 11, 110, 111, 104
 
 # Action code -> (name, fixed fields after the code, whether text follows them)
 ACTIONS = {
@@ -48,12 +48,14 @@
     return struct.pack(">BIBII", 2, instance, mode, revision, len(packed)) + b"".join(packed)
 
 
-def fired(instance: int, key: int) -> bytes:
-    return struct.pack(">BIQ", 3, instance, key)
+def fired(instance: int, token: int) -> bytes:
+    return struct.pack(">BIQ", 3, instance, token)
 
 
-def echo(instance: int, endpoint: int, status: int, took: float, report: Sequence[float] = ()) -> bytes:
-    return struct.pack(">BIIHd", 4, instance, endpoint, status, took) + _values(report)
+def echo(
+    instance: int, endpoint: int, status: int, duration_ms: float, report: Sequence[float] = ()
+) -> bytes:
+    return struct.pack(">BIIHd", 4, instance, endpoint, status, duration_ms) + _values(report)
 
 
 def peer(instance: int, sender: int, body: bytes) -> bytes:
@@ -64,44 +66,46 @@
     return struct.pack(">BI", 6, instance)
 
 
-def subscribed(instance: int, unconfigured: bool, proxy: int, zone: int, usual: float) -> bytes:
-    return struct.pack(">BIBHHf", 7, instance, unconfigured, proxy, zone, usual)
+def subscribed(instance: int, unconfigured: bool, proxy: int, zone: int, usual_rate: float) -> bytes:
+    return struct.pack(">BIBHHf", 7, instance, unconfigured, proxy, zone, usual_rate)
 
 
 def stream_down(instance: int, proxy: int) -> bytes:
     return struct.pack(">BIH", 8, instance, proxy)
 
 
-def installed(instance: int, proxy: int, nonce: int, took: float) -> bytes:
-    return struct.pack(">BIHId", 9, instance, proxy, nonce, took)
+def installed(instance: int, proxy: int, nonce: int, duration_ms: float) -> bytes:
+    return struct.pack(">BIHId", 9, instance, proxy, nonce, duration_ms)
 
 
 def observed(
     instance: int,
-    elapsed: float,
-    took: float,
+    window_ms: float,
+    duration_ms: float,
     errors: int,
     number: int,
     endpoint: int,
     zone: int,
     report: Sequence[float],
 ) -> bytes:
-    fixed = struct.pack(">BIddIIIH", 10, instance, elapsed, took, errors, number, endpoint, zone)
+    fixed = struct.pack(">BIddIIIH", 10, instance, window_ms, duration_ms, errors, number, endpoint, zone)
     return fixed + _values(report)
 
 
-def ingress(instance: int, proxy: int, request_class: int, number: int, errors: int, elapsed: float) -> bytes:
-    return struct.pack(">BIHHIId", 11, instance, proxy, request_class, number, errors, elapsed)
+def ingress(
+    instance: int, proxy: int, request_class: int, number: int, errors: int, window_ms: float
+) -> bytes:
+    return struct.pack(">BIHHIId", 11, instance, proxy, request_class, number, errors, window_ms)
 
 
 def pressure(
-    instance: int, elapsed: float, errors: int, table: int, request_class: int, number: int
+    instance: int, window_ms: float, errors: int, table: int, request_class: int, number: int
 ) -> bytes:
-    return struct.pack(">BIdIHHI", 12, instance, elapsed, errors, table, request_class, number)
+    return struct.pack(">BIdIHHI", 12, instance, window_ms, errors, table, request_class, number)
 
 
-def handed(instance: int, table: int, given: bool) -> bytes:
-    return struct.pack(">BIHB", 13, instance, table, given)
+def handed(instance: int, table: int, assigned: bool) -> bytes:
+    return struct.pack(">BIHB", 13, instance, table, assigned)
 
 
 def stored_line(instance: int, table: int, endpoint: int, weight: float) -> bytes:
@@ -163,11 +167,11 @@
     def close(self) -> tuple[int, bytes]:
         """Ends its input; its exit code and what it wrote to standard error."""
         self.process.stdin.close()
-        complaints = self.process.stderr.read()
+        error_output = self.process.stderr.read()
         code = self.process.wait(timeout=20)
         self.process.stdout.close()
         self.process.stderr.close()
-        return code, complaints
+        return code, error_output
 
     def __exit__(self, *error: object) -> None:
         if self.process.returncode is None:
--- a/tests/simhost/wire_model.py
+++ b/tests/simhost/wire_model.py
@@ -17,7 +17,7 @@
     size: float
     capacity: float
     idle_ms: float
-    condition: int = READY
+    state: int = READY
     fault: str = ""
     fault_ends: int = 0
     demand: float = 0.0  # requests/s in the last second
@@ -25,7 +25,7 @@
 
     def entry(self) -> wire.Entry:
         """It as discovery lists it."""
-        return (self.id, self.zone, self.started, self.condition, self.id % 2, self.size, self.id % 5)
+        return (self.id, self.zone, self.started, self.state, self.id % 2, self.size, self.id % 5)
 
 
 @dataclass(slots=True)
@@ -45,15 +45,15 @@
 
     number: int
     alive: bool = False
-    following: bool = False
+    watching: bool = False
     revision: int = 0  # of the list that it has
     tables: dict[int, dict[int, float]] = field(default_factory=dict)
-    installed: dict[int, dict[int, int]] = field(default_factory=dict)  # by proxy: classes as bits by table
-    levels: dict[tuple[int, int], float] = field(default_factory=dict)  # by table and class
+    assigned_tables: dict[int, dict[int, int]] = field(default_factory=dict)  # proxy: class bits by table
+    quotas: dict[tuple[int, int], float] = field(default_factory=dict)  # by table and class
     ejected: set[int] = field(default_factory=set)
-    met: dict[tuple[int, int], list] = field(default_factory=dict)  # not yet reported, by endpoint and zone
-    came: dict[tuple[int, int], list] = field(default_factory=dict)  # by proxy and class
+    unreported_attempts: dict[tuple[int, int], list] = field(default_factory=dict)  # by endpoint and zone
+    unreported_requests: dict[tuple[int, int], list] = field(default_factory=dict)  # by proxy and class
 
     def users(self, table: int) -> set[int]:
         """The joined proxies that use a table."""
-        return {proxy for proxy, tables in self.installed.items() if tables.get(table)}
+        return {proxy for proxy, tables in self.assigned_tables.items() if tables.get(table)}
--- a/tests/simhost/wire_traffic.py
+++ b/tests/simhost/wire_traffic.py
@@ -3,7 +3,7 @@
 from typing import TYPE_CHECKING
 
 import wire_frames as wire
-from wire_frames import PROBE_BUSY, PROBE_ERROR, PROBE_LATE, PROBE_OK, PROBE_REFUSED, PROBE_RESET
+from wire_frames import CHECK_BUSY, CHECK_ERROR, CHECK_OK, CHECK_REFUSED, CHECK_RESET, CHECK_TIMED_OUT
 from wire_model import DRAINING, Controller, Endpoint, Proxy
 from wire_scenario import CLOCK_START
 
@@ -11,9 +11,9 @@
     from wire_fleet import Fleet
 
 
-def spread(fleet: "Fleet") -> None:
+def distribute_requests(fleet: "Fleet") -> None:
     """A second's requests go out by the tables; what endpoints do with them is noted for the reports."""
-    overload = fleet.scenario.overload if fleet.during("overload") else 1.0
+    overload = fleet.scenario.overload if fleet.is_active("overload") else 1.0
     sent: dict[tuple[int, int, int], float] = {}  # requests by controller, zone of the proxies, endpoint
     for endpoint in fleet.endpoints.values():
         endpoint.demand = 0.0
@@ -24,32 +24,41 @@
         fleet.endpoints[number].demand += requests
     for endpoint in fleet.endpoints.values():
         endpoint.utilization = endpoint.demand / (endpoint.capacity * warm_fraction(fleet, endpoint))
-    for (number, zone, at), requests in sent.items():
-        note_met(fleet, fleet.controllers[number], zone, fleet.endpoints[at], requests)
+    for (number, zone, endpoint_id), requests in sent.items():
+        record_attempts(fleet, fleet.controllers[number], zone, fleet.endpoints[endpoint_id], requests)
 
 
 def send_requests(fleet: "Fleet", controller: Controller, proxy: Proxy, factor: float, sent: dict) -> None:
-    for place, rate in enumerate(proxy.rates):
+    for class_number, rate in enumerate(proxy.rates):
         offered = rate * factor * (0.8 + 0.4 * fleet.random.random())
-        count = rounded(fleet, offered)
-        came = controller.came.setdefault((proxy.number, place), [0, 0, 0])
-        came[0], came[1], came[2] = came[0] + 1000, came[1] + count, came[2] + (count > 3)
+        count = randomly_rounded(fleet, offered)
+        arrivals = controller.unreported_requests.setdefault((proxy.number, class_number), [0, 0, 0])
+        arrivals[0], arrivals[1], arrivals[2] = (
+            arrivals[0] + 1000,
+            arrivals[1] + count,
+            arrivals[2] + (count > 3),
+        )
         table = next(
-            (at for at, bits in controller.installed[proxy.number].items() if bits >> place & 1), None
+            (
+                table_number
+                for table_number, bits in controller.assigned_tables[proxy.number].items()
+                if bits >> class_number & 1
+            ),
+            None,
         )
-        lines = {
-            at: weight
-            for at, weight in controller.tables.get(table, {}).items()
-            if at not in controller.ejected and at in fleet.endpoints
+        weights = {
+            endpoint_id: weight
+            for endpoint_id, weight in controller.tables.get(table, {}).items()
+            if endpoint_id not in controller.ejected and endpoint_id in fleet.endpoints
         }
-        total = sum(lines.values())
-        admitted = offered * controller.levels.get((table, place), 1.0)
-        for at, weight in lines.items():
-            key = controller.number, proxy.zone, at
+        total = sum(weights.values())
+        admitted = offered * controller.quotas.get((table, class_number), 1.0)
+        for endpoint_id, weight in weights.items():
+            key = controller.number, proxy.zone, endpoint_id
             sent[key] = sent.get(key, 0.0) + admitted * weight / total
 
 
-def rounded(fleet: "Fleet", amount: float) -> int:
+def randomly_rounded(fleet: "Fleet", amount: float) -> int:
     """A whole number, of that mean."""
     return int(amount) + (fleet.random.random() < amount - int(amount))
 
@@ -61,23 +70,25 @@
     return 0.2 + 0.8 * max(0.0, age) / fleet.scenario.cold
 
 
-def note_met(fleet: "Fleet", controller: Controller, zone: int, endpoint: Endpoint, requests: float) -> None:
+def record_attempts(
+    fleet: "Fleet", controller: Controller, zone: int, endpoint: Endpoint, requests: float
+) -> None:
     """What proxies of a zone met at an endpoint, added to what is not reported yet."""
-    tried = rounded(fleet, requests)
-    if not tried or endpoint.fault == "vanished":
+    attempts = randomly_rounded(fleet, requests)
+    if not attempts or endpoint.fault == "vanished":
         return
     load = endpoint.utilization
-    failing = min(0.7, max(0.0, (load - 1.2) / load)) if load > 0 else 0.0
+    error_rate = min(0.7, max(0.0, (load - 1.2) / load)) if load > 0 else 0.0
     if endpoint.fault == "failing":
-        failing = 0.8
+        error_rate = 0.8
     if endpoint.fault == "flaky":
-        failing = 0.2
-    took = endpoint.idle_ms * (1.0 + 3.0 * min(load, 1.0) * load + 12.0 * max(0.0, load - 1.0))
-    took *= (6.0 if endpoint.fault == "slow" else 1.0) * (0.9 + 0.2 * fleet.random.random())
-    errors = min(tried, rounded(fleet, tried * (failing + 0.002)))
-    met = controller.met.setdefault((endpoint.id, zone), [0, 0, 0, 0.0])
-    met[0], met[1], met[2] = met[0] + 1000, met[1] + errors, met[2] + tried
-    met[3] += took * (tried - errors)
+        error_rate = 0.2
+    duration_ms = endpoint.idle_ms * (1.0 + 3.0 * min(load, 1.0) * load + 12.0 * max(0.0, load - 1.0))
+    duration_ms *= (6.0 if endpoint.fault == "slow" else 1.0) * (0.9 + 0.2 * fleet.random.random())
+    errors = min(attempts, randomly_rounded(fleet, attempts * (error_rate + 0.002)))
+    totals = controller.unreported_attempts.setdefault((endpoint.id, zone), [0, 0, 0, 0.0])
+    totals[0], totals[1], totals[2] = totals[0] + 1000, totals[1] + errors, totals[2] + attempts
+    totals[3] += duration_ms * (attempts - errors)
 
 
 def load_report(fleet: "Fleet", endpoint: Endpoint | None) -> list[float]:
@@ -93,29 +104,31 @@
     return [known.get(name, 7.0) for name in fleet.scenario.fields]
 
 
-def report(fleet: "Fleet", number: int) -> None:
+def send_reports(fleet: "Fleet", number: int) -> None:
     """A period's lines to one controller, as many as are let through, the oldest first."""
     controller = fleet.controllers[number]
     if not controller.alive:
         return
-    most = int(fleet.scenario.ingest_rate * fleet.scenario.period / 2000)
-    for at, zone in list(controller.met)[:most]:
-        elapsed, errors, tried, took = controller.met.pop((at, zone))
-        mean = took / (tried - errors) if tried > errors else 0.0
-        held = load_report(fleet, fleet.endpoints.get(at))
-        held = held if fleet.random.random() < 0.9 else []
-        fleet.events.append(wire.observed(number, float(elapsed), mean, errors, tried, at, zone, held))
-    for proxy, place in list(controller.came)[:most]:
-        elapsed, count, errors = controller.came.pop((proxy, place))
-        fleet.events.append(wire.ingress(number, proxy, place, count, errors, float(elapsed)))
-
-
-def probe_status(fleet: "Fleet", endpoint: Endpoint | None) -> int:
+    max_reports = int(fleet.scenario.ingest_rate * fleet.scenario.period / 2000)
+    for endpoint_id, zone in list(controller.unreported_attempts)[:max_reports]:
+        elapsed, errors, attempts, duration_ms = controller.unreported_attempts.pop((endpoint_id, zone))
+        mean = duration_ms / (attempts - errors) if attempts > errors else 0.0
+        load_values = load_report(fleet, fleet.endpoints.get(endpoint_id))
+        load_values = load_values if fleet.random.random() < 0.9 else []
+        fleet.events.append(
+            wire.observed(number, float(elapsed), mean, errors, attempts, endpoint_id, zone, load_values)
+        )
+    for proxy, class_number in list(controller.unreported_requests)[:max_reports]:
+        elapsed, count, errors = controller.unreported_requests.pop((proxy, class_number))
+        fleet.events.append(wire.ingress(number, proxy, class_number, count, errors, float(elapsed)))
+
+
+def health_check_status(fleet: "Fleet", endpoint: Endpoint | None) -> int:
     """How a health check ends at it."""
     if endpoint is None or endpoint.fault == "vanished":
-        return PROBE_LATE if fleet.random.random() < 0.5 else PROBE_REFUSED
-    if endpoint.condition == DRAINING or fleet.random.random() < 0.1:
-        return PROBE_BUSY
+        return CHECK_TIMED_OUT if fleet.random.random() < 0.5 else CHECK_REFUSED
+    if endpoint.state == DRAINING or fleet.random.random() < 0.1:
+        return CHECK_BUSY
     if endpoint.fault == "failing" and fleet.random.random() < 0.6:
-        return PROBE_ERROR if fleet.random.random() < 0.7 else PROBE_RESET
-    return PROBE_OK
+        return CHECK_ERROR if fleet.random.random() < 0.7 else CHECK_RESET
+    return CHECK_OK
