--- a/tests/simhost/test_simhost_command_encoding.py
+++ b/tests/simhost/test_simhost_command_encoding.py
@@ -1,4 +1,4 @@
-"""Commands as records of the simulator's wire: the bytes of each, as the protocol's page lays them out."""
+"""Commands as records of the simulator's wire: the bytes of each, by the layouts on the protocol's page."""
 
 import pytest
 
@@ -28,16 +28,16 @@
         ("request_ack", (300, True), "0d 00000003 0000012c 01"),
     ],
 )
-def test_a_command_is_this_record(command, arguments, record):
+def test_command_is_encoded_as_this_record(command, arguments, record):
     records = []
     getattr(CommandEncoder(INSTANCE, ENDPOINT_IDS, records), command)(*arguments)
     assert [packed.hex() for packed in records] == [bytes.fromhex(record).hex()]
 
 
-def test_a_fault_is_a_record_of_its_text():
+def test_fault_is_encoded_with_its_text():
     assert encode_fault(5, "failed") == bytes.fromhex("05 00000005 0006 6661696c6564")
 
 
-def test_a_text_is_cut_to_what_a_record_holds():
+def test_text_is_truncated_to_the_size_of_a_record():
     packed = encode_fault(5, "x" * (MAX_TEXT_BYTES + 1))
     assert packed == bytes.fromhex("05 00000005 ffff") + b"x" * 0xFFFF
--- a/tests/simhost/test_simhost_event_decoding.py
+++ b/tests/simhost/test_simhost_event_decoding.py
@@ -1,4 +1,4 @@
-"""Records of the simulator's wire as events: numbers, units and codes that are not in the tables."""
+"""Records of the simulator's wire as events: numbers, units, and unknown codes."""
 
 import pytest
 
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("mode, complete", [(0, False), (LIST_CACHED, True), (LIST_FULL, True), (3, False)])
-def test_the_mode_of_a_list_tells_whether_it_is_complete(mode, complete):
+def test_mode_of_a_list_determines_whether_it_is_complete(mode, complete):
     event = EventDecoder([]).decode(endpoint_list(mode, 1))
     assert isinstance(event, EndpointListReceived)
     assert event.complete is complete
@@ -60,5 +60,5 @@
 
 
 @pytest.mark.parametrize("code", [RecordCode.TIMER, RecordCode.PEER_MESSAGE, RecordCode.SLICE_WEIGHT])
-def test_records_without_use_are_no_events(code):
+def test_unused_records_are_no_events(code):
     assert EventDecoder([]).decode(Record(code, 3, (1, 2))) is None
--- a/tests/simhost/test_simhost_instances.py
+++ b/tests/simhost/test_simhost_instances.py
@@ -1,4 +1,4 @@
-"""One adapter process runs many instances: nothing of one turns up in another."""
+"""One adapter process runs many instances, which share no state."""
 
 import json
 
@@ -50,7 +50,7 @@
 
 
 def entries(instance, turn):
-    """An endpoint list in which one endpoint drains from turn 21 on."""
+    """Returns the entries of an endpoint list; endpoint 4 drains from turn 21 on."""
     return [
         EntryFields(
             endpoint_id=endpoint,
@@ -66,7 +66,7 @@
 
 
 def records_of(instance, turn):
-    """What one batch brings to an instance: joins, lists, load reports, acknowledgements, a lost stream."""
+    """Returns the records of a batch: joins, lists, load reports, acknowledgements, a lost stream."""
     records = []
     if turn % 7 == 0:
         records.append(Record(RecordCode.ENDPOINT_LIST, instance, (2, 0, entries(instance, turn))))
@@ -87,7 +87,7 @@
 
 
 def play(*instances):
-    """The replies of an adapter that runs these instances."""
+    """Returns the replies of an adapter that runs these instances."""
     adapter, replies = Adapter(), []
     starts = [
         Record(RecordCode.START, instance, (7, json.dumps(SETTINGS[instance]).encode()))
@@ -99,7 +99,7 @@
     return replies
 
 
-def test_instances_with_other_settings_decide_as_each_alone():
+def test_instances_with_different_settings_decide_as_if_alone():
     both, first, second = play(1, 2), play(1), play(2)
     assert len(both) == len(first) == len(second) == 60
     assert both == [
--- a/tests/simhost/wire_faults.py
+++ b/tests/simhost/wire_faults.py
@@ -1,4 +1,4 @@
-"""The faults of the made fleet, and the odd records among its events."""
+"""The faults of the simulated fleet, and unusual records among its events."""
 
 from typing import TYPE_CHECKING
 
@@ -13,8 +13,8 @@
 UNKNOWN_INSTANCE = 7000
 
 
-def update(fleet: "Fleet") -> None:
-    """Once a second: faults that end, and those that begin, by the scenario's rates."""
+def update_faults(fleet: "Fleet") -> None:
+    """Ends faults and starts new ones by the scenario's rates; called once a second."""
     for endpoint in list(fleet.endpoints.values()):
         if endpoint.fault and fleet.now >= endpoint.fault_ends:
             endpoint.fault = ""
@@ -24,11 +24,13 @@
 
 
 def some_endpoints(fleet: "Fleet", fraction: float) -> list[Endpoint]:
+    """Returns about this fraction of the ready endpoints."""
     ready = [one for one in fleet.endpoints.values() if one.state == READY]
     return [one for one in ready if fleet.random.random() < fraction]
 
 
 def inject(fleet: "Fleet", fault: str, fraction: float) -> None:
+    """Starts a fault at about this fraction of the ready endpoints, for 4 to 18 s."""
     ends = fleet.now + fleet.random_between(4000, 18000)
     for endpoint in some_endpoints(fleet, fraction):
         endpoint.fault, endpoint.fault_ends = fault, ends
@@ -64,7 +66,7 @@
 
 
 def zone_loss(fleet: "Fleet") -> None:
-    """All endpoints of a zone stop answering and come back cold."""
+    """All endpoints of a zone stop answering, then restart and warm up."""
     zone = fleet.random.randrange(len(fleet.scenario.zones))
     for endpoint in list(fleet.endpoints.values()):
         if endpoint.zone == zone and endpoint.state == READY:
@@ -73,7 +75,7 @@
 
 
 def drain(fleet: "Fleet") -> None:
-    """Some endpoints drain, go, and are replaced by cold ones."""
+    """Some endpoints drain, are removed, and are replaced by ones that warm up."""
     for endpoint in some_endpoints(fleet, fleet.scenario.drain_part):
         endpoint.state = DRAINING
         fleet.record_change(endpoint)
@@ -83,7 +85,7 @@
 
 
 def undrain(fleet: "Fleet") -> None:
-    """A drain that is taken back."""
+    """Up to two draining endpoints become ready again."""
     for endpoint in [one for one in fleet.endpoints.values() if one.state == DRAINING][:2]:
         endpoint.state = READY
         fleet.record_change(endpoint)
@@ -108,7 +110,7 @@
 
 
 def one_rejoins(fleet: "Fleet") -> None:
-    """A proxy whose stream was replaced: it joins again before the old stream's end is noticed."""
+    """A proxy joins on a new stream before the end of its old one is reported."""
     proxy = fleet.proxies[fleet.random.randrange(len(fleet.proxies))]
     if proxy.controller is not None:
         fleet.controllers[proxy.controller].assigned_tables[proxy.number] = {}
@@ -118,6 +120,7 @@
 
 
 def start_window(fleet: "Fleet", fault: str, least: int, most: int) -> None:
+    """Starts a fault of the whole fleet, for `least` to `most` ms."""
     fleet.window_ends[fault] = fleet.now + fleet.random_between(least, most)
 
 
@@ -146,7 +149,7 @@
 
 
 def odd_records(fleet: "Fleet") -> None:
-    """Records that are legal and rare, or that a controller has no use for."""
+    """Records that are valid but unusual, or that a controller does not use."""
     number, lost = fleet.random.randrange(len(fleet.controllers)), fleet.random.randrange(1, 2**32)
     if not fleet.controllers[number].alive:
         return
@@ -177,7 +180,7 @@
 
 
 def odd_class(fleet: "Fleet") -> None:
-    """A report of the class one past the last."""
+    """Load reports on a request class that does not exist, one past the last."""
     class_number = len(fleet.scenario.classes)
     fleet.events += [
         wire.ingress(one.controller, one.number, class_number, 9, 0, 1000.0) for one in joined_proxies(fleet)
--- a/tests/simhost/wire_fleet.py
+++ b/tests/simhost/wire_fleet.py
@@ -1,10 +1,11 @@
-"""A made fleet that plays the simulator's part on the wire: endpoints, proxies, discovery, and their faults.
+"""A simulated fleet in place of the simulator on the wire: endpoints, proxies, discovery, and their faults.
 
-It is no model of a deployment. It only has to bring every event in many orders, in a loop: what proxies
-meet follows from the tables sent, acknowledgements from the messages. All chance comes from one seed, and
-only sums, products and quotients are used, so that the bytes are the same on any machine.
+It is not a model of a deployment. It only has to send every event in many orders, and to react to commands:
+the results of attempts follow from the tables sent, acknowledgements from the updates. All random numbers
+come from one seed, and only sums, products and quotients are used, so that the bytes are the same on any
+machine.
 
-Times are whole milliseconds from the fleet's start.
+Times are whole milliseconds since the fleet's start.
 """
 
 import hashlib
@@ -25,7 +26,7 @@
 
 
 class Fleet:
-    """Plays one scenario against an adapter and digests all replies."""
+    """Runs one scenario against an adapter and digests all replies."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario, self.random = scenario, Random(scenario.seed)
@@ -33,7 +34,7 @@
         self.events: list[bytes] = []  # of this step
         self.window_ends: dict[str, int] = {}  # fault: when it ends
         self.list_changes: list[Endpoint] = []  # changes of the list, by revision - 1
-        self.visible_revision = 0  # so many of them are listed
+        self.visible_revision = 0  # of the list that discovery shows
         self.listed: dict[int, wire.Entry] = {}
         self.endpoints: dict[int, Endpoint] = {}
         self.released_ids: list[int] = []  # ids that may come back
@@ -54,10 +55,10 @@
             "GateClass": self.set_admission,
         }
 
-    # The play
+    # The run of a scenario
 
     def play(self, adapter: wire.Adapter) -> dict:
-        """The digest of all replies, with a short one of all so far every CHECKPOINT replies."""
+        """Returns the digest of all replies, and every CHECKPOINT replies a short one of all so far."""
         digest, count, checkpoints = hashlib.sha256(), 0, []
         for controller in self.controllers:
             self.start(controller.number)
@@ -78,22 +79,22 @@
         return {"replies": count, "sha256": digest.hexdigest(), "checkpoints": checkpoints}
 
     def clock(self) -> float:
-        """The wire's clock, in ms; it never goes back."""
+        """Returns the wire's clock, in ms; it never goes back."""
         jitter = self.scenario.clock_jitter
         return CLOCK_START + self.now + (jitter * self.random.random() if jitter else 0.0)
 
     def later(self, after: int, call, *arguments: object) -> None:
-        """Calls back so many ms from now."""
+        """Schedules a call `after` ms from now."""
         self.calls_scheduled += 1
         heapq.heappush(self.pending, (self.now + after, self.calls_scheduled, call, arguments))
 
     def step(self) -> None:
-        """All that is due, the list's news, and once a second traffic and faults."""
+        """Makes the calls that are due, sends list changes, and once a second runs traffic and faults."""
         while self.pending and self.pending[0][0] <= self.now:
             _, _, call, arguments = heapq.heappop(self.pending)
             call(*arguments)
         if self.now % 1000 == 0:
-            wire_faults.update(self)
+            wire_faults.update_faults(self)
             wire_traffic.distribute_requests(self)
             for controller in self.controllers if self.now % self.scenario.period == 0 else ():
                 delay_ms = self.random_between(300, 1200) + (3000 if self.is_active("reports_late") else 0)
@@ -103,7 +104,7 @@
                 self.send_changes(controller)
 
     def random_between(self, least: float, most: float) -> int:
-        """A whole number of that range."""
+        """Returns a random integer of that range."""
         return int(least + (most - least) * self.random.random())
 
     def is_active(self, fault: str) -> bool:
@@ -122,7 +123,7 @@
         self.record_change(self.endpoints[number])
 
     def record_change(self, endpoint: Endpoint) -> None:
-        """The list shows it some time later."""
+        """Records a change of an endpoint, which the list shows after a delay."""
         self.list_changes.append(endpoint)
         self.later(self.random_between(200, 1800), self.publish_list, len(self.list_changes))
 
@@ -135,7 +136,7 @@
         self.visible_revision = max(self.visible_revision, revision)
 
     def send_changes(self, controller: Controller) -> None:
-        """The changes missed, or the whole list where they are many."""
+        """Sends the changes since the controller's revision, or the complete list if there are many."""
         changed = {one.id: one for one in self.list_changes[controller.revision : self.visible_revision]}
         controller.revision = self.visible_revision
         if len(changed) > 12:
@@ -153,7 +154,7 @@
         self.events.append(wire.update(number, mode, self.visible_revision, entries))
 
     def answer_list_request(self, number: int, watch: bool) -> None:
-        """The answer to a call of discovery; a call may fail."""
+        """Answers a request for a watch or the complete list; it may fail."""
         controller = self.controllers[number]
         if not controller.alive:
             return
@@ -245,10 +246,10 @@
             proxy.controller = None
         self.later(rejoin_after, self.join, number)
 
-    # Actions of the adapter
+    # Commands of the adapter
 
     def apply_reply(self, reply: bytes) -> None:
-        """Carries out a reply's actions; a message's acknowledgement is drawn for each proxy affected."""
+        """Carries out a reply's commands; acknowledgements are drawn for each proxy that gets an update."""
         affected: dict[int, set[int]] = {}
         nonces: list[tuple[int, int, bool]] = []
         for name, number, *fields in wire.actions(reply[8:]):
@@ -257,7 +258,7 @@
             if name == "AskReceipt":
                 nonces.append((number, fields[0], bool(fields[1])))
             elif name == "Panic":
-                raise AssertionError(f"at {self.now} ms the adapter's code broke: {fields[0].decode()}")
+                raise AssertionError(f"at {self.now} ms the adapter reported a fault: {fields[0].decode()}")
             else:
                 affected_proxies |= self.command_handlers[name](controller, *fields)
         for number, nonce, all_proxies in nonces:
--- a/tests/simhost/wire_frames.py
+++ b/tests/simhost/wire_frames.py
@@ -1,7 +1,7 @@
-"""Frames of the simulator's wire, packed and read here by the page's layouts alone.
+"""Packs and reads frames of the simulator's wire, by the layouts on the protocol's page.
 
-Nothing of `oatcart` is used, so that a change of its names or of its codec cannot hide in both sides. Events
-are packed by the functions named after them; times are milliseconds, as on the wire.
+Nothing of `oatcart` is used, so that a change of its names or of its codec is not repeated here and missed.
+Events are packed by the functions named after them; times are milliseconds, as on the wire.
 """
 
 import struct
@@ -32,7 +32,7 @@
     13: ("AskReceipt", struct.Struct(">IIB"), False),
 }
 
-Entry = tuple[int, int, float, int, int, float, int]  # id, zone, start in ms, condition, type, size, cohort
+Entry = tuple[int, int, float, int, int, float, int]  # id, zone, start in ms, state, type, size, cohort
 
 
 def _values(report: Sequence[float]) -> bytes:
@@ -113,13 +113,13 @@
 
 
 def batch(clock: float, events: Sequence[bytes]) -> bytes:
-    """A frame with the events of one clock time."""
+    """Returns a frame with the events of one clock time."""
     body = b"".join(events)
     return struct.pack(">IId", len(body) + 12, len(events), clock) + body
 
 
 def actions(body: bytes) -> Iterator[tuple]:
-    """The records of a reply as (name, instance, fields...); text comes last, as bytes."""
+    """Returns the records of a reply as (name, instance, fields...); text is last, as bytes."""
     at = 0
     while at < len(body):
         name, fixed, has_text = ACTIONS[body[at]]
@@ -135,7 +135,7 @@
 class Adapter:
     """The adapter's process, as the simulator starts it; a context manager that waits for its end.
 
-    `hash_seed` is the process's PYTHONHASHSEED. A process that answers no whole reply raises EOFError.
+    `hash_seed` is the process's PYTHONHASHSEED. A process that ends before a complete reply raises EOFError.
     """
 
     def __init__(self, hash_seed: int = 0, command: Sequence[str] = ()) -> None:
@@ -152,7 +152,7 @@
         return self
 
     def answer(self, frame: bytes) -> bytes:
-        """The whole reply to one batch, header included."""
+        """Returns the complete reply to one batch, including its header."""
         self.process.stdin.write(frame)
         self.process.stdin.flush()
         return self._read(8)
@@ -165,7 +165,7 @@
         return header + self.process.stdout.read(size)
 
     def close(self) -> tuple[int, bytes]:
-        """Ends its input; its exit code and what it wrote to standard error."""
+        """Closes the process's input; returns its exit code and what it wrote to standard error."""
         self.process.stdin.close()
         error_output = self.process.stderr.read()
         code = self.process.wait(timeout=20)
--- a/tests/simhost/wire_model.py
+++ b/tests/simhost/wire_model.py
@@ -1,4 +1,4 @@
-"""What a made fleet consists of."""
+"""The endpoints, proxies and controllers of the simulated fleet."""
 
 from dataclasses import dataclass, field
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """A server; `capacity` in requests/s, `idle_ms` its response time without load."""
+    """An endpoint; `capacity` in requests/s, `idle_ms` is its response time without load."""
 
     id: int
     zone: int
@@ -24,7 +24,7 @@
     utilization: float = 0.0
 
     def entry(self) -> wire.Entry:
-        """It as discovery lists it."""
+        """Returns the endpoint as discovery lists it."""
         return (self.id, self.zone, self.started, self.state, self.id % 2, self.size, self.id % 5)
 
 
@@ -41,12 +41,12 @@
 
 @dataclass(slots=True)
 class Controller:
-    """One instance as the simulator sees it: what it was told, and what it ordered."""
+    """One instance as the simulator sees it: what it was sent, and what it commanded."""
 
     number: int
     alive: bool = False
     watching: bool = False
-    revision: int = 0  # of the list that it has
+    revision: int = 0  # of the list that it was sent last
     tables: dict[int, dict[int, float]] = field(default_factory=dict)
     assigned_tables: dict[int, dict[int, int]] = field(default_factory=dict)  # proxy: class bits by table
     quotas: dict[tuple[int, int], float] = field(default_factory=dict)  # by table and class
@@ -55,5 +55,5 @@
     unreported_requests: dict[tuple[int, int], list] = field(default_factory=dict)  # by proxy and class
 
     def users(self, table: int) -> set[int]:
-        """The joined proxies that use a table."""
+        """Returns the joined proxies that use a table."""
         return {proxy for proxy, tables in self.assigned_tables.items() if tables.get(table)}
--- a/tests/simhost/wire_scenario.py
+++ b/tests/simhost/wire_scenario.py
@@ -1,4 +1,4 @@
-"""What a configuration of the made fleet consists of."""
+"""The parameters of a scenario of the simulated fleet."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A configuration, the fleet that is played under it and its faults, in events a minute."""
+    """A configuration, the fleet that runs under it and its faults, in events per minute."""
 
     name: str
     seed: int
@@ -54,11 +54,11 @@
     capacity: float = 30.0  # requests/s of an endpoint of size 1
     idle_ms: float = 90.0  # its response time without load
     proxy_rate: float = 16.0  # requests/s of a proxy, at the mean
-    zone_skew: float = 0.0  # this part of the proxies stands in zone 0 beside its own share
+    zone_skew: float = 0.0  # fraction of the proxies that is in zone 0 in addition to its own share
     overload: float = 2.6  # times the usual rate
     admit: str = "fraction"
     weights: str = "off"
-    sizes: tuple[float, float, float, float] = (0.5, 1.0, 1.0, 2.0)  # that listed weights are drawn from
+    sizes: tuple[float, float, float, float] = (0.5, 1.0, 1.0, 2.0)  # from which nominal weights are drawn
     membership: str = "automatic"
     probes: bool = True
     cross_zone: float = 0.12
@@ -74,14 +74,14 @@
     cold: float = 17000.0  # ms
     cold_share: float = 0.19
     tip_multiple: float = 4.0
-    cached: float = 1.0  # part of the list that a started controller holds
+    cached: float = 1.0  # fraction of the list that a controller has at its start
     list_after: int = 0  # ms until discovery answers
     ack_ms: tuple[int, int] = (100, 500)
     acks_lost: float = 0.0
     drain_part: float = 0.25
-    replaced: float = 1.0  # part of the drained endpoints that get a successor
+    replaced: float = 1.0  # fraction of the drained endpoints that is replaced
     calm_ms: int = 4000  # without faults at the start
-    join_ms: int = 1500  # over which the proxies join at the start
-    told_proxies: int = 0  # proxies that the settings tell of; 0: as many as there are
-    clock_jitter: float = 0.0  # ms that a batch's clock is late, at most
+    join_ms: int = 1500  # time over which the proxies join at the start
+    told_proxies: int = 0  # proxy count in the settings; 0: the actual count
+    clock_jitter: float = 0.0  # largest delay of a batch's clock, ms
     faults: Mapping[str, float] = field(default_factory=lambda: FAULTS)
--- a/tests/simhost/wire_settings.py
+++ b/tests/simhost/wire_settings.py
@@ -1,10 +1,10 @@
-"""The settings object of the wire, with the names of its page."""
+"""The settings object of the wire, with the names of the protocol's page."""
 
 from wire_scenario import RequestClass, Scenario
 
 
 def settings(scenario: Scenario, number: int) -> dict:
-    """The settings object of one controller, with all keys of the page's example."""
+    """Returns the settings object of one controller, with all keys of the example on the protocol's page."""
     return {
         "balancers": scenario.controllers,
         "domainType": "control",
@@ -47,15 +47,15 @@
     }
 
 
-def _grade(one: RequestClass) -> dict:
+def _grade(request_class: RequestClass) -> dict:
     grade = {
-        "aim": one.aim,
-        "deadline": 3 * one.aim,
+        "aim": request_class.aim,
+        "deadline": 3 * request_class.aim,
         "group": "all",
-        "idempotency": one.idempotency,
+        "idempotency": request_class.idempotency,
         "lateShare": 0.1,
-        "name": one.name,
+        "name": request_class.name,
         "repeatWindow": 3000.0,
-        "worth": one.worth,
+        "worth": request_class.worth,
     }
-    return grade | ({"onlyZones": list(one.only_zones)} if one.only_zones else {})
+    return grade | ({"onlyZones": list(request_class.only_zones)} if request_class.only_zones else {})
--- a/tests/simhost/wire_traffic.py
+++ b/tests/simhost/wire_traffic.py
@@ -1,4 +1,4 @@
-"""What the made fleet's proxies meet at its endpoints, and the reports of it."""
+"""The traffic of the simulated fleet: results of attempts at endpoints, and load reports."""
 
 from typing import TYPE_CHECKING
 
@@ -12,7 +12,7 @@
 
 
 def distribute_requests(fleet: "Fleet") -> None:
-    """A second's requests go out by the tables; what endpoints do with them is noted for the reports."""
+    """Distributes the requests of one second by the tables and records the results for the load reports."""
     overload = fleet.scenario.overload if fleet.is_active("overload") else 1.0
     sent: dict[tuple[int, int, int], float] = {}  # requests by controller, zone of the proxies, endpoint
     for endpoint in fleet.endpoints.values():
@@ -59,7 +59,7 @@
 
 
 def randomly_rounded(fleet: "Fleet", amount: float) -> int:
-    """A whole number, of that mean."""
+    """Returns `amount` rounded up or down at random, with `amount` as the mean."""
     return int(amount) + (fleet.random.random() < amount - int(amount))
 
 
@@ -73,7 +73,7 @@
 def record_attempts(
     fleet: "Fleet", controller: Controller, zone: int, endpoint: Endpoint, requests: float
 ) -> None:
-    """What proxies of a zone met at an endpoint, added to what is not reported yet."""
+    """Adds the results of attempts from a zone at an endpoint to those not yet reported."""
     attempts = randomly_rounded(fleet, requests)
     if not attempts or endpoint.fault == "vanished":
         return
@@ -92,7 +92,7 @@
 
 
 def load_report(fleet: "Fleet", endpoint: Endpoint | None) -> list[float]:
-    """Its load report, in the order of the scenario's fields; empty for one that is gone."""
+    """Returns an endpoint's load report, in the order of the scenario's fields; empty if it is gone."""
     if endpoint is None:
         return []
     load = endpoint.utilization * (0.95 + 0.1 * fleet.random.random())
@@ -105,7 +105,7 @@
 
 
 def send_reports(fleet: "Fleet", number: int) -> None:
-    """A period's lines to one controller, as many as are let through, the oldest first."""
+    """Sends the load reports of a period to one controller, up to the ingest rate, the oldest first."""
     controller = fleet.controllers[number]
     if not controller.alive:
         return
@@ -124,7 +124,7 @@
 
 
 def health_check_status(fleet: "Fleet", endpoint: Endpoint | None) -> int:
-    """How a health check ends at it."""
+    """Returns the outcome code of a health check at an endpoint."""
     if endpoint is None or endpoint.fault == "vanished":
         return CHECK_TIMED_OUT if fleet.random.random() < 0.5 else CHECK_REFUSED
     if endpoint.state == DRAINING or fleet.random.random() < 0.1:
