--- a/tests/live/connections.py
+++ b/tests/live/connections.py
@@ -1,4 +1,4 @@
-"""Connections to a controller, and proxies that keep the updates sent to them."""
+"""Connections to a controller, and proxies that apply the updates sent to them."""
 
 import json
 import select
@@ -8,7 +8,7 @@
 from live.discovery import LOOPBACK
 from live.waiting import TIMEOUT_S
 
-READ_BYTES = 65536  # read at a time; longer than any message that is sent
+READ_BYTES = 65536  # read at once; longer than any message sent
 
 
 class Connection:
--- a/tests/live/discovery.py
+++ b/tests/live/discovery.py
@@ -11,7 +11,7 @@
 from live.waiting import POLL_INTERVAL_S
 
 LOOPBACK = "127.0.0.1"
-UNSPLIT = 1 << 20  # bytes; longer than any response
+UNSPLIT = 1 << 20  # bytes; larger than any response, which is then written at once
 
 
 @dataclass(slots=True)
--- a/tests/live/waiting.py
+++ b/tests/live/waiting.py
@@ -1,4 +1,4 @@
-"""Waits for a condition with a generous timeout, so that a busy machine fails no test."""
+"""Waits for a condition, with a timeout that is long enough on a busy machine."""
 
 import time
 from collections.abc import Callable
--- a/tests/proxy/test_proxy_admission.py
+++ b/tests/proxy/test_proxy_admission.py
@@ -1,4 +1,4 @@
-"""Admission: quotas by share and by rate, and when a rejected client may return."""
+"""Admission: quotas by share and by rate, and the Retry-After of rejections."""
 
 from http import HTTPStatus
 from random import Random
@@ -6,7 +6,7 @@
 from oatcart.proxy.admission import RETRY_AFTER_MAX_SECONDS, AdmissionControl
 
 
-def test_quotas_by_share_and_by_rate_tell_when_to_return():
+def test_rejections_by_share_and_by_rate_have_a_retry_after():
     admission = AdmissionControl(Random(2).uniform)
     rejections = [found for _ in range(10_000) if (found := admission.check_share(0.3))]
     assert abs(len(rejections) - 7000) < 250
--- a/tests/proxy/test_proxy_connection_pool.py
+++ b/tests/proxy/test_proxy_connection_pool.py
@@ -1,4 +1,4 @@
-"""Connection pool: one outcome for each request, bounds, and no reuse of what was idle before a failure."""
+"""Connection pool: one outcome for each request, limits, no reuse of connections idle before a failure."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -17,14 +17,14 @@
 
 
 class PoolMachine(RuleBasedStateMachine):
-    """Plays requests, dials and failures on a pool and keeps its own account of every request."""
+    """Runs random requests, dials and failures on a pool and keeps its own record of every request."""
 
     def __init__(self):
         super().__init__()
         self.pool = ConnectionPool(MAX_CONNECTIONS, MAX_QUEUED)
         self.now = 100.0
         self.last_request = 0
-        self.waiting = {}  # until when, by request
+        self.waiting = {}  # timeout of the wait, by request
         self.occupied = {}  # request, by connection
         self.outcomes = {}  # by request
 
@@ -132,7 +132,7 @@
 TestPoolMachine = PoolMachine.TestCase
 
 
-def test_a_request_that_waits_for_a_connection_that_fails_gets_another():
+def test_queued_request_gets_another_connection_after_a_failure():
     pool = ConnectionPool(1, 4)
     assert pool.acquire(0.0, 1, 10.0).action == PoolAction.DIAL
     assert pool.dial_succeeded(0.0) == (1, 1)
@@ -143,14 +143,14 @@
     assert pool.dial_succeeded(0.2) == (2, 2)
 
 
-def test_connections_are_reused_but_neither_for_ever_nor_after_a_long_idle_time():
+def test_connections_are_reused_for_limited_requests_and_idle_time():
     pool = ConnectionPool(1, 4)
     assert pool.acquire(0.0, 1, 10.0).action == PoolAction.DIAL
     assert pool.dial_succeeded(0.0) == (1, 1)
-    for turn in range(MAX_REQUESTS_PER_CONNECTION - 1):
+    for number in range(MAX_REQUESTS_PER_CONNECTION - 1):
         assert pool.release(0.1, 1, True) == (None, 1)
-        assert pool.acquire(0.1, turn + 2, 10.0) == (PoolAction.REUSE, 1, None)
-    assert pool.release(0.2, 1, True) == (None, None)  # it has served enough
+        assert pool.acquire(0.1, number + 2, 10.0) == (PoolAction.REUSE, 1, None)
+    assert pool.release(0.2, 1, True) == (None, None)  # it has served MAX_REQUESTS_PER_CONNECTION
     assert pool.acquire(0.3, 5000, 10.0).action == PoolAction.DIAL
     pool.dial_succeeded(0.3)
     pool.release(0.4, 2, True)
--- a/tests/proxy/test_proxy_disconnected.py
+++ b/tests/proxy/test_proxy_disconnected.py
@@ -1,13 +1,13 @@
-"""Operation without a controller: quotas open, endpoints that refuse connections are excluded."""
+"""Operation without a controller: quotas rise, endpoints that refuse connections are excluded."""
 
 from oatcart.proxy.disconnected import REFUSALS_TO_EXCLUDE, DisconnectedOperation
 
 
-def test_without_a_controller_it_serves_on_and_excludes_endpoints_that_refuse():
+def test_disconnected_proxy_excludes_refusing_endpoints_and_raises_its_quota():
     proxy, weights = DisconnectedOperation(5.0), {"a": 1.0, "b": 1.0}
     for _ in range(REFUSALS_TO_EXCLUDE + 2):
         proxy.connection_refused(0.0, "a")
-    assert proxy.usable_weights(0.0, weights) == weights  # the controller's table holds
+    assert proxy.usable_weights(0.0, weights) == weights  # with a controller none is excluded
     proxy.controller_lost(1.0)
     proxy.connection_refused(1.0, "a")
     assert proxy.usable_weights(1.5, weights) == {"b": 1.0}
--- a/tests/proxy/test_proxy_endpoint_selection.py
+++ b/tests/proxy/test_proxy_endpoint_selection.py
@@ -9,7 +9,7 @@
     selection_probabilities,
 )
 
-CHI_SQUARE_3_DEGREES = 16.3  # exceeded once in a thousand
+CHI_SQUARE_3_DEGREES = 16.3  # exceeded with a probability of one in a thousand
 CHI_SQUARE_1_DEGREE = 10.8
 
 
--- a/tests/proxy/test_proxy_retries.py
+++ b/tests/proxy/test_proxy_retries.py
@@ -1,4 +1,4 @@
-"""Retries: an effect ledger over random histories, proof that nothing ran, time left, the retry budget."""
+"""Retries: effects of requests in random histories, unprocessed attempts, time left, the retry budget."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -26,7 +26,7 @@
 
 
 def takes_effect(failed, processed):
-    """Whether the endpoint took effect: never where that is disproved, else as chance has it."""
+    """Whether the attempt took effect: never if it was certainly not processed, otherwise as drawn."""
     return processed and not never_processed(failed)
 
 
@@ -36,8 +36,8 @@
     st.lists(st.tuples(FAILED_ATTEMPTS, st.booleans(), st.floats(0.0, 0.5)), min_size=1, max_size=8),
 )
 @settings(max_examples=600, deadline=None, derandomize=True)
-def test_no_effect_twice_over_any_history(idempotency, policy, history):
-    """A non-idempotent request never takes effect twice, a keyed one only where its key is known."""
+def test_requests_do_not_take_effect_twice_in_any_history(idempotency, policy, history):
+    """A non-idempotent request never takes effect twice; a keyed one does only if its key is kept there."""
     now = 0.0
     request = Request(idempotency, started_at=0.0, deadline=3.0, key_lifetime=1.0)
     budget = RetryBudget(ratio=1.0, minimum=100.0)
@@ -51,7 +51,7 @@
         retry, group = decide_retry(now, request, failed, policy, 0.1, budget)
         if not retry:
             break
-        assert not failed.response_bytes  # a response that has begun is never begun again
+        assert not failed.response_bytes  # no retry after a response has begun
     assert request.attempts <= {0: 1, 1: 2, 2: 2, 3: 3}[policy]
     if idempotency == Idempotency.NOT_IDEMPOTENT:
         assert len(effects) <= 1
@@ -60,7 +60,7 @@
         assert effects[-1][1] - effects[0][1] < request.key_lifetime
 
 
-def test_what_was_never_sent_or_never_started_was_never_processed():
+def test_attempts_not_sent_or_not_started_are_not_processed():
     assert never_processed(FailedAttempt(CloseReason.TIMED_OUT, 0))
     assert never_processed(FailedAttempt(CloseReason.COMPLETED, 500, not_started=True))
     assert not never_processed(FailedAttempt(CloseReason.CLOSED_BY_PEER, 1))
@@ -73,7 +73,7 @@
     )
 
 
-def test_a_retry_without_time_for_it_is_not_made():
+def test_no_retry_without_enough_time():
     budget = RetryBudget(ratio=1.0, minimum=9.0)
     reset = FailedAttempt(CloseReason.RESET_BY_PEER, 9, deduplication_group="east")
     request = Request(Idempotency.IDEMPOTENT, started_at=0.0, deadline=1.0, attempts=1)
@@ -81,14 +81,16 @@
     assert decide_retry(0.9, request, reset, RetryPolicy.ON_FAILURE, 0.1, budget) == (False, "")
     keyed = Request(Idempotency.KEYED, started_at=0.0, deadline=9.0, key_lifetime=1.0, attempts=1)
     assert decide_retry(0.5, keyed, reset, RetryPolicy.ON_FAILURE, 0.1, budget) == (True, "east")
-    # the retry would end after the key is forgotten
+    # the retry would end after the key has expired
     assert decide_retry(0.95, keyed, reset, RetryPolicy.ON_FAILURE, 0.1, budget) == (False, "")
 
 
-def test_retries_never_exceed_their_ratio_in_a_storm():
+def test_retries_stay_within_their_ratio_if_all_requests_fail():
     budget, retries = RetryBudget(ratio=0.2, minimum=3.0), 0
-    for index in range(20_000):  # ten seconds, all requests fail
+    for index in range(20_000):  # 10 s in which all requests fail
         budget.record_first_attempt(index / 2000)
         retries += budget.try_spend(index / 2000)
     assert 0.1 * 20_000 < retries <= 0.21 * 20_000
-    assert budget.try_spend(10.0 + 2 * RETRY_BUDGET_WINDOW_SECONDS)  # calm again
+    assert budget.try_spend(
+        10.0 + 2 * RETRY_BUDGET_WINDOW_SECONDS
+    )  # without recent retries the minimum applies
--- a/tests/proxy/test_proxy_routing_state.py
+++ b/tests/proxy/test_proxy_routing_state.py
@@ -1,4 +1,4 @@
-"""Routing state of a proxy: updates in parts, invalid parts, bounds."""
+"""Routing state of a proxy: updates in parts, invalid parts, the limit on parts."""
 
 import pytest
 
@@ -17,7 +17,7 @@
     assert state.usable_weights("lookup") == {"a": 2.0, "b": 1.0}
     assert state.tables["fee"].quota == 0.5
     state.receive_part({"routes": ["lookup"], "endpoints": [["a", 0], ["c", 3]], "continued": True}, KNOWN)
-    state.stream_closed()  # the last part never came
+    state.stream_closed()  # the last part was not received
     state.receive_part({"eject": ["b"]}, KNOWN)
     assert state.usable_weights("lookup") == {"a": 2.0}
     state.receive_part({"full": True, "routes": ["fee"], "endpoints": [["b", 1]]}, KNOWN)
@@ -47,7 +47,7 @@
         {"nonce_out": "x"},
     ],
 )
-def test_an_invalid_part_makes_the_whole_update_ineffective(part):
+def test_update_with_an_invalid_part_has_no_effect(part):
     state = RoutingState(["lookup"])
     state.receive_part({"full": True, "endpoints": [["a", 1]]}, KNOWN)
     state.receive_part({"endpoints": [["b", 5]], "continued": True}, KNOWN)
@@ -57,7 +57,7 @@
     assert state.usable_weights("lookup") == {"a": 1.0}
 
 
-def test_parts_are_bounded():
+def test_number_of_parts_is_limited():
     state = RoutingState(["lookup"])
     with pytest.raises(InvalidUpdateError, match="parts"):
         for _ in range(MAX_PARTS_PER_UPDATE + 1):
--- a/tests/simhost/wire_scenarios.py
+++ b/tests/simhost/wire_scenarios.py
@@ -4,9 +4,7 @@
 
 HOME_SLOT = RequestClass("home-slot", 0.35, 800.0, 4.0, "deduplicated", zone_bound=True)
 PLACED = RequestClass("placed", 0.38, 1000.0, 5.0, "at_most_once", only_zones=("a",))
-QUICK = RequestClass(
-    "quick", 0.4, 200.0, 1.0
-)  # worth less than LASTING, but more per ms of latency objective
+QUICK = RequestClass("quick", 0.4, 200.0, 1.0)  # worth less than LASTING, but more per ms of `aim`
 LASTING = RequestClass("lasting", 0.4, 2000.0, 4.0, "deduplicated")
 
 
