--- a/tests/net/network_stage.py
+++ b/tests/net/network_harness.py
@@ -23,7 +23,7 @@
 from oatcart.net.rounds import Rounds
 
 MAX_TURNS = 400  # turns of the loop until what is awaited counts as missing
-TURN_S = 0.005  # longest wait of one turn
+MAX_TURN_WAIT_S = 0.005  # longest wait of one turn
 SETTLE_TURNS = 6  # turns after which nothing more is under way on loopback
 START_TIME = 100.0  # s, of the injected clock
 READ_BYTES = 65536
@@ -41,7 +41,7 @@
     return int(field) if isinstance(field, IntEnum) else field
 
 
-class NetworkStage:
+class NetworkHarness:
     """The modules of `oatcart.net`, wired up as in a controller process, with recorded events.
 
     `settings`: `connection_limit` (beside reserved descriptors), `round_interval` (s), `load_reports` (0 or
@@ -118,7 +118,7 @@
         for _ in range(MAX_TURNS):
             if found := find():
                 return found
-            self.turn(TURN_S)
+            self.turn(MAX_TURN_WAIT_S)
         raise AssertionError(
             f"at {self.now}: {expectation}; events {self.events_seen}; log {self.log_output.getvalue()}"
         )
@@ -126,7 +126,7 @@
     def settle(self) -> None:
         """Turns the loop until nothing more is under way on loopback."""
         for _ in range(SETTLE_TURNS):
-            self.turn(TURN_S)
+            self.turn(MAX_TURN_WAIT_S)
 
     def close(self) -> None:
         """Cancels all tasks and closes all sockets."""
--- a/tests/net/stage.py
+++ b/tests/net/scenario_harness.py
@@ -5,18 +5,18 @@
 import struct
 from typing import Any
 
-from network_stage import EMPTY_ROUND, READ_BYTES, NetworkStage
+from network_harness import EMPTY_ROUND, READ_BYTES, NetworkHarness
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER of 0 s: close() sends RST
 PADDED_HEAD = b"HTTP/1.1 200 X\r\nContent-Length: %4d\r\n\r\n"
 
 
-def parsed(word: str) -> Any:
-    """Returns a word's JSON value, or the word itself if it is not JSON."""
+def parsed(token: str) -> Any:
+    """Returns a token's JSON value, or the token itself if it is not JSON."""
     try:
-        return json.loads(word)
+        return json.loads(token)
     except ValueError:
-        return word
+        return token
 
 
 def unescaped(text: str) -> bytes:
@@ -24,14 +24,14 @@
     return text.encode().decode("unicode_escape").encode("latin-1")
 
 
-def fields(words: list[str]) -> dict[str, Any]:
+def fields(tokens: list[str]) -> dict[str, Any]:
     """Returns `sidecar=5 az=a` as a table."""
-    return {name: parsed(text) for name, _, text in (word.partition("=") for word in words)}
+    return {name: parsed(text) for name, _, text in (token.partition("=") for token in tokens)}
 
 
-def message(words: list[str]) -> dict[str, Any]:
+def message(tokens: list[str]) -> dict[str, Any]:
     """Returns `joined sidecar=5 az=a` as a message of that type."""
-    return {"msg": words[0]} | fields(words[1:])
+    return {"msg": tokens[0]} | fields(tokens[1:])
 
 
 def reset(connection: socket.socket) -> None:
@@ -40,8 +40,8 @@
     connection.close()
 
 
-class Stage(NetworkStage):
-    """A network stage that plays the steps of a scenario; method `step_x` plays step `x`.
+class ScenarioHarness(NetworkHarness):
+    """A network harness that plays the steps of a scenario; method `step_x` plays step `x`.
 
     The methods take the step's arguments as text. A check that fails raises AssertionError with the step.
     """
@@ -84,7 +84,7 @@
     def step_command(self, text: str) -> None:
         """Makes a round due in which the decisions write a command."""
         name, *arguments = text.split()
-        self.pending_commands.append((name, [parsed(word) for word in arguments]))
+        self.pending_commands.append((name, [parsed(token) for token in arguments]))
         self.rounds.is_due = True
 
     def step_decisions_fail(self, fail: str) -> None:
@@ -131,8 +131,8 @@
 
     def step_send(self, text: str) -> None:
         """Sends a message."""
-        name, *words = text.split()
-        self.connections[name].sendall(json.dumps(message(words)).encode() + b"\n")
+        name, *tokens = text.split()
+        self.connections[name].sendall(json.dumps(message(tokens)).encode() + b"\n")
 
     def step_send_bytes(self, text: str) -> None:
         """Sends bytes as they are written."""
@@ -170,9 +170,9 @@
 
     def step_expect_message(self, text: str) -> None:
         """Expects the next message to a connection, with exactly these fields."""
-        name, *words = text.split()
+        name, *tokens = text.split()
         found = self.wait_until(lambda: self.next_message(name), self._step)
-        assert found == message(words), f"{self._step}: {found}"
+        assert found == message(tokens), f"{self._step}: {found}"
 
     def step_expect_silence(self, name: str) -> None:
         """Expects no further message to a connection."""
@@ -193,11 +193,11 @@
 
     def step_respond(self, text: str) -> None:
         """Responds with a status and a body: fields as JSON, other words as they are."""
-        status, *words = text.split()
+        status, *tokens = text.split()
         if "=" in text:
-            body = json.dumps(self._endpoint_list(fields(words))).encode()
+            body = json.dumps(self._endpoint_list(fields(tokens))).encode()
         else:
-            body = " ".join(words).encode()
+            body = " ".join(tokens).encode()
         head = b"HTTP/1.1 %s X\r\nContent-Length: %d\r\n\r\n" % (status.encode(), len(body))
         self.requests[-1].sendall(head + body)
 
@@ -230,11 +230,11 @@
         """Resets the current request's connection."""
         reset(self.requests.pop())
 
-    def _endpoint_list(self, table: dict[str, Any]) -> dict[str, Any]:
+    def _endpoint_list(self, listed: dict[str, Any]) -> dict[str, Any]:
         """Returns a list with members `["id", zone, phase, started]` written out, at the scripted server."""
-        if not isinstance(table.get("members"), list):
-            return table
-        return table | {"members": [self._member(member) for member in table["members"]]}
+        if not isinstance(listed.get("members"), list):
+            return listed
+        return listed | {"members": [self._member(member) for member in listed["members"]]}
 
     def _member(self, member: Any) -> Any:
         if not isinstance(member, list):
@@ -254,10 +254,10 @@
     """Plays a scenario, one step a line; the first check that does not hold raises AssertionError."""
     steps = [step for line in text.splitlines() if (step := line.split("#")[0].strip())]
     settings = {step.split()[1]: float(step.split()[2]) for step in steps if step.startswith("set ")}
-    stage = Stage(settings)
+    harness = ScenarioHarness(settings)
     try:
         for step in steps:
             if not step.startswith("set "):
-                stage.play(step)
+                harness.play(step)
     finally:
-        stage.close()
+        harness.close()
--- a/tests/net/test_acceptor.py
+++ b/tests/net/test_acceptor.py
@@ -3,14 +3,14 @@
 import errno
 import socket
 
-from stage import Stage
+from scenario_harness import ScenarioHarness
 
 from oatcart.net.acceptor import ACCEPT_PAUSE_S
 
 
 def test_accept_pauses_without_descriptors():
     """EMFILE pauses the acceptor; the backlog is accepted once descriptors are available."""
-    stage = Stage({})
+    harness = ScenarioHarness({})
 
     class FullListener:
         """Has no descriptor for the first connection."""
@@ -26,16 +26,16 @@
                 raise OSError(errno.EMFILE, "Too many open files")
             return listener.accept()
 
-    full = FullListener()
+    full_listener = FullListener()
     listener = socket.create_server(("127.0.0.1", 0))
     listener.setblocking(False)
-    stage.loop.spawn(stage.acceptor._accept(full))
+    harness.loop.spawn(harness.acceptor._accept(full_listener))
     with listener, socket.create_connection(listener.getsockname()) as connection:
-        stage.wait_until(lambda: "no capacity" in stage.log_output.getvalue(), "a line in the log")
-        stage.settle()
-        assert full.attempts == 1
-        stage.now += ACCEPT_PAUSE_S
+        harness.wait_until(lambda: "no capacity" in harness.log_output.getvalue(), "a line in the log")
+        harness.settle()
+        assert full_listener.attempts == 1
+        harness.now += ACCEPT_PAUSE_S
         connection.sendall(b'{"msg":"ping"}\n')
-        stage.settle()
+        harness.settle()
         assert connection.recv(100) == b'{"msg":"pong"}\n'
-        stage.close()
+        harness.close()
--- a/tests/net/test_configuration_reload.py
+++ b/tests/net/test_configuration_reload.py
@@ -4,7 +4,7 @@
 import signal
 import socket
 
-import network_stage
+import network_harness
 import pytest
 from controller_process import CONFIG, controller, reloaded
 
@@ -60,6 +60,6 @@
             ):
                 (tmp_path / "cfg").write_text(json.dumps(text))
                 signal_writer.send(b"\x01")
-                for _ in range(network_stage.SETTLE_TURNS):
-                    loop.turn(network_stage.TURN_S)
+                for _ in range(network_harness.SETTLE_TURNS):
+                    loop.turn(network_harness.MAX_TURN_WAIT_S)
                 assert (rounds.watcher.discovery, loop.connection_limit) == expected
--- a/tests/net/test_short_days.py
+++ b/tests/net/test_controller_runs.py
@@ -7,9 +7,9 @@
 from pathlib import Path
 from statistics import median
 
-import network_stage
+import network_harness
 import pytest
-import stage
+import scenario_harness
 from live.connections import READ_BYTES, Connection, Proxy
 from live.discovery import DiscoveryService, ListedEndpoint, endpoint_list
 from live.process import SETTINGS, ControllerProcess
@@ -32,11 +32,11 @@
 
 def assert_responsive(*connections: Connection) -> None:
     """Expects each connection to be open and to answer a ping."""
-    for end in connections:
-        before = end.count_messages("pong")
-        end.send("ping")
-        wait_until(lambda: end.count_messages("pong") > before, "no pong on a stream in use")
-        assert not end.is_closed
+    for connection in connections:
+        before = connection.count_messages("pong")
+        connection.send("ping")
+        wait_until(lambda: connection.count_messages("pong") > before, "no pong on a stream in use")
+        assert not connection.is_closed
 
 
 @pytest.mark.parametrize("order", ["drain, reload", "reload, drain", "reload, drain, reload"])
@@ -44,16 +44,16 @@
     """A reload changes the discovery service while endpoints drain: both report n1, only the new one n2."""
     with ExitStack() as stack:
         old, new = (stack.enter_context(DiscoveryService(members())) for _ in range(2))
-        one = stack.enter_context(configured_controller(tmp_path, discovery=old.address))
-        proxies = [stack.enter_context(Proxy(one.port, number)) for number in range(2)]
+        controller = stack.enter_context(configured_controller(tmp_path, discovery=old.address))
+        proxies = [stack.enter_context(Proxy(controller.port, number)) for number in range(2)]
         for proxy in proxies:
             wait_until(lambda: proxy.usable_endpoints() == NAMES, "no first table")
-        one.discovery = new.address
-        one.write_configuration()
+        controller.discovery = new.address
+        controller.write_configuration()
         new.change("n1", "DRAINING")
         for step in order.split(", "):
             if step == "reload":
-                one.send_signal(signal.SIGHUP)
+                controller.send_signal(signal.SIGHUP)
             else:
                 old.change("n1", "DRAINING")
                 new.change("n2", "DRAINING")
@@ -75,8 +75,8 @@
         discovery = stack.enter_context(
             DiscoveryService(members(), complete_lists=True, piece_bytes=piece_bytes)
         )
-        one = stack.enter_context(configured_controller(tmp_path, discovery=discovery.address))
-        proxy = stack.enter_context(Proxy(one.port, 3, piece_bytes))
+        controller = stack.enter_context(configured_controller(tmp_path, discovery=discovery.address))
+        proxy = stack.enter_context(Proxy(controller.port, 3, piece_bytes))
         wait_until(lambda: proxy.usable_endpoints() == NAMES, "no first table")
         discovery.change("n1", "DRAINING")
         discovery.change("n2", "DELETED")
@@ -103,12 +103,12 @@
 ) -> None:
     """Killed after each delay; the next one gets the port, even with a connection in TIME_WAIT, and sends
     proxies the configured list while discovery is down."""
-    one = configured_controller(tmp_path)
+    controller = configured_controller(tmp_path)
     for delay in 0.0, 0.02, 0.05, 0.1, 0.15, 0.2, 0.3:
-        one.start()
+        controller.start()
         time.sleep(delay)
-        one.stop()
-        with one, Proxy(one.port, 1) as proxy, Connection(one.port) as invalid:
+        controller.stop()
+        with controller, Proxy(controller.port, 1) as proxy, Connection(controller.port) as invalid:
             invalid.send_bytes(b"what?\n")
             wait_until(
                 lambda: invalid.count_messages("pong") or invalid.is_closed,
@@ -125,21 +125,23 @@
 
 def test_messages_cut_at_any_byte_are_decoded_as_if_complete() -> None:
     """`joined`, `usage` with a two-byte character and `ping`, in two pieces that are read separately."""
-    data, one = JOINING + USAGE + PING, stage.Stage({})
+    data, harness = JOINING + USAGE + PING, scenario_harness.ScenarioHarness({})
     try:
         for cut in range(len(data) + 1):
-            one.events_seen.clear()
-            one.play("connect_at_once p")
-            one.connections["p"].sendall(data[:cut])
-            one.turn(network_stage.TURN_S)
-            one.connections["p"].sendall(data[cut:])
-            assert one.wait_until(lambda: one.next_message("p"), f"no pong, cut at {cut}") == {"msg": "pong"}
-            one.wait_until(lambda: len(one.events_seen) == 2, f"cut at {cut}")
-            assert one.events_seen == ["ProxyJoined 5 0 2.5 True", "ProxyLoadReported 5 1 19 1 1.0"], cut
-            one.play("close p")
-            one.play("expect_event ProxyLeft 5")
+            harness.events_seen.clear()
+            harness.play("connect_at_once p")
+            harness.connections["p"].sendall(data[:cut])
+            harness.turn(network_harness.MAX_TURN_WAIT_S)
+            harness.connections["p"].sendall(data[cut:])
+            assert harness.wait_until(lambda: harness.next_message("p"), f"no pong, cut at {cut}") == {
+                "msg": "pong"
+            }
+            harness.wait_until(lambda: len(harness.events_seen) == 2, f"cut at {cut}")
+            assert harness.events_seen == ["ProxyJoined 5 0 2.5 True", "ProxyLoadReported 5 1 19 1 1.0"], cut
+            harness.play("close p")
+            harness.play("expect_event ProxyLeft 5")
     finally:
-        one.close()
+        harness.close()
 
 
 SMALL_BUFFER_BYTES = 4096  # of the slow connection's sockets, about
@@ -149,38 +151,40 @@
 MAX_ROUNDS = 100  # with such tables: far more than MAX_UNSENT_BYTES
 
 
-def stage_with_large_table(stack: ExitStack) -> tuple[stage.Stage, socket.socket, socket.socket]:
-    """Returns a stage with a large table and two joined proxies, of which the first has small buffers."""
-    one = stage.Stage({})
-    stack.callback(one.close)
-    ends = [stack.enter_context(socket.socket()) for _ in range(2)]
-    ends[0].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
-    for number, end in enumerate(ends):
-        end.connect(one.listener.getsockname())
-        end.setblocking(False)
-        end.sendall(JOINING.replace(b"5", b"%d" % number, 1))
-    one.settle()
-    one.rounds.streams[0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
+def harness_with_large_table(
+    stack: ExitStack,
+) -> tuple[scenario_harness.ScenarioHarness, socket.socket, socket.socket]:
+    """Returns a harness with a large table and two joined proxies, of which the first has small buffers."""
+    harness = scenario_harness.ScenarioHarness({})
+    stack.callback(harness.close)
+    connections = [stack.enter_context(socket.socket()) for _ in range(2)]
+    connections[0].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
+    for number, connection in enumerate(connections):
+        connection.connect(harness.listener.getsockname())
+        connection.setblocking(False)
+        connection.sendall(JOINING.replace(b"5", b"%d" % number, 1))
+    harness.settle()
+    harness.rounds.streams[0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
     for endpoint in range(TABLE_ENTRIES):
-        one.codec.number_of(f"s-{endpoint:08x}")
-        one.play(f"command set_weight 0 {endpoint} {endpoint % 90 + 1}")
-    return one, *ends
+        harness.codec.number_of(f"s-{endpoint:08x}")
+        harness.play(f"command set_weight 0 {endpoint} {endpoint % 90 + 1}")
+    return harness, *connections
 
 
-def read_available(end: socket.socket, max_bytes: int) -> bytes:
+def read_available(connection: socket.socket, max_bytes: int) -> bytes:
     """Returns what can be read now; empty if nothing."""
     try:
-        return end.recv(max_bytes)
+        return connection.recv(max_bytes)
     except BlockingIOError:
         return b""
 
 
 def test_updates_read_in_pieces_arrive_complete_and_in_order() -> None:
-    """More than the sockets buffer, read in pieces: the slow connection receives what the fast one does."""
+    """More than the sockets buffer, read in pieces: the slow connection gets the same as the fast one."""
     with ExitStack() as stack:
-        one, slow, fast = stage_with_large_table(stack)
+        harness, slow, fast = harness_with_large_table(stack)
         read = {slow: b"", fast: b""}
-        stream = one.rounds.streams[0]
+        stream = harness.rounds.streams[0]
         nonce = 0
         while len(stream.unsent) < MAX_UNSENT_BYTES // 2:
             nonce += 1
@@ -190,15 +194,15 @@
                 "command assign_table 0 1 0",
                 f"command request_ack {nonce} true",
             ):
-                one.play(line)
-            one.turn()
+                harness.play(line)
+            harness.turn()
             read[fast] += read_available(fast, 1 << 22)
-        for end in slow, fast:
+        for connection in slow, fast:
             for _ in range(MAX_PIECES):
-                if read[end].count(b"\n") == nonce:
+                if read[connection].count(b"\n") == nonce:
                     break
-                one.turn()
-                read[end] += read_available(end, PIECE_BYTES)
+                harness.turn()
+                read[connection] += read_available(connection, PIECE_BYTES)
         assert not stream.unsent and read[slow].count(b'"nonce_out":') == nonce
         assert read[slow] == read[fast]
 
@@ -206,26 +210,30 @@
 def test_proxy_that_stops_reading_is_closed_and_others_get_all_updates() -> None:
     """It joins, and an hour later reads no more; the unsent bytes for it are bounded."""
     with ExitStack() as stack:
-        one, _, other = stage_with_large_table(stack)
-        one.now += 3600.0
-        stream = one.rounds.streams[0]
+        harness, _, other = harness_with_large_table(stack)
+        harness.now += 3600.0
+        stream = harness.rounds.streams[0]
         received = 0
         for nonce in range(MAX_ROUNDS):
-            if 0 not in one.rounds.streams:
+            if 0 not in harness.rounds.streams:
                 break
             for line in (
                 "command assign_table 0 0 0",
                 "command assign_table 0 1 0",
                 f"command request_ack {nonce} true",
             ):
-                one.play(line)
-            one.turn()
+                harness.play(line)
+            harness.turn()
             assert len(stream.unsent) <= MAX_UNSENT_BYTES
             received += read_available(other, 1 << 22).count(b"\n")
-        one.settle()
+        harness.settle()
         received += read_available(other, 1 << 22).count(b"\n")
-        assert [*one.rounds.streams] == [1] and one.events_seen[-1] == "ProxyLeft 0" and received == nonce
-        assert "left too much unread" in one.log_output.getvalue()
+        assert (
+            [*harness.rounds.streams] == [1]
+            and harness.events_seen[-1] == "ProxyLeft 0"
+            and received == nonce
+        )
+        assert "left too much unread" in harness.log_output.getvalue()
 
 
 CONTROLLERS = 24
@@ -249,18 +257,21 @@
     """All start at once. Beside warm endpoints one that warms up has at most its warm fraction of their
     median weight; where all warm up, the admitted share is at most 1.2 times that fraction."""
     started = time.time()
-    nodes = [ListedEndpoint(f"w{number}") for number in range(warm)]
-    nodes += [ListedEndpoint(f"c{number}", started_ms=started * 1000) for number in range(4)]
+    endpoints = [ListedEndpoint(f"w{number}") for number in range(warm)]
+    endpoints += [ListedEndpoint(f"c{number}", started_ms=started * 1000) for number in range(4)]
     with ExitStack() as stack:
         controllers = [
-            ControllerProcess(tmp_path, f"n{number}", known=endpoint_list(nodes), settings=WARM_UP_SETTINGS)
+            ControllerProcess(
+                tmp_path, f"n{number}", known=endpoint_list(endpoints), settings=WARM_UP_SETTINGS
+            )
             for number in range(CONTROLLERS)
         ]
-        for one in controllers:
-            stack.push(one)
-            one.start()
+        for controller in controllers:
+            stack.push(controller)
+            controller.start()
         proxies = [
-            stack.enter_context(Proxy(one.wait_until_ready().port, at)) for at, one in enumerate(controllers)
+            stack.enter_context(Proxy(controller.wait_until_ready().port, number))
+            for number, controller in enumerate(controllers)
         ]
         for proxy in proxies:
             wait_until(
@@ -268,9 +279,10 @@
                 f"controller {proxy.number} serves no proxy",
             )
         for proxy in proxies:
-            assert proxy.weights.keys() <= {node.name for node in nodes}
+            assert proxy.weights.keys() <= {endpoint.name for endpoint in endpoints}
             weights = {
-                warmth: [w for node, w in proxy.weights.items() if node[0] == warmth] for warmth in "wc"
+                warmth: [weight for endpoint, weight in proxy.weights.items() if endpoint[0] == warmth]
+                for warmth in "wc"
             }
             if warm:
                 assert len(weights["w"]) == warm, "a warm endpoint is left out"
@@ -285,60 +297,71 @@
 
 def connection_with(port: int, data: bytes, half_closed: bool = False) -> Connection:
     """Returns a connection on which data was sent."""
-    end = Connection(port)
-    end.send_bytes(data)
+    connection = Connection(port)
+    connection.send_bytes(data)
     if half_closed:
-        end.sock.shutdown(socket.SHUT_WR)
-    return end
+        connection.sock.shutdown(socket.SHUT_WR)
+    return connection
 
 
 def test_every_connection_is_answered_or_closed(tmp_path: Path) -> None:
     """Complete, incomplete, repeated and invalid messages, half of them while the process is stopped and its
     backlog fills: each connection is answered or closed, a proxy's stays, none outlives the process."""
     with ExitStack() as stack:
-        one = stack.enter_context(configured_controller(tmp_path, max_descriptors=400))
-        proxy = stack.enter_context(Proxy(one.port, 1))
+        controller = stack.enter_context(configured_controller(tmp_path, max_descriptors=400))
+        proxy = stack.enter_context(Proxy(controller.port, 1))
         wait_until(lambda: proxy.usable_endpoints() == NAMES, "no first table")
         valid, invalid = [], []
         for stopped in False, True:
             if stopped:
-                one.send_signal(signal.SIGSTOP)
+                controller.send_signal(signal.SIGSTOP)
             for _ in range(12):
                 valid += [
-                    connection_with(one.port, PING),
-                    connection_with(one.port, 3 * PING, half_closed=True),
-                    connection_with(one.port, PING + PING[:5]),
-                    connection_with(one.port, b'{"msg":"collector","az":"a"}\n' + PING),
+                    connection_with(controller.port, PING),
+                    connection_with(controller.port, 3 * PING, half_closed=True),
+                    connection_with(controller.port, PING + PING[:5]),
+                    connection_with(controller.port, b'{"msg":"collector","az":"a"}\n' + PING),
                 ]
                 invalid += [
-                    connection_with(one.port, b""),
-                    connection_with(one.port, b"", half_closed=True),
-                    connection_with(one.port, PING[:5]),
-                    connection_with(one.port, b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
-                    connection_with(one.port, b'{"msg":"joined","sidecar":99,"az":"a","share":1}\n'),
+                    connection_with(controller.port, b""),
+                    connection_with(controller.port, b"", half_closed=True),
+                    connection_with(controller.port, PING[:5]),
+                    connection_with(controller.port, b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
+                    connection_with(controller.port, b'{"msg":"joined","sidecar":99,"az":"a","share":1}\n'),
                 ]
-        one.send_signal(signal.SIGCONT)
-        for end in valid + invalid:
-            stack.enter_context(end)
-        for end in valid:
-            wait_until(lambda: end.count_messages("pong") or end.is_closed, "a ping was not answered")
-        for end in invalid:
-            wait_until(lambda: end.count_messages("pong") or end.is_closed, "an invalid connection is open")
-            assert not end.messages
-        assert sum(end.count_messages("pong") > 0 for end in valid) == len(valid), (
+        controller.send_signal(signal.SIGCONT)
+        for connection in valid + invalid:
+            stack.enter_context(connection)
+        for connection in valid:
+            wait_until(
+                lambda: connection.count_messages("pong") or connection.is_closed, "a ping was not answered"
+            )
+        for connection in invalid:
+            wait_until(
+                lambda: connection.count_messages("pong") or connection.is_closed,
+                "an invalid connection is open",
+            )
+            assert not connection.messages
+        assert sum(connection.count_messages("pong") > 0 for connection in valid) == len(valid), (
             "a complete ping was not answered"
         )
         assert_responsive(proxy)
-        assert one.stop(signal.SIGTERM) == 0
-        for end in [*valid, proxy]:
-            wait_until(lambda: end.count_messages("") or end.is_closed, "a connection outlived its process")
+        assert controller.stop(signal.SIGTERM) == 0
+        for connection in [*valid, proxy]:
+            wait_until(
+                lambda: connection.count_messages("") or connection.is_closed,
+                "a connection outlived its process",
+            )
 
 
 def test_process_without_list_or_discovery_serves_once_there_is_one(tmp_path: Path) -> None:
     """Until there is a list proxies are sent nothing; then all of them get a table."""
     discovery = DiscoveryService(members())  # refuses all connections until it serves
-    with ControllerProcess(tmp_path, discovery=discovery.address, known=None) as one, ExitStack() as stack:
-        proxies = [stack.enter_context(Proxy(one.port, number)) for number in range(3)]
+    with (
+        ControllerProcess(tmp_path, discovery=discovery.address, known=None) as controller,
+        ExitStack() as stack,
+    ):
+        proxies = [stack.enter_context(Proxy(controller.port, number)) for number in range(3)]
         assert_responsive(*proxies)
         time.sleep(0.6)  # longer than the first retry takes
         assert not any(proxy.usable_endpoints() or proxy.complete_tables for proxy in proxies)
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -4,9 +4,9 @@
 import json
 import socket
 
-import network_stage
+import network_harness
 from controller_process import CONFIG, ROOT
-from stage import Stage
+from scenario_harness import ScenarioHarness
 
 from oatcart.net.assembly import assemble
 
@@ -23,14 +23,14 @@
         request, _ = discovery.accept()
         with request, acceptor.listener:
             request.settimeout(5)
-            for _ in range(network_stage.SETTLE_TURNS):
-                loop.turn(network_stage.TURN_S)
+            for _ in range(network_harness.SETTLE_TURNS):
+                loop.turn(network_harness.MAX_TURN_WAIT_S)
             assert request.recv(4096).startswith(b"GET /v1/servers?since=")
 
 
 def test_request_is_made_again_after_it_failed_at_once(monkeypatch):
     """A request without a descriptor does not count as open."""
-    stage = Stage({})
+    harness = ScenarioHarness({})
 
     def full(*_):
         raise OSError(errno.EMFILE, "Too many open files")
@@ -38,13 +38,13 @@
     with monkeypatch.context() as patch:
         patch.setattr(socket, "socket", full)
         for step in ("command fetch_endpoints", "expect_event EndpointListFailed") * 2:
-            stage.play(step)
+            harness.play(step)
         for step in ("command watch_endpoints true", "expect_event EndpointListFailed"):
-            stage.play(step)
-        assert stage.rounds.watcher.watch_task is None
+            harness.play(step)
+        assert harness.rounds.watcher.watch_task is None
     for step in ("command fetch_endpoints", "expect_request /v1/servers"):
-        stage.play(step)
-    stage.close()
+        harness.play(step)
+    harness.close()
 
 
 def test_discovery_is_requested_without_a_known_list():
--- a/tests/net/test_log_unread.py
+++ b/tests/net/test_log_unread.py
@@ -20,26 +20,28 @@
     """A pipe that takes no byte more."""
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
-    room = fcntl.fcntl(writer, fcntl.F_GETPIPE_SZ)
-    assert os.write(writer, b"x" * room) == room
+    capacity = fcntl.fcntl(writer, fcntl.F_GETPIPE_SZ)
+    assert os.write(writer, b"x" * capacity) == capacity
     os.set_blocking(writer, True)
     return reader, writer
 
 
-def test_it_starts_and_answers_with_standard_error_closed(tmp_path: Path) -> None:
+def test_controller_answers_with_standard_error_closed(tmp_path: Path) -> None:
     """Failure: Python has no object for a closed standard error, and the first line ended the process."""
-    one = ControllerProcess(tmp_path, known=endpoint_list([]))
-    one.port = free_ports(1)[0]
-    one.write_configuration()
-    closed = f"exec {sys.executable} -m oatcart 2>&-"
+    controller = ControllerProcess(tmp_path, known=endpoint_list([]))
+    controller.port = free_ports(1)[0]
+    controller.write_configuration()
+    command = f"exec {sys.executable} -m oatcart 2>&-"
     process = subprocess.Popen(
-        ["/bin/sh", "-c", closed], cwd=ROOT, env=os.environ | {"EDGE_CONFIG": str(one.configuration_path())}
+        ["/bin/sh", "-c", command],
+        cwd=ROOT,
+        env=os.environ | {"EDGE_CONFIG": str(controller.configuration_path())},
     )
     try:
-        wait_until(lambda: one.accepts_connections(), "it does not listen")
-        with Connection(one.port) as end:
-            end.send("ping")
-            wait_until(lambda: end.count_messages("pong"), "no answer")
+        wait_until(lambda: controller.accepts_connections(), "it does not listen")
+        with Connection(controller.port) as connection:
+            connection.send("ping")
+            wait_until(lambda: connection.count_messages("pong"), "no answer")
         process.send_signal(signal.SIGTERM)
         assert process.wait(TIMEOUT_S) == 0
     finally:
@@ -47,21 +49,21 @@
 
 
 @pytest.mark.parametrize("reader_is_gone", [False, True])
-def test_it_starts_and_answers(tmp_path: Path, reader_is_gone: bool) -> None:
+def test_controller_answers_with_a_full_log_pipe(tmp_path: Path, reader_is_gone: bool) -> None:
     """Failure: the first line waited until somebody read the log; with no reader it ended the process."""
     reader, writer = full_pipe()
     if reader_is_gone:
         os.close(reader)
-    one = ControllerProcess(tmp_path, known=endpoint_list([])).start(writer)
+    controller = ControllerProcess(tmp_path, known=endpoint_list([])).start(writer)
     try:
         os.close(writer)
-        wait_until(lambda: one.accepts_connections(), "it does not listen")
-        with Connection(one.port) as odd, Connection(one.port) as end:
-            odd.send_bytes(b"what?\n")  # a line for the log
-            end.send("ping")
-            wait_until(lambda: end.count_messages("pong"), "no answer")
-        assert one.stop(signal.SIGTERM) == 0
+        wait_until(lambda: controller.accepts_connections(), "it does not listen")
+        with Connection(controller.port) as invalid, Connection(controller.port) as connection:
+            invalid.send_bytes(b"what?\n")  # a line for the log
+            connection.send("ping")
+            wait_until(lambda: connection.count_messages("pong"), "no answer")
+        assert controller.stop(signal.SIGTERM) == 0
     finally:
-        one.process.kill()
+        controller.process.kill()
         if not reader_is_gone:
             os.close(reader)
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_socket_races.py
@@ -5,7 +5,7 @@
 import struct
 from contextlib import ExitStack
 
-import stage
+import scenario_harness
 
 from oatcart.errors import CloseReason, ConnectionClosedError
 from oatcart.net import loop
@@ -38,8 +38,8 @@
     connected = []
     with ExitStack() as stack:
         pairs = [socket.socketpair() for _ in range(2)]
-        for end in (*pairs[0], *pairs[1]):
-            stack.enter_context(end)
+        for sock in (*pairs[0], *pairs[1]):
+            stack.enter_context(sock)
         streams = [Stream(loop, ours) for ours, _ in pairs]
         address = full_listener(stack)
 
@@ -70,35 +70,35 @@
 JOINED = b'{"msg":"joined","sidecar":%d,"az":"a","share":1}\n'
 
 
-def stage_with(stack, proxies=(), **settings):
-    """Returns a stage and the connections of proxies that have joined."""
-    one = stage.Stage(settings)
-    stack.callback(one.close)
-    return one, [connect_to(stack, one, JOINED % proxy) for proxy in proxies]
+def harness_with(stack, proxies=(), **settings):
+    """Returns a harness and the connections of proxies that have joined."""
+    harness = scenario_harness.ScenarioHarness(settings)
+    stack.callback(harness.close)
+    return harness, [connect_to(stack, harness, JOINED % proxy) for proxy in proxies]
 
 
-def connect_to(stack, one, data=b""):
-    """Returns a connection to a stage, on which data was sent and read."""
-    end = stack.enter_context(socket.create_connection(one.listener.getsockname()))
-    end.setblocking(False)
-    end.sendall(data)
-    one.settle()
-    return end
+def connect_to(stack, harness, data=b""):
+    """Returns a connection to a harness, on which data was sent and read."""
+    connection = stack.enter_context(socket.create_connection(harness.listener.getsockname()))
+    connection.setblocking(False)
+    connection.sendall(data)
+    harness.settle()
+    return connection
 
 
 def test_joined_message_unread_at_the_identification_deadline_is_read_first(monkeypatch):
     """Also with more events than one turn takes, so that the deadline is handled first."""
     with ExitStack() as stack:
-        one, [other] = stage_with(stack, [1])
-        unidentified, _ = connect_to(stack, one), connect_to(stack, one)
+        harness, [other] = harness_with(stack, [1])
+        unidentified, _ = connect_to(stack, harness), connect_to(stack, harness)
         other.sendall(b'{"msg":"ping"}\n')
         unidentified.sendall(JOINED % 2)
-        one.now += IDENTIFICATION_TIMEOUT_S
+        harness.now += IDENTIFICATION_TIMEOUT_S
         monkeypatch.setattr(loop, "MAX_EVENTS_PER_TURN", 1)
-        one.turn()
-        assert [*one.rounds.streams] == [1, 2]
-        assert not one.acceptor.unidentified
-        assert "connection of unidentified peer ended: timed out" in one.log_output.getvalue()
+        harness.turn()
+        assert [*harness.rounds.streams] == [1, 2]
+        assert not harness.acceptor.unidentified
+        assert "connection of unidentified peer ended: timed out" in harness.log_output.getvalue()
 
 
 def test_endless_data_does_not_prevent_a_timeout():
@@ -134,32 +134,32 @@
 def test_oldest_unidentified_connection_is_read_before_it_is_closed():
     """At the connection limit a `joined` message that is still unread identifies the connection."""
     with ExitStack() as stack:
-        one, _ = stage_with(stack, connection_limit=2)
-        oldest, next_one = connect_to(stack, one), connect_to(stack, one)
-        newest = stack.enter_context(socket.create_connection(one.listener.getsockname()))
+        harness, _ = harness_with(stack, connection_limit=2)
+        oldest, second_oldest = connect_to(stack, harness), connect_to(stack, harness)
+        newest = stack.enter_context(socket.create_connection(harness.listener.getsockname()))
         oldest.sendall(JOINED % 1)  # after the newest connects, so the acceptor runs first
-        next_one.sendall(b'{"msg":"jo')
-        one.settle()
-        assert [*one.rounds.streams] == [1]
-        ended = one.log_output.getvalue().count("connection of unidentified peer ended: no capacity")
+        second_oldest.sendall(b'{"msg":"jo')
+        harness.settle()
+        assert [*harness.rounds.streams] == [1]
+        ended = harness.log_output.getvalue().count("connection of unidentified peer ended: no capacity")
         assert ended == 1
         newest.sendall(JOINED % 2)
-        one.settle()
-        assert [*one.rounds.streams] == [1, 2]
+        harness.settle()
+        assert [*harness.rounds.streams] == [1, 2]
 
 
 def test_stream_is_closed_at_once_after_a_write_error(monkeypatch):
     """After a local error part of an update is lost, so no later change may be sent on that stream."""
     with ExitStack() as stack:
-        one, [end, other] = stage_with(stack, [1, 2])
+        harness, [connection, other] = harness_with(stack, [1, 2])
         for command in (
             "command set_weight 0 1 20",
             "command assign_table 0 1 0",
             "command assign_table 0 2 0",
         ):
-            one.play(command)
-        one.codec.number_of("n0"), one.codec.number_of("n1")
-        stream, sent = one.rounds.streams[1], []
+            harness.play(command)
+        harness.codec.number_of("n0"), harness.codec.number_of("n1")
+        stream, sent = harness.rounds.streams[1], []
 
         class FailingSocket:
             """Sends half of the data, then raises ENOBUFS."""
@@ -174,28 +174,30 @@
                 return sock.send(data[: len(data) // 2])
 
         sock, stream.sock = stream.sock, FailingSocket()
-        one.turn()
-        assert [*one.rounds.streams] == [1, 2] and len(sent) == 1  # the rest is still unsent
-        one.turn()
-        one.settle()
-        assert [*one.rounds.streams] == [2] and one.events_seen[-1] == "ProxyLeft 1" and len(sent) == 2
-        one.play("command set_weight 0 0 5")
-        one.settle()
+        harness.turn()
+        assert [*harness.rounds.streams] == [1, 2] and len(sent) == 1  # the rest is still unsent
+        harness.turn()
+        harness.settle()
+        assert (
+            [*harness.rounds.streams] == [2] and harness.events_seen[-1] == "ProxyLeft 1" and len(sent) == 2
+        )
+        harness.play("command set_weight 0 0 5")
+        harness.settle()
         assert len(sent) == 2 and b"n0" in other.recv(4096)
-        assert end.recv(4096) == sent[0][: len(sent[0]) // 2] and end.recv(4096) == b""
+        assert connection.recv(4096) == sent[0][: len(sent[0]) // 2] and connection.recv(4096) == b""
 
 
 def test_reset_found_while_sending_is_reported_before_the_next_round():
     """Otherwise a round in between would count its commands as sent."""
     with ExitStack() as stack:
-        one, [end, _] = stage_with(stack, [1, 2])
-        end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        end.close()
-        one.play("command request_ack 3 true")
-        one.rounds.run_if_due()  # the loop has not seen the reset
-        assert [*one.rounds.streams] == [*one.rounds.proxies] == [2]
-        one.rounds.run_if_due()
-        assert one.events_seen[-1] == "ProxyLeft 1"
+        harness, [connection, _] = harness_with(stack, [1, 2])
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        connection.close()
+        harness.play("command request_ack 3 true")
+        harness.rounds.run_if_due()  # the loop has not seen the reset
+        assert [*harness.rounds.streams] == [*harness.rounds.proxies] == [2]
+        harness.rounds.run_if_due()
+        assert harness.events_seen[-1] == "ProxyLeft 1"
 
 
 def test_floods_of_unidentified_connections_do_not_keep_proxies_from_joining():
@@ -203,29 +205,34 @@
     and a request is open: every proxy joins, every unidentified connection is closed by its deadline,
     and the number of descriptors stays below the limit."""
     with ExitStack() as stack:
-        one, _ = stage_with(stack, connection_limit=80)
-        one.play("command watch_endpoints true")
-        one.play("expect_request /v1/servers?since=0&timeout_ms=0")
+        harness, _ = harness_with(stack, connection_limit=80)
+        harness.play("command watch_endpoints true")
+        harness.play("expect_request /v1/servers?since=0&timeout_ms=0")
         unidentified, proxies = [], []
         max_connections = 0
         for number in range(60):
             for text in b"", b'{"msg":"jo', b'{"msg":"ping"}\n' * 3, b"GET / HTTP/1.1\r\n\r\n", b"x" * 3000:
-                unidentified.append(stack.enter_context(socket.create_connection(one.listener.getsockname())))
+                unidentified.append(
+                    stack.enter_context(socket.create_connection(harness.listener.getsockname()))
+                )
                 unidentified[-1].setblocking(False)
                 unidentified[-1].sendall(text)
-            proxies.append(stack.enter_context(socket.create_connection(one.listener.getsockname())))
+            proxies.append(stack.enter_context(socket.create_connection(harness.listener.getsockname())))
             proxies[-1].setblocking(False)
             proxies[-1].sendall(JOINED % number)
-            one.turn()
-            max_connections = max(max_connections, one.loop.connections)
-        one.settle()
-        assert sorted(one.rounds.streams) == [*range(60)] and max_connections <= one.loop.connection_limit
-        one.now += IDENTIFICATION_TIMEOUT_S
-        one.settle()
-        assert not one.acceptor.unidentified and len(one.acceptor.tasks) == 60
-        for at, end in enumerate(unidentified):
-            one.connections[at] = end
-            assert one.is_closed(at) or one.is_closed(at), at  # after its pongs
-        one.play("command request_ack 5 true")
-        one.settle()
-        assert all(b'"nonce_out":5' in end.recv(4096) for end in proxies)
+            harness.turn()
+            max_connections = max(max_connections, harness.loop.connections)
+        harness.settle()
+        assert (
+            sorted(harness.rounds.streams) == [*range(60)]
+            and max_connections <= harness.loop.connection_limit
+        )
+        harness.now += IDENTIFICATION_TIMEOUT_S
+        harness.settle()
+        assert not harness.acceptor.unidentified and len(harness.acceptor.tasks) == 60
+        for number, connection in enumerate(unidentified):
+            harness.connections[number] = connection
+            assert harness.is_closed(number) or harness.is_closed(number), number  # after its pongs
+        harness.play("command request_ack 5 true")
+        harness.settle()
+        assert all(b'"nonce_out":5' in connection.recv(4096) for connection in proxies)
--- a/tests/net/test_socket_scenarios.py
+++ b/tests/net/test_socket_scenarios.py
@@ -3,11 +3,11 @@
 from pathlib import Path
 
 import pytest
-import stage
+import scenario_harness
 
 SCENARIOS = sorted((Path(__file__).parent / "scenarios").glob("*.txt"))
 
 
 @pytest.mark.parametrize("path", SCENARIOS, ids=lambda path: path.stem)
 def test_scenario(path):
-    stage.play(path.read_text())
+    scenario_harness.play(path.read_text())
--- a/tests/net/test_socket_wire_bytes.py
+++ b/tests/net/test_socket_wire_bytes.py
@@ -3,7 +3,7 @@
 from contextlib import suppress
 
 import pytest
-import stage as sockets
+import scenario_harness as sockets
 
 from oatcart.events import (
     EndpointEntry,
@@ -26,7 +26,7 @@
 )
 
 
-class Stage(sockets.Stage):
+class Stage(sockets.ScenarioHarness):
     """The stage of the socket scenarios, which also keeps the events that the decisions get."""
 
     def __init__(self, settings):
