--- a/tests/net/controller_process.py
+++ b/tests/net/controller_process.py
@@ -30,7 +30,7 @@
 
 @contextmanager
 def controller(folder, **changes):
-    """Runs a process with these configuration fields changed, or left out where None; kills it at the end."""
+    """Runs a process with some configuration fields changed, or left out if None; kills it at the end."""
     (folder / "cfg").write_text(
         json.dumps({field: value for field, value in (CONFIG | changes).items() if value is not None})
     )
@@ -44,11 +44,11 @@
         try:
             yield process
         finally:
-            process.kill()  # a test that failed leaves it running
+            process.kill()  # a failed test leaves it running
 
 
 def reloaded(process, folder, text):
-    """Reloads a new configuration text and returns the log line about it."""
+    """Makes a process reload a new configuration text; returns the log line about it."""
     (folder / "cfg").write_text(text)
     process.send_signal(signal.SIGHUP)
     while not (line := process.stderr.readline()).startswith("reload: "):
--- a/tests/net/network_harness.py
+++ b/tests/net/network_harness.py
@@ -1,6 +1,6 @@
-"""The network side of a controller on loopback, around scripted decisions and a scripted discovery service.
+"""The network code of a controller on loopback, with scripted decisions and a scripted discovery service.
 
-The clock is injected and moves only when a test sets it; traffic on loopback is awaited by turning the loop.
+The clock is injected and moves only when a test sets it; the loop is turned until loopback traffic arrives.
 """
 
 import io
@@ -22,9 +22,9 @@
 from oatcart.net.loop import Loop
 from oatcart.net.rounds import Rounds
 
-MAX_TURNS = 400  # turns of the loop until what is awaited counts as missing
+MAX_TURNS = 400  # turns of the loop before a wait fails
 MAX_TURN_WAIT_S = 0.005  # longest wait of one turn
-SETTLE_TURNS = 6  # turns after which nothing more is under way on loopback
+SETTLE_TURNS = 6  # turns after which all data on loopback has been handled
 START_TIME = 100.0  # s, of the injected clock
 READ_BYTES = 65536
 EMPTY_ROUND = "empty_round"  # recorded for a round without events
@@ -42,9 +42,9 @@
 
 
 class NetworkHarness:
-    """The modules of `oatcart.net`, wired up as in a controller process, with recorded events.
+    """The modules of `oatcart.net`, connected as in a controller process, with recorded events.
 
-    `settings`: `connection_limit` (beside reserved descriptors), `round_interval` (s), `load_reports` (0 or
+    `settings`: `connection_limit` (besides reserved descriptors), `round_interval` (s), `load_reports` (0 or
     1), `max_log_lines`.
     """
 
@@ -91,13 +91,13 @@
         if self.configured_discovery is None:
             raise InvalidConfigurationError.of_field("discovery", "no address")
         self.rounds.watcher.set_discovery(self.configured_discovery)
-        return "taken in"
+        return "configuration applied"
 
     def _raise(self, error: Exception) -> None:
         raise error
 
     def decide(self, now: float, events: list[Event], commands: CommandWriter) -> None:
-        """The scripted decisions: records the events, writes the pending commands."""
+        """Runs the scripted decisions: records the events, writes the pending commands."""
         if not self.rounds.events:
             self.events_seen.append(EMPTY_ROUND)
         for event in events:
@@ -124,7 +124,7 @@
         )
 
     def settle(self) -> None:
-        """Turns the loop until nothing more is under way on loopback."""
+        """Turns the loop until all data on loopback has been handled."""
         for _ in range(SETTLE_TURNS):
             self.turn(MAX_TURN_WAIT_S)
 
@@ -163,7 +163,7 @@
         return json.loads(line) if end else None
 
     def is_closed(self, name: str) -> bool:
-        """Whether the controller has closed a connection; reads and drops what came before."""
+        """Returns whether the controller has closed a connection; drops the data received before."""
         try:
             return not self.connections[name].recv(READ_BYTES)
         except BlockingIOError:
@@ -174,7 +174,8 @@
     def next_request(self) -> str | None:
         """Returns the first line of the next request at the discovery server; None if there is none.
 
-        Its connection becomes the last of `requests`; those that the controller has left are closed.
+        Its connection becomes the last of `requests`; connections that the controller has closed are closed
+        here too.
         """
         self._accept_requests()
         for connection in [*self.requests]:
--- a/tests/net/scenario_harness.py
+++ b/tests/net/scenario_harness.py
@@ -51,7 +51,7 @@
         name, _, arguments = step.partition(" ")
         method = getattr(self, f"step_{name}", None)
         if method is None:
-            raise ValueError(f"no step of a scenario: {step}")
+            raise ValueError(f"unknown step: {step}")
         self._step = step
         method(arguments)
 
@@ -92,12 +92,12 @@
         self.decisions_fail = parsed(fail)
 
     def step_expect_event(self, expected: str) -> None:
-        """Expects an event behind the one that was expected last."""
+        """Expects an event after the one that was expected last."""
         self.wait_until(lambda: expected in self.events_seen, self._step)
         self.events_seen = self.events_seen[self.events_seen.index(expected) + 1 :]
 
     def step_expect_no_event(self, prefix: str) -> None:
-        """Expects no event that starts so behind the one that was expected last."""
+        """Expects no event with this prefix after the one that was expected last."""
         self.settle()
         found = [event for event in self.events_seen if event.startswith(prefix)]
         assert not found, f"{self._step}: {self.events_seen}"
@@ -111,7 +111,7 @@
         self.step_expect_no_event(EMPTY_ROUND)
 
     def step_expect_log(self, expected: str) -> None:
-        """Expects a text in the log, behind the one that was expected last."""
+        """Expects a text in the log, after the one that was expected last."""
         self.wait_until(lambda: expected in self.log_output.getvalue(), self._step)
         _, _, rest = self.log_output.getvalue().partition(expected)
         self.log_output.truncate(self.log_output.seek(0))
@@ -141,7 +141,7 @@
         self.settle()
 
     def step_flood(self, text: str) -> None:
-        """Sends so many bytes as fast as they are taken, or until the connection is closed."""
+        """Sends a number of bytes as fast as they are read, or until the connection is closed."""
         name, size = text.split()
         left = int(size)
         while left > 0:
@@ -202,7 +202,7 @@
         self.requests[-1].sendall(head + body)
 
     def step_respond_garbage(self, _: str) -> None:
-        """Responds with what is not HTTP."""
+        """Responds with data that is not HTTP."""
         self.requests[-1].sendall(b"what?\r\n\r\n")
 
     def step_respond_bytes(self, text: str) -> None:
@@ -210,7 +210,7 @@
         self.requests[-1].sendall(unescaped(text))
 
     def step_respond_padded(self, text: str) -> None:
-        """Responds with a list of a revision, padded to a length with its head, and a second response."""
+        """Responds with a list of a revision, padded to a size including its head, and a second response."""
         revision, size, second = text.split(maxsplit=2)
         table = {"revision": int(revision), "complete": False, "members": [], "pad": ""}
         empty = json.dumps(table).encode()
@@ -219,7 +219,7 @@
         self.requests[-1].sendall(b"".join(PADDED_HEAD % len(body) + body for body in bodies))
 
     def step_previous_request(self, _: str) -> None:
-        """Makes the open request before the current one the current one."""
+        """Makes the request before the current one the current one."""
         self.requests.append(self.requests.pop(-2))
 
     def step_close_request(self, _: str) -> None:
@@ -231,7 +231,7 @@
         reset(self.requests.pop())
 
     def _endpoint_list(self, listed: dict[str, Any]) -> dict[str, Any]:
-        """Returns a list with members `["id", zone, phase, started]` written out, at the scripted server."""
+        """Returns a list with its members `["id", zone, phase, started]` written as full entries."""
         if not isinstance(listed.get("members"), list):
             return listed
         return listed | {"members": [self._member(member) for member in listed["members"]]}
@@ -251,7 +251,7 @@
 
 
 def play(text: str) -> None:
-    """Plays a scenario, one step a line; the first check that does not hold raises AssertionError."""
+    """Plays a scenario, one step per line; the first check that fails raises AssertionError."""
     steps = [step for line in text.splitlines() if (step := line.split("#")[0].strip())]
     settings = {step.split()[1]: float(step.split()[2]) for step in steps if step.startswith("set ")}
     harness = ScenarioHarness(settings)
--- a/tests/net/test_acceptor.py
+++ b/tests/net/test_acceptor.py
@@ -1,4 +1,4 @@
-"""Accepting connections without descriptors."""
+"""The acceptor without free descriptors."""
 
 import errno
 import socket
--- a/tests/net/test_configuration_reload.py
+++ b/tests/net/test_configuration_reload.py
@@ -13,7 +13,7 @@
 
 
 def test_sighup_reloads_the_configuration(tmp_path):
-    """Invalid settings and those that need a restart are logged, and the process continues."""
+    """Invalid settings and those that need a restart are logged; the process continues."""
     with controller(tmp_path) as process:
         assert "start: n0 listens" in process.stderr.readline()
         other = CONFIG["settings"] | {"quantum": 3.0}
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("text", ["", "[1]", "[" * 100000])
 def test_invalid_file_does_not_prevent_the_next_reload(tmp_path, text):
-    """Also deep nesting, for which the parser raises RecursionError."""
+    """Covers deep nesting too, for which the parser raises RecursionError."""
     with controller(tmp_path) as process:
         assert "start: n0 listens" in process.stderr.readline()
         assert "EDGE_CONFIG is invalid" in reloaded(process, tmp_path, text)
--- a/tests/net/test_controller_runs.py
+++ b/tests/net/test_controller_runs.py
@@ -1,4 +1,4 @@
-"""Short runs of complete systems over loopback, most with real processes."""
+"""Short runs of complete systems over loopback, most of them with controller processes."""
 
 import signal
 import socket
@@ -21,12 +21,12 @@
 
 
 def members() -> list[ListedEndpoint]:
-    """Returns the usual endpoints."""
+    """Returns the endpoints that most tests use."""
     return [ListedEndpoint(name) for name in sorted(NAMES)]
 
 
 def configured_controller(folder: Path, **settings: object) -> ControllerProcess:
-    """Returns a controller with the usual endpoints configured; it starts when its context is entered."""
+    """Returns a controller with these endpoints configured; it starts when its context is entered."""
     return ControllerProcess(folder, known=endpoint_list(members()), **settings)
 
 
@@ -101,8 +101,8 @@
 def test_process_killed_after_its_start_restarts_at_its_address_with_its_list(
     tmp_path: Path,
 ) -> None:
-    """Killed after each delay; the next one gets the port, even with a connection in TIME_WAIT, and sends
-    proxies the configured list while discovery is down."""
+    """Killed after each delay, the process starts again at its port, even with a connection in TIME_WAIT, and
+    sends proxies the configured list while discovery is down."""
     controller = configured_controller(tmp_path)
     for delay in 0.0, 0.02, 0.05, 0.1, 0.15, 0.2, 0.3:
         controller.start()
@@ -112,7 +112,7 @@
             invalid.send_bytes(b"what?\n")
             wait_until(
                 lambda: invalid.count_messages("pong") or invalid.is_closed,
-                "malformed data was not refused",
+                "malformed data was not rejected",
             )
             wait_until(lambda: proxy.usable_endpoints() == NAMES, f"no table after a kill at {delay} s")
             assert_responsive(proxy)
@@ -144,10 +144,10 @@
         harness.close()
 
 
-SMALL_BUFFER_BYTES = 4096  # of the slow connection's sockets, about
+SMALL_BUFFER_BYTES = 4096  # about the size of the slow connection's socket buffers
 TABLE_ENTRIES = 2000  # about 40 KB
-PIECE_BYTES = 9999  # read at a time by the slow connection; no message ends there
-MAX_PIECES = 2000  # until the rest counts as missing
+PIECE_BYTES = 9999  # read at once by the slow connection; no message ends there
+MAX_PIECES = 2000  # read before the rest counts as missing
 MAX_ROUNDS = 100  # with such tables: far more than MAX_UNSENT_BYTES
 
 
@@ -208,7 +208,7 @@
 
 
 def test_proxy_that_stops_reading_is_closed_and_others_get_all_updates() -> None:
-    """It joins, and an hour later reads no more; the unsent bytes for it are bounded."""
+    """It stops reading an hour after it has joined; the unsent bytes for it are limited."""
     with ExitStack() as stack:
         harness, _, other = harness_with_large_table(stack)
         harness.now += 3600.0
@@ -248,14 +248,14 @@
 
 
 def warm_fraction(started: float) -> float:
-    """Returns the part of its capacity that an endpoint has now."""
+    """Returns the fraction of its capacity that an endpoint has now."""
     return min(1.0, INITIAL_FRACTION + (1.0 - INITIAL_FRACTION) * (time.time() - started) / WARM_UP_S)
 
 
 @pytest.mark.parametrize("warm", [4, 0])
 def test_many_controllers_do_not_overload_endpoints_that_warm_up(tmp_path: Path, warm: int) -> None:
-    """All start at once. Beside warm endpoints one that warms up has at most its warm fraction of their
-    median weight; where all warm up, the admitted share is at most 1.2 times that fraction."""
+    """All start at once. An endpoint that warms up has at most its warm fraction of the median weight of warm
+    endpoints; if all warm up, the admitted share is at most 1.2 times that fraction."""
     started = time.time()
     endpoints = [ListedEndpoint(f"w{number}") for number in range(warm)]
     endpoints += [ListedEndpoint(f"c{number}", started_ms=started * 1000) for number in range(4)]
@@ -355,7 +355,7 @@
 
 
 def test_process_without_list_or_discovery_serves_once_there_is_one(tmp_path: Path) -> None:
-    """Until there is a list proxies are sent nothing; then all of them get a table."""
+    """Until there is a list, proxies are sent nothing; then all of them get a table."""
     discovery = DiscoveryService(members())  # refuses all connections until it serves
     with (
         ControllerProcess(tmp_path, discovery=discovery.address, known=None) as controller,
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -12,7 +12,7 @@
 
 
 def test_endpoints_are_watched_if_membership_is_automatic():
-    """On sockets nothing sends changes by itself, whatever the settings say."""
+    """On sockets, changes arrive only if requested, whatever the settings say."""
     configuration = json.loads((ROOT / "examples" / "config.json").read_text())
     signal_reader, signal_writer = socket.socketpair()
     with socket.create_server(("127.0.0.1", 0)) as discovery, signal_reader, signal_writer:
@@ -32,11 +32,11 @@
     """A request without a descriptor does not count as open."""
     harness = ScenarioHarness({})
 
-    def full(*_):
+    def raise_no_descriptors(*_):
         raise OSError(errno.EMFILE, "Too many open files")
 
     with monkeypatch.context() as patch:
-        patch.setattr(socket, "socket", full)
+        patch.setattr(socket, "socket", raise_no_descriptors)
         for step in ("command fetch_endpoints", "expect_event EndpointListFailed") * 2:
             harness.play(step)
         for step in ("command watch_endpoints true", "expect_event EndpointListFailed"):
--- a/tests/net/test_log_unread.py
+++ b/tests/net/test_log_unread.py
@@ -1,4 +1,4 @@
-"""A controller whose log nobody reads, or whose reader is gone, starts and serves all the same."""
+"""A controller starts and serves if its log is not read, its reader is gone, or standard error is closed."""
 
 import fcntl
 import os
@@ -17,7 +17,7 @@
 
 
 def full_pipe() -> tuple[int, int]:
-    """A pipe that takes no byte more."""
+    """Returns the two ends of a full pipe."""
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     capacity = fcntl.fcntl(writer, fcntl.F_GETPIPE_SZ)
@@ -27,7 +27,7 @@
 
 
 def test_controller_answers_with_standard_error_closed(tmp_path: Path) -> None:
-    """Failure: Python has no object for a closed standard error, and the first line ended the process."""
+    """Guards against a crash at the first log line: `sys.stderr` is None if standard error is closed."""
     controller = ControllerProcess(tmp_path, known=endpoint_list([]))
     controller.port = free_ports(1)[0]
     controller.write_configuration()
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize("reader_is_gone", [False, True])
 def test_controller_answers_with_a_full_log_pipe(tmp_path: Path, reader_is_gone: bool) -> None:
-    """Failure: the first line waited until somebody read the log; with no reader it ended the process."""
+    """Guards against a first log line that blocks until it is read, or without a reader ends the process."""
     reader, writer = full_pipe()
     if reader_is_gone:
         os.close(reader)
--- a/tests/net/test_net_codec.py
+++ b/tests/net/test_net_codec.py
@@ -1,4 +1,4 @@
-"""JSON nested as deep as the parser allows, in place of a name or a number, is invalid as any other value."""
+"""JSON nested as deeply as the parser allows, in place of a name or number, is an invalid value."""
 
 import orjson
 import pytest
@@ -6,7 +6,7 @@
 from oatcart.errors import InvalidMessageError
 from oatcart.net.codec import Codec
 
-NESTED = b"[" * 1000 + b"]" * 1000  # deeper than Python's `repr` goes
+NESTED = b"[" * 1000 + b"]" * 1000  # too deep for `repr`
 
 
 @pytest.mark.parametrize(
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("field", ["locality", "phase", "id", "other"])
-def test_an_entry_with_a_nested_value_is_left_out_alone(field):
+def test_only_the_entry_with_a_nested_value_is_left_out(field):
     """The other entries of the list are decoded."""
     entry = {"id": "s-1", "locality": "a", "phase": "SERVING", field: orjson.loads(NESTED)}
     valid = {"id": "s-2", "locality": "a", "phase": "SERVING"}
--- a/tests/net/test_net_configuration.py
+++ b/tests/net/test_net_configuration.py
@@ -35,8 +35,8 @@
         ("grades", "aim", "grades[0].aim"),
     ],
 )
-def test_missing_figure_without_default_is_named(tmp_path, section, field, named):
-    """Figures of a deployment have no default values."""
+def test_missing_number_without_default_is_named(tmp_path, section, field, named):
+    """Numbers that depend on the deployment have no default values."""
     settings = json.loads(json.dumps(CONFIG["settings"]))
     del (settings[section][0] if section == "grades" else settings[section])[field]
     with controller(tmp_path, settings=settings) as process:
--- a/tests/net/test_rounds.py
+++ b/tests/net/test_rounds.py
@@ -1,4 +1,4 @@
-"""When rounds run."""
+"""The times at which rounds run."""
 
 import io
 
@@ -13,7 +13,7 @@
 
 @pytest.mark.parametrize("clock", [100.0, 100.001, 615.3, 4096.1])
 def test_the_first_round_is_due_at_once(clock):
-    """Also at times where a rounding makes the time since the last round less than the interval."""
+    """Also at times at which rounding would make the time since the last round less than the interval."""
     loop = Loop(lambda: clock, lambda error: None)
     received = []
     log = Log(loop.clock, io.StringIO())
--- a/tests/net/test_signals.py
+++ b/tests/net/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals at critical points of a controller process, which sends them to itself at a known point."""
+"""Signals at critical points of a controller process, which sends them to itself."""
 
 import json
 import os
@@ -51,6 +51,7 @@
 
 
 def self_signalling(folder, point, number):
+    """Starts a controller that sends itself a signal at a point."""
     (folder / "cfg").write_text(json.dumps(CONFIG))
     return subprocess.Popen(
         [sys.executable, "-c", SELF_SIGNALLING, point, str(int(number))],
@@ -63,7 +64,7 @@
 
 @pytest.mark.parametrize("point", POINTS)
 def test_sigterm_at_any_point_ends_with_0(tmp_path, point):
-    """The log has neither a traceback nor the line of a start."""
+    """The log has neither a traceback nor a `start` line."""
     with self_signalling(tmp_path, point, signal.SIGTERM) as process:
         log = process.stderr.read()
         assert process.wait(10) == 0 and "Traceback" not in log and "start:" not in log
@@ -71,7 +72,7 @@
 
 @pytest.mark.parametrize("point", POINTS)
 def test_sighup_at_any_point_reloads_once_after_the_start(tmp_path, point):
-    """A signal before the first reading of the file causes no reload."""
+    """A signal before the file is first read causes no reload."""
     with self_signalling(tmp_path, point, signal.SIGHUP) as process:
         assert "start: n0 listens" in process.stderr.readline()
         while point != "an import" and not process.stderr.readline().startswith(
--- a/tests/net/test_socket_races.py
+++ b/tests/net/test_socket_races.py
@@ -1,4 +1,4 @@
-"""Races on real sockets that the notation of scenarios cannot express."""
+"""Races on real sockets that cannot be written as scenarios."""
 
 import errno
 import socket
@@ -24,7 +24,7 @@
     listener = stack.enter_context(socket.socket())
     listener.bind(("127.0.0.1", 0))
     listener.listen(0)
-    for _ in range(4):  # more than the backlog takes
+    for _ in range(4):  # more than fit in the backlog
         sock = stack.enter_context(socket.socket())
         sock.setblocking(False)
         sock.connect_ex(listener.getsockname())
@@ -87,7 +87,7 @@
 
 
 def test_joined_message_unread_at_the_identification_deadline_is_read_first(monkeypatch):
-    """Also with more events than one turn takes, so that the deadline is handled first."""
+    """Covers more events than one turn handles, so that the deadline is handled first."""
     with ExitStack() as stack:
         harness, [other] = harness_with(stack, [1])
         unidentified, _ = connect_to(stack, harness), connect_to(stack, harness)
@@ -102,7 +102,7 @@
 
 
 def test_endless_data_does_not_prevent_a_timeout():
-    """Unread data is looked for once at a deadline."""
+    """At a deadline, unread data is read only once."""
     loop = Loop(lambda: 5.0, raise_error)
     reads, close_reasons = [], []
     ours, theirs = socket.socketpair()
@@ -149,7 +149,7 @@
 
 
 def test_stream_is_closed_at_once_after_a_write_error(monkeypatch):
-    """After a local error part of an update is lost, so no later change may be sent on that stream."""
+    """After a local error a part of an update is lost, so no later change may be sent on that stream."""
     with ExitStack() as stack:
         harness, [connection, other] = harness_with(stack, [1, 2])
         for command in (
@@ -188,7 +188,7 @@
 
 
 def test_reset_found_while_sending_is_reported_before_the_next_round():
-    """Otherwise a round in between would count its commands as sent."""
+    """Guards against a round in between that takes its commands as sent."""
     with ExitStack() as stack:
         harness, [connection, _] = harness_with(stack, [1, 2])
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
