--- a/oatcart/net/endpoint_list.py
+++ b/oatcart/net/endpoint_list.py
@@ -11,8 +11,8 @@
 from oatcart.net.loop import Loop, Task, Wait
 from oatcart.net.stream import Address
 
-# Of a request that is answered at once. A busy discovery service needs 2 s; the protocol takes all changes as
-# known to the controller 6 s after its last request.
+# Of a request that is answered at once. A busy discovery service needs 2 s; the protocol assumes that the
+# controller knows all changes 6 s after its last request.
 CALL_TIMEOUT_S = 4.0
 WATCH_TIMEOUT_S = 2.0  # in addition to the wait that a watch requests
 # A watch without changes is answered at the end of its wait. One answered within this fraction of the wait
--- a/oatcart/net/rounds.py
+++ b/oatcart/net/rounds.py
@@ -135,7 +135,7 @@
         encoded: dict[tuple[UpdatePart, ...], bytes] = {}
         for proxy, parts in self.updates():
             self._send_update(proxy, parts, encoded)
-        while self.failed_streams:  # before the next round, which takes these updates as sent
+        while self.failed_streams:  # before the next round, which would treat these updates as sent
             self.close_stream(self.failed_streams.pop())
 
     def _send_update(
--- a/oatcart/simhost/command_encoding.py
+++ b/oatcart/simhost/command_encoding.py
@@ -12,7 +12,7 @@
 
 
 class CommandCode(IntEnum):
-    """Codes of the records of a reply; the protocol's name stands beside each."""
+    """Codes of the records of a reply; the comment beside each is its name in the protocol."""
 
     SCHEDULE_ROUND = 1  # NotifyMe
     CHECK_HEALTH = 2  # AskLoad
--- a/oatcart/simhost/frames.py
+++ b/oatcart/simhost/frames.py
@@ -25,7 +25,7 @@
 
 
 class RecordCode(IntEnum):
-    """Codes of the records of a batch; the protocol's name stands beside each."""
+    """Codes of the records of a batch; the comment beside each is its name in the protocol."""
 
     START = 1  # Provision
     ENDPOINT_LIST = 2  # Update
--- a/tests/live/process.py
+++ b/tests/live/process.py
@@ -74,7 +74,7 @@
         return self
 
     def accepts_connections(self) -> bool:
-        """Whether it accepts connections; for tests that cannot read its log."""
+        """Returns whether it accepts connections; for tests that cannot read its log."""
         with socket.socket() as sock:
             return sock.connect_ex((LOOPBACK, self.port)) == 0
 
--- a/tests/live/waiting.py
+++ b/tests/live/waiting.py
@@ -3,7 +3,7 @@
 import time
 from collections.abc import Callable
 
-TIMEOUT_S = 10.0  # after which a condition counts as never met
+TIMEOUT_S = 10.0  # after which a wait fails
 POLL_INTERVAL_S = 0.01  # between two checks of a condition
 
 
--- a/tests/net/test_socket_races.py
+++ b/tests/net/test_socket_races.py
@@ -188,7 +188,7 @@
 
 
 def test_reset_found_while_sending_is_reported_before_the_next_round():
-    """Guards against a round in between that takes its commands as sent."""
+    """Guards against a round in between that would treat its commands as sent."""
     with ExitStack() as stack:
         harness, [connection, _] = harness_with(stack, [1, 2])
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/tests/simhost/wire_fleet.py
+++ b/tests/simhost/wire_fleet.py
@@ -37,7 +37,7 @@
         self.visible_revision = 0  # of the list that discovery shows
         self.listed: dict[int, wire.Entry] = {}
         self.endpoints: dict[int, Endpoint] = {}
-        self.released_ids: list[int] = []  # ids that may come back
+        self.released_ids: list[int] = []  # ids that may be reused
         self.controllers = [Controller(number) for number in range(scenario.controllers)]
         self.proxies = [self.new_proxy(number) for number in range(scenario.proxies)]
         for number in range(scenario.endpoints):
