--- a/tests/trace/test_trace_recorder.py
+++ b/tests/trace/test_trace_recorder.py
@@ -1,4 +1,4 @@
-"""Recording a controller's rounds, and replaying them on another one."""
+"""Tests of recording a controller's rounds and replaying them on another controller."""
 
 import asyncio
 
@@ -28,9 +28,9 @@
 
 
 def record_on_loopback(folder, monkeypatch):
-    """The records of a controller with proxies and xDS clients on loopback.
+    """Return the records of a controller with proxies and xDS clients on loopback.
 
-    Reports, a drain, an ejection and an event that the decisions raise over come to it.
+    It receives load reports, drains one endpoint, ejects another, and raises an exception for one event.
     """
     writers = []
     make_controller = xds_table.Conductor
@@ -46,13 +46,13 @@
     async def run():
         async with xds_table.Table(xds_table.nodes(6)) as table:
             client = await subscribed(table, "c", True, "whole")
-            places = table.one.rounds.codec.endpoint_numbers
+            endpoint_numbers = table.one.rounds.codec.endpoint_numbers
             table.one.rounds.add_event(ProxyLoadReported(8, "not a class", 1, 0, 1.0))
             for turn in range(8):
-                for name, place in places.items():
+                for name, number in endpoint_numbers.items():
                     errors = 20 if name == "n2" else 0
                     load = LoadReport(None, 0.3, None)
-                    report = EndpointLoadReported(place, 0, 1.0, 0.05 + turn / 100, errors, 20, load)
+                    report = EndpointLoadReported(number, 0, 1.0, 0.05 + turn / 100, errors, 20, load)
                     table.one.rounds.add_event(report)
                 table.one.nested.kick()
                 await asyncio.sleep(0.05)
@@ -66,7 +66,7 @@
 
 
 def with_another_command(records, number):
-    """The records, with one command more in a round."""
+    """Return the records with an additional command in one round."""
     for one in records:
         if one.kind == Kind.ROUND and one.fields["number"] == number:
             commands = (*one.fields["orders"], ("wake", 9.0))
@@ -90,7 +90,7 @@
     assert replay(without_start).difference == "the start record is missing"
 
 
-def test_a_controller_starts_again_from_its_start_record():
+def test_a_controller_is_recreated_from_its_start_record():
     settings = ControllerSettings(
         request_classes=tuple(generated.request_class for generated in generate.CLASSES),
         discovery=DiscoverySettings(),
@@ -110,7 +110,7 @@
     controller.round(0.0, iter(()), DiscardedCommands())
 
 
-def test_a_clock_that_is_stepped_is_recorded():
+def test_a_clock_step_is_recorded():
     records, unix_times = [], iter((1000.0, 1060.0, 1090.0))
     controller = new_controller({"seed": 1, "records": start_records()})
     recorder = RoundRecorder(controller.round, records.append, lambda: next(unix_times))
@@ -120,6 +120,6 @@
 
 
 def start_records():
-    """The stored settings of a generated trace."""
+    """Return the stored settings of a generated trace."""
     first = next(generate.generate_records(1, 1.0, 1.0))
     return dict(zip((name for name, _ in FIELDS[Kind.START]), first[1:], strict=True))["records"]
