--- a/tests/net/test_configuration_reload.py
+++ b/tests/net/test_configuration_reload.py
@@ -4,7 +4,7 @@
 import signal
 import socket
 
-import network_stage
+import network_harness
 import pytest
 from controller_process import CONFIG, controller, reloaded
 
@@ -13,7 +13,7 @@
 
 
 def test_sighup_reloads_the_configuration(tmp_path):
-    """Invalid settings and those that need a restart are logged, and the process continues."""
+    """Invalid settings and those that need a restart are logged; the process continues."""
     with controller(tmp_path) as process:
         assert "start: n0 listens" in process.stderr.readline()
         other = CONFIG["settings"] | {"quantum": 3.0}
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("text", ["", "[1]", "[" * 100000])
 def test_invalid_file_does_not_prevent_the_next_reload(tmp_path, text):
-    """Also deep nesting, for which the parser raises RecursionError."""
+    """Covers deep nesting too, for which the parser raises RecursionError."""
     with controller(tmp_path) as process:
         assert "start: n0 listens" in process.stderr.readline()
         assert "EDGE_CONFIG is invalid" in reloaded(process, tmp_path, text)
@@ -60,6 +60,6 @@
             ):
                 (tmp_path / "cfg").write_text(json.dumps(text))
                 signal_writer.send(b"\x01")
-                for _ in range(network_stage.SETTLE_TURNS):
-                    loop.turn(network_stage.TURN_S)
+                for _ in range(network_harness.SETTLE_TURNS):
+                    loop.turn(network_harness.MAX_TURN_WAIT_S)
                 assert (rounds.watcher.discovery, loop.connection_limit) == expected
