--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -38,69 +38,75 @@
 from oatcart.policy import Controller
 from oatcart.routing_tables import RoutingTables
 
-PROXIES, NODES = (100, 400, 1600), (50, 200, 800)
-ZONES, KINDS = 4, 3
-LOOK = 0.25  # s between rounds
-PHASES = {"join": 4.0, "quiet": 6.0, "drain": 6.0}  # s of the fleet's time
-HEARD = 120  # sums a second that a conductor is told
+PROXIES, ENDPOINTS = (100, 400, 1600), (50, 200, 800)
+ZONES, REQUEST_CLASSES = 4, 3
+ROUND_INTERVAL_S = 0.25  # s between rounds
+PHASE_DURATIONS_S = {"join": 4.0, "quiet": 6.0, "drain": 6.0}  # s of the fleet's time
+REPORTS_PER_S = 120  # sums a second that a conductor is told
 
 
-class Writer(RoutingTables):
+class EncodingWriter(RoutingTables):
     """The order writer of the benchmark: messages are encoded as on sockets, and acknowledged at once."""
 
     def __init__(self, codec: Codec) -> None:
         super().__init__(len(codec.request_class_names))
-        self.codec, self.bytes, self.marks = codec, 0, []
+        self.codec, self.bytes, self.acknowledgements = codec, 0, []
 
-    def tell(self) -> None:
+    def encode_updates(self) -> None:
         encoded: dict[tuple, bytes] = {}
         for proxy, parts in self.updates():
             if parts not in encoded:
                 encoded[parts] = self.codec.encode_update(parts)
             self.bytes += len(encoded[parts])
             if parts[-1].nonce is not None:
-                self.marks.append(UpdateAcknowledged(proxy, parts[-1].nonce, 0.3))
+                self.acknowledgements.append(UpdateAcknowledged(proxy, parts[-1].nonce, 0.3))
 
-    def check_health(self, node: int) -> None: ...
+    def check_health(self, endpoint: int) -> None: ...
 
-    def watch_endpoints(self, on: bool) -> None: ...
+    def watch_endpoints(self, enabled: bool) -> None: ...
 
     def fetch_endpoints(self) -> None: ...
 
-    def schedule_round(self, after: float) -> None: ...
+    def schedule_round(self, delay: float) -> None: ...
 
     def log(self, text: str) -> None: ...
 
 
-def sums(random: Random, proxies: int, nodes: int) -> list[Event]:
+def load_reports(random: Random, proxies: int, endpoints: int) -> list[Event]:
     """What a look brings: sums of nodes and of proxies, as many as are told."""
-    told: list[Event] = []
-    for _ in range(int(HEARD * LOOK / 2)):
-        tried = random.randrange(1, 40)
-        told.append(
+    reports: list[Event] = []
+    for _ in range(int(REPORTS_PER_S * ROUND_INTERVAL_S / 2)):
+        attempts = random.randrange(1, 40)
+        reports.append(
             EndpointLoadReported(
-                random.randrange(nodes),
+                random.randrange(endpoints),
                 random.randrange(ZONES),
                 1.0,
                 random.uniform(0.05, 0.3),
                 0,
-                tried,
+                attempts,
                 LoadReport(random.randrange(9)),
             )
         )
-        told.append(
-            ProxyLoadReported(random.randrange(proxies), random.randrange(KINDS), random.randrange(3), 0, 1.0)
+        reports.append(
+            ProxyLoadReported(
+                random.randrange(proxies), random.randrange(REQUEST_CLASSES), random.randrange(3), 0, 1.0
+            )
         )
-    return told
+    return reports
 
 
-def fleet(proxies: int, nodes: int) -> dict[str, dict[str, float]]:
+def measure_fleet(proxies: int, endpoints: int) -> dict[str, dict[str, float]]:
     """Processor seconds by phase: the longest round, and the mean a second."""
     random, codec = (
         Random(1),
-        Codec([f"k{at}" for at in range(KINDS)], [f"z{at}" for at in range(ZONES)], proxies),
+        Codec(
+            [f"k{number}" for number in range(REQUEST_CLASSES)],
+            [f"z{number}" for number in range(ZONES)],
+            proxies,
+        ),
     )
-    writer = Writer(codec)
+    writer = EncodingWriter(codec)
     settings = ControllerSettings(
         request_classes=(
             RequestClass(1.0, 0.5, Idempotency.IDEMPOTENT),
@@ -117,78 +123,87 @@
         drain_deadline=max(3.4, proxies / 140),
         expected_proxies=proxies,
     )
-    module = Controller(settings, seed=1)
+    controller = Controller(settings, seed=1)
     entries = [
-        EndpointEntry(codec.number_of(f"s-{at:08x}"), at % ZONES, 0.0, EndpointState.READY, 1.0)
-        for at in range(nodes)
+        EndpointEntry(codec.number_of(f"s-{number:08x}"), number % ZONES, 0.0, EndpointState.READY, 1.0)
+        for number in range(endpoints)
     ]
-    leaving = [entry._replace(state=EndpointState.DRAINING) for entry in entries[::3]]
-    found, now = {}, 100.0
-    for phase, lasts in PHASES.items():
-        arrivals: list[Event] = []
+    draining = [entry._replace(state=EndpointState.DRAINING) for entry in entries[::3]]
+    results, now = {}, 100.0
+    for phase, duration in PHASE_DURATIONS_S.items():
+        events: list[Event] = []
         if phase == "join":
-            arrivals.append(EndpointListReceived(True, entries))
+            events.append(EndpointListReceived(True, entries))
             for proxy in range(proxies):
                 writer.add_proxy(proxy, False)
-                arrivals.append(ProxyJoined(proxy, proxy % ZONES, 1.4, False))
+                events.append(ProxyJoined(proxy, proxy % ZONES, 1.4, False))
         elif phase == "drain":
-            arrivals.append(EndpointListReceived(False, leaving))
-        longest, whole = 0.0, 0.0
-        for _ in range(int(lasts / LOOK)):
-            now += LOOK
-            arrivals += sums(random, proxies, nodes) + writer.marks
-            writer.marks = []
-            began = time.process_time()
-            module.round(now, arrivals, writer)
-            writer.tell()
-            took = time.process_time() - began
-            longest, whole, arrivals = max(longest, took), whole + took, []
-        found[phase] = {"longest_ms": 1000 * longest, "share": whole / lasts}
-    found["tables"] = {"count": sum(bool(one.proxies) for one in module.routing.tables.values())}
-    return found
+            events.append(EndpointListReceived(False, draining))
+        longest, total = 0.0, 0.0
+        for _ in range(int(duration / ROUND_INTERVAL_S)):
+            now += ROUND_INTERVAL_S
+            events += load_reports(random, proxies, endpoints) + writer.acknowledgements
+            writer.acknowledgements = []
+            started = time.process_time()
+            controller.round(now, events, writer)
+            writer.encode_updates()
+            elapsed = time.process_time() - started
+            longest, total, events = max(longest, elapsed), total + elapsed, []
+        results[phase] = {"longest_ms": 1000 * longest, "share": total / duration}
+    results["tables"] = {"count": sum(bool(table.proxies) for table in controller.routing.tables.values())}
+    return results
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true", help="without the largest sizes")
     parser.add_argument("--profile", metavar="PROXIESxNODES", help="one size under the profiler")
-    told = parser.parse_args()
-    if told.profile:
+    options = parser.parse_args()
+    if options.profile:
         profile = cProfile.Profile()
-        profile.runcall(fleet, *map(int, told.profile.split("x")))
+        profile.runcall(measure_fleet, *map(int, options.profile.split("x")))
         pstats.Stats(profile).sort_stats("tottime").print_stats(25)
         return
-    sizes = [(p, n) for p in PROXIES[: 2 if told.quick else 3] for n in NODES[: 2 if told.quick else 3]]
-    found = {}
+    sizes = [
+        (proxies, endpoints)
+        for proxies in PROXIES[: 2 if options.quick else 3]
+        for endpoints in ENDPOINTS[: 2 if options.quick else 3]
+    ]
+    results = {}
     print(
         f"{'proxies x nodes':>16} {'tables':>7} {'MB':>6}  "
-        + "  ".join(f"{phase:>8} ms {'core':>6}" for phase in PHASES)
+        + "  ".join(f"{phase:>8} ms {'core':>6}" for phase in PHASE_DURATIONS_S)
     )
     for size in sizes:
-        one = fleet(*size)
+        result = measure_fleet(*size)
         tracemalloc.start()
-        fleet(*size)
-        one["memory"] = {"peak_mb": tracemalloc.get_traced_memory()[1] / 1e6}
+        measure_fleet(*size)
+        result["memory"] = {"peak_mb": tracemalloc.get_traced_memory()[1] / 1e6}
         tracemalloc.stop()
-        found[size] = one
+        results[size] = result
         print(
-            f"{size[0]:>8} x {size[1]:>5} {one['tables']['count']:>7} {one['memory']['peak_mb']:>6.1f}  "
-            + "  ".join(f"{one[phase]['longest_ms']:>11.1f} {one[phase]['share']:>6.3f}" for phase in PHASES),
+            f"{size[0]:>8} x {size[1]:>5} {result['tables']['count']:>7} "
+            f"{result['memory']['peak_mb']:>6.1f}  "
+            + "  ".join(
+                f"{result[phase]['longest_ms']:>11.1f} {result[phase]['share']:>6.3f}"
+                for phase in PHASE_DURATIONS_S
+            ),
             flush=True,
         )
-    for at, name in enumerate(("proxies", "nodes")):
+    for axis, name in enumerate(("proxies", "nodes")):
         for size in sizes:
-            wider = tuple(4 * value if place == at else value for place, value in enumerate(size))
-            if wider in found:
+            larger = tuple(4 * value if place == axis else value for place, value in enumerate(size))
+            if larger in results:
                 print(
                     f"{size[0]} x {size[1]}: four times the {name} cost "
                     + ", ".join(
-                        f"{phase} {found[wider][phase]['share'] / max(1e-9, found[size][phase]['share']):.1f}"
-                        for phase in PHASES
+                        f"{phase} "
+                        f"{results[larger][phase]['share'] / max(1e-9, results[size][phase]['share']):.1f}"
+                        for phase in PHASE_DURATIONS_S
                     )
                     + " times as much"
                 )
-    print(json.dumps({f"{p}x{n}": one for (p, n), one in found.items()}))
+    print(json.dumps({f"{proxies}x{endpoints}": result for (proxies, endpoints), result in results.items()}))
 
 
 if __name__ == "__main__":
--- a/benchmarks/same_updates.py
+++ b/benchmarks/same_updates.py
@@ -25,10 +25,10 @@
 from pathlib import Path
 from typing import BinaryIO
 
-BLOCK = 1 << 20  # bytes a read
+READ_BYTES = 1 << 20  # bytes a read
 BATCH_HEADER = struct.Struct(">IId")  # bytes after this field, records, clock in ms
 REPLY_HEADER = struct.Struct(">II")  # records, bytes that follow
-SHOWN = 48  # bytes of each side that a difference shows
+SHOWN_BYTES = 48  # bytes of each side that a difference shows
 
 
 def reserve_pair(directory: Path) -> tuple[Path, Path]:
@@ -47,10 +47,10 @@
         return directory / names[0], directory / names[1]
 
 
-def copy_stream(source: int, sink: int, kept: BinaryIO) -> None:
+def copy_stream(source: int, sink: int, recording: BinaryIO) -> None:
     """Passes all bytes on at once and keeps them; a sink that has ended loses its part only."""
-    while data := os.read(source, BLOCK):
-        kept.write(data)
+    while data := os.read(source, READ_BYTES):
+        recording.write(data)
         try:
             rest = memoryview(data)
             while rest:
@@ -64,15 +64,15 @@
     paths = reserve_pair(directory)
     parts = [path.with_name(path.name + ".part") for path in paths]
     adapter = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, bufsize=0)
-    with parts[0].open("wb") as kept_input, parts[1].open("wb") as kept_output:
+    with parts[0].open("wb") as recorded_input, parts[1].open("wb") as recorded_output:
 
         def feed() -> None:
-            copy_stream(sys.stdin.fileno(), adapter.stdin.fileno(), kept_input)
+            copy_stream(sys.stdin.fileno(), adapter.stdin.fileno(), recorded_input)
             adapter.stdin.close()
 
         feeder = threading.Thread(target=feed, daemon=True)
         feeder.start()
-        copy_stream(adapter.stdout.fileno(), sys.stdout.fileno(), kept_output)
+        copy_stream(adapter.stdout.fileno(), sys.stdout.fileno(), recorded_output)
         code = adapter.wait()
         feeder.join(timeout=1.0)
     if code == 0 and not feeder.is_alive():
@@ -91,61 +91,68 @@
     difference: str
 
 
-def replies(data: bytes) -> Iterator[tuple[int, bytes]]:
+def split_replies(data: bytes) -> Iterator[tuple[int, bytes]]:
     """The replies of an output as (number of records, their bytes); a last one may be cut short."""
-    at = 0
-    while at < len(data):
-        head = data[at : at + REPLY_HEADER.size]
-        if len(head) < REPLY_HEADER.size:
-            yield 0, head
+    offset = 0
+    while offset < len(data):
+        header = data[offset : offset + REPLY_HEADER.size]
+        if len(header) < REPLY_HEADER.size:
+            yield 0, header
             return
-        count, size = REPLY_HEADER.unpack(head)
-        at += REPLY_HEADER.size
-        yield count, data[at : at + size]
-        at += size
+        count, size = REPLY_HEADER.unpack(header)
+        offset += REPLY_HEADER.size
+        yield count, data[offset : offset + size]
+        offset += size
 
 
 def batch_clock(path: Path, number: int) -> float:
     """The clock in ms of a recorded input's batch, counted from 0; NaN where there is none."""
     with path.open("rb") as source:
         for _ in range(number + 1):
-            head = source.read(BATCH_HEADER.size)
-            if len(head) < BATCH_HEADER.size:
+            header = source.read(BATCH_HEADER.size)
+            if len(header) < BATCH_HEADER.size:
                 return float("nan")
-            size, _, clock = BATCH_HEADER.unpack(head)
+            size, _, clock = BATCH_HEADER.unpack(header)
             source.seek(size - (BATCH_HEADER.size - 4), os.SEEK_CUR)
     return clock
 
 
-def first_difference(recorded: bytes, played: bytes, source: Path) -> str:
+def first_difference(recorded: bytes, replayed: bytes, source: Path) -> str:
     """Where two outputs part: the reply, its batch's clock, the byte, and what both have from there on."""
-    if recorded == played:
+    if recorded == replayed:
         return ""
-    pairs = zip(replies(recorded), replies(played), strict=False)
+    pairs = zip(split_replies(recorded), split_replies(replayed), strict=False)
     number = 0
     for number, (old, new) in enumerate(pairs):
         if old == new:
             continue
-        at = next((i for i, (a, b) in enumerate(zip(old[1], new[1], strict=False)) if a != b), None)
-        at = min(len(old[1]), len(new[1])) if at is None else at
+        position = next((i for i, (a, b) in enumerate(zip(old[1], new[1], strict=False)) if a != b), None)
+        position = min(len(old[1]), len(new[1])) if position is None else position
         return (
-            f"reply {number} at {batch_clock(source, number)} ms differs from byte {at}: recorded"
-            f" {old[0]} records, {len(old[1])} bytes, from there {old[1][at : at + SHOWN].hex()};"
-            f" played {new[0]} records, {len(new[1])} bytes, from there {new[1][at : at + SHOWN].hex()}"
+            f"reply {number} at {batch_clock(source, number)} ms differs from byte {position}: "
+            f"recorded {old[0]} records, {len(old[1])} bytes, "
+            f"from there {old[1][position : position + SHOWN_BYTES].hex()}; "
+            f"replayed {new[0]} records, {len(new[1])} bytes, "
+            f"from there {new[1][position : position + SHOWN_BYTES].hex()}"
         )
-    return f"the outputs end apart after reply {number}: recorded {len(recorded)}, played {len(played)} bytes"
+    return (
+        f"the outputs end apart after reply {number}: "
+        f"recorded {len(recorded)}, replayed {len(replayed)} bytes"
+    )
 
 
-def play(source: Path, command: list[str]) -> Comparison:
+def replay(source: Path, command: list[str]) -> Comparison:
     """Plays one recorded input to a new adapter process."""
-    began = time.monotonic()
+    started = time.monotonic()
     with source.open("rb") as recorded_input:
-        done = subprocess.run(command, stdin=recorded_input, stdout=subprocess.PIPE, check=False)
+        completed = subprocess.run(command, stdin=recorded_input, stdout=subprocess.PIPE, check=False)
     recorded = source.with_suffix(".out").read_bytes()
-    difference = first_difference(recorded, done.stdout, source)
-    if done.returncode:
-        difference = f"exit code {done.returncode}; {difference}"
-    return Comparison(source.stem, sum(1 for _ in replies(recorded)), time.monotonic() - began, difference)
+    difference = first_difference(recorded, completed.stdout, source)
+    if completed.returncode:
+        difference = f"exit code {completed.returncode}; {difference}"
+    return Comparison(
+        source.stem, sum(1 for _ in split_replies(recorded)), time.monotonic() - started, difference
+    )
 
 
 def compare(directory: Path, command: list[str], jobs: int) -> int:
@@ -155,10 +162,11 @@
         print(f"{part.name}: unfinished recording, not compared")
     different = 0
     with ThreadPoolExecutor(jobs) as pool:
-        for one in pool.map(lambda source: play(source, command), sources):
-            different += bool(one.difference)
+        for result in pool.map(lambda source: replay(source, command), sources):
+            different += bool(result.difference)
             print(
-                f"{one.name}: {one.replies} replies, {one.seconds:.1f} s: {one.difference or 'the same'}",
+                f"{result.name}: {result.replies} replies, {result.seconds:.1f} s: "
+                f"{result.difference or 'the same'}",
                 flush=True,
             )
     print(f"{len(sources)} recordings, {different} different: {shlex.join(command)}")
@@ -169,14 +177,14 @@
     """Reads the command line; what follows `--` is the adapter's command."""
     arguments, dashes, command = sys.argv[1:], "--", []
     if dashes in arguments:
-        at = arguments.index(dashes)
-        arguments, command = arguments[:at], arguments[at + 1 :]
+        separator = arguments.index(dashes)
+        arguments, command = arguments[:separator], arguments[separator + 1 :]
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("task", choices=("record", "compare"))
     parser.add_argument("directory", type=Path)
-    parser.add_argument("--jobs", type=int, default=4, help="recordings played at once (4)")
+    parser.add_argument("--jobs", type=int, default=4, help="recordings replayed at once (4)")
     options = parser.parse_args(arguments)
     if not command:
         parser.error("no adapter command after --")
