--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -1,9 +1,12 @@
-"""What a round costs by the size of the fleet: python -m benchmarks.rounds [--quick] [--profile WHICH]
+"""Measures what a round costs by the size of the fleet.
 
-A conductor's module and tables, with every message encoded and counted but no socket: proxies all join at
-once, then quiet rounds with sums of what they met, then a third of the nodes drain. For each size the
-processor time of the longest round and the mean a second of the fleet's time, and the memory that the
-conductor holds; then by how much each grows from one size to the next (4 is linear).
+    python -m benchmarks.rounds [--quick] [--profile PROXIESxNODES]
+
+Runs the decisions and routing tables of one controller, with every message encoded and counted but no
+sockets. All proxies join at once, then rounds bring only load reports, then a third of the endpoints drain.
+Prints for each size the processor time of the longest round, the mean processor time for each second of the
+fleet's time, and the controller's peak memory; then by how much the processor time grows when the fleet has
+four times the proxies or endpoints (4 is linear).
 """
 
 import argparse
@@ -38,21 +41,22 @@
 from oatcart.policy import Controller
 from oatcart.routing_tables import RoutingTables
 
-PROXIES, ENDPOINTS = (100, 400, 1600), (50, 200, 800)
+PROXIES, ENDPOINTS = (100, 400, 1600), (50, 200, 800)  # sizes of the fleet
 ZONES, REQUEST_CLASSES = 4, 3
-ROUND_INTERVAL_S = 0.25  # s between rounds
-PHASE_DURATIONS_S = {"join": 4.0, "quiet": 6.0, "drain": 6.0}  # s of the fleet's time
-REPORTS_PER_S = 120  # sums a second that a conductor is told
+ROUND_INTERVAL_S = 0.25
+PHASE_DURATIONS_S = {"join": 4.0, "quiet": 6.0, "drain": 6.0}  # of the fleet's time
+REPORTS_PER_S = 120  # load reports, of proxies and collectors together
 
 
 class EncodingWriter(RoutingTables):
-    """The order writer of the benchmark: messages are encoded as on sockets, and acknowledged at once."""
+    """The benchmark's command writer: encodes updates as on sockets and acknowledges them at once."""
 
     def __init__(self, codec: Codec) -> None:
         super().__init__(len(codec.request_class_names))
         self.codec, self.bytes, self.acknowledgements = codec, 0, []
 
     def encode_updates(self) -> None:
+        """Encodes the round's updates, counts their bytes and notes the acknowledgements that follow."""
         encoded: dict[tuple, bytes] = {}
         for proxy, parts in self.updates():
             if parts not in encoded:
@@ -61,19 +65,24 @@
             if parts[-1].nonce is not None:
                 self.acknowledgements.append(UpdateAcknowledged(proxy, parts[-1].nonce, 0.3))
 
-    def check_health(self, endpoint: int) -> None: ...
+    def check_health(self, endpoint: int) -> None:
+        """Makes no health check."""
 
-    def watch_endpoints(self, enabled: bool) -> None: ...
+    def watch_endpoints(self, enabled: bool) -> None:
+        """Opens no watch: the benchmark brings the endpoint lists."""
 
-    def fetch_endpoints(self) -> None: ...
+    def fetch_endpoints(self) -> None:
+        """Fetches no endpoint list: the benchmark brings them."""
 
-    def schedule_round(self, delay: float) -> None: ...
+    def schedule_round(self, delay: float) -> None:
+        """Schedules no round: they are at a fixed interval."""
 
-    def log(self, text: str) -> None: ...
+    def log(self, text: str) -> None:
+        """Drops the line."""
 
 
 def load_reports(random: Random, proxies: int, endpoints: int) -> list[Event]:
-    """What a look brings: sums of nodes and of proxies, as many as are told."""
+    """Returns the load reports of one round, half of them about endpoints and half from proxies."""
     reports: list[Event] = []
     for _ in range(int(REPORTS_PER_S * ROUND_INTERVAL_S / 2)):
         attempts = random.randrange(1, 40)
@@ -97,7 +106,11 @@
 
 
 def measure_fleet(proxies: int, endpoints: int) -> dict[str, dict[str, float]]:
-    """Processor seconds by phase: the longest round, and the mean a second."""
+    """Returns figures by phase, and the number of routing tables in use.
+
+    `longest_ms` is the processor time of the longest round, `share` the mean processor time in seconds for
+    each second of the fleet's time.
+    """
     random, codec = (
         Random(1),
         Codec(
@@ -155,9 +168,12 @@
 
 
 def main() -> None:
+    """Measures all sizes and prints tables and a line of JSON, or profiles one size."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true", help="without the largest sizes")
-    parser.add_argument("--profile", metavar="PROXIESxNODES", help="one size under the profiler")
+    parser.add_argument(
+        "--profile", metavar="PROXIESxNODES", help="profile one size, such as 400x200, and print no tables"
+    )
     options = parser.parse_args()
     if options.profile:
         profile = cProfile.Profile()
--- a/benchmarks/same_updates.py
+++ b/benchmarks/same_updates.py
@@ -1,13 +1,14 @@
-"""Records what the simulator's wire brings to an adapter and its answers; compares other text with them.
+"""Records an adapter's input and output on the simulator's wire; replays the input and compares the output.
 
     python -m benchmarks.same_updates record DIR -- COMMAND...
     python -m benchmarks.same_updates compare DIR [--jobs N] -- COMMAND...
 
-`record` stands in the deploy file as `sim`, before the adapter's command: it passes standard input and output
+`record` is put before the adapter's command in `sim` of the deploy file: it passes standard input and output
 through and keeps both in DIR, as `NNNN.in` and `NNNN.out`, one pair a process. A pair that is still being
-written, or whose adapter did not end by itself, is called `NNNN.in.part` and `NNNN.out.part`.
+written, or whose adapter did not exit with code 0 at the end of its input, is called `NNNN.in.part` and
+`NNNN.out.part`.
 
-`compare` plays each recorded input to COMMAND and compares the answers byte for byte. It prints a line for
+`compare` replays each recorded input to COMMAND and compares the replies byte for byte. It prints a line for
 each recording, with the first reply that differs, and exits with 1 if any differs or none was compared.
 """
 
@@ -25,14 +26,14 @@
 from pathlib import Path
 from typing import BinaryIO
 
-READ_BYTES = 1 << 20  # bytes a read
+READ_BYTES = 1 << 20  # the most that one read returns
 BATCH_HEADER = struct.Struct(">IId")  # bytes after this field, records, clock in ms
 REPLY_HEADER = struct.Struct(">II")  # records, bytes that follow
-SHOWN_BYTES = 48  # bytes of each side that a difference shows
+SHOWN_BYTES = 48  # of each output, from the first difference on
 
 
 def reserve_pair(directory: Path) -> tuple[Path, Path]:
-    """The paths of a new recording's input and output; no other process gets the same."""
+    """Returns the paths of a new recording's input and output; no other process gets the same."""
     directory.mkdir(parents=True, exist_ok=True)
     number = 0
     while True:
@@ -48,7 +49,7 @@
 
 
 def copy_stream(source: int, sink: int, recording: BinaryIO) -> None:
-    """Passes all bytes on at once and keeps them; a sink that has ended loses its part only."""
+    """Passes all bytes on as they come and records them, until the source ends or the sink is closed."""
     while data := os.read(source, READ_BYTES):
         recording.write(data)
         try:
@@ -60,7 +61,7 @@
 
 
 def record(directory: Path, command: list[str]) -> int:
-    """Runs the adapter between two files; returns its exit code."""
+    """Runs the adapter and records its input and output; returns its exit code."""
     paths = reserve_pair(directory)
     parts = [path.with_name(path.name + ".part") for path in paths]
     adapter = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, bufsize=0)
@@ -83,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """What playing one recording showed: `difference` is empty where all replies are the same."""
+    """The result of replaying one recording; `difference` is empty where all replies are the same."""
 
     name: str
     replies: int
@@ -92,7 +93,7 @@
 
 
 def split_replies(data: bytes) -> Iterator[tuple[int, bytes]]:
-    """The replies of an output as (number of records, their bytes); a last one may be cut short."""
+    """Yields the replies of an output as (number of records, their bytes); the last may be incomplete."""
     offset = 0
     while offset < len(data):
         header = data[offset : offset + REPLY_HEADER.size]
@@ -106,7 +107,7 @@
 
 
 def batch_clock(path: Path, number: int) -> float:
-    """The clock in ms of a recorded input's batch, counted from 0; NaN where there is none."""
+    """Returns the clock in ms of a recorded input's batch; NaN where there is none. Batches count from 0."""
     with path.open("rb") as source:
         for _ in range(number + 1):
             header = source.read(BATCH_HEADER.size)
@@ -118,7 +119,10 @@
 
 
 def first_difference(recorded: bytes, replayed: bytes, source: Path) -> str:
-    """Where two outputs part: the reply, its batch's clock, the byte, and what both have from there on."""
+    """Describes the first difference of two outputs; empty where they are the same.
+
+    Names the reply, its batch's clock and the byte, and shows what both have from there on.
+    """
     if recorded == replayed:
         return ""
     pairs = zip(split_replies(recorded), split_replies(replayed), strict=False)
@@ -136,13 +140,13 @@
             f"from there {new[1][position : position + SHOWN_BYTES].hex()}"
         )
     return (
-        f"the outputs end apart after reply {number}: "
+        f"the outputs differ in length after reply {number}: "
         f"recorded {len(recorded)}, replayed {len(replayed)} bytes"
     )
 
 
 def replay(source: Path, command: list[str]) -> Comparison:
-    """Plays one recorded input to a new adapter process."""
+    """Replays one recorded input to a new adapter process and compares its output."""
     started = time.monotonic()
     with source.open("rb") as recorded_input:
         completed = subprocess.run(command, stdin=recorded_input, stdout=subprocess.PIPE, check=False)
@@ -156,7 +160,7 @@
 
 
 def compare(directory: Path, command: list[str], jobs: int) -> int:
-    """Plays all recordings, so many at a time; returns the exit code."""
+    """Replays all recordings, up to `jobs` at a time; returns the exit code."""
     sources = sorted(directory.glob("*.in"))
     for part in sorted(directory.glob("*.in.part")):
         print(f"{part.name}: unfinished recording, not compared")
@@ -174,7 +178,7 @@
 
 
 def main() -> int:
-    """Reads the command line; what follows `--` is the adapter's command."""
+    """Runs the task of the command line, where the adapter's command follows `--`."""
     arguments, dashes, command = sys.argv[1:], "--", []
     if dashes in arguments:
         separator = arguments.index(dashes)
@@ -184,7 +188,7 @@
     )
     parser.add_argument("task", choices=("record", "compare"))
     parser.add_argument("directory", type=Path)
-    parser.add_argument("--jobs", type=int, default=4, help="recordings replayed at once (4)")
+    parser.add_argument("--jobs", type=int, default=4, help="recordings replayed at once (default: 4)")
     options = parser.parse_args(arguments)
     if not command:
         parser.error("no adapter command after --")
