--- a/deploy/build_environment.py
+++ b/deploy/build_environment.py
@@ -41,7 +41,7 @@
 
 
 @contextmanager
-def exclusive(root: Path) -> Iterator[None]:
+def build_lock(root: Path) -> Iterator[None]:
     """Hold the build's lock. Installers inherit it, so it lasts until a killed build's have ended too."""
     with open(root / LOCK, "a") as lock:
         os.set_inheritable(lock.fileno(), True)
@@ -66,9 +66,9 @@
 def install(environment: Path, root: Path) -> None:
     """Install the requirements into an environment."""
     command = [environment / "bin" / "python", "-m", "pip", "-q", "install", "-r", root / "requirements.txt"]
-    done = subprocess.run(command, close_fds=False, capture_output=True, text=True)
-    if done.returncode:
-        raise BuildError(f"pip ended with {done.returncode}: {done.stderr.strip()}")
+    result = subprocess.run(command, close_fds=False, capture_output=True, text=True)
+    if result.returncode:
+        raise BuildError(f"pip ended with {result.returncode}: {result.stderr.strip()}")
 
 
 def rename_paths(environment: Path, final: Path) -> None:
@@ -80,7 +80,7 @@
         script.write_bytes(text.replace(os.fsencode(environment), os.fsencode(final)))
 
 
-def make(root: Path, final: Path, required: list[str]) -> None:
+def make_environment(root: Path, final: Path, required: list[str]) -> None:
     """Make a new environment and put it in the place of what stands there."""
     unfinished = Path(tempfile.mkdtemp(prefix=UNFINISHED_PREFIX, dir=root))
     venv.create(unfinished, with_pip=True, symlinks=True)
@@ -96,21 +96,21 @@
 
 def remove_unfinished(root: Path) -> None:
     """Remove what killed builds left, and what was replaced."""
-    for left in root.glob(UNFINISHED_PREFIX + "*"):
-        shutil.rmtree(left, ignore_errors=True)
+    for folder in root.glob(UNFINISHED_PREFIX + "*"):
+        shutil.rmtree(folder, ignore_errors=True)
 
 
 def build(root: Path) -> None:
     """Make `.venv` complete. An environment whose pip works is brought up to date in place."""
     final, required = root / ".venv", requirements(root)
-    with exclusive(root):
+    with build_lock(root):
         remove_unfinished(root)
         if is_complete(final, required):
             return
         with suppress(BuildError, OSError):  # without pip or interpreter it was left by a killed build
             install(final, root)
         if not is_complete(final, required):
-            make(root, final, required)
+            make_environment(root, final, required)
         remove_unfinished(root)
 
 
--- a/deploy/sites/variants.py
+++ b/deploy/sites/variants.py
@@ -12,7 +12,7 @@
 import sys
 from pathlib import Path
 
-BESIDE = "real.json", "wire.json", "unlock.txt"
+COMPANION_FILES = "real.json", "wire.json", "unlock.txt"
 # By section (a class or a kind of node by its name) and key: the new value, None to leave the whole section
 # out
 VARIANTS = {
@@ -68,50 +68,50 @@
 }
 
 
-def sections(text: str) -> list[list[str]]:
-    """The lines of a site file, a section each; the first has no head."""
-    parts: list[list[str]] = [[]]
+def split_sections(text: str) -> list[list[str]]:
+    """The lines of a site file, a section each; the first has no header."""
+    sections: list[list[str]] = [[]]
     for line in text.splitlines():
         if line.startswith("["):
-            parts.append([])
-        parts[-1].append(line)
-    return parts
+            sections.append([])
+        sections[-1].append(line)
+    return sections
 
 
-def title(lines: list[str]) -> str:
+def section_name(lines: list[str]) -> str:
     """`fam`, or `class fee-charge` where a section may stand more than once."""
-    head = lines[0].strip("[] ").split(".")[-1] if lines and lines[0].startswith("[") else ""
+    header = lines[0].strip("[] ").split(".")[-1] if lines and lines[0].startswith("[") else ""
     named = re.search(r'^name = "(.*)"', "\n".join(lines), re.M)
-    return f"{head} {named[1]}" if head in ("class", "kind") and named else head
+    return f"{header} {named[1]}" if header in ("class", "kind") and named else header
 
 
-def varied(text: str, name: str) -> str:
+def apply_variant(text: str, name: str) -> str:
     """Another deployment's site file. Raises LookupError for a change that meets nothing."""
-    changes = {at: value for at, value in VARIANTS[name].items() if at != "more"} | {
+    changes = {key: value for key, value in VARIANTS[name].items() if key != "more"} | {
         ("", "name"): f'"{name}"'
     }
-    out, met = [], set()
-    for lines in sections(text):
-        where, gone = title(lines), False
-        for place, line in enumerate(lines):
-            at = where, line.split(" = ")[0]
-            if at in changes:
-                met.add(at)
-                gone = gone or changes[at] is None
-                lines[place] = f"{at[1]} = {changes[at]}"
-        out += [] if gone else lines
-    if left := changes.keys() - met:
-        raise LookupError(f"the site file has no {sorted(left)}")
-    return "\n".join(out) + "\n" + VARIANTS[name].get("more", "")
+    output, matched = [], set()
+    for lines in split_sections(text):
+        section, removed = section_name(lines), False
+        for number, line in enumerate(lines):
+            key = section, line.split(" = ")[0]
+            if key in changes:
+                matched.add(key)
+                removed = removed or changes[key] is None
+                lines[number] = f"{key[1]} = {changes[key]}"
+        output += [] if removed else lines
+    if unmatched := changes.keys() - matched:
+        raise LookupError(f"the site file has no {sorted(unmatched)}")
+    return "\n".join(output) + "\n" + VARIANTS[name].get("more", "")
 
 
 def main() -> None:
     site, folder = Path(sys.argv[1]), Path(sys.argv[2])
     folder.mkdir(parents=True, exist_ok=True)
-    for name in BESIDE:
+    for name in COMPANION_FILES:
         shutil.copyfile(site.parent / name, folder / name)
     for name in VARIANTS:
-        (folder / f"{name}.toml").write_text(varied(site.read_text(), name))
+        (folder / f"{name}.toml").write_text(apply_variant(site.read_text(), name))
 
 
 if __name__ == "__main__":
--- a/examples/toy_proxy.py
+++ b/examples/toy_proxy.py
@@ -4,50 +4,54 @@
 import socket
 import time
 
-CONDUCTOR = ("127.0.0.1", 5000)
-PERIOD = 1.0  # s between reports
+CONTROLLER = ("127.0.0.1", 5000)
+REPORT_PERIOD_S = 1.0  # s between reports
 
 
-def message(**fields) -> bytes:
+def encode_message(**fields) -> bytes:
     return json.dumps(fields).encode() + b"\n"
 
 
 def main() -> None:
-    with socket.create_connection(CONDUCTOR) as stream, socket.create_connection(CONDUCTOR) as reports:
-        stream.sendall(message(msg="joined", sidecar=0, az="east", share=20.0, standing=True))
-        reports.sendall(message(msg="collector", az="east"))
-        stream.settimeout(PERIOD)
-        table, read, reported = {}, b"", time.monotonic()
+    with socket.create_connection(CONTROLLER) as stream, socket.create_connection(CONTROLLER) as collector:
+        stream.sendall(encode_message(msg="joined", sidecar=0, az="east", share=20.0, standing=True))
+        collector.sendall(encode_message(msg="collector", az="east"))
+        stream.settimeout(REPORT_PERIOD_S)
+        table, unread, reported_at = {}, b"", time.monotonic()
         while True:
             try:
                 data = stream.recv(65536)
                 if not data:
                     return print("the conductor ended the stream")
-                read += data
+                unread += data
             except TimeoutError:
                 pass
-            *lines, read = read.split(b"\n")
-            for order in map(json.loads, lines):
-                print(json.dumps(order))
-                table = ({} if order.get("full") else table) | dict(order.get("endpoints", []))
-                if "nonce_out" in order:
-                    stream.sendall(message(msg="applied", sidecar=0, version=order["nonce_out"], lag_ms=1.0))
-            if time.monotonic() - reported >= PERIOD:
-                reported = time.monotonic()
+            *lines, unread = unread.split(b"\n")
+            for update in map(json.loads, lines):
+                print(json.dumps(update))
+                table = ({} if update.get("full") else table) | dict(update.get("endpoints", []))
+                if "nonce_out" in update:
+                    stream.sendall(
+                        encode_message(msg="applied", sidecar=0, version=update["nonce_out"], lag_ms=1.0)
+                    )
+            if time.monotonic() - reported_at >= REPORT_PERIOD_S:
+                reported_at = time.monotonic()
                 stream.sendall(
-                    message(msg="usage", sidecar=0, kind="lookup", n=20, bad=0, window=PERIOD * 1000)
+                    encode_message(
+                        msg="usage", sidecar=0, kind="lookup", n=20, bad=0, window=REPORT_PERIOD_S * 1000
+                    )
                 )
-                for node in (node for node, weight in table.items() if weight):
-                    reports.sendall(
-                        message(
+                for endpoint in (endpoint for endpoint, weight in table.items() if weight):
+                    collector.sendall(
+                        encode_message(
                             msg="heard",
                             az="east",
-                            host=node,
+                            host=endpoint,
                             n=10,
                             bad=0,
                             avg=40.0,
-                            window=PERIOD * 1000,
-                            report={"concurrent": 1 + 3 * (node == "s-2")},
+                            window=REPORT_PERIOD_S * 1000,
+                            report={"concurrent": 1 + 3 * (endpoint == "s-2")},
                         )
                     )
 
--- a/examples/toy_servers.py
+++ b/examples/toy_servers.py
@@ -10,20 +10,20 @@
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 from urllib.parse import parse_qs, urlsplit
 
-DISCOVERY, FIRST_NODE = ("127.0.0.1", 8500), 8601
+DISCOVERY_ADDRESS, FIRST_ENDPOINT_PORT = ("127.0.0.1", 8500), 8601
 PHASES = {"drain": "DRAINING", "back": "SERVING", "gone": "DELETED"}
 
 changed = threading.Condition()
-members = {}  # by id: its entry and the version in which it last changed
-version = 0
+members = {}  # by id: its entry and the revision in which it last changed
+revision = 0
 
 
-def change(node: str, **fields) -> None:
-    global version
+def change_endpoint(endpoint_id: str, **fields) -> None:
+    global revision
     with changed:
-        version += 1
-        entry = members.get(node, ({}, 0))[0] | {"id": node} | fields
-        members[node] = (entry, version)
+        revision += 1
+        entry = members.get(endpoint_id, ({}, 0))[0] | {"id": endpoint_id} | fields
+        members[endpoint_id] = (entry, revision)
         changed.notify_all()
 
 
@@ -34,22 +34,22 @@
         url = urlsplit(self.path)
         query = {name: float(values[0]) for name, values in parse_qs(url.query).items()}
         if url.path == "/v1/servers":
-            self.answer(self.roll(query.get("since"), query.get("timeout_ms", 0) / 1000))
+            self.answer(self.endpoint_list(query.get("since"), query.get("timeout_ms", 0) / 1000))
         elif url.path in ("/healthz", "/load"):
             self.answer({"concurrent": 1})
         else:
             self.send_error(404)
 
-    def roll(self, since: float | None, wait: float) -> dict:
+    def endpoint_list(self, since: float | None, wait: float) -> dict:
         with changed:
-            changed.wait_for(lambda: since is None or version > since, wait)
+            changed.wait_for(lambda: since is None or revision > since, wait)
             return {
-                "revision": version,
+                "revision": revision,
                 "complete": since is None,
                 "members": [
                     entry
-                    for entry, at in members.values()
-                    if (at > since if since is not None else entry["phase"] != "DELETED")
+                    for entry, changed_in in members.values()
+                    if (changed_in > since if since is not None else entry["phase"] != "DELETED")
                 ],
             }
 
@@ -70,23 +70,23 @@
 
 
 def main() -> None:
-    for place, zone in enumerate(("east", "east", "west")):
-        port = FIRST_NODE + place
+    for number, zone in enumerate(("east", "east", "west")):
+        port = FIRST_ENDPOINT_PORT + number
         serve(("127.0.0.1", port))
-        change(
-            f"s-{place + 1}",
+        change_endpoint(
+            f"s-{number + 1}",
             host_port=f"127.0.0.1:{port}",
             locality=zone,
             phase="SERVING",
             size=1.0,
             up_since_ms=0,
         )
-    serve(DISCOVERY)
+    serve(DISCOVERY_ADDRESS)
     for line in sys.stdin:
-        what, _, node = line.strip().partition(" ")
-        if what in PHASES and node in members:
-            started = {"up_since_ms": time.time() * 1000} if what == "back" else {}
-            change(node, phase=PHASES[what], **started)
+        command, _, endpoint_id = line.strip().partition(" ")
+        if command in PHASES and endpoint_id in members:
+            started = {"up_since_ms": time.time() * 1000} if command == "back" else {}
+            change_endpoint(endpoint_id, phase=PHASES[command], **started)
         else:
             print(f"{' | '.join(PHASES)} {' | '.join(members)}")
     threading.Event().wait()  # the input has ended; go on serving
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -19,7 +19,7 @@
 """
 
 
-def test_changes_meet_their_section_alone(monkeypatch):
+def test_changes_apply_to_their_section_alone(monkeypatch):
     changes = {
         ("net", "zones"): '["x", "y"]',
         ("kind big", "cores"): "9",
@@ -28,7 +28,7 @@
     }
     monkeypatch.setattr(variants, "VARIANTS", {"two": changes})
     assert (
-        variants.varied(SITE, "two")
+        variants.apply_variant(SITE, "two")
         == """name = "two"
 [net]
 zones = ["x", "y"]
@@ -43,7 +43,7 @@
     )
 
 
-def test_a_change_that_meets_nothing_is_named(monkeypatch):
+def test_a_change_that_matches_nothing_raises_an_error_that_names_it(monkeypatch):
     monkeypatch.setattr(variants, "VARIANTS", {"two": {("net", "zone"): "1"}})
     with pytest.raises(LookupError, match=r"\('net', 'zone'\)"):
-        variants.varied(SITE, "two")
+        variants.apply_variant(SITE, "two")
