--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -6,55 +6,59 @@
 import signal
 import sys
 
-from soak.plan import Act
-from soak.run import Run, play
+from soak.plan import ActionType
+from soak.run import Run, run_seed
 
 
-def seeds_of(text: str) -> list[int]:
+def parse_seeds(text: str) -> list[int]:
     """Seeds as `3` or `1-50`."""
     first, _, last = text.partition("-")
     return list(range(int(first), int(last or first) + 1))
 
 
-def report(seed: int, run: Run) -> str:
-    """A line on a run, and its faults."""
-    acts = [action.act for action in run.plan.actions]
-    ends = sum(act in (Act.TERMINATE, Act.HANGUP_AND_TERMINATE, Act.KILL) for act in acts)
+def summarize(seed: int, run: Run) -> str:
+    """A line on a run, and its failures."""
+    action_types = [action.action_type for action in run.plan.actions]
+    endings = sum(
+        action_type in (ActionType.TERMINATE, ActionType.SIGHUP_AND_TERMINATE, ActionType.KILL)
+        for action_type in action_types
+    )
     starts = sum(controller.incarnation for controller in run.controllers)
-    joins = sum(sidecar.joins for sidecar in run.sidecars)
+    joins = sum(proxy.joins for proxy in run.proxies)
     streams = sum(client.connections for client in run.xds_clients)
     lines = [
-        f"seed {seed}: {len(acts)} acts, {ends} ends drawn, {starts} starts, {joins} joins, "
-        f"{streams} xDS streams, {run.crowded} in a crowd, {run.rules.checked} checks, "
-        f"{'FAILED' if run.faults else 'kept'}"
+        f"seed {seed}: {len(action_types)} acts, {endings} ends drawn, {starts} starts, "
+        f"{joins} joins, "
+        f"{streams} xDS streams, {run.flood_size} in a crowd, {run.rules.checked} checks, "
+        f"{'FAILED' if run.failures else 'kept'}"
     ]
-    if run.faults:
-        lines += [f"    {fault}" for fault in run.faults[:20]]
+    if run.failures:
+        lines += [f"    {failure}" for failure in run.failures[:20]]
         lines.append(f"    again: PYTHONPATH=tests python -m soak --seeds {seed}")
     return "\n".join(lines)
 
 
 async def main(seeds: list[int], at_once: int) -> int:
     """Play the seeds; the exit code says whether all kept the rules."""
-    gate, failed = asyncio.Semaphore(at_once), 0
+    semaphore, failed = asyncio.Semaphore(at_once), 0
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, asyncio.current_task().cancel)
 
-    async def one(seed: int) -> None:
+    async def run_one(seed: int) -> None:
         nonlocal failed
-        async with gate:
-            run = await play(seed)
-        failed += bool(run.faults)
-        print(report(seed, run), flush=True)
+        async with semaphore:
+            run = await run_seed(seed)
+        failed += bool(run.failures)
+        print(summarize(seed, run), flush=True)
 
-    await asyncio.gather(*(one(seed) for seed in seeds))
+    await asyncio.gather(*(run_one(seed) for seed in seeds))
     print(f"{len(seeds) - failed} passed, {failed} failed")
     return 1 if failed else 0
 
 
 if __name__ == "__main__":
     parser = argparse.ArgumentParser(prog="soak", description=__doc__)
-    parser.add_argument("--seeds", type=seeds_of, required=True)
+    parser.add_argument("--seeds", type=parse_seeds, required=True)
     parser.add_argument("--at-once", type=int, default=1)
-    words = parser.parse_args()
+    options = parser.parse_args()
     logging.getLogger("asyncio").setLevel(logging.ERROR)  # connections that are cut on purpose
-    sys.exit(asyncio.run(main(words.seeds, words.at_once)))
+    sys.exit(asyncio.run(main(options.seeds, options.at_once)))
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -6,19 +6,19 @@
 
 from soak.controller import SETTINGS, Controller
 from soak.fleet import DRAINING, GONE, READY, Endpoint, Fleet
-from soak.sidecar import CLASSES
+from soak.sidecar import REQUEST_CLASSES
 
 SLACK_S = 0.3  # time limits are longer by this
-AFTER_READY_S = 1.0  # and start no sooner than this after the controller first answered
-TOLD_AFTER_S = 6.0  # a change counts as told by then
-GRACE_S = SETTINGS["rules"]["stopSendingWithin"] / 1000
-EMPTY_FOR_S = SETTINGS["specifics"]["emptyFor"] / 1000
-COLD_S = SETTINGS["rules"]["cold"] / 1000
-COLD_SHARE = SETTINGS["rules"]["coldShare"]
+CHECK_AFTER_READY_S = 1.0  # and start no sooner than this after the controller first answered
+MAX_DISCOVERY_DELAY_S = 6.0  # a change counts as told by then
+DRAIN_DEADLINE_S = SETTINGS["rules"]["stopSendingWithin"] / 1000
+MAX_EMPTY_S = SETTINGS["specifics"]["emptyFor"] / 1000
+WARM_UP_S = SETTINGS["rules"]["cold"] / 1000
+INITIAL_FRACTION = SETTINGS["rules"]["coldShare"]
 OVERLOAD_MULTIPLE = SETTINGS["rules"]["tipMultiple"]
 
 
-class Holder(NamedTuple):
+class ClientView(NamedTuple):
     """A client as the rules see it. `usable`: weights by endpoint, by class."""
 
     name: str
@@ -29,73 +29,82 @@
 
 
 class Rules:
-    """Checks all holders at one time; keeps since when one has had no endpoint. `faults`: in words."""
+    """Checks all clients at one time; keeps since when one has had no endpoint. `failures`: in words."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self.empty_since: dict[tuple[str, str], float] = {}
         self.had_endpoint: set[tuple[str, str]] = set()
-        self.faults: dict[str, None] = {}
+        self.failures: dict[str, None] = {}
         self.checked = 0
 
-    def check(self, holders: Iterable[Holder], lateness: float) -> None:
+    def check(self, clients: Iterable[ClientView], lateness: float) -> None:
         """`lateness`: s that this check comes late, which the clients' reading was late as well."""
         now = time.monotonic()
-        for holder in holders:
-            start = max(holder.since, holder.controller.ready_at + AFTER_READY_S)
-            for name in CLASSES:
-                self._check_empty(holder, name, start, now, lateness)
+        for client in clients:
+            start = max(client.since, client.controller.ready_at + CHECK_AFTER_READY_S)
+            for request_class in REQUEST_CLASSES:
+                self._check_empty(client, request_class, start, now, lateness)
                 for endpoint in self.fleet.endpoints:
-                    self._check_drain(holder, name, endpoint, start, now, lateness)
-                    self._check_cold(holder, name, endpoint, start, now, lateness)
+                    self._check_drain(client, request_class, endpoint, start, now, lateness)
+                    self._check_warm_up(client, request_class, endpoint, start, now, lateness)
             self.checked += 1
 
-    def _check_drain(self, holder, name: str, endpoint: Endpoint, start, now, lateness) -> None:
-        if endpoint.state not in (DRAINING, GONE) or endpoint.name not in holder.usable[name]:
+    def _check_drain(self, client, request_class: str, endpoint: Endpoint, start, now, lateness) -> None:
+        if endpoint.state not in (DRAINING, GONE) or endpoint.name not in client.usable[request_class]:
             return
-        told = holder.controller.discovery.told_of(endpoint.revision, endpoint.changed_at, TOLD_AFTER_S)
-        late = now - max(told, start) - GRACE_S - SLACK_S - lateness
-        if late > 0:
-            self._fault(
-                f"rule 3: {holder.name} still sends {name} to {endpoint.name} ({endpoint.state})", late
+        notified_at = client.controller.discovery.notified_at(
+            endpoint.revision, endpoint.changed_at, MAX_DISCOVERY_DELAY_S
+        )
+        overdue = now - max(notified_at, start) - DRAIN_DEADLINE_S - SLACK_S - lateness
+        if overdue > 0:
+            self._record_failure(
+                f"rule 3: {client.name} still sends {request_class} to {endpoint.name} ({endpoint.state})",
+                overdue,
             )
 
-    def _check_empty(self, holder, name: str, start, now, lateness) -> None:
-        key = holder.name, name
-        warm = [
-            one
-            for one in self.fleet.endpoints
-            if one.state == READY and time.time() - one.started_ms / 1000 >= COLD_S and one.is_healthy
+    def _check_empty(self, client, request_class: str, start, now, lateness) -> None:
+        key = client.name, request_class
+        warmed_up = [
+            endpoint
+            for endpoint in self.fleet.endpoints
+            if endpoint.state == READY
+            and time.time() - endpoint.started_ms / 1000 >= WARM_UP_S
+            and endpoint.is_healthy
         ]
-        may_be_empty = not holder.must_have_endpoint and key not in self.had_endpoint
-        if holder.usable[name] or not warm or may_be_empty:
+        may_be_empty = not client.must_have_endpoint and key not in self.had_endpoint
+        if client.usable[request_class] or not warmed_up or may_be_empty:
             self.empty_since.pop(key, None)
-            self.had_endpoint |= {key} if holder.usable[name] else set()
+            self.had_endpoint |= {key} if client.usable[request_class] else set()
             return
         since = max(self.empty_since.setdefault(key, now), start)
-        late = now - since - EMPTY_FOR_S - SLACK_S - lateness
-        if late > 0:
-            self._fault(f"rule 1: {holder.name} has no endpoint for {name}", late)
+        overdue = now - since - MAX_EMPTY_S - SLACK_S - lateness
+        if overdue > 0:
+            self._record_failure(f"rule 1: {client.name} has no endpoint for {request_class}", overdue)
 
-    def _check_cold(self, holder, name: str, endpoint: Endpoint, start, now, lateness) -> None:
+    def _check_warm_up(self, client, request_class: str, endpoint: Endpoint, start, now, lateness) -> None:
         """A weight over the overload multiple of the present capacity, beside the mean of warm endpoints."""
         age = time.time() - endpoint.started_ms / 1000
-        weights = holder.usable[name]
-        if endpoint.state != READY or age >= COLD_S or endpoint.name not in weights:
+        weights = client.usable[request_class]
+        if endpoint.state != READY or age >= WARM_UP_S or endpoint.name not in weights:
             return
-        told = holder.controller.discovery.told_of(endpoint.revision, endpoint.changed_at, TOLD_AFTER_S)
-        if now - max(told, start) <= GRACE_S + SLACK_S + lateness:
+        notified_at = client.controller.discovery.notified_at(
+            endpoint.revision, endpoint.changed_at, MAX_DISCOVERY_DELAY_S
+        )
+        if now - max(notified_at, start) <= DRAIN_DEADLINE_S + SLACK_S + lateness:
             return
-        warm = [
-            weights[one.name]
-            for one in self.fleet.endpoints
-            if one.name in weights and time.time() - one.started_ms / 1000 >= COLD_S
+        others = [
+            weights[other.name]
+            for other in self.fleet.endpoints
+            if other.name in weights and time.time() - other.started_ms / 1000 >= WARM_UP_S
         ]
-        capacity = COLD_SHARE + (1 - COLD_SHARE) * age / COLD_S
-        if warm and weights[endpoint.name] > OVERLOAD_MULTIPLE * capacity * sum(warm) / len(warm):
-            self._fault(f"rule 4: {holder.name} has {endpoint.name} at {weights[endpoint.name]}", 0.0)
+        capacity = INITIAL_FRACTION + (1 - INITIAL_FRACTION) * age / WARM_UP_S
+        if others and weights[endpoint.name] > OVERLOAD_MULTIPLE * capacity * sum(others) / len(others):
+            self._record_failure(
+                f"rule 4: {client.name} has {endpoint.name} at {weights[endpoint.name]}", 0.0
+            )
 
-    def _fault(self, text: str, late: float) -> None:
-        if text not in self.faults:
-            self.faults[text] = None
-            self.faults[f"  seen {late:.2f} s past the limit"] = None
+    def _record_failure(self, text: str, overdue: float) -> None:
+        if text not in self.failures:
+            self.failures[text] = None
+            self.failures[f"  seen {overdue:.2f} s past the limit"] = None
--- a/tests/soak/controller.py
+++ b/tests/soak/controller.py
@@ -13,13 +13,13 @@
 
 from soak.discovery import Discovery
 from soak.fleet import Fleet
-from soak.plan import KILL_AFTER_S, SIDECARS, XDS_CLIENTS
+from soak.plan import KILL_AFTER_S, PROXIES, XDS_CLIENTS
 
 ROOT = Path(__file__).parents[2]
-RUN = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
+RUN_COMMAND = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
 LOG_LINE = re.compile(r"(start|loop|acceptor|reload|invalid|stream|discovery|note|xds|push|refused|odd): ")
-DESCRIPTORS = 256
-READY_WITHIN_S = 30.0
+MAX_DESCRIPTORS = 256
+READY_TIMEOUT_S = 30.0
 
 SETTINGS = {
     "membershipMode": "subscribe",
@@ -39,7 +39,7 @@
         "stopSendingWithin": 2000.0,
     },
     "specifics": {
-        "proxyCount": SIDECARS,
+        "proxyCount": PROXIES,
         "period": 500.0,
         "pushRate": 3000.0,
         "envelope": 4.0,
@@ -53,7 +53,7 @@
 
 
 class Controller:
-    """`faults`: what went wrong with it, in words."""
+    """`failures`: what went wrong with it, in words."""
 
     def __init__(self, number: int, folder: Path, fleet: Fleet, port: int) -> None:
         self.number, self.folder, self.fleet, self.port = number, folder, fleet, port
@@ -66,7 +66,7 @@
         self.ready_at = float("inf")
         self.incarnation = 0
         self.log: list[str] = []
-        self.faults: list[str] = []
+        self.failures: list[str] = []
         self.is_ending = False
         self.log_task: asyncio.Task | None = None
         self.descriptors_at_start = 0
@@ -78,16 +78,16 @@
 
     def write_configuration(self) -> None:
         """Write the configuration, which a running process reads at SIGHUP."""
-        table = {
+        configuration = {
             "name": f"n{self.number}",
             "listen": f"127.0.0.1:{self.port}",
             "discovery": f"127.0.0.1:{self.discovery.ports[self.discovery_address]}",
             "seed": f"{self.incarnation + 1:x}",
-            "limits": {"sockets": DESCRIPTORS},
+            "limits": {"sockets": MAX_DESCRIPTORS},
             "known": self.fleet.complete_list(),
             "settings": SETTINGS,
         }
-        (self.folder / f"n{self.number}.json").write_text(json.dumps(table))
+        (self.folder / f"n{self.number}.json").write_text(json.dumps(configuration))
         if self.xds_port is not None:
             (self.folder / "xds.yaml").write_text(
                 f"listen: 127.0.0.1:{self.xds_port}\nclients: {XDS_CLIENTS}\npushes: {self.xds_pushes}\n"
@@ -98,12 +98,12 @@
         program = f"{sys.executable} -m oatcart"
         if self.xds_port is not None:
             program += f".xds {self.folder / 'xds.yaml'}"
-        return RUN.replace(".venv/bin/python -m oatcart", program)
+        return RUN_COMMAND.replace(".venv/bin/python -m oatcart", program)
 
     async def start(self) -> None:
         """Start the process and wait until it answers a ping."""
         self.is_ending = False
-        self.discovery.told_at = []
+        self.discovery.sent_revisions = []
         self.write_configuration()
         self.process = await asyncio.create_subprocess_shell(
             self.command(),
@@ -116,37 +116,37 @@
         await self._wait_until_ready()
 
     async def _wait_until_ready(self) -> None:
-        deadline = time.monotonic() + READY_WITHIN_S
+        deadline = time.monotonic() + READY_TIMEOUT_S
         process = self.process
         while time.monotonic() < deadline and process.returncode is None:
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
                 writer.write(b'{"msg":"ping"}\n')
-                answered = await asyncio.wait_for(reader.readline(), 1.0)
+                reply = await asyncio.wait_for(reader.readline(), 1.0)
                 writer.close()
-                if answered:
+                if reply:
                     self.ready_at = time.monotonic()
-                    self.descriptors_at_start = self.descriptors()
+                    self.descriptors_at_start = self.descriptor_count()
                     self.resident_kb_at_start = self.resident_kb()
                     return
             except (OSError, TimeoutError):
                 pass
             await asyncio.sleep(0.02)
         if not self.is_ending:
-            self.faults.append(f"n{self.number} was not ready, exit code {process.returncode}")
+            self.failures.append(f"n{self.number} was not ready, exit code {process.returncode}")
 
     async def _read_log(self, process: asyncio.subprocess.Process) -> None:
         while line := (await process.stderr.readline()).decode(errors="replace").rstrip():
             self.log.append(line)
             if not LOG_LINE.match(line):
-                self.faults.append(f"n{self.number} logged {line!r}")
+                self.failures.append(f"n{self.number} logged {line!r}")
 
-    def signal(self, number: int) -> None:
+    def signal(self, signal_number: int) -> None:
         """Send a signal, if the process is there and is not the shell any more."""
         if self.process is not None and self.process.returncode is None and not self._is_shell():
             # not by the process object, which would collect the exit code that somebody else awaits
             with suppress(ProcessLookupError):
-                os.kill(self.process.pid, number)
+                os.kill(self.process.pid, signal_number)
 
     def _is_shell(self) -> bool:
         try:
@@ -154,12 +154,12 @@
         except OSError:  # it has just ended
             return False
 
-    async def hang_ups(self, count: int) -> None:
+    async def reload_repeatedly(self, count: int) -> None:
         """Several SIGHUP within milliseconds, as discovery moves; the file is half written at first."""
         self.discovery_address = 1 - self.discovery_address
         path = self.folder / f"n{self.number}.json"
-        before = path.read_text()
-        path.write_text(before[: len(before) // 2])
+        text = path.read_text()
+        path.write_text(text[: len(text) // 2])
         self.signal(signal.SIGHUP)
         await asyncio.sleep(0.002)
         self.write_configuration()
@@ -174,8 +174,8 @@
             return
         self.is_ending = True
         process = self.process
-        for number in signals:
-            self.signal(number)
+        for signal_number in signals:
+            self.signal(signal_number)
             await asyncio.sleep(0.002)
         if signal.SIGKILL not in signals:
             await asyncio.sleep(KILL_AFTER_S)
@@ -184,22 +184,22 @@
         code = await process.wait()
         await self.log_task
         if code != 0 and signal.SIGKILL not in signals:
-            self.faults.append(f"n{self.number} ended with {code} after {signals}")
+            self.failures.append(f"n{self.number} ended with {code} after {signals}")
         await self.start()
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         """End it for good, in an orderly way."""
         self.is_ending = True
         self.signal(signal.SIGTERM)
         try:
-            code = await asyncio.wait_for(self.process.wait(), READY_WITHIN_S)
+            code = await asyncio.wait_for(self.process.wait(), READY_TIMEOUT_S)
         finally:
             self.signal(signal.SIGKILL)
         await self.log_task
         if code != 0:
-            self.faults.append(f"n{self.number} ended with {code} at the end")
+            self.failures.append(f"n{self.number} ended with {code} at the end")
 
-    def descriptors(self) -> int:
+    def descriptor_count(self) -> int:
         """How many descriptors it has open."""
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
--- a/tests/soak/discovery.py
+++ b/tests/soak/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery for one controller, at two addresses, late, in pieces, garbled or cut where a run asks for it."""
+"""Discovery for one controller, at two addresses, late, in pieces, malformed or cut where a run asks so."""
 
 import asyncio
 import json
@@ -9,9 +9,9 @@
 
 from soak.fleet import Fleet
 
-LATE_S = 0.4
+LATE_ANSWER_S = 0.4
 PIECE_BYTES = 7
-ADDRESSES = 2
+ADDRESS_COUNT = 2
 
 
 class Fault(Enum):
@@ -20,7 +20,7 @@
     NONE = auto()
     LATE = auto()
     PIECES = auto()
-    GARBLED = auto()
+    MALFORMED = auto()
     CUT = auto()
 
 
@@ -30,14 +30,15 @@
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self.fault = Fault.NONE
-        self.told_at: list[tuple[int, float]] = []  # revision and time, of this incarnation of the controller
-        self.last_asked_at = [0.0] * ADDRESSES
+        # revision and time, of this incarnation of the controller
+        self.sent_revisions: list[tuple[int, float]] = []
+        self.last_request_at = [0.0] * ADDRESS_COUNT
         self.servers: list[asyncio.Server] = []
         self.ports: list[int] = []
 
     async def start(self) -> None:
         """Listen at all addresses."""
-        for address in range(ADDRESSES):
+        for address in range(ADDRESS_COUNT):
 
             async def serve(reader, writer, address=address):
                 await self._serve(address, reader, writer)
@@ -51,17 +52,17 @@
         for server in self.servers:
             server.close()
 
-    def told_of(self, revision: int, changed_at: float, told_after: float) -> float:
-        """When the controller counts as told of a revision: at the latest `told_after` s after the change."""
-        times = [at for told, at in self.told_at if told >= revision]
-        return min([*times, changed_at + told_after])
+    def notified_at(self, revision: int, changed_at: float, max_delay: float) -> float:
+        """When the controller counts as told of a revision: at the latest `max_delay` s after the change."""
+        times = [sent_at for sent, sent_at in self.sent_revisions if sent >= revision]
+        return min([*times, changed_at + max_delay])
 
     async def _serve(self, address: int, reader, writer) -> None:
         try:
             while True:
-                head = await reader.readuntil(b"\r\n\r\n")
-                self.last_asked_at[address] = time.monotonic()
-                path = head.split(b" ", 2)[1].decode()
+                header = await reader.readuntil(b"\r\n\r\n")
+                self.last_request_at[address] = time.monotonic()
+                path = header.split(b" ", 2)[1].decode()
                 await self._answer(parse_qs(urlsplit(path).query), writer)
         except (asyncio.IncompleteReadError, asyncio.CancelledError, ConnectionError):
             pass
@@ -72,31 +73,31 @@
         since = int(query["since"][0]) if "since" in query else None
         wait = int(query.get("timeout_ms", ["0"])[0]) / 1000
         if since is not None and wait:
-            await self._wait_for_news(since, wait)
+            await self._wait_for_change(since, wait)
         if self.fault == Fault.LATE:
-            await asyncio.sleep(LATE_S)
+            await asyncio.sleep(LATE_ANSWER_S)
         answer = self.fleet.complete_list() if since is None else self.fleet.changes(since)
         body = json.dumps(answer).encode()
-        if self.fault == Fault.GARBLED:
+        if self.fault == Fault.MALFORMED:
             body = b"}" + body[1:]
         data = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
         if self.fault == Fault.CUT:
             writer.write(data[: len(data) // 2])
             raise ConnectionResetError
         size = PIECE_BYTES if self.fault == Fault.PIECES else len(data)
-        garbled = self.fault == Fault.GARBLED
+        malformed = self.fault == Fault.MALFORMED
         for start in range(0, len(data), size):
             writer.write(data[start : start + size])
             await writer.drain()
             if size == PIECE_BYTES:
                 await asyncio.sleep(0)
-        if not garbled:
-            self.told_at.append((answer["revision"], time.monotonic()))
+        if not malformed:
+            self.sent_revisions.append((answer["revision"], time.monotonic()))
 
-    async def _wait_for_news(self, since: int, wait: float) -> None:
-        async def news() -> None:
+    async def _wait_for_change(self, since: int, wait: float) -> None:
+        async def until_changed() -> None:
             async with self.fleet.changed:
                 await self.fleet.changed.wait_for(lambda: self.fleet.revision > since)
 
         with suppress(TimeoutError):
-            await asyncio.wait_for(news(), wait)
+            await asyncio.wait_for(until_changed(), wait)
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -48,7 +48,9 @@
 class Fleet:
     """All endpoints and the revision of their list."""
 
-    endpoints: list[Endpoint] = field(default_factory=lambda: [Endpoint(at) for at in range(ENDPOINTS)])
+    endpoints: list[Endpoint] = field(
+        default_factory=lambda: [Endpoint(number) for number in range(ENDPOINTS)]
+    )
     revision: int = 1
     changed: asyncio.Condition = field(default_factory=asyncio.Condition)
     servers: list[asyncio.Server] = field(default_factory=list)
@@ -72,9 +74,12 @@
     def may_leave(self, endpoint: Endpoint) -> bool:
         """Whether enough others of its zone that have run for long stay ready."""
         others = [
-            one
-            for one in self.endpoints
-            if one is not endpoint and one.zone == endpoint.zone and one.state == READY and not one.started_ms
+            other
+            for other in self.endpoints
+            if other is not endpoint
+            and other.zone == endpoint.zone
+            and other.state == READY
+            and not other.started_ms
         ]
         return len(others) >= MIN_READY_PER_ZONE
 
@@ -89,12 +94,12 @@
 
     def complete_list(self) -> dict:
         """The list as discovery answers it."""
-        members = [one.entry() for one in self.endpoints if one.state != GONE]
+        members = [endpoint.entry() for endpoint in self.endpoints if endpoint.state != GONE]
         return {"revision": self.revision, "complete": True, "members": members}
 
     def changes(self, since: int) -> dict:
         """What changed since a revision."""
-        members = [one.entry() for one in self.endpoints if one.revision > since]
+        members = [endpoint.entry() for endpoint in self.endpoints if endpoint.revision > since]
         return {"revision": self.revision, "complete": False, "members": members}
 
 
--- a/tests/soak/xds_clients.py
+++ b/tests/soak/xds_clients.py
@@ -9,19 +9,19 @@
 from oatcart.xds.standin.client import Client
 from soak.controller import Controller
 from soak.fleet import ZONES
-from soak.sidecar import CLASSES
+from soak.sidecar import REQUEST_CLASSES
 
-WAYS = [(False, "whole"), (True, "whole"), (True, "each")]
-REDIAL_S = 0.2
+PROTOCOL_VARIANTS = [(False, "whole"), (True, "whole"), (True, "each")]
+RECONNECT_DELAY_S = 0.2
 READY = grpc.ChannelConnectivity.READY
-PUSHBACK = "grpc-retry-pushback-ms"
+PUSHBACK_KEY = "grpc-retry-pushback-ms"
 
 
 class XdsClient:
     """`since`: s; its stream has been open."""
 
     def __init__(self, number: int, controller: Controller) -> None:
-        delta, self.shape = WAYS[number % len(WAYS)]
+        delta, self.shape = PROTOCOL_VARIANTS[number % len(PROTOCOL_VARIANTS)]
         self.controller, self.name = controller, f"x{number}"
         self.client = Client(
             f"127.0.0.1:{controller.xds_port}", self.name, ZONES[number % len(ZONES)], delta, self.shape
@@ -30,7 +30,7 @@
         self.incarnation = 0
         self.is_cut = False
         self.connections = 0
-        self.faults: list[str] = []
+        self.failures: list[str] = []
 
     async def run(self) -> None:
         """Connect, and connect again when the stream ends, until cancelled."""
@@ -43,8 +43,8 @@
                 self._subscribe_members()
             self.since = None
             await self.client.drop()
-            pushback = 0 if self.is_cut else self.client.status[2].get(PUSHBACK, 0)
-            await asyncio.sleep(max(REDIAL_S, int(pushback) / 1000))
+            pushback = 0 if self.is_cut else self.client.status[2].get(PUSHBACK_KEY, 0)
+            await asyncio.sleep(max(RECONNECT_DELAY_S, int(pushback) / 1000))
 
     async def _connect(self) -> None:
         while self.controller.ready_at == float("inf"):
@@ -55,10 +55,10 @@
         self.client.got.clear()
         self.incarnation = self.controller.incarnation
         self.client.ask(CLUSTER)
-        self.client.ask(ENDPOINTS, CLASSES)
+        self.client.ask(ENDPOINTS, REQUEST_CLASSES)
         if self.client.names[MEMBER]:
             self.client.ask(MEMBER, list(self.client.names[MEMBER]))
-        self.client.ask(ROUTE, CLASSES)
+        self.client.ask(ROUTE, REQUEST_CLASSES)
 
     def _subscribe_members(self) -> None:
         if self.shape != "each":
@@ -71,16 +71,16 @@
         """Cut the stream."""
         self.since, self.is_cut = None, True
 
-    def healthy(self, name: str) -> dict[str, float]:
+    def healthy_weights(self, name: str) -> dict[str, float]:
         """The endpoints that it may send requests of a class to, with their weights."""
-        seen = self.client.endpoints(name)
-        return {one: weight for one, (weight, health) in seen.items() if health == "HEALTHY"}
+        endpoints = self.client.endpoints(name)
+        return {endpoint: weight for endpoint, (weight, health) in endpoints.items() if health == "HEALTHY"}
 
     def check_routes(self) -> None:
         """Rule 2: a class that must not run twice is offered no retry."""
-        if (held := self.client.held[ROUTE].get("order")) is None:
+        if (resource := self.client.held[ROUTE].get("order")) is None:
             return
-        for host in held[1].virtual_hosts:
-            for route in host.routes:
+        for virtual_host in resource[1].virtual_hosts:
+            for route in virtual_host.routes:
                 if route.route.retry_policy.num_retries.value:
-                    self.faults.append("rule 2: a route with retries for a class that must not run twice")
+                    self.failures.append("rule 2: a route with retries for a class that must not run twice")
