--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -1,4 +1,4 @@
-"""The rules as they are held against what the clients of a run hold, with the protocol's slack."""
+"""Checks of the protocol's rules on the tables and resources that the clients of a run hold."""
 
 import time
 from collections.abc import Iterable
@@ -8,9 +8,10 @@
 from soak.fleet import DRAINING, GONE, READY, Endpoint, Fleet
 from soak.sidecar import REQUEST_CLASSES
 
-SLACK_S = 0.3  # time limits are longer by this
-CHECK_AFTER_READY_S = 1.0  # and start no sooner than this after the controller first answered
-MAX_DISCOVERY_DELAY_S = 6.0  # a change counts as told by then
+SLACK_S = 0.3  # added to each time limit, as the protocol allows
+CHECK_AFTER_READY_S = 1.0  # time limits start no sooner than this after the controller first answered
+# A controller counts as notified of a change after this time even if discovery sent it no answer.
+MAX_DISCOVERY_DELAY_S = 6.0
 DRAIN_DEADLINE_S = SETTINGS["rules"]["stopSendingWithin"] / 1000
 MAX_EMPTY_S = SETTINGS["specifics"]["emptyFor"] / 1000
 WARM_UP_S = SETTINGS["rules"]["cold"] / 1000
@@ -19,17 +20,25 @@
 
 
 class ClientView(NamedTuple):
-    """A client as the rules see it. `usable`: weights by endpoint, by class."""
+    """What a client holds at the time of a check, whether it is a proxy or an xDS client.
+
+    `since`: monotonic s; it has been connected and reading. `usable`: by request class, the weights of the
+    endpoints that it may send requests to.
+    """
 
     name: str
     controller: Controller
     since: float
     usable: dict[str, dict[str, float]]
-    must_have_endpoint: bool  # or only once it had one: new xDS clients wait for the push budget
+    # False: it may have none until it first has one, as new xDS clients wait for the push budget
+    must_have_endpoint: bool
 
 
 class Rules:
-    """Checks all clients at one time; keeps since when one has had no endpoint. `failures`: in words."""
+    """Checks the rules on all clients, and keeps since when each has had no endpoint.
+
+    `failures`: messages, each once, in the order of detection.
+    """
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -39,7 +48,7 @@
         self.checked = 0
 
     def check(self, clients: Iterable[ClientView], lateness: float) -> None:
-        """`lateness`: s that this check comes late, which the clients' reading was late as well."""
+        """Check all rules; `lateness`: s by which this check, and so the clients' reading, is delayed."""
         now = time.monotonic()
         for client in clients:
             start = max(client.since, client.controller.ready_at + CHECK_AFTER_READY_S)
@@ -51,6 +60,7 @@
             self.checked += 1
 
     def _check_drain(self, client, request_class: str, endpoint: Endpoint, start, now, lateness) -> None:
+        """Check that the client no longer sends requests to an endpoint after its drain deadline."""
         if endpoint.state not in (DRAINING, GONE) or endpoint.name not in client.usable[request_class]:
             return
         notified_at = client.controller.discovery.notified_at(
@@ -64,6 +74,7 @@
             )
 
     def _check_empty(self, client, request_class: str, start, now, lateness) -> None:
+        """Check how long the client has had no endpoint while a healthy one was ready and warmed up."""
         key = client.name, request_class
         warmed_up = [
             endpoint
@@ -83,7 +94,11 @@
             self._record_failure(f"rule 1: {client.name} has no endpoint for {request_class}", overdue)
 
     def _check_warm_up(self, client, request_class: str, endpoint: Endpoint, start, now, lateness) -> None:
-        """A weight over the overload multiple of the present capacity, beside the mean of warm endpoints."""
+        """Check the weight of an endpoint that is warming up.
+
+        It may not exceed the overload multiple of its present capacity, relative to the mean weight of the
+        endpoints that are warmed up.
+        """
         age = time.time() - endpoint.started_ms / 1000
         weights = client.usable[request_class]
         if endpoint.state != READY or age >= WARM_UP_S or endpoint.name not in weights:
@@ -101,10 +116,12 @@
         capacity = INITIAL_FRACTION + (1 - INITIAL_FRACTION) * age / WARM_UP_S
         if others and weights[endpoint.name] > OVERLOAD_MULTIPLE * capacity * sum(others) / len(others):
             self._record_failure(
-                f"rule 4: {client.name} has {endpoint.name} at {weights[endpoint.name]}", 0.0
+                f"rule 4: {client.name} overloads {endpoint.name}, which warms up, "
+                f"at weight {weights[endpoint.name]}",
+                0.0,
             )
 
     def _record_failure(self, text: str, overdue: float) -> None:
         if text not in self.failures:
             self.failures[text] = None
-            self.failures[f"  seen {overdue:.2f} s past the limit"] = None
+            self.failures[f"  found {overdue:.2f} s after the time limit"] = None
--- a/tests/soak/controller.py
+++ b/tests/soak/controller.py
@@ -1,4 +1,4 @@
-"""A controller process as deployed: started, signalled, killed, and started again under its name."""
+"""A controller process, run as it is deployed: started, signalled, killed and restarted."""
 
 import asyncio
 import json
@@ -53,7 +53,7 @@
 
 
 class Controller:
-    """`failures`: what went wrong with it, in words."""
+    """A controller process and its discovery service; `failures`: messages on what went wrong with it."""
 
     def __init__(self, number: int, folder: Path, fleet: Fleet, port: int) -> None:
         self.number, self.folder, self.fleet, self.port = number, folder, fleet, port
@@ -61,7 +61,7 @@
         self.xds_pushes = 0
         self.discovery = Discovery(fleet)
         self.discovery_address = 0
-        self.reloaded_at = 0.0  # s; of the last complete configuration that was signalled
+        self.reloaded_at = 0.0  # monotonic s; when the last complete configuration was signalled
         self.process: asyncio.subprocess.Process | None = None
         self.ready_at = float("inf")
         self.incarnation = 0
@@ -73,11 +73,11 @@
         self.resident_kb_at_start = 0
 
     def serve_xds(self, port: int, pushes: int) -> None:
-        """Let it serve xDS clients too, with so many pushes a second."""
+        """Let it serve xDS clients too, with a budget of `pushes` a second."""
         self.xds_port, self.xds_pushes = port, pushes
 
     def write_configuration(self) -> None:
-        """Write the configuration, which a running process reads at SIGHUP."""
+        """Write the configuration, which a running process reads on SIGHUP."""
         configuration = {
             "name": f"n{self.number}",
             "listen": f"127.0.0.1:{self.port}",
@@ -94,7 +94,7 @@
             )
 
     def command(self) -> str:
-        """The shell command that starts it."""
+        """Return the shell command that starts it."""
         program = f"{sys.executable} -m oatcart"
         if self.xds_port is not None:
             program += f".xds {self.folder / 'xds.yaml'}"
@@ -133,29 +133,29 @@
                 pass
             await asyncio.sleep(0.02)
         if not self.is_ending:
-            self.failures.append(f"n{self.number} was not ready, exit code {process.returncode}")
+            self.failures.append(f"n{self.number} did not become ready, exit code {process.returncode}")
 
     async def _read_log(self, process: asyncio.subprocess.Process) -> None:
         while line := (await process.stderr.readline()).decode(errors="replace").rstrip():
             self.log.append(line)
             if not LOG_LINE.match(line):
-                self.failures.append(f"n{self.number} logged {line!r}")
+                self.failures.append(f"n{self.number}: unexpected log line {line!r}")
 
     def signal(self, signal_number: int) -> None:
-        """Send a signal, if the process is there and is not the shell any more."""
+        """Send a signal, if the process runs and the shell has been replaced by the controller."""
         if self.process is not None and self.process.returncode is None and not self._is_shell():
-            # not by the process object, which would collect the exit code that somebody else awaits
+            # not process.send_signal, which polls and so may collect the exit code that another task awaits
             with suppress(ProcessLookupError):
                 os.kill(self.process.pid, signal_number)
 
     def _is_shell(self) -> bool:
         try:
             return Path(f"/proc/{self.process.pid}/comm").read_text().strip() == "sh"
-        except OSError:  # it has just ended
+        except OSError:  # the process has just ended
             return False
 
     async def reload_repeatedly(self, count: int) -> None:
-        """Several SIGHUP within milliseconds, as discovery moves; the file is half written at first."""
+        """Move discovery and send SIGHUP several times within ms, first with the file half written."""
         self.discovery_address = 1 - self.discovery_address
         path = self.folder / f"n{self.number}.json"
         text = path.read_text()
@@ -169,7 +169,7 @@
         self.reloaded_at = time.monotonic()
 
     async def restart(self, *signals: int) -> None:
-        """Send signals; SIGKILL follows as early as it may; start it again."""
+        """Send signals, then SIGKILL as early as the protocol allows, and start the process again."""
         if self.is_ending:
             return
         self.is_ending = True
@@ -184,11 +184,11 @@
         code = await process.wait()
         await self.log_task
         if code != 0 and signal.SIGKILL not in signals:
-            self.failures.append(f"n{self.number} ended with {code} after {signals}")
+            self.failures.append(f"n{self.number}: expected exit code 0 after {signals}, got {code}")
         await self.start()
 
     async def stop(self) -> None:
-        """End it for good, in an orderly way."""
+        """Stop the process with SIGTERM, and check its exit code."""
         self.is_ending = True
         self.signal(signal.SIGTERM)
         try:
@@ -197,13 +197,13 @@
             self.signal(signal.SIGKILL)
         await self.log_task
         if code != 0:
-            self.failures.append(f"n{self.number} ended with {code} at the end")
+            self.failures.append(f"n{self.number}: expected exit code 0 at the end of the run, got {code}")
 
     def descriptor_count(self) -> int:
-        """How many descriptors it has open."""
+        """Return the number of descriptors that it has open."""
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
     def resident_kb(self) -> int:
-        """Its resident memory."""
+        """Return its resident memory in KB."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         return int(re.search(r"VmRSS:\s+(\d+)", status)[1])
--- a/tests/soak/discovery.py
+++ b/tests/soak/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery for one controller, at two addresses, late, in pieces, malformed or cut where a run asks so."""
+"""A discovery service for one controller, at two addresses, whose answers a run can make faulty."""
 
 import asyncio
 import json
@@ -9,28 +9,28 @@
 
 from soak.fleet import Fleet
 
-LATE_ANSWER_S = 0.4
+LATE_ANSWER_S = 0.4  # by which answers are late
 PIECE_BYTES = 7
 ADDRESS_COUNT = 2
 
 
 class Fault(Enum):
-    """What is wrong with its answers."""
+    """What is wrong with the answers of the discovery service."""
 
     NONE = auto()
     LATE = auto()
-    PIECES = auto()
-    MALFORMED = auto()
-    CUT = auto()
+    PIECES = auto()  # sent in small pieces
+    MALFORMED = auto()  # no JSON
+    CUT = auto()  # the connection is closed in the middle of an answer
 
 
 class Discovery:
-    """Answers one controller and notes when it was told of each revision, in monotonic s."""
+    """Answers one controller and notes when it sent each revision, in monotonic s."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self.fault = Fault.NONE
-        # revision and time, of this incarnation of the controller
+        # revision and time of each answer to the current incarnation of the controller
         self.sent_revisions: list[tuple[int, float]] = []
         self.last_request_at = [0.0] * ADDRESS_COUNT
         self.servers: list[asyncio.Server] = []
@@ -53,7 +53,10 @@
             server.close()
 
     def notified_at(self, revision: int, changed_at: float, max_delay: float) -> float:
-        """When the controller counts as told of a revision: at the latest `max_delay` s after the change."""
+        """Return when the controller counts as notified of a revision, in monotonic s.
+
+        That is `max_delay` s after the change at the latest.
+        """
         times = [sent_at for sent, sent_at in self.sent_revisions if sent >= revision]
         return min([*times, changed_at + max_delay])
 
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The endpoints of a run: what discovery lists of them and when, and their health over HTTP."""
+"""The endpoints of a run: their entries in the endpoint list, and their health over HTTP."""
 
 import asyncio
 import time
@@ -12,7 +12,11 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """An endpoint. `changed_at`: monotonic s of the last change of its state or start."""
+    """An endpoint as the list has it.
+
+    `started_ms`: Unix time, 0: long ago. `revision` and `changed_at` (monotonic s): of the last change of its
+    state or start.
+    """
 
     number: int
     port: int = 0
@@ -24,16 +28,16 @@
 
     @property
     def name(self) -> str:
-        """Its id in the list."""
+        """The id of the endpoint in the list."""
         return f"s-{self.number}"
 
     @property
     def zone(self) -> int:
-        """Its zone's number."""
+        """The number of its zone."""
         return self.number % len(ZONES)
 
     def entry(self) -> dict:
-        """As discovery and the configuration write it."""
+        """Return its entry as discovery and the configuration write it."""
         return {
             "id": self.name,
             "host_port": f"127.0.0.1:{self.port}",
@@ -72,7 +76,7 @@
             server.close()
 
     def may_leave(self, endpoint: Endpoint) -> bool:
-        """Whether enough others of its zone that have run for long stay ready."""
+        """Return whether enough other endpoints of its zone are ready and warmed up."""
         others = [
             other
             for other in self.endpoints
@@ -84,7 +88,7 @@
         return len(others) >= MIN_READY_PER_ZONE
 
     async def change(self, endpoint: Endpoint, state: str, started: bool = False) -> None:
-        """Change an endpoint's state, or its start, and tell who watches."""
+        """Set an endpoint's state, and its start to now if `started`, and notify all watches."""
         async with self.changed:
             self.revision += 1
             endpoint.state, endpoint.revision, endpoint.changed_at = state, self.revision, time.monotonic()
@@ -93,12 +97,12 @@
             self.changed.notify_all()
 
     def complete_list(self) -> dict:
-        """The list as discovery answers it."""
+        """Return the complete list as discovery answers it."""
         members = [endpoint.entry() for endpoint in self.endpoints if endpoint.state != GONE]
         return {"revision": self.revision, "complete": True, "members": members}
 
     def changes(self, since: int) -> dict:
-        """What changed since a revision."""
+        """Return what changed since a revision, as discovery answers it."""
         members = [endpoint.entry() for endpoint in self.endpoints if endpoint.revision > since]
         return {"revision": self.revision, "complete": False, "members": members}
 
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -1,23 +1,24 @@
-"""What happens in a run and when: all of it is drawn from the seed."""
+"""The plan of a run: its actions and their times, all drawn from the seed."""
 
 from dataclasses import dataclass
 from enum import Enum, auto
 from random import Random
 
 DURATION_S = 9.0
-QUIET_START_S = 1.5  # everybody joins
-QUIET_END_S = 1.0  # from the last action to the end
+QUIET_START_S = 1.5  # before the first action, while all clients join
+QUIET_END_S = 1.0  # after the last action
 ENDPOINTS = 8
 CONTROLLERS = 2  # the second serves xDS clients too
 PROXIES = 6
 XDS_CLIENTS = 9
-XDS_PUSHES = (2000, 12)  # a second; the second one binds, and serves so many clients within the deadline
+# Push budgets, pushes/s: 2000 never limits; 12 does, but still serves XDS_CLIENTS within the deadline.
+XDS_PUSHES = (2000, 12)
 MIN_READY_PER_ZONE = 2
-KILL_AFTER_S = 0.7  # from SIGTERM to SIGKILL, the least that the protocol has
+KILL_AFTER_S = 0.7  # from SIGTERM to SIGKILL, the shortest time that the protocol allows
 
 
 class ActionType(Enum):
-    """What an action does; `target` is the number of an endpoint, controller, proxy or xDS client."""
+    """What an action does; see TARGETS for its possible targets."""
 
     DRAIN = auto()
     REMOVE = auto()
@@ -25,9 +26,9 @@
     RESTART_ENDPOINT = auto()
     FAIL_HEALTH = auto()
     RECOVER_HEALTH = auto()
-    SIGHUP_SERIES = auto()  # a series of SIGHUP; `value`: how many
+    SIGHUP_SERIES = auto()  # `value`: how many
     SIGHUP_AND_TERMINATE = auto()
-    TERMINATE = auto()  # twice
+    TERMINATE = auto()  # SIGTERM twice
     KILL = auto()
     DISCOVERY_LATE = auto()
     DISCOVERY_PIECES = auto()
@@ -41,10 +42,11 @@
     XDS_RECONNECT = auto()
     XDS_WITHHOLD_ACKS = auto()
     XDS_SEND_ACKS = auto()
-    XDS_RECONNECT_ALL = auto()  # all clients are cut, an endpoint drains, all return
+    XDS_RECONNECT_ALL = auto()  # all clients are disconnected, an endpoint drains, all clients reconnect
     CONNECTION_FLOOD = auto()
 
 
+# The number of possible targets of an action; actions that are left out have a controller as target.
 TARGETS = {
     ActionType.DRAIN: ENDPOINTS,
     ActionType.REMOVE: ENDPOINTS,
@@ -61,6 +63,7 @@
     ActionType.XDS_SEND_ACKS: XDS_CLIENTS,
     ActionType.XDS_RECONNECT_ALL: ENDPOINTS,
 }
+# How often actions are drawn, relative to each other.
 WEIGHTS = {
     ActionType.DRAIN: 6,
     ActionType.REMOVE: 3,
@@ -90,7 +93,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Action:
-    """`at`: seconds from the start of the run."""
+    """One action of a run.
+
+    `at`: seconds from the start of the run. `target`: number of an endpoint, controller, proxy or xDS client.
+    """
 
     at: float
     action_type: ActionType
@@ -100,15 +106,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A run."""
+    """The actions of a run, by time."""
 
     seed: int
-    xds_pushes: int  # a second
+    xds_pushes: int  # budget, pushes/s
     actions: tuple[Action, ...]
 
 
 def draw_plan(seed: int) -> Plan:
-    """The run of a seed. One in three has a crowd."""
+    """Return the plan of a seed. One seed in three has a connection flood."""
     random = Random(seed)
     action_types, weights = list(WEIGHTS), list(WEIGHTS.values())
     actions = []
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays one run: starts everything, carries out the plan, checks the rules all the time, ends everything."""
+"""Executes the plan of one run among started processes and peers, and checks the rules throughout."""
 
 import asyncio
 import gc
@@ -21,9 +21,11 @@
 CHECK_PERIOD_S = 0.05
 RUN_TIMEOUT_S = 120.0
 RELOAD_TIMEOUT_S = 3.0
-SETTLE_S = 3.0  # until what the clients held is closed: more than an unidentified connection may say nothing
-MAX_EXTRA_DESCRIPTORS = 6  # calls to discovery, health checks, the library of the xDS front
-MAX_EXTRA_RESIDENT_KB = 24 * 1024
+# Until the clients' connections are closed: longer than an unidentified connection may send nothing.
+SETTLE_S = 3.0
+# More than at the start, for calls to discovery, health checks and the gRPC library of the xDS server.
+MAX_EXTRA_DESCRIPTORS = 6
+MAX_EXTRA_RESIDENT_KB = 24 * 1024  # more than at the start
 DISCOVERY_FAULTS = {
     ActionType.DISCOVERY_LATE: Fault.LATE,
     ActionType.DISCOVERY_PIECES: Fault.PIECES,
@@ -34,7 +36,7 @@
 
 
 class Run:
-    """One run; `failures` after `execute`."""
+    """One run; `failures` has its failures once `execute` has returned."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan, self.folder = plan, folder
@@ -48,7 +50,7 @@
         self.flood_size = 0
 
     async def execute(self) -> None:
-        """The whole run."""
+        """Execute the whole run and collect the failures of all participants."""
         try:
             async with asyncio.timeout(RUN_TIMEOUT_S):
                 await self._start()
@@ -199,7 +201,7 @@
         await self._change_endpoint(ActionType.DRAIN, target)
 
     async def _flood_connections(self, controller: Controller) -> None:
-        """As many connections as descriptors allow, most of which say nothing and read nothing."""
+        """Open as many connections as descriptors allow; they read nothing, and most send nothing."""
         writers = []
         for number in range(MAX_DESCRIPTORS):
             with suppress(OSError, TimeoutError):
@@ -222,25 +224,29 @@
         for controller in self.controllers:
             if controller.process.returncode is not None:
                 self.failures.append(
-                    f"n{controller.number} ended by itself with {controller.process.returncode}"
+                    f"n{controller.number} ended unexpectedly with exit code {controller.process.returncode}"
                 )
                 continue
             extra = controller.descriptor_count() - controller.descriptors_at_start
             if extra > MAX_EXTRA_DESCRIPTORS:
-                self.failures.append(f"n{controller.number} holds {extra} descriptors more than at its start")
+                self.failures.append(
+                    f"n{controller.number} has {extra} more descriptors open than at its start"
+                )
             extra_kb = controller.resident_kb() - controller.resident_kb_at_start
             if extra_kb > MAX_EXTRA_RESIDENT_KB:
-                self.failures.append(f"n{controller.number} holds {extra_kb} KB more than at its start")
+                self.failures.append(
+                    f"n{controller.number} has {extra_kb} KB more resident memory than at its start"
+                )
 
     async def _check_reloads(self) -> None:
-        """Discovery is asked at the address that the last configuration names."""
+        """Check that discovery is called at the address in the last configuration."""
         for controller in self.controllers:
             controller.discovery.fault = Fault.NONE
         await asyncio.sleep(RELOAD_TIMEOUT_S)
         for controller in self.controllers:
             request_times = controller.discovery.last_request_at
             if request_times[controller.discovery_address] < max(request_times):
-                self.failures.append(f"n{controller.number} asks discovery at its former address")
+                self.failures.append(f"n{controller.number} calls discovery at its former address")
 
     async def _close_clients(self) -> None:
         for task in self.background_tasks:
@@ -249,7 +255,7 @@
         self.background_tasks.clear()
         for client in self.xds_clients:
             await client.client.close()
-            client.client.call = None  # a call that is still referred to keeps its channel's connection open
+            client.client.call = None  # a referenced call keeps its channel's connection open
         gc.collect()
 
     async def _stop(self) -> None:
@@ -264,7 +270,7 @@
 
 
 async def run_seed(seed: int) -> Run:
-    """Play the run of a seed."""
+    """Execute the run of a seed in a temporary folder."""
     with tempfile.TemporaryDirectory() as folder:
         run = Run(draw_plan(seed), Path(folder))
         await run.execute()
--- a/tests/soak/sidecar.py
+++ b/tests/soak/sidecar.py
@@ -1,4 +1,4 @@
-"""Proxies and collectors of a run. A proxy keeps its tables across streams and dials again after a break."""
+"""Proxies and collectors of a run. A proxy keeps its tables when it reconnects."""
 
 import asyncio
 import json
@@ -19,11 +19,14 @@
     for request_class in SETTINGS["grades"]
     if request_class["idempotency"] == "at_most_once"
 }
-RETRY_IF_NOT_PROCESSED = 1  # the most that a class may be told that must not run twice
+RETRY_IF_NOT_PROCESSED = 1  # the highest retry policy that a non-idempotent class may have
 
 
 class Proxy:
-    """A proxy with a home controller; it tries the others in turn. `since`: s; it is joined and reads."""
+    """A proxy that connects to its first controller, and to the next one each time the stream ends.
+
+    `since`: monotonic s; it has joined and been reading.
+    """
 
     def __init__(self, number: int, fleet: Fleet, controllers: list[Controller]) -> None:
         self.number, self.fleet, self.controllers = number, fleet, controllers
@@ -42,7 +45,7 @@
         self.joins = 0
 
     async def run(self) -> None:
-        """Join, read, and join again, until cancelled."""
+        """Join, read updates and join again when the stream ends, until cancelled."""
         while True:
             controller = self.controllers[self.controller_index % len(self.controllers)]
             try:
@@ -79,7 +82,7 @@
             reporting.cancel()
 
     def send(self, message: str, **fields: object) -> None:
-        """Send a message; nothing where the stream is closed."""
+        """Send a message; no effect where the stream is closed."""
         if self.writer is not None and not self.writer.is_closing():
             self.writer.write(json.dumps({"msg": message} | fields).encode() + b"\n")
 
@@ -95,14 +98,14 @@
             self.writer.transport.abort()
 
     def send_malformed_message(self) -> None:
-        """Send what cannot be read; the stream counts as left from here on."""
+        """Send a malformed message; the proxy counts as disconnected, as the controller closes the stream."""
         if self.writer is not None and not self.writer.is_closing():
             self.since = None
             self.writer.write(b'{"msg":"applied","sidecar":]}\n')
 
     def _handle_line(self, line: bytes) -> None:
         if len(line) > MAX_LINE_BYTES:
-            self.failures.append(f"a message of {len(line)} bytes")
+            self.failures.append(f"a message exceeds the limit of 1 MiB: {len(line)} bytes")
         update = json.loads(line)
         if update.get("msg") != "update":
             return
@@ -110,7 +113,7 @@
         self._apply_update(update)
         self.parts += 1
         if self.parts > MAX_UPDATE_PARTS:
-            self.failures.append("more than 64 parts")
+            self.failures.append("an update has more than 64 parts")
         if not update.get("continued"):
             self.parts = 0
             self._count_message()
@@ -130,12 +133,14 @@
         weights = update.get("endpoints", [])
         named = {name for name, _ in weights} | set(update.get("eject", [])) | set(update.get("restore", []))
         if named - listed or any(weight < 0 for _, weight in weights):
-            self.failures.append(f"an update that cannot be used: {update}")
+            self.failures.append(f"an update has an unknown endpoint or a negative weight: {update}")
         routes = set(update.get("routes", REQUEST_CLASSES))
         if routes - set(REQUEST_CLASSES):
-            self.failures.append(f"an unknown class: {update}")
+            self.failures.append(f"an update has an unknown request class: {update}")
         if routes & NON_IDEMPOTENT_CLASSES and update.get("policy", 0) > RETRY_IF_NOT_PROCESSED:
-            self.failures.append(f"rule 2: a class that must not run twice may be retried: {update}")
+            self.failures.append(
+                f"rule 2: a non-idempotent class may be retried after it was processed: {update}"
+            )
 
     def _count_message(self) -> None:
         limits = SETTINGS["specifics"]
@@ -144,17 +149,19 @@
         while self.message_times[0] < now - limits["updateWindow"] / 1000:
             self.message_times.popleft()
         if len(self.message_times) > limits["messagesMost"]:
-            self.failures.append(f"rule 5: {len(self.message_times)} messages in the window")
+            self.failures.append(
+                f"rule 5: {len(self.message_times)} messages in the window exceed the message cap"
+            )
 
     def usable(self, name: str) -> dict[str, float]:
-        """The endpoints that it may send requests of a class to, with their weights."""
+        """Return the weights of the endpoints that it may send requests of a class to."""
         return {
             endpoint: weight for endpoint, weight in self.tables[name].items() if endpoint not in self.ejected
         }
 
 
 async def collect(zone: str, fleet: Fleet, controller: Controller, is_cut: Callable[[], bool]) -> None:
-    """A collector of a zone at one controller: reports what its proxies met, until cancelled."""
+    """Connect to a controller as the collector of a zone and send load reports, until cancelled."""
     while True:
         writer = None
         try:
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""Short runs of the soak with fixed seeds, with a crowd (3, 6, 9) and with a push budget that binds (odd)."""
+"""Short soak runs with fixed seeds: 3, 6 and 9 have a connection flood, odd ones a push budget that binds."""
 
 import asyncio
 
--- a/tests/soak/xds_clients.py
+++ b/tests/soak/xds_clients.py
@@ -1,4 +1,4 @@
-"""xDS clients of a run, in both protocols; each keeps what it holds and comes back when told to."""
+"""xDS clients of a run, in both protocol variants; each keeps its resources when it reconnects."""
 
 import asyncio
 import time
@@ -11,6 +11,7 @@
 from soak.fleet import ZONES
 from soak.sidecar import REQUEST_CLASSES
 
+# Whether delta, and how the client gets endpoints: as whole lists, or each as a resource of its own.
 PROTOCOL_VARIANTS = [(False, "whole"), (True, "whole"), (True, "each")]
 RECONNECT_DELAY_S = 0.2
 READY = grpc.ChannelConnectivity.READY
@@ -18,7 +19,7 @@
 
 
 class XdsClient:
-    """`since`: s; its stream has been open."""
+    """An xDS client of one controller; `since`: monotonic s; its channel has been connected."""
 
     def __init__(self, number: int, controller: Controller) -> None:
         delta, self.shape = PROTOCOL_VARIANTS[number % len(PROTOCOL_VARIANTS)]
@@ -33,7 +34,7 @@
         self.failures: list[str] = []
 
     async def run(self) -> None:
-        """Connect, and connect again when the stream ends, until cancelled."""
+        """Connect, and reconnect after the server's retry pushback when the stream ends, until cancelled."""
         while True:
             await self._connect()
             while self.client.status is None and not self.is_cut:
@@ -72,15 +73,15 @@
         self.since, self.is_cut = None, True
 
     def healthy_weights(self, name: str) -> dict[str, float]:
-        """The endpoints that it may send requests of a class to, with their weights."""
+        """Return the weights of the endpoints that it may send requests of a class to."""
         endpoints = self.client.endpoints(name)
         return {endpoint: weight for endpoint, (weight, health) in endpoints.items() if health == "HEALTHY"}
 
     def check_routes(self) -> None:
-        """Rule 2: a class that must not run twice is offered no retry."""
+        """Check rule 2: the routes of a non-idempotent class have no retries."""
         if (resource := self.client.held[ROUTE].get("order")) is None:
             return
         for virtual_host in resource[1].virtual_hosts:
             for route in virtual_host.routes:
                 if route.route.retry_policy.num_retries.value:
-                    self.failures.append("rule 2: a route with retries for a class that must not run twice")
+                    self.failures.append("rule 2: a route of a non-idempotent class has retries")
