--- a/oatcart/scale/agreement.py
+++ b/oatcart/scale/agreement.py
@@ -20,7 +20,7 @@
 from typing import NamedTuple
 
 from oatcart.scale.discovery import ClientFigures
-from oatcart.scale.hollow import HeldTables
+from oatcart.scale.hollow import ControllerTables
 from oatcart.scale.peers import PeerTraffic
 from oatcart.scale.trial import Reading, Trial, make_changes, running
 from oatcart.scale.trial_settings import TrialSettings
@@ -76,7 +76,7 @@
         raise ValueError(f"{settings.hollow} hollow and {settings.real} real conductors cannot be paired")
     with running(settings) as trial:
         trial.start()
-        trial.join_peers(keep_orders=True)
+        trial.join_peers(keep_tables=True)
         time.sleep(settings.settle_s)
         quiet_from = trial.read()
         time.sleep(settings.quiet_s)
@@ -93,10 +93,10 @@
     """Lets some endpoints fail every request, until every real controller's proxies have ejected one."""
     if failing:
         endpoints = [endpoint.id for endpoint in trial.plan.endpoints[:failing]]
-        trial.hollows.fail(endpoints)
+        trial.hollow_controllers.fail(endpoints)
         trial.peers.fail(endpoints)
         until = time.monotonic() + WITHDRAWN_WITHIN_S
-        while not all(map(shut_out, trial.peers.orders())) and time.monotonic() < until:
+        while not all(map(shut_out, trial.peers.tables())) and time.monotonic() < until:
             time.sleep(LOOK_EVERY_S)
 
 
@@ -130,7 +130,7 @@
         yield within(
             f"peers {field}", *(fmean(getattr(one, field) for one in some) for some in (hollow, real))
         )
-    held = trial.held_revisions()
+    held = trial.acknowledged_revisions()
     yield same(
         "revision",
         *(
@@ -159,7 +159,7 @@
 
     Which endpoints a real controller knows cannot be read from outside: those that its orders name can.
     """
-    pairs = list(zip(trial.hollows.orders(), trial.peers.orders(), strict=True))
+    pairs = list(zip(trial.hollow_controllers.tables(), trial.peers.tables(), strict=True))
     ordered = [named_endpoints(one) for one, _ in pairs]
     yield same(
         "nodes ordered", sum(map(len, ordered)), sum(len(named_endpoints(other)) for _, other in pairs)
@@ -209,12 +209,12 @@
     return Compared(name, differing, 0, differing == 0)
 
 
-def named_endpoints(held: HeldTables) -> set[str]:
+def named_endpoints(held: ControllerTables) -> set[str]:
     """All endpoints that some table of a controller's proxies names."""
     return {endpoint for _, _, endpoint in table_lines(held)}
 
 
-def table_lines(held: HeldTables) -> set[tuple[str, str, str]]:
+def table_lines(held: ControllerTables) -> set[tuple[str, str, str]]:
     """Proxy, route and endpoint of each line with a weight."""
     return {
         (proxy, route, endpoint)
@@ -224,7 +224,7 @@
     }
 
 
-def shut_out(held: HeldTables) -> set[tuple[str, str]]:
+def shut_out(held: ControllerTables) -> set[tuple[str, str]]:
     """Proxy and endpoint of each withdrawal that stands."""
     return {(proxy, endpoint) for proxy, one in held.tables.items() for endpoint in one["shut_out"]}
 
--- a/oatcart/scale/day.py
+++ b/oatcart/scale/day.py
@@ -25,7 +25,7 @@
 from oatcart.scale.fault_plan import plan_day
 from oatcart.scale.figures import is_late
 from oatcart.scale.fleet import FleetPlan
-from oatcart.scale.hollow import HeldTables
+from oatcart.scale.hollow import ControllerTables
 from oatcart.scale.interrupts import noted_interrupts
 from oatcart.scale.trial import LOOK_EVERY_S, Reading, running
 from oatcart.scale.trial_settings import TrialSettings
@@ -151,7 +151,7 @@
         steps = schedule(drawn.events, settings.budgets.change_in_force, LEAST_CUT_S)
         progress(f"{fleet_text(trial.plan)}; {len(drawn.events)} events in {drawn.length_s:.0f} s")
         trial.start()
-        trial.join_peers(keep_orders=True)
+        trial.join_peers(keep_tables=True)
         interrupts.sleep(scale.settle_s)
         progress("all are ready, the day begins")
         before = trial.read()
@@ -213,12 +213,12 @@
     }
 
 
-def is_known(held: HeldTables, view: frozenset[str], left: set[str]) -> bool:
+def is_known(held: ControllerTables, view: frozenset[str], left: set[str]) -> bool:
     """Whether a hollow controller knows its whole view, and no other endpoints but those that left lately."""
     return view <= set(held.known) <= view | left
 
 
-def table_endpoints(held: HeldTables) -> set[str]:
+def table_endpoints(held: ControllerTables) -> set[str]:
     """The endpoints that a controller's proxies may send to."""
     return {
         endpoint
--- a/oatcart/scale/day_trial.py
+++ b/oatcart/scale/day_trial.py
@@ -26,7 +26,7 @@
 from oatcart.scale.discovery import ClientFigures
 from oatcart.scale.fault_plan import Event, RegionsCut
 from oatcart.scale.fleet import FleetPlan
-from oatcart.scale.hollow import HeldTables
+from oatcart.scale.hollow import ControllerTables
 from oatcart.scale.real import NotReadyError
 from oatcart.scale.trial import LOOK_EVERY_S, Trial
 from oatcart.scale.trial_settings import TrialSettings
@@ -115,7 +115,7 @@
         return Sample(
             time.monotonic(),
             self.control.core_seconds() if self.control else 0.0,
-            self.hollows.core_seconds() if self.hollows else 0.0,
+            self.hollow_controllers.core_seconds() if self.hollow_controllers else 0.0,
             [one.core_seconds() for one in self.real],
             self.relay.clients(),
             self.discovery.figures().clients,
@@ -132,10 +132,10 @@
             return []
         return [name for name in names if told.views[name] == self.expected.states(name)]
 
-    def held_tables(self) -> dict[str, HeldTables]:
+    def held_tables(self) -> dict[str, ControllerTables]:
         """Of each controller what its proxies hold and, of a hollow one, which endpoints it knows."""
-        hollow = self.hollows.orders() if self.hollows else []
-        real = self.peers.orders() if self.peers else []
+        hollow = self.hollow_controllers.tables() if self.hollow_controllers else []
+        real = self.peers.tables() if self.peers else []
         return dict(zip(self.names, [*hollow, *real], strict=True))
 
 
--- a/oatcart/scale/discovery.py
+++ b/oatcart/scale/discovery.py
@@ -84,7 +84,7 @@
         return head + b",".join(entries) + b"]}"
 
 
-class HeldRevision(NamedTuple):
+class AcknowledgedRevision(NamedTuple):
     """At a moment (monotonic seconds) a client had a revision, and had been sent so many bytes in all."""
 
     at: float
@@ -101,7 +101,7 @@
     bytes_sent: int = 0
     messages_received: int = 0
     messages_sent: int = 0
-    held: list[HeldRevision] = field(default_factory=list)
+    held: list[AcknowledgedRevision] = field(default_factory=list)
 
 
 class ClientConnection(asyncio.Protocol):
@@ -145,7 +145,7 @@
             self._answer(self.endpoints.whole())
             return
         since, wait_s = int(query["since"][0]), float(query.get("timeout_ms", ["0"])[0]) / 1000
-        self.account.held.append(HeldRevision(time.monotonic(), since, self.account.bytes_sent))
+        self.account.held.append(AcknowledgedRevision(time.monotonic(), since, self.account.bytes_sent))
         if self.endpoints.revision > since or wait_s <= 0:
             self._answer(self.endpoints.changes(since))
             return
@@ -281,10 +281,10 @@
         clients = {name: ClientFigures(*figures) for name, figures in told["clients"].items()}
         return DiscoveryFigures(Usage(**told["usage"]), clients)
 
-    def held(self) -> dict[str, list[HeldRevision]]:
+    def held(self) -> dict[str, list[AcknowledgedRevision]]:
         """Which revisions each client had when."""
         clients = self.ask("held")["clients"]
-        return {name: [HeldRevision(*one) for one in some] for name, some in clients.items()}
+        return {name: [AcknowledgedRevision(*one) for one in some] for name, some in clients.items()}
 
 
 async def serve() -> None:
--- a/oatcart/scale/figures.py
+++ b/oatcart/scale/figures.py
@@ -15,7 +15,7 @@
 from oatcart.scale.measurement import Measurement
 from oatcart.scale.peers import TICK_S
 from oatcart.scale.real import NotReadyError
-from oatcart.scale.trial import Reading, Ready, Trial, make_changes, running
+from oatcart.scale.trial import Reading, StartupFigures, Trial, make_changes, running
 from oatcart.scale.trial_settings import SizeLimitError, TrialSettings
 
 HOLLOW_ROLE, REAL_ROLE = "hollow_conductor", "conductor"
@@ -148,13 +148,13 @@
     Raises NotReadyError where a change never came to some controller.
     """
     delays = trial.wait_for_changes()
-    if trial.hollows and is_late(trial.hollows.figures()):
+    if trial.hollow_controllers and is_late(trial.hollow_controllers.figures()):
         delays |= dict.fromkeys(trial.hollow_names, [])  # they would be the process's, not a controller's
     observed = observed._replace(delays=delays)
     readers = {DISCOVERY_ROLE: discovery_measurement}
     if trial.real:
         readers[REAL_ROLE] = real_measurement
-    if trial.hollows:
+    if trial.hollow_controllers:
         readers[HOLLOW_ROLE] = hollow_measurement
     if trial.control_usage():
         readers[CONTROL_ROLE] = control_measurement
@@ -209,7 +209,7 @@
 
 
 def with_common(
-    measurement: Measurement, names: Sequence[str], ready: dict[str, Ready], observed: Observed
+    measurement: Measurement, names: Sequence[str], ready: dict[str, StartupFigures], observed: Observed
 ) -> Measurement:
     """Adds what is read alike for hollow and real controllers: traffic, delays, readiness."""
     traffic = mean_traffic(observed, names)
--- a/oatcart/scale/hollow.py
+++ b/oatcart/scale/hollow.py
@@ -175,7 +175,7 @@
     }
 
 
-class HeldTables(NamedTuple):
+class ControllerTables(NamedTuple):
     """What the proxies of one controller hold, by number as text, and the endpoints that it knows."""
 
     tables: dict[str, dict]
@@ -195,7 +195,7 @@
     late_s: float
 
 
-class Hollows(Child):
+class HollowControllers(Child):
     """The parent's side of a process of hollow controllers."""
 
     def __init__(self) -> None:
@@ -207,9 +207,9 @@
         """Starts a controller for each port of discovery, spread over some seconds."""
         self.ask("start", settings=settings, ports=ports, seeds=seeds, spread_s=spread_s)
 
-    def join_peers(self, peers: list[PeerSettings], keep_orders: bool = False) -> None:
+    def join_peers(self, peers: list[PeerSettings], keep_tables: bool = False) -> None:
         """Lets the proxies of every controller join and report from then on."""
-        self.ask("join", peers=[asdict(one) for one in peers], keep_orders=keep_orders)
+        self.ask("join", peers=[asdict(one) for one in peers], keep_orders=keep_tables)
 
     def fail(self, endpoints: list[str]) -> None:
         """From now on these endpoints, and no others, fail every request."""
@@ -222,9 +222,9 @@
         usage = Usage(**told["usage"])
         return HollowReading(usage, controllers, told["failures"], told["late_s"])
 
-    def orders(self) -> list[HeldTables]:
-        """Of each controller what its proxies hold; its peers must have joined with `keep_orders`."""
-        return [HeldTables(**one) for one in self.ask("orders")["conductors"]]
+    def tables(self) -> list[ControllerTables]:
+        """Of each controller what its proxies hold; its peers must have joined with `keep_tables`."""
+        return [ControllerTables(**one) for one in self.ask("orders")["conductors"]]
 
 
 if __name__ == "__main__":
--- a/oatcart/scale/hollow_controller.py
+++ b/oatcart/scale/hollow_controller.py
@@ -61,7 +61,7 @@
 
     def write(self, data: bytes) -> None:
         """Hands some bytes to the proxy."""
-        self.peers.take(self.proxy, data)
+        self.peers.receive_data(self.proxy, data)
 
 
 class HollowController:
--- a/oatcart/scale/module_rounds.py
+++ b/oatcart/scale/module_rounds.py
@@ -40,7 +40,7 @@
         for proxy, parts in self.updates():
             if parts not in encoded:
                 encoded[parts] = self.codec.encode_update(parts)
-            self.peers.take(proxy, encoded[parts])
+            self.peers.receive_data(proxy, encoded[parts])
 
     def check_health(self, endpoint: int) -> None:
         """Does nothing: health checks are off."""
--- a/oatcart/scale/peer_sockets.py
+++ b/oatcart/scale/peer_sockets.py
@@ -10,7 +10,7 @@
 
 from oatcart.scale.children import Child, answer_commands, ignore_interrupts, own_usage
 from oatcart.scale.discovery import LOOPBACK, Usage
-from oatcart.scale.hollow import HeldTables, held_tables, peer_settings
+from oatcart.scale.hollow import ControllerTables, held_tables, peer_settings
 from oatcart.scale.peers import (
     TICK_S,
     ControllerPeers,
@@ -29,7 +29,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Hands encoded updates to the proxy."""
-        self.peers.take(self.proxy, data)
+        self.peers.receive_data(self.proxy, data)
 
 
 class ControllerConnections:
@@ -115,9 +115,9 @@
     def __init__(self) -> None:
         super().__init__("oatcart.scale.peer_sockets")
 
-    def join(self, ports: list[int], peers: list[PeerSettings], keep_orders: bool = False) -> None:
+    def join(self, ports: list[int], peers: list[PeerSettings], keep_tables: bool = False) -> None:
         """Lets the proxies of the controllers at these ports join and report from then on."""
-        self.ask("join", ports=ports, peers=[asdict(one) for one in peers], keep_orders=keep_orders)
+        self.ask("join", ports=ports, peers=[asdict(one) for one in peers], keep_orders=keep_tables)
 
     def fail(self, endpoints: list[str]) -> None:
         """From now on these endpoints, and no others, fail every request."""
@@ -128,9 +128,9 @@
         told = self.ask("figures")
         return Usage(**told["usage"]), [PeerTraffic(*one) for one in told["conductors"]]
 
-    def orders(self) -> list[HeldTables]:
+    def tables(self) -> list[ControllerTables]:
         """What the proxies of each controller hold; what endpoints a real one knows cannot be read."""
-        return [HeldTables(tables, None) for tables in self.ask("orders")["conductors"]]
+        return [ControllerTables(tables, None) for tables in self.ask("orders")["conductors"]]
 
 
 async def serve() -> None:
--- a/oatcart/scale/peers.py
+++ b/oatcart/scale/peers.py
@@ -86,10 +86,10 @@
 
 
 class ControllerPeers:
-    """All peers of one controller. `keep_orders`: updates are applied to tables, else searched for nonces."""
+    """All peers of one controller. `keep_tables`: updates are applied to tables, else searched for nonces."""
 
-    def __init__(self, settings: PeerSettings, keep_orders: bool = False) -> None:
-        self.settings, self.keep_orders = settings, keep_orders
+    def __init__(self, settings: PeerSettings, keep_tables: bool = False) -> None:
+        self.settings, self.keep_tables = settings, keep_tables
         self.traffic = PeerTraffic()
         self.tables = {number: ProxyTables() for number in range(settings.proxies)}
         self.failing: set[str] = set()
@@ -122,7 +122,7 @@
         random = Random(self.settings.seed * 1_000_003 + tick)
         return [*self._acknowledgements(), *self._usage(tick, random), *self._load_reports(tick, random)]
 
-    def take(self, proxy: int, data: bytes) -> None:
+    def receive_data(self, proxy: int, data: bytes) -> None:
         """Bytes that came on a proxy's stream; they are read with the next tick."""
         self.traffic.bytes_out += len(data)
         self._unread[proxy] += data
@@ -153,7 +153,7 @@
         if not lines:
             return None
         self.traffic.messages_out += lines.count(b"\n")
-        if not self.keep_orders:
+        if not self.keep_tables:
             return last_nonce(lines)
         nonce = None
         for line in lines.splitlines():
--- a/oatcart/scale/trial.py
+++ b/oatcart/scale/trial.py
@@ -32,15 +32,15 @@
 from oatcart.scale.controller_settings import controller_settings, route_names
 from oatcart.scale.discovery import (
     MAIN_LIST,
+    AcknowledgedRevision,
     ClientFigures,
     Discovery,
     DiscoveryFigures,
-    HeldRevision,
     Usage,
 )
 from oatcart.scale.endpoint_entries import EndpointChanges, endpoints_of_lists, list_entry
 from oatcart.scale.fleet import FleetPlan, PlannedEndpoint, plan_fleet
-from oatcart.scale.hollow import HollowReading, Hollows
+from oatcart.scale.hollow import HollowControllers, HollowReading
 from oatcart.scale.peer_sockets import PeerSockets
 from oatcart.scale.peers import PeerSettings
 from oatcart.scale.real import NotReadyError, RealController, real_controllers
@@ -48,10 +48,10 @@
 
 READY_WITHIN_S = 60.0
 LOOK_EVERY_S = 0.05  # at what controllers have, while waiting
-LAST_CHANGE_WITHIN_S = 5.0  # after the last change, for all controllers to have it
+LAST_CHANGE_TIMEOUT_S = 5.0  # after the last change, for all controllers to have it
 
 
-class Ready(NamedTuple):
+class StartupFigures(NamedTuple):
     """What a controller took from its start to ready; seconds, core seconds, bytes received."""
 
     after_s: float
@@ -97,12 +97,12 @@
         self.hollow_names = [f"hollow-{number}" for number in range(settings.hollow)]
         self.real_names = [f"real-{number}" for number in range(settings.real)]
         self.discovery: Discovery = processes.enter_context(Discovery())
-        self.hollows = processes.enter_context(Hollows()) if settings.hollow else None
+        self.hollow_controllers = processes.enter_context(HollowControllers()) if settings.hollow else None
         self.peers = processes.enter_context(PeerSockets()) if settings.real else None
         self.real: list[RealController] = []
         self.hollow_before_mb = 0.0
-        self.ready: dict[str, Ready] = {}
-        self.control_ready: Ready | None = None
+        self.ready: dict[str, StartupFigures] = {}
+        self.control_ready: StartupFigures | None = None
         self.made: list[MadeChange] = []
 
     def check_fits(self) -> None:
@@ -124,10 +124,10 @@
         for name, endpoints in self.lists.items():
             self.discovery.change([list_entry(endpoint) for endpoint in endpoints], name)
         ports = self.open_ports()
-        if self.hollows:
-            self.hollow_before_mb = self.hollows.figures().usage.resident_mb
+        if self.hollow_controllers:
+            self.hollow_before_mb = self.hollow_controllers.figures().usage.resident_mb
             seeds = [self.settings.seed + number for number in range(self.settings.hollow)]
-            self.hollows.start_controllers(
+            self.hollow_controllers.start_controllers(
                 self.controller_settings, [ports[name] for name in self.hollow_names], seeds
             )
         if self.real_names:
@@ -152,19 +152,21 @@
         """The usage of the control role, where there is one."""
         return None
 
-    def held_revisions(self) -> dict[str, list[HeldRevision]]:
+    def acknowledged_revisions(self) -> dict[str, list[AcknowledgedRevision]]:
         """Which revisions of its list each controller had when."""
         return self.discovery.held()
 
-    def join_peers(self, keep_orders: bool = False) -> None:
+    def join_peers(self, keep_tables: bool = False) -> None:
         """Lets the proxies of all controllers join; from then on they report."""
-        if self.hollows:
-            self.hollows.join_peers([self.peer_settings(name) for name in self.hollow_names], keep_orders)
+        if self.hollow_controllers:
+            self.hollow_controllers.join_peers(
+                [self.peer_settings(name) for name in self.hollow_names], keep_tables
+            )
         if self.peers:
             self.peers.join(
                 [one.port for one in self.real],
                 [self.peer_settings(name) for name in self.real_names],
-                keep_orders,
+                keep_tables,
             )
 
     def peer_settings(self, name: str) -> PeerSettings:
@@ -186,7 +188,7 @@
             discovery := self.discovery.figures(),
             self.client_figures(discovery),
             self.control_usage(),
-            self.hollows.figures() if self.hollows else None,
+            self.hollow_controllers.figures() if self.hollow_controllers else None,
             [Usage(one.core_seconds(), one.resident_megabytes()) for one in self.real],
         )
         self._check_memory()
@@ -204,13 +206,13 @@
 
     def wait_for_changes(self) -> dict[str, list[float]]:
         """Delays (s) of each change at each controller; raises NotReadyError where one never had it."""
-        until = time.monotonic() + LAST_CHANGE_WITHIN_S
+        until = time.monotonic() + LAST_CHANGE_TIMEOUT_S
         while True:
             delays, missing = self.change_delays()
             if not missing:
                 return delays
             if time.monotonic() > until:
-                raise NotReadyError(f"{missing} changes lack a conductor after {LAST_CHANGE_WITHIN_S:.0f} s")
+                raise NotReadyError(f"{missing} changes lack a conductor after {LAST_CHANGE_TIMEOUT_S:.0f} s")
             time.sleep(LOOK_EVERY_S)
 
     def change_delays(self) -> tuple[dict[str, list[float]], int]:
@@ -218,21 +220,23 @@
 
         A hollow controller has a change once a round has run on it, a real one once it asks on from it.
         """
-        held = self.held_revisions()
-        if self.hollows:
-            for name, one in zip(self.hollow_names, self.hollows.figures().controllers, strict=True):
-                held[name] = [HeldRevision(at, revision, 0) for at, revision in one.applied_revisions]
+        held = self.acknowledged_revisions()
+        if self.hollow_controllers:
+            for name, one in zip(
+                self.hollow_names, self.hollow_controllers.figures().controllers, strict=True
+            ):
+                held[name] = [AcknowledgedRevision(at, revision, 0) for at, revision in one.applied_revisions]
         delays, missing = {}, 0
         for name in self.names:
             made = [change for change in self.made if change.list_name == self.list_of(name)]
-            had = [first_holding(held[name], change.revision) for change in made]
+            had = [first_acknowledged_at(held[name], change.revision) for change in made]
             delays[name] = [at - change.at for at, change in zip(had, made, strict=True) if at is not None]
             missing += had.count(None)
         return delays, missing
 
     def running_processes(self) -> list[ChildProcess]:
         """All processes of the trial."""
-        return [one for one in (self.discovery, self.hollows, self.peers, *self.real) if one]
+        return [one for one in (self.discovery, self.hollow_controllers, self.peers, *self.real) if one]
 
     def _check_memory(self) -> None:
         resident = sum(one.resident_megabytes() for one in self.running_processes()) * MEGABYTE
@@ -249,13 +253,15 @@
                     f"{len(self.names) - len(self.ready)} conductors hold no list: {self.errors()}"
                 )
             time.sleep(LOOK_EVERY_S)
-            self._note_ready(self.held_revisions())
+            self._note_ready(self.acknowledged_revisions())
             self._check_memory()
-        hollow = self.hollows.figures().controllers if self.hollows else []
+        hollow = self.hollow_controllers.figures().controllers if self.hollow_controllers else []
         for name, one in zip(self.hollow_names, hollow, strict=True):
-            self.ready[name] = Ready(one.ready_after_s, one.ready_core_s, self.ready[name].bytes_received)
+            self.ready[name] = StartupFigures(
+                one.ready_after_s, one.ready_core_s, self.ready[name].bytes_received
+            )
 
-    def _note_ready(self, revisions: dict[str, list[HeldRevision]]) -> None:
+    def _note_ready(self, revisions: dict[str, list[AcknowledgedRevision]]) -> None:
         """Controllers that have asked on from a revision by now. Hollow ones tell the rest themselves."""
         real = dict(zip(self.real_names, self.real, strict=True))
         for name in self.names:
@@ -263,7 +269,9 @@
             if name not in self.ready and held:
                 one = real.get(name)
                 after_s = max(held.at - one.started_at, one.ready_after_s) if one else 0.0
-                self.ready[name] = Ready(after_s, one.core_seconds() if one else 0.0, held.bytes_sent)
+                self.ready[name] = StartupFigures(
+                    after_s, one.core_seconds() if one else 0.0, held.bytes_sent
+                )
 
     def errors(self) -> str:
         """What real controllers have written to their logs."""
@@ -280,7 +288,7 @@
             trial.make_change(of_trial.next_entry(time.time()))
 
 
-def first_holding(held: Sequence[HeldRevision], revision: int) -> float | None:
+def first_acknowledged_at(held: Sequence[AcknowledgedRevision], revision: int) -> float | None:
     """When a revision, or a newer one, was first had; None where it was not."""
     return next((one.at for one in held if one.revision >= revision), None)
 
--- a/oatcart/scale/view_relay.py
+++ b/oatcart/scale/view_relay.py
@@ -24,9 +24,9 @@
     DELETED,
     END_OF_HEAD,
     LOOPBACK,
+    AcknowledgedRevision,
     ClientAccount,
     ClientFigures,
-    HeldRevision,
 )
 
 CONTENT_LENGTH = b"content-length:"
@@ -129,7 +129,7 @@
         account.messages_received += 1
         since = parse_qs(urlsplit(target).query).get("since")
         if since:
-            account.held.append(HeldRevision(time.monotonic(), int(since[0]), account.bytes_sent))
+            account.held.append(AcknowledgedRevision(time.monotonic(), int(since[0]), account.bytes_sent))
 
     def _have_news(self) -> None:
         now = time.monotonic()
@@ -234,7 +234,7 @@
 class RelayHeld(NamedTuple):
     """Of every controller the revisions that it had, and when it had word of tracked endpoints."""
 
-    held: dict[str, list[HeldRevision]]
+    held: dict[str, list[AcknowledgedRevision]]
     told: dict[str, list[tuple[float, str]]]
 
 
@@ -263,7 +263,7 @@
     def held(self) -> RelayHeld:
         """What controllers had when."""
         answer = self.ask("held")
-        held = {name: [HeldRevision(*one) for one in some] for name, some in answer["held"].items()}
+        held = {name: [AcknowledgedRevision(*one) for one in some] for name, some in answer["held"].items()}
         told = {name: [(at, endpoint) for at, endpoint in some] for name, some in answer["told"].items()}
         return RelayHeld(held, told)
 
--- a/oatcart/scale/view_trial.py
+++ b/oatcart/scale/view_trial.py
@@ -20,9 +20,9 @@
 from oatcart.scale.children import ChildProcess
 from oatcart.scale.discovery import (
     LOOPBACK,
+    AcknowledgedRevision,
     ClientFigures,
     DiscoveryFigures,
-    HeldRevision,
     Usage,
 )
 from oatcart.scale.endpoint_entries import list_entry
@@ -30,7 +30,7 @@
 from oatcart.scale.peers import PeerSettings
 from oatcart.scale.ports import free_ports
 from oatcart.scale.real import RUN, NotReadyError
-from oatcart.scale.trial import LOOK_EVERY_S, MadeChange, Ready, Trial
+from oatcart.scale.trial import LOOK_EVERY_S, MadeChange, StartupFigures, Trial
 from oatcart.scale.trial_settings import TrialSettings, check_fits
 from oatcart.scale.view_relay import ViewRelay
 
@@ -105,7 +105,7 @@
         """The control role's processor seconds and memory."""
         return Usage(self.control.core_seconds(), self.control.resident_megabytes())
 
-    def held_revisions(self) -> dict[str, list[HeldRevision]]:
+    def acknowledged_revisions(self) -> dict[str, list[AcknowledgedRevision]]:
         """Which revisions of its view each controller had when."""
         return self.relay.held().held
 
@@ -167,7 +167,7 @@
         super()._wait_ready()
         received = self.discovery.figures().clients[CONTROL_CLIENT].bytes_in
         after_s = time.monotonic() - self.control.started_at
-        self.control_ready = Ready(after_s, self.control.core_seconds(), received)
+        self.control_ready = StartupFigures(after_s, self.control.core_seconds(), received)
 
     def _endpoints_at_control(self, main_port: int) -> int:
         """The endpoints that the control role's status tells; 0 while it does not answer."""
--- a/tests/scale/test_scale_day.py
+++ b/tests/scale/test_scale_day.py
@@ -35,7 +35,7 @@
     plan_day,
 )
 from oatcart.scale.fleet import plan_fleet
-from oatcart.scale.hollow import HeldTables
+from oatcart.scale.hollow import ControllerTables
 from oatcart.scale.interrupts import noted_interrupts
 from oatcart.views.records import Controller
 
@@ -232,7 +232,7 @@
 
 
 def test_known_endpoints_are_those_of_the_view_and_what_left_it_lately() -> None:
-    held = HeldTables({"0": {"weights": {"route": {"x": 1.0, "y": 0.0}}}}, ["x", "old"])
+    held = ControllerTables({"0": {"weights": {"route": {"x": 1.0, "y": 0.0}}}}, ["x", "old"])
     assert is_known(held, frozenset("x"), {"old"}) and table_endpoints(held) == {"x"}
     assert not is_known(held, frozenset("x"), set())
     assert not is_known(held, frozenset("xy"), {"old"})
--- a/tests/scale/test_scale_discovery.py
+++ b/tests/scale/test_scale_discovery.py
@@ -8,8 +8,8 @@
 import pytest
 
 from oatcart.scale.children import ChildError
-from oatcart.scale.discovery import LOOPBACK, Discovery, EndpointList, HeldRevision
-from oatcart.scale.trial import first_holding
+from oatcart.scale.discovery import LOOPBACK, AcknowledgedRevision, Discovery, EndpointList
+from oatcart.scale.trial import first_acknowledged_at
 
 ENDPOINT = {"id": "node-1", "host_port": "10.0.0.1:8080", "locality": "a", "phase": "SERVING"}
 OTHER = ENDPOINT | {"id": "node-2"}
@@ -94,10 +94,10 @@
         answer = caller.answer()
         assert answer["revision"] == 2 and answer["members"] == [ENDPOINT | {"phase": "DRAINING"}]
         caller.send(f"/v1/servers?since=2&timeout_ms={LONG_WAIT_MS}")
-        while (at := first_holding(discovery.held()["one"], 2)) is None:
+        while (at := first_acknowledged_at(discovery.held()["one"], 2)) is None:
             time.sleep(0.01)
         assert 0 < at - began < 5.0
-        assert first_holding(discovery.held()["one"], 3) is None
+        assert first_acknowledged_at(discovery.held()["one"], 3) is None
 
 
 def test_a_watch_ends_empty_when_its_time_is_over(discovery: Discovery) -> None:
@@ -162,6 +162,6 @@
 
 
 def test_a_revision_is_had_with_the_first_that_is_as_new() -> None:
-    held = [HeldRevision(1.1, 1, 0), HeldRevision(2.5, 3, 0), HeldRevision(3.5, 4, 0)]
-    assert [first_holding(held, revision) for revision in (1, 2, 3, 4)] == [1.1, 2.5, 2.5, 3.5]
-    assert first_holding(held, 5) is None and first_holding([], 1) is None
+    held = [AcknowledgedRevision(1.1, 1, 0), AcknowledgedRevision(2.5, 3, 0), AcknowledgedRevision(3.5, 4, 0)]
+    assert [first_acknowledged_at(held, revision) for revision in (1, 2, 3, 4)] == [1.1, 2.5, 2.5, 3.5]
+    assert first_acknowledged_at(held, 5) is None and first_acknowledged_at([], 1) is None
--- a/tests/scale/test_scale_hollow.py
+++ b/tests/scale/test_scale_hollow.py
@@ -9,7 +9,7 @@
 from oatcart.net.loop import Loop, Wait
 from oatcart.scale.controller_settings import controller_settings, route_names
 from oatcart.scale.discovery import Discovery
-from oatcart.scale.hollow import Hollows
+from oatcart.scale.hollow import HollowControllers
 from oatcart.scale.metering import Meter, MeteredLoop, metered
 from oatcart.scale.peers import ControllerPeers, PeerSettings, ProxyTables, last_nonce
 
@@ -43,79 +43,89 @@
 
 
 @pytest.fixture
-def hollows() -> Iterator[Hollows]:
-    with Hollows() as running:
+def hollow_controllers() -> Iterator[HollowControllers]:
+    with HollowControllers() as running:
         yield running
 
 
-def start(discovery: Discovery, hollows: Hollows, count: int) -> None:
+def start(discovery: Discovery, hollow_controllers: HollowControllers, count: int) -> None:
     ports = discovery.open([f"hollow-{number}" for number in range(count)])
-    hollows.start_controllers(SETTINGS, list(ports.values()), list(range(count)))
+    hollow_controllers.start_controllers(SETTINGS, list(ports.values()), list(range(count)))
     wait_until(
-        lambda: [one.known_endpoints for one in hollows.figures().controllers] == [len(ENDPOINTS)] * count,
+        lambda: (
+            [one.known_endpoints for one in hollow_controllers.figures().controllers]
+            == [len(ENDPOINTS)] * count
+        ),
         "no list",
     )
 
 
-def tables_name(hollows: Hollows, endpoints: set[str]) -> bool:
+def tables_name(hollow_controllers: HollowControllers, endpoints: set[str]) -> bool:
     """Whether every table of every proxy names these endpoints and no others."""
     tables = [
         table
-        for one in hollows.orders()
+        for one in hollow_controllers.tables()
         for held in one.tables.values()
         for table in [*held["weights"].values()]
     ]
     return bool(tables) and all(set(table) == endpoints for table in tables)
 
 
-def test_many_follow_one_list_and_each_change_comes_to_all(discovery: Discovery, hollows: Hollows) -> None:
-    start(discovery, hollows, 40)
+def test_many_follow_one_list_and_each_change_comes_to_all(
+    discovery: Discovery, hollow_controllers: HollowControllers
+) -> None:
+    start(discovery, hollow_controllers, 40)
     revision = discovery.change([entry(ENDPOINTS[0], "DRAINING")])
     wait_until(
-        lambda: all(one.applied_revisions[-1][1] == revision for one in hollows.figures().controllers),
+        lambda: all(
+            one.applied_revisions[-1][1] == revision for one in hollow_controllers.figures().controllers
+        ),
         "no change",
     )
-    figures = hollows.figures()
+    figures = hollow_controllers.figures()
     assert all(0 < one.ready_core_s <= one.core_s and one.ready_after_s > 0 for one in figures.controllers)
     assert not figures.failures
 
 
 def test_proxies_are_ordered_all_ready_endpoints_and_no_drained_one(
-    discovery: Discovery, hollows: Hollows
+    discovery: Discovery, hollow_controllers: HollowControllers
 ) -> None:
-    start(discovery, hollows, 2)
-    hollows.join_peers([peers(), peers(2)], keep_orders=True)
-    wait_until(lambda: tables_name(hollows, set(ENDPOINTS)), "no tables")
+    start(discovery, hollow_controllers, 2)
+    hollow_controllers.join_peers([peers(), peers(2)], keep_tables=True)
+    wait_until(lambda: tables_name(hollow_controllers, set(ENDPOINTS)), "no tables")
     discovery.change([entry(ENDPOINTS[3], "DRAINING")])
-    wait_until(lambda: tables_name(hollows, set(ENDPOINTS) - {ENDPOINTS[3]}), "still ordered")
-    figures = hollows.figures().controllers
+    wait_until(lambda: tables_name(hollow_controllers, set(ENDPOINTS) - {ENDPOINTS[3]}), "still ordered")
+    figures = hollow_controllers.figures().controllers
     assert all(one.peer_bytes_in > 0 and one.peer_bytes_out > 0 for one in figures)
     assert all(one.peer_messages_out >= PROXIES for one in figures)
 
 
-def test_an_endpoint_that_fails_is_shut_out_at_all_proxies(discovery: Discovery, hollows: Hollows) -> None:
-    start(discovery, hollows, 1)
-    hollows.join_peers([peers()], keep_orders=True)
-    hollows.fail([ENDPOINTS[5]])
+def test_an_endpoint_that_fails_is_shut_out_at_all_proxies(
+    discovery: Discovery, hollow_controllers: HollowControllers
+) -> None:
+    start(discovery, hollow_controllers, 1)
+    hollow_controllers.join_peers([peers()], keep_tables=True)
+    hollow_controllers.fail([ENDPOINTS[5]])
 
     def shut_out() -> bool:
-        (held,) = hollows.orders()
+        (held,) = hollow_controllers.tables()
         return all(one["shut_out"] == [ENDPOINTS[5]] for one in held.tables.values())
 
     wait_until(shut_out, "not shut out")
 
 
-def test_discovery_goes_away_and_returns(discovery: Discovery, hollows: Hollows) -> None:
-    start(discovery, hollows, 5)
+def test_discovery_goes_away_and_returns(discovery: Discovery, hollow_controllers: HollowControllers) -> None:
+    start(discovery, hollow_controllers, 5)
     discovery.outage(True)
     revision = discovery.change([entry(ENDPOINTS[0], "DRAINING")])
     time.sleep(0.3)
-    assert all(one.revision < revision for one in hollows.figures().controllers)
+    assert all(one.revision < revision for one in hollow_controllers.figures().controllers)
     discovery.outage(False)
     wait_until(
-        lambda: all(one.revision == revision for one in hollows.figures().controllers), "not followed anew"
+        lambda: all(one.revision == revision for one in hollow_controllers.figures().controllers),
+        "not followed anew",
     )
-    assert not hollows.figures().failures
+    assert not hollow_controllers.figures().failures
 
 
 def test_a_tick_is_a_function_of_seed_and_tick() -> None:
@@ -145,13 +155,13 @@
     ] == 1.0
 
 
-@pytest.mark.parametrize("keep_orders", [False, True])
-def test_a_nonce_is_acknowledged_once_its_line_is_whole(keep_orders: bool) -> None:
-    one = ControllerPeers(peers(), keep_orders)
+@pytest.mark.parametrize("keep_tables", [False, True])
+def test_a_nonce_is_acknowledged_once_its_line_is_whole(keep_tables: bool) -> None:
+    one = ControllerPeers(peers(), keep_tables)
     line = b'{"msg":"update","endpoints":[["node-01",1.5]],"nonce_out":905}\n'
-    one.take(1, line[:20])
+    one.receive_data(1, line[:20])
     assert b"applied" not in b"".join(message.line for message in one.tick())
-    one.take(1, line[20:])
+    one.receive_data(1, line[20:])
     (answer,) = [message for message in one.tick() if b"applied" in message.line]
     assert answer.proxy == 1 and orjson.loads(answer.line)["version"] == 905
     assert one.traffic.bytes_out == len(line) and one.traffic.messages_out == 1
--- a/tests/scale/test_scale_runs.py
+++ b/tests/scale/test_scale_runs.py
@@ -109,7 +109,7 @@
         found = by_role(measured(one, Observed(before, after), "nodes", 40))
         assert found["hollow_conductor"].left_out is None
         make_changes([one], 2, 20.0)
-        monkeypatch.setattr(one.hollows, "figures", late(one.hollows.figures))
+        monkeypatch.setattr(one.hollow_controllers, "figures", late(one.hollow_controllers.figures))
         found = by_role(measured(one, Observed(before, after), "nodes", 40))
     assert found["hollow_conductor"].left_out is None and found["hollow_conductor"].change_last_s is None
     assert found["conductor"].change_last_s is not None
@@ -196,7 +196,7 @@
             self.discovery.outage(True)
             super().make_change(entry)
 
-    monkeypatch.setattr(trial, "LAST_CHANGE_WITHIN_S", 0.5)
+    monkeypatch.setattr(trial, "LAST_CHANGE_TIMEOUT_S", 0.5)
     deaf = Specification(replace(SMALL, hollow=1, real=0), Deaf, {"hollow_conductor": "deaf"})
     found = by_role(play_beside([Specification(replace(SMALL, hollow=1, real=0)), deaf], "nodes", 40))
     assert found["hollow_conductor"].left_out is None
--- a/tests/scale/test_scale_views.py
+++ b/tests/scale/test_scale_views.py
@@ -34,7 +34,9 @@
     with running(SMALL, ViewTrial) as trial:
         trial.start()
         assert all(0 < len(trial.relay.members(name)) <= SMALL.view.nodes for name in trial.names)
-        assert all(one.known_endpoints <= SMALL.view.nodes for one in trial.hollows.figures().controllers)
+        assert all(
+            one.known_endpoints <= SMALL.view.nodes for one in trial.hollow_controllers.figures().controllers
+        )
         trial.join_peers()
         pids = [one.process for one in trial.running_processes()]
     assert all(process.returncode is not None for process in pids)
