--- a/oatcart/scale/children.py
+++ b/oatcart/scale/children.py
@@ -23,9 +23,9 @@
 
 from oatcart.errors import OatcartError
 
-ANSWER_WITHIN_S = 60.0  # for one command; the longest sets up thousands of endpoints
-END_WITHIN_S = 3.0  # from SIGTERM to SIGKILL
-SHOWN_OF_ERRORS = 2000  # letters of a child's standard error in an error message
+ANSWER_TIMEOUT_S = 60.0  # for one command; the longest sets up thousands of endpoints
+TERMINATE_TIMEOUT_S = 3.0  # from SIGTERM to SIGKILL
+MAX_ERROR_TEXT_LENGTH = 2000  # letters of a child's standard error in an error message
 MEGABYTE = 1e6
 NANOSECONDS = 1e9  # in a second
 _USER_TICKS, _SYSTEM_TICKS = 11, 12  # fields of /proc/PID/stat behind the program's name
@@ -47,10 +47,10 @@
     The scheduler's count is in nanoseconds but lacks threads that have ended; the process's own count has
     them, in ticks of a hundredth of a second.
     """
-    running = sum(_thread_core_ns(path) for path in Path(f"/proc/{pid}/task").iterdir()) / NANOSECONDS
+    live_threads_s = sum(_thread_core_ns(path) for path in Path(f"/proc/{pid}/task").iterdir()) / NANOSECONDS
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     ticks = int(fields[_USER_TICKS]) + int(fields[_SYSTEM_TICKS])
-    return max(running, ticks / os.sysconf("SC_CLK_TCK"))
+    return max(live_threads_s, ticks / os.sysconf("SC_CLK_TCK"))
 
 
 def _thread_core_ns(task: Path) -> int:
@@ -105,8 +105,8 @@
 
     def error_text(self) -> str:
         """What the process has written to its standard error so far."""
-        with open(f"/proc/self/fd/{self.errors.fileno()}", "rb") as copy:  # an offset of its own
-            return copy.read().decode(errors="replace")
+        with open(f"/proc/self/fd/{self.errors.fileno()}", "rb") as file:  # an offset of its own
+            return file.read().decode(errors="replace")
 
     def core_seconds(self) -> float:
         """Processor seconds of all its threads since its start; raises OSError once it has ended."""
@@ -121,7 +121,7 @@
         if self.running:
             self.process.terminate()
             try:
-                self.process.wait(END_WITHIN_S)
+                self.process.wait(TERMINATE_TIMEOUT_S)
             except subprocess.TimeoutExpired:
                 self.process.kill()
         self.process.wait()
@@ -135,7 +135,7 @@
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self, error_type: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         self.end()
 
@@ -159,29 +159,29 @@
             self.process.stdin.write(orjson.dumps({"command": command, **fields}) + b"\n")
             self.process.stdin.flush()
         except BrokenPipeError:
-            raise self._failed("has ended") from None
+            raise self._child_error("has ended") from None
 
-    def receive(self, within_s: float = ANSWER_WITHIN_S) -> dict:
+    def receive(self, timeout_s: float = ANSWER_TIMEOUT_S) -> dict:
         """The oldest answer that was not read yet; raises ChildError."""
-        until = time.monotonic() + within_s
+        deadline = time.monotonic() + timeout_s
         descriptor = self.process.stdout.fileno()
         while b"\n" not in self._unread:
-            ready, _, _ = select.select([descriptor], [], [], max(0.0, until - time.monotonic()))
+            ready, _, _ = select.select([descriptor], [], [], max(0.0, deadline - time.monotonic()))
             if not ready:
-                raise self._failed(f"did not answer within {within_s:.0f} s")
+                raise self._child_error(f"did not answer within {timeout_s:.0f} s")
             received = os.read(descriptor, 1 << 20)
             if not received:
-                raise self._failed("has ended")
+                raise self._child_error("has ended")
             self._unread += received
         line, _, rest = self._unread.partition(b"\n")
         self._unread = bytearray(rest)
         answer = orjson.loads(line)
         if "error" in answer:
-            raise self._failed(answer["error"])
+            raise self._child_error(answer["error"])
         return answer
 
-    def _failed(self, what: str) -> ChildError:
-        return ChildError(f"{self.module} {what}\n{self.error_text()[-SHOWN_OF_ERRORS:]}")
+    def _child_error(self, problem: str) -> ChildError:
+        return ChildError(f"{self.module} {problem}\n{self.error_text()[-MAX_ERROR_TEXT_LENGTH:]}")
 
 
 Commands = Mapping[str, Callable[..., dict | None]]
@@ -191,8 +191,8 @@
     """In a child: runs one command and encodes its answer; an error is answered, and the child goes on."""
     try:
         fields = orjson.loads(line)
-        told = commands[fields.pop("command")](**fields)
-        return orjson.dumps(told or {}, default=tuple) + b"\n"  # a NamedTuple as the tuple that it is
+        result = commands[fields.pop("command")](**fields)
+        return orjson.dumps(result or {}, default=tuple) + b"\n"  # a NamedTuple as the tuple that it is
     except Exception as error:
         return orjson.dumps({"error": repr(error)}) + b"\n"
 
@@ -211,7 +211,7 @@
         while b"\n" in self._unread:
             line, _, rest = self._unread.partition(b"\n")
             self._unread = bytearray(rest)
-            write_whole(sys.stdout.fileno(), answer(bytes(line), self.commands))
+            write_all(sys.stdout.fileno(), answer(bytes(line), self.commands))
         return bool(received)
 
 
@@ -228,7 +228,7 @@
     await ended.wait()
 
 
-def write_whole(descriptor: int, data: bytes) -> None:
+def write_all(descriptor: int, data: bytes) -> None:
     """Writes all of the data to a blocking descriptor."""
     view = memoryview(data)
     while view:
--- a/oatcart/scale/day.py
+++ b/oatcart/scale/day.py
@@ -18,23 +18,23 @@
 
 from oatcart.policy.draining import FORGET_AFTER_S
 from oatcart.scale.configuration import Settings
-from oatcart.scale.day_deliveries import Deliveries, Drains, History, deliveries, drains
+from oatcart.scale.day_deliveries import DeliveryStats, DrainStats, History, delivery_stats, drain_stats
 from oatcart.scale.day_loads import RoleLoad, metered_core_share, role_loads
-from oatcart.scale.day_schedule import Kind, schedule
-from oatcart.scale.day_trial import DayPlayer, DayTrial, Healing, WholeListTrial
+from oatcart.scale.day_schedule import ChangeKind, schedule
+from oatcart.scale.day_trial import CompleteListTrial, DayPlayer, DayTrial, Healing
 from oatcart.scale.fault_plan import plan_day
 from oatcart.scale.figures import is_late
 from oatcart.scale.fleet import FleetPlan
 from oatcart.scale.hollow import ControllerTables
 from oatcart.scale.interrupts import noted_interrupts
-from oatcart.scale.trial import LOOK_EVERY_S, Reading, running
+from oatcart.scale.trial import POLL_INTERVAL_S, Reading, running
 from oatcart.scale.trial_settings import TrialSettings
 
-LEAST_CUT_S = 5.0  # of a cut between regions, in real time
-KEPT_MOST_S = (
+MIN_PARTITION_S = 5.0  # of a cut between regions, in real time
+MAX_RETENTION_S = (
     2 * FORGET_AFTER_S + 2.0
 )  # that a controller keeps a gone endpoint, and as long as it takes to be told
-KNOWN_WITHIN_S = 10.0  # after the last change, until controllers know exactly their views
+VIEWS_KNOWN_TIMEOUT_S = 10.0  # after the last change, until controllers know exactly their views
 Progress = Callable[[str], None]
 
 
@@ -51,7 +51,9 @@
 
 QUICK = DayScale(nodes=1_000, hollow=10, real=1, time_compression=4_320.0)
 FULL = DayScale(nodes=2_000, hollow=24, real=2, time_compression=480.0, settle_s=3.0)
-WHOLE_LIST_MOST = 4  # hollow controllers that follow the whole list: each of them takes far more
+MAX_COMPLETE_LIST_CONTROLLERS = (
+    4  # hollow controllers that follow the whole list: each of them takes far more
+)
 
 
 class EndState(NamedTuple):
@@ -92,8 +94,8 @@
     hollow_late_s: float
     hollow_was_late: bool
     hollow_core_share: float
-    kinds: dict[Kind, Deliveries]
-    drains: Drains
+    kinds: dict[ChangeKind, DeliveryStats]
+    drains: DrainStats
     healings: list[Healing]
     loads: list[RoleLoad]
     end: EndState
@@ -101,12 +103,12 @@
     @property
     def complaints(self) -> list[str]:
         """All that ought not to be, a line each; none where the day went well."""
-        found = [f"missed: {one}" for kind in self.kinds.values() for one in kind.missed]
+        found = [f"missed: {one}" for stats in self.kinds.values() for one in stats.missed]
         found += [f"deleted before its drain was had: {one}" for one in self.drains.missed]
         found += [
             f"over the budget of {self.budget_s:g} s: {one}"
-            for kind in self.kinds.values()
-            for one in kind.late
+            for stats in self.kinds.values()
+            for one in stats.over_budget
         ]
         found += [f"not usable: {one}" for one in self.end.unusable]
         if self.end.told < self.end.conductors:
@@ -137,30 +139,30 @@
     ChildError.
     """
     if whole_list:
-        scale = replace(scale, hollow=min(scale.hollow, WHOLE_LIST_MOST))
+        scale = replace(scale, hollow=min(scale.hollow, MAX_COMPLETE_LIST_CONTROLLERS))
     with (
         noted_interrupts() as interrupts,
         running(
-            trial_settings(settings, scale), kind or (WholeListTrial if whole_list else DayTrial)
+            trial_settings(settings, scale), kind or (CompleteListTrial if whole_list else DayTrial)
         ) as trial,
     ):
         day = replace(
             settings.day.scaled(scale.nodes / settings.fleet.nodes), time_compression=scale.time_compression
         )
-        drawn = plan_day(trial.plan, day, settings.seed)
-        steps = schedule(drawn.events, settings.budgets.change_in_force, LEAST_CUT_S)
-        progress(f"{fleet_text(trial.plan)}; {len(drawn.events)} events in {drawn.length_s:.0f} s")
+        day_plan = plan_day(trial.plan, day, settings.seed)
+        steps = schedule(day_plan.events, settings.budgets.change_in_force, MIN_PARTITION_S)
+        progress(f"{fleet_text(trial.plan)}; {len(day_plan.events)} events in {day_plan.length_s:.0f} s")
         trial.start()
         trial.join_peers(keep_tables=True)
         interrupts.sleep(scale.settle_s)
         progress("all are ready, the day begins")
         before = trial.read()
         player = player_kind(trial, interrupts.sleep)
-        player.play(steps, drawn.length_s)
+        player.play(steps, day_plan.length_s)
         after = trial.read()
         progress("the day has ended")
         end = end_state(player)
-        return result_of(settings, scale, whole_list, player, (before, after), end, drawn.length_s)
+        return result_of(settings, scale, whole_list, player, (before, after), end, day_plan.length_s)
 
 
 def trial_settings(settings: Settings, scale: DayScale) -> TrialSettings:
@@ -180,19 +182,22 @@
     """How controllers stand once no more changes are made; they get some time to come to it."""
     trial = player.trial
     player.wait_settled(trial.names)
-    until = time.monotonic() + KNOWN_WITHIN_S
+    until = time.monotonic() + VIEWS_KNOWN_TIMEOUT_S
     while True:
-        held, left = trial.held_tables(), endpoints_left_since(trial, time.monotonic() - KEPT_MOST_S)
+        held, left = (
+            trial.controller_tables(),
+            endpoints_left_since(trial, time.monotonic() - MAX_RETENTION_S),
+        )
         views = {name: trial.expected.view(name) for name in trial.names}
         known = [name for name in trial.hollow_names if is_known(held[name], views[name], left[name])]
         tables = [name for name in trial.names if table_endpoints(held[name]) <= views[name]]
         if (known, tables) == (trial.hollow_names, trial.names) or time.monotonic() > until:
             break
-        time.sleep(LOOK_EVERY_S)
-    told = trial.relay.views().views
+        time.sleep(POLL_INTERVAL_S)
+    received = trial.relay.views().views
     return EndState(
         conductors=len(trial.names),
-        told=len(trial.told_as_expected(trial.names)),
+        told=len(trial.with_expected_views(trial.names)),
         hollow=len(trial.hollow_names),
         known=len(known),
         kept=sum(len(set(held[name].known) - views[name]) for name in trial.hollow_names),
@@ -200,7 +205,7 @@
         unusable=[
             f"{name}: {service}"
             for name in trial.names
-            for service in trial.expected.unusable(name, told[name])
+            for service in trial.expected.unusable(name, received[name])
         ],
     )
 
@@ -208,8 +213,8 @@
 def endpoints_left_since(trial: DayTrial, since: float) -> dict[str, set[str]]:
     """By controller the endpoints that it was told have left its list, since a moment."""
     return {
-        name: {word.endpoint for word in words if word.state is None and word.at >= since}
-        for name, words in trial.relay.words().items()
+        name: {one.endpoint for one in received if one.state is None and one.at >= since}
+        for name, received in trial.relay.received_states().items()
     }
 
 
@@ -240,8 +245,8 @@
 ) -> DayResult:
     """Everything that a played day has shown."""
     trial, (before, after) = player.trial, readings
-    history = History(trial.first_entries, player.changes, trial.relay.words())
-    cuts = [healing.cut for healing in player.healings]
+    history = History(trial.first_entries, player.changes, trial.relay.received_states())
+    disconnections = [healing.disconnection for healing in player.healings]
     budget_s = settings.budgets.change_in_force
     return DayResult(
         scale=scale,
@@ -255,8 +260,8 @@
         hollow_late_s=after.hollow.late_s if after.hollow else 0.0,
         hollow_was_late=bool(after.hollow and is_late(after.hollow)),
         hollow_core_share=metered_core_share(before, after),
-        kinds=deliveries(history, trial.expected, cuts, budget_s),
-        drains=drains(history, cuts),
+        kinds=delivery_stats(history, trial.expected, disconnections, budget_s),
+        drains=drain_stats(history, disconnections),
         healings=player.healings,
         loads=role_loads(player),
         end=end,
--- a/oatcart/scale/day_deliveries.py
+++ b/oatcart/scale/day_deliveries.py
@@ -12,26 +12,26 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from oatcart.scale.day_relay import Word, entry_state
-from oatcart.scale.day_schedule import Change, Kind
+from oatcart.scale.day_relay import ReceivedState, entry_state
+from oatcart.scale.day_schedule import Change, ChangeKind
 from oatcart.scale.day_views import ExpectedViews
 from oatcart.scale.discovery import DELETED
 
 
-class Cut(NamedTuple):
+class Disconnection(NamedTuple):
     """Controllers that were told nothing from one moment to another (monotonic seconds)."""
 
     controllers: frozenset[str]
     since: float
     until: float
 
-    def hides(self, name: str, first: float, last: float) -> bool:
+    def overlaps(self, name: str, first: float, last: float) -> bool:
         """Whether a controller was cut off at any time between two moments."""
         return name in self.controllers and first <= self.until and last >= self.since
 
 
 @dataclass
-class Deliveries:
+class DeliveryStats:
     """What became of the changes of one kind, in pairs of an endpoint changed and a controller concerned.
 
     `delays` are seconds until a controller had the change, `last_delays` of each changed endpoint until the
@@ -40,20 +40,20 @@
     while the controller was cut off. `unheld` endpoints concerned nobody.
     """
 
-    events: int = 0
-    nodes: int = 0
+    revisions: int = 0
+    endpoints: int = 0
     unheld: int = 0
     pairs: int = 0
     overtaken: int = 0
     cut_off: int = 0
     delays: list[float] = field(default_factory=list)
     last_delays: list[float] = field(default_factory=list)
-    late: list[str] = field(default_factory=list)
+    over_budget: list[str] = field(default_factory=list)
     missed: list[str] = field(default_factory=list)
 
 
 @dataclass
-class Drains:
+class DrainStats:
     """Drained endpoints that were deleted, in pairs with the controllers that held them.
 
     A pair is `reached` where the controller had the drain, or had the endpoint no more, before the deletion.
@@ -69,7 +69,10 @@
     """The states of all endpoints and what each controller was told of them, by endpoint."""
 
     def __init__(
-        self, first: Iterable[dict], changes: Sequence[Change], words: Mapping[str, Sequence[Word]]
+        self,
+        first: Iterable[dict],
+        changes: Sequence[Change],
+        received: Mapping[str, Sequence[ReceivedState]],
     ) -> None:
         self.changes = changes
         self._change_of = {(entry["id"], entry_state(entry)): -1 for entry in first}
@@ -77,88 +80,93 @@
             for entry in change.entries:
                 if entry["phase"] != DELETED:
                     self._change_of[entry["id"], entry_state(entry)] = number
-        self.words: dict[str, dict[str, list[Word]]] = {}
-        for name, told in words.items():
-            by_endpoint = self.words.setdefault(name, {})
-            for word in told:
-                by_endpoint.setdefault(word.endpoint, []).append(word)
+        self.received: dict[str, dict[str, list[ReceivedState]]] = {}
+        for name, states in received.items():
+            by_endpoint = self.received.setdefault(name, {})
+            for one in states:
+                by_endpoint.setdefault(one.endpoint, []).append(one)
 
-    def change_told(self, word: Word) -> int:
+    def change_of(self, one: ReceivedState) -> int:
         """The number of the change that set the state told; -1 for the state before the day."""
-        return self._change_of[word.endpoint, word.state]
+        return self._change_of[one.endpoint, one.state]
 
-    def last_word(self, name: str, endpoint: str, at: float) -> Word | None:
+    def last_received(self, name: str, endpoint: str, at: float) -> ReceivedState | None:
         """The last state of an endpoint that a controller was sent by a moment; None where it held none."""
-        words = self.words[name].get(endpoint, [])
-        place = bisect_right(words, at, key=lambda word: word.at)
-        return words[place - 1] if place and words[place - 1].state else None
+        received = self.received[name].get(endpoint, [])
+        index = bisect_right(received, at, key=lambda one: one.at)
+        return received[index - 1] if index and received[index - 1].state else None
 
-    def had_at(self, name: str, endpoint: str, number: int) -> float | None:
+    def received_at(self, name: str, endpoint: str, number: int) -> float | None:
         """When a controller had a change of an endpoint; None where it never had."""
         made_at = self.changes[number].at
         return next(
             (
-                word.at
-                for word in self.words[name].get(endpoint, [])
-                if word.at > made_at and (word.state is None or self.change_told(word) >= number)
+                one.at
+                for one in self.received[name].get(endpoint, [])
+                if one.at > made_at and (one.state is None or self.change_of(one) >= number)
             ),
             None,
         )
 
 
-def deliveries(
-    history: History, expected: ExpectedViews, cuts: Collection[Cut], budget_s: float
-) -> dict[Kind, Deliveries]:
+def delivery_stats(
+    history: History, expected: ExpectedViews, disconnections: Collection[Disconnection], budget_s: float
+) -> dict[ChangeKind, DeliveryStats]:
     """What became of each kind of change, which ought to be had within `budget_s`."""
-    found: dict[Kind, Deliveries] = {}
+    found: dict[ChangeKind, DeliveryStats] = {}
     for number, change in enumerate(history.changes):
-        kind = found.setdefault(change.kind, Deliveries())
-        kind.events += 1
+        stats = found.setdefault(change.kind, DeliveryStats())
+        stats.revisions += 1
         for entry in change.entries:
-            kind.nodes += 1
-            _deliver(kind, history, expected, cuts, budget_s, number, entry["id"])
+            stats.endpoints += 1
+            _count_deliveries(stats, history, expected, disconnections, budget_s, number, entry["id"])
     return found
 
 
-def _deliver(
-    kind: Deliveries,
+def _count_deliveries(
+    stats: DeliveryStats,
     history: History,
     expected: ExpectedViews,
-    cuts: Collection[Cut],
+    disconnections: Collection[Disconnection],
     budget_s: float,
     number: int,
     endpoint: str,
 ) -> None:
     change = history.changes[number]
     delays = []
-    concerned = list(_concerned(history, expected, number, endpoint))
-    kind.unheld += not concerned
-    for name in concerned:
-        kind.pairs += 1
-        had_at = history.had_at(name, endpoint, number)
-        if any(cut.hides(name, change.at, change.at if had_at is None else had_at) for cut in cuts):
-            kind.cut_off += 1
-        elif _is_overtaken(history, expected, budget_s, number, name, endpoint, had_at):
-            kind.overtaken += 1
-        elif had_at is None:
-            kind.missed.append(f"{change.kind.value}: {endpoint}: {name}")
+    affected = list(_affected_controllers(history, expected, number, endpoint))
+    stats.unheld += not affected
+    for name in affected:
+        stats.pairs += 1
+        received_at = history.received_at(name, endpoint, number)
+        if any(
+            one.overlaps(name, change.at, change.at if received_at is None else received_at)
+            for one in disconnections
+        ):
+            stats.cut_off += 1
+        elif _is_overtaken(history, expected, budget_s, number, name, endpoint, received_at):
+            stats.overtaken += 1
+        elif received_at is None:
+            stats.missed.append(f"{change.kind.value}: {endpoint}: {name}")
         else:
-            delays.append(had_at - change.at)
+            delays.append(received_at - change.at)
             if delays[-1] > budget_s:
-                kind.late.append(f"{change.kind.value}: {endpoint}: {name}: {delays[-1]:.2f} s")
-    kind.delays += delays
+                stats.over_budget.append(f"{change.kind.value}: {endpoint}: {name}: {delays[-1]:.2f} s")
+    stats.delays += delays
     if delays:
-        kind.last_delays.append(max(delays))
+        stats.last_delays.append(max(delays))
 
 
-def _concerned(history: History, expected: ExpectedViews, number: int, endpoint: str) -> Iterator[str]:
+def _affected_controllers(
+    history: History, expected: ExpectedViews, number: int, endpoint: str
+) -> Iterator[str]:
     """The controllers that a change of an endpoint concerns."""
     change = history.changes[number]
-    if change.kind is Kind.RETURN:
-        yield from expected.returned[number, endpoint]
+    if change.kind is ChangeKind.RETURN:
+        yield from expected.holders_of_returned[number, endpoint]
         return
-    for name in history.words:
-        if history.last_word(name, endpoint, change.at):
+    for name in history.received:
+        if history.last_received(name, endpoint, change.at):
             yield name
 
 
@@ -169,45 +177,50 @@
     number: int,
     name: str,
     endpoint: str,
-    had_at: float | None,
+    received_at: float | None,
 ) -> bool:
     """Whether an endpoint that came back left the view again before it was told, and before it had to be."""
-    if history.changes[number].kind is not Kind.RETURN:
+    if history.changes[number].kind is not ChangeKind.RETURN:
         return False
-    dropped = expected.is_dropped_after(name, endpoint, number)
+    dropped = expected.change_dropping(name, endpoint, number)
     if dropped is None:
         return False
     dropped_at = history.changes[dropped].at
     in_time = dropped_at - history.changes[number].at < budget_s
-    return in_time and (had_at is None or had_at > dropped_at)
+    return in_time and (received_at is None or received_at > dropped_at)
 
 
-def drains(history: History, cuts: Collection[Cut]) -> Drains:
+def drain_stats(history: History, disconnections: Collection[Disconnection]) -> DrainStats:
     """Whether each drained endpoint reached every controller that held it before it was deleted."""
-    found = Drains()
-    drained: dict[str, int] = {}  # by endpoint, the number of its last drain
+    found = DrainStats()
+    last_drain: dict[str, int] = {}  # by endpoint, the number of its last drain
     for number, change in enumerate(history.changes):
         for entry in change.entries:
-            if change.kind is Kind.DRAIN:
-                drained[entry["id"]] = number
-            elif change.kind is Kind.DELETE:
+            if change.kind is ChangeKind.DRAIN:
+                last_drain[entry["id"]] = number
+            elif change.kind is ChangeKind.DELETE:
                 found.nodes += 1
-                _check_drain(found, history, cuts, entry["id"], drained.pop(entry["id"]), number)
+                _check_drain(found, history, disconnections, entry["id"], last_drain.pop(entry["id"]), number)
     return found
 
 
 def _check_drain(
-    found: Drains, history: History, cuts: Collection[Cut], endpoint: str, drain: int, deletion: int
+    found: DrainStats,
+    history: History,
+    disconnections: Collection[Disconnection],
+    endpoint: str,
+    drain: int,
+    deletion: int,
 ) -> None:
     drained_at, deleted_at = history.changes[drain].at, history.changes[deletion].at
-    for name in history.words:
-        last = history.last_word(name, endpoint, deleted_at)
-        knows = last is None or history.change_told(last) >= drain
-        if last is None and not history.last_word(name, endpoint, drained_at):
+    for name in history.received:
+        last = history.last_received(name, endpoint, deleted_at)
+        has_drain = last is None or history.change_of(last) >= drain
+        if last is None and not history.last_received(name, endpoint, drained_at):
             continue  # it did not hold the endpoint
-        if not knows and any(cut.hides(name, drained_at, deleted_at) for cut in cuts):
+        if not has_drain and any(one.overlaps(name, drained_at, deleted_at) for one in disconnections):
             found.cut_off += 1
-        elif knows:
+        elif has_drain:
             found.reached += 1
         else:
             found.missed.append(f"{name}: {endpoint}")
--- a/oatcart/scale/day_loads.py
+++ b/oatcart/scale/day_loads.py
@@ -5,10 +5,10 @@
 from statistics import fmean
 from typing import NamedTuple
 
-from oatcart.scale.day_schedule import Kind
+from oatcart.scale.day_schedule import ChangeKind
 from oatcart.scale.day_trial import DayPlayer, Sample
 from oatcart.scale.figures import CONTROL_ROLE, HOLLOW_ROLE, REAL_ROLE, summed
-from oatcart.scale.trial import LOOK_EVERY_S, Reading
+from oatcart.scale.trial import POLL_INTERVAL_S, Reading
 
 
 class Rates(NamedTuple):
@@ -52,7 +52,7 @@
         readers[REAL_ROLE] = lambda then, now: controller_rates(
             then, now, trial.real_names, sum(now.real_core_s) - sum(then.real_core_s)
         )
-    zone_losses = [change.at for change in player.changes if change.kind is Kind.ZONE_LOSS]
+    zone_losses = [change.at for change in player.changes if change.kind is ChangeKind.ZONE_LOSS]
     return [role_load(role, reader, samples, zone_losses) for role, reader in readers.items()]
 
 
@@ -63,7 +63,7 @@
     zone_losses: Sequence[float],
 ) -> RoleLoad:
     """The mean and the worst seconds of one role."""
-    seconds = [(then, now) for then, now in pairwise(samples) if now.at - then.at >= LOOK_EVERY_S]
+    seconds = [(then, now) for then, now in pairwise(samples) if now.at - then.at >= POLL_INTERVAL_S]
     after_loss = [
         reader(then, now)
         for then, now in seconds
--- a/oatcart/scale/day_relay.py
+++ b/oatcart/scale/day_relay.py
@@ -29,7 +29,7 @@
     up_since_ms: int
 
 
-class Word(NamedTuple):
+class ReceivedState(NamedTuple):
     """At a moment (monotonic seconds) a controller had this state of an endpoint; None: it left the list."""
 
     at: float
@@ -52,7 +52,7 @@
         self.revision = 0
         self.states: dict[str, EntryState] = {}
 
-    def take(self, body: bytes, tracked: Collection[str]) -> list[tuple[str, EntryState | None]]:
+    def record_answer(self, body: bytes, tracked: Collection[str]) -> list[tuple[str, EntryState | None]]:
         """The endpoints whose state differs from the last one sent, with it; all endpoints count as tracked.
 
         An answer that is older than the last one, as two connections overtake each other, tells nothing; a
@@ -69,13 +69,15 @@
         self.revision = revision
         gone = self.states.keys() - states.keys() if complete else set()
         gone |= {endpoint for endpoint, state in states.items() if state.phase == DELETED}
-        told = {endpoint: state for endpoint, state in states.items() if state.phase != DELETED}
-        news = [(endpoint, state) for endpoint, state in told.items() if self.states.get(endpoint) != state]
-        self.states.update(told)
+        listed = {endpoint: state for endpoint, state in states.items() if state.phase != DELETED}
+        changed = [
+            (endpoint, state) for endpoint, state in listed.items() if self.states.get(endpoint) != state
+        ]
+        self.states.update(listed)
         for endpoint in gone:  # some may be told gone that were never told: they came and went meanwhile
             self.states.pop(endpoint, None)
         self.members = set(self.states)
-        return [*news, *((endpoint, None) for endpoint in sorted(gone))]
+        return [*changed, *((endpoint, None) for endpoint in sorted(gone))]
 
 
 class DayRelayService(RelayService):
@@ -83,24 +85,24 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
-        self.sides: WeakSet[ControllerSide] = WeakSet()
+        self.connections: WeakSet[ControllerSide] = WeakSet()
         self.cut_off: set[str] = set()
 
-    def begin(self, controller: ControllerSide) -> None:
+    def open_upstream(self, controller: ControllerSide) -> None:
         """Connects to what stands behind, unless the controller is cut off."""
         if any(self.clients[name] is controller.client for name in self.cut_off):
             controller.transport.abort()
             return
-        self.sides.add(controller)
-        super().begin(controller)
+        self.connections.add(controller)
+        super().open_upstream(controller)
 
     def cut(self, names: list[str]) -> dict:
         """Resets the connections of these controllers, and from now on every new one."""
         self.cut_off.update(names)
         clients = {id(self.clients[name]) for name in names}
-        for side in [*self.sides]:
-            if id(side.client) in clients:
-                side.transport.abort()
+        for connection in [*self.connections]:
+            if id(connection.client) in clients:
+                connection.transport.abort()
         return {}
 
     def join(self, names: list[str]) -> dict:
@@ -110,7 +112,7 @@
 
     def views(self) -> dict:
         """The list that each controller was told, and how many words were not yet asked on from."""
-        pending = sum(len(side.news) for side in self.sides)
+        pending = sum(len(connection.unacknowledged) for connection in self.connections)
         return {"views": {name: one.states for name, one in self.clients.items()}, "pending": pending}
 
     def _open(self, name: str, target_port: int) -> int:
@@ -118,7 +120,7 @@
         return super()._open(name, target_port)
 
 
-class ToldViews(NamedTuple):
+class ReceivedViews(NamedTuple):
     """The list that each controller was told, by its name; `pending` words were not yet asked on from."""
 
     views: dict[str, dict[str, EntryState]]
@@ -139,21 +141,23 @@
         """Ends a cut."""
         self.ask("join", names=list(names))
 
-    def views(self) -> ToldViews:
+    def views(self) -> ReceivedViews:
         """The list that each controller was told."""
         answer = self.ask("views")
         views = {
             name: {endpoint: EntryState(*state) for endpoint, state in states.items()}
             for name, states in answer["views"].items()
         }
-        return ToldViews(views, answer["pending"])
+        return ReceivedViews(views, answer["pending"])
 
-    def words(self) -> dict[str, list[Word]]:
+    def received_states(self) -> dict[str, list[ReceivedState]]:
         """All that each controller was told since its start, in order of time."""
-        told = self.ask("held")["told"]
+        clients = self.ask("held")["told"]
         return {
-            name: [Word(at, endpoint, state and EntryState(*state)) for at, (endpoint, state) in some]
-            for name, some in told.items()
+            name: [
+                ReceivedState(at, endpoint, state and EntryState(*state)) for at, (endpoint, state) in records
+            ]
+            for name, records in clients.items()
         }
 
 
--- a/oatcart/scale/day_report.py
+++ b/oatcart/scale/day_report.py
@@ -4,7 +4,7 @@
 from dataclasses import asdict
 
 from oatcart.scale.day import DayResult
-from oatcart.scale.day_deliveries import Deliveries
+from oatcart.scale.day_deliveries import DeliveryStats
 from oatcart.scale.day_loads import Rates
 from oatcart.scale.figures import summarised
 from oatcart.scale.report import NOT_MEASURED, OVER_BUDGET, align, number_text
@@ -77,7 +77,15 @@
         + ["median s", "p99 s", "last s", "median of pairs s"]
     ]
     for kind, one in result.kinds.items():
-        counts = one.events, one.nodes, one.unheld, one.pairs, one.overtaken, one.cut_off, len(one.missed)
+        counts = (
+            one.revisions,
+            one.endpoints,
+            one.unheld,
+            one.pairs,
+            one.overtaken,
+            one.cut_off,
+            len(one.missed),
+        )
         pairs, last = summarised(one.delays), summarised(one.last_delays)
         times = [NOT_MEASURED] * 4
         if pairs and last:
@@ -119,9 +127,10 @@
     for one in result.healings:
         caught_up = "NOT ALL CAUGHT UP" if one.caught_up_s is None else f"{one.caught_up_s:.2f} s"
         lines.append(
-            f"{one.first} and {one.second} cut for {one.cut.until - one.cut.since:.1f} s: "
-            f"{len(one.cut.controllers)} conductors of {one.region} without answers during {one.changes} "
-            f"changes; caught up {caught_up} after the joining with {one.bytes_received:,} bytes; moved "
+            f"{one.first} and {one.second} cut for "
+            f"{one.disconnection.until - one.disconnection.since:.1f} s: "
+            f"{len(one.disconnection.controllers)} conductors of {one.region} without answers during "
+            f"{one.changes} changes; caught up {caught_up} after the joining with {one.bytes_received:,} bytes; moved "
             f"{one.moved} nodes of their views, {one.had_to_move} had to, {one.moved_needlessly} without need"
         )
     return "\n".join(lines)
@@ -144,16 +153,16 @@
     return "\n".join(["FAILED:", *lines]) if lines else "all held"
 
 
-def _kind_object(one: Deliveries) -> dict[str, object]:
+def _kind_object(one: DeliveryStats) -> dict[str, object]:
     delays, last = summarised(one.delays), summarised(one.last_delays)
     return {
-        "revisions": one.events,
-        "nodes": one.nodes,
+        "revisions": one.revisions,
+        "nodes": one.endpoints,
         "unheld": one.unheld,
         "pairs": one.pairs,
         "overtaken": one.overtaken,
         "cut_off": one.cut_off,
-        "late": one.late,
+        "late": one.over_budget,
         "missed": one.missed,
         "delays": delays and delays._asdict(),
         "last_delays": last and last._asdict(),
@@ -161,6 +170,9 @@
 
 
 def _healing_object(healing: object) -> dict[str, object]:
-    told = healing._asdict()
-    cut = told.pop("cut")
-    return told | {"conductors": sorted(cut.controllers), "cut_for_s": cut.until - cut.since}
+    fields = healing._asdict()
+    disconnection = fields.pop("disconnection")
+    return fields | {
+        "conductors": sorted(disconnection.controllers),
+        "cut_for_s": disconnection.until - disconnection.since,
+    }
--- a/oatcart/scale/day_schedule.py
+++ b/oatcart/scale/day_schedule.py
@@ -27,12 +27,12 @@
 from oatcart.scale.fleet import FleetPlan, PlannedEndpoint
 
 SIZE_STEP = 0.01  # by which a change of configuration makes an endpoint's size larger
-ADDRESS_EVERY = (
+ADDRESS_CHANGE_INTERVAL = (
     2  # of so many changes of an endpoint's configuration one is of its address, the others of its size
 )
 
 
-class Kind(Enum):
+class ChangeKind(Enum):
     """The kinds of changes, as they are reported."""
 
     FAILURE = "node failed"
@@ -44,10 +44,10 @@
     CONFIGURATION = "configuration"
 
 
-KIND_OF_LOSS = {
-    Cause.FAILURE: Kind.FAILURE,
-    Cause.RACK_LOSS: Kind.RACK_LOSS,
-    Cause.ZONE_LOSS: Kind.ZONE_LOSS,
+CHANGE_KIND_OF_LOSS = {
+    Cause.FAILURE: ChangeKind.FAILURE,
+    Cause.RACK_LOSS: ChangeKind.RACK_LOSS,
+    Cause.ZONE_LOSS: ChangeKind.ZONE_LOSS,
 }
 
 
@@ -62,16 +62,16 @@
     """One revision of the list, made at a moment (monotonic seconds): the entries that it sets."""
 
     at: float
-    kind: Kind
+    kind: ChangeKind
     entries: tuple[dict, ...]
 
 
-def schedule(events: Iterable[Event], least_drain_s: float, least_cut_s: float) -> list[Step]:
+def schedule(events: Iterable[Event], min_drain_s: float, min_partition_s: float) -> list[Step]:
     """The day's events in the order in which they are played; those of one cause and moment together."""
-    placed = sorted(_placed(events, least_drain_s, least_cut_s), key=lambda one: one[0])
+    timed = sorted(_timed_events(events, min_drain_s, min_partition_s), key=lambda one: one[0])
     return [
-        Step(at_s, tuple(event for _, event in some))
-        for (at_s, *_), some in groupby(placed, key=lambda one: (one[0], type(one[1]), _cause(one[1])))
+        Step(at_s, tuple(event for _, event in group))
+        for (at_s, *_), group in groupby(timed, key=lambda one: (one[0], type(one[1]), _cause(one[1])))
     ]
 
 
@@ -79,21 +79,21 @@
     return event.number if isinstance(event, ConfigurationChanged) else getattr(event, "cause", None)
 
 
-def _placed(
-    events: Iterable[Event], least_drain_s: float, least_cut_s: float
+def _timed_events(
+    events: Iterable[Event], min_drain_s: float, min_partition_s: float
 ) -> Iterable[tuple[float, Event]]:
     last: dict[str, float] = {}  # by endpoint or pair of regions, when its last event is played
-    moved: dict[str, float] = {}  # and how much later than drawn
+    delay_s: dict[str, float] = {}  # and how much later than drawn
     for event in events:
         at_s = event.at_s
         if not isinstance(event, ConfigurationChanged):
             subject = getattr(event, "endpoint", None) or f"{event.first} {event.second}"
-            least = {NodeDeleted: least_drain_s, RegionsRejoined: least_cut_s}.get(type(event), 0.0)
+            min_gap_s = {NodeDeleted: min_drain_s, RegionsRejoined: min_partition_s}.get(type(event), 0.0)
             if isinstance(event, NodeDeleted | NodeReturned):
-                at_s += moved.get(subject, 0.0)
+                at_s += delay_s.get(subject, 0.0)
             if subject in last:
-                at_s = max(at_s, last[subject] + least)
-            last[subject], moved[subject] = at_s, at_s - event.at_s
+                at_s = max(at_s, last[subject] + min_gap_s)
+            last[subject], delay_s[subject] = at_s, at_s - event.at_s
         yield at_s, event
 
 
@@ -109,7 +109,7 @@
     def entry(self) -> dict:
         """The entry; no two changes of an endpoint have the same, so that each can be told apart."""
         host, _, port = self.endpoint.address.rpartition(":")
-        readdressed = self.configured // ADDRESS_EVERY
+        readdressed = self.configured // ADDRESS_CHANGE_INTERVAL
         resized = self.configured - readdressed
         return list_entry(self.endpoint, self.phase, self.up_since_ms) | {
             "host_port": f"{host}:{int(port) + readdressed}",
@@ -159,18 +159,18 @@
         return [state.entry()]
 
 
-def kind_of(event: Event) -> Kind:
+def kind_of(event: Event) -> ChangeKind:
     """How a change of the list by this event is reported."""
     if isinstance(event, NodeLost):
-        return KIND_OF_LOSS[event.cause]
+        return CHANGE_KIND_OF_LOSS[event.cause]
     return {
-        NodeDraining: Kind.DRAIN,
-        NodeDeleted: Kind.DELETE,
-        NodeReturned: Kind.RETURN,
-        ConfigurationChanged: Kind.CONFIGURATION,
+        NodeDraining: ChangeKind.DRAIN,
+        NodeDeleted: ChangeKind.DELETE,
+        NodeReturned: ChangeKind.RETURN,
+        ConfigurationChanged: ChangeKind.CONFIGURATION,
     }[type(event)]
 
 
-def is_cut(event: Event) -> bool:
+def is_partition_event(event: Event) -> bool:
     """Whether an event is of regions and not of endpoints."""
     return isinstance(event, RegionsCut | RegionsRejoined)
--- a/oatcart/scale/day_trial.py
+++ b/oatcart/scale/day_trial.py
@@ -19,24 +19,24 @@
 
 import orjson
 
-from oatcart.scale.day_deliveries import Cut
+from oatcart.scale.day_deliveries import Disconnection
 from oatcart.scale.day_relay import DayRelay
-from oatcart.scale.day_schedule import Change, ListedEndpoints, Step, is_cut, kind_of
+from oatcart.scale.day_schedule import Change, ListedEndpoints, Step, is_partition_event, kind_of
 from oatcart.scale.day_views import UNBOUNDED, ExpectedViews
 from oatcart.scale.discovery import ClientFigures
 from oatcart.scale.fault_plan import Event, RegionsCut
 from oatcart.scale.fleet import FleetPlan
 from oatcart.scale.hollow import ControllerTables
 from oatcart.scale.real import NotReadyError
-from oatcart.scale.trial import LOOK_EVERY_S, Trial
+from oatcart.scale.trial import POLL_INTERVAL_S, Trial
 from oatcart.scale.trial_settings import TrialSettings
 from oatcart.scale.view_trial import ViewTrial
 from oatcart.views.configuration import Configuration
 from oatcart.views.configuration_file import read as read_views
 from oatcart.views.records import Controller
 
-SAMPLE_EVERY_S = 1.0
-SETTLED_WITHIN_S = 15.0  # until all controllers have their views, when no changes are made
+SAMPLE_INTERVAL_S = 1.0
+SETTLE_TIMEOUT_S = 15.0  # until all controllers have their views, when no changes are made
 
 
 class Sample(NamedTuple):
@@ -62,7 +62,7 @@
     first: str
     second: str
     region: str
-    cut: Cut
+    disconnection: Disconnection
     changes: int
     caught_up_s: float | None
     bytes_received: int
@@ -71,12 +71,12 @@
     moved_needlessly: int
 
 
-class CutBegun(NamedTuple):
+class OngoingPartition(NamedTuple):
     """A cut that has not ended: by controller the endpoints sent and expected, and its traffic."""
 
-    cut: Cut
+    disconnection: Disconnection
     region: str
-    told: dict[str, frozenset[str]]
+    sent: dict[str, frozenset[str]]
     expected: dict[str, frozenset[str]]
     traffic: dict[str, ClientFigures]
     changes: int
@@ -106,9 +106,9 @@
 
     def expected_views(self) -> ExpectedViews:
         """The views by the control role's own file."""
-        told = views_configuration(self.views_file)
-        viewers = [controller.record for controller in told.controllers]
-        return ExpectedViews(viewers, told.limits, told.seed, self.first_entries)
+        configuration = views_configuration(self.views_file)
+        records = [controller.record for controller in configuration.controllers]
+        return ExpectedViews(records, configuration.limits, configuration.seed, self.first_entries)
 
     def sample(self) -> Sample:
         """All counters of which each second is told."""
@@ -125,21 +125,21 @@
         """The controllers that run in a region."""
         return frozenset(name for name in self.names if self.planned(name).region == region)
 
-    def told_as_expected(self, names: Sequence[str]) -> list[str]:
+    def with_expected_views(self, names: Sequence[str]) -> list[str]:
         """Those of the controllers that were told exactly the list that they ought to have, and asked on."""
-        told = self.relay.views()
-        if told.pending:
+        received = self.relay.views()
+        if received.pending:
             return []
-        return [name for name in names if told.views[name] == self.expected.states(name)]
+        return [name for name in names if received.views[name] == self.expected.states(name)]
 
-    def held_tables(self) -> dict[str, ControllerTables]:
+    def controller_tables(self) -> dict[str, ControllerTables]:
         """Of each controller what its proxies hold and, of a hollow one, which endpoints it knows."""
         hollow = self.hollow_controllers.tables() if self.hollow_controllers else []
         real = self.peers.tables() if self.peers else []
         return dict(zip(self.names, [*hollow, *real], strict=True))
 
 
-class WholeListTrial(DayTrial):
+class CompleteListTrial(DayTrial):
     """A day of controllers that follow the whole list, at discovery."""
 
     def check_fits(self) -> None:
@@ -159,17 +159,17 @@
 
     def expected_views(self) -> ExpectedViews:
         """Every controller's view is the whole list."""
-        viewers = [
+        records = [
             Controller(name, self.planned(name).region, self.planned(name).zone, ()) for name in self.names
         ]
-        return ExpectedViews(viewers, UNBOUNDED, self.settings.seed, self.first_entries)
+        return ExpectedViews(records, UNBOUNDED, self.settings.seed, self.first_entries)
 
 
-def views_configuration(told: dict) -> Configuration:
+def views_configuration(settings: dict) -> Configuration:
     """What the control role reads in its file."""
     with TemporaryDirectory() as directory:
         path = Path(directory, "views.yaml")
-        path.write_bytes(orjson.dumps(told))
+        path.write_bytes(orjson.dumps(settings))
         return read_views(path)
 
 
@@ -183,21 +183,21 @@
         self.healings: list[Healing] = []
         self.late_s = 0.0  # the most by which a step was made late
         self.paused_s = 0.0  # that the day waited for controllers, before and after cuts
-        self._first = self._next_sample = 0.0
-        self._cut: CutBegun | None = None
+        self._day_began = self._next_sample = 0.0
+        self._partition: OngoingPartition | None = None
 
     def play(self, steps: Sequence[Step], length_s: float) -> None:
         """Makes all changes in their time and lasts at least as long as the day. Raises ChildError."""
-        self._first = self._next_sample = time.monotonic()
+        self._day_began = self._next_sample = time.monotonic()
         for step in steps:
             self._wait_until(step.at_s)
-            self.late_s = max(self.late_s, time.monotonic() - self._first - step.at_s)
-            if is_cut(step.events[0]):
+            self.late_s = max(self.late_s, time.monotonic() - self._day_began - step.at_s)
+            if is_partition_event(step.events[0]):
                 for event in step.events:
-                    self._cut_or_join(event)
+                    self._start_or_end_partition(event)
                     if isinstance(event, RegionsCut):
                         # a cut that was made late must not be shorter for it
-                        self._first = max(self._first, time.monotonic() - step.at_s)
+                        self._day_began = max(self._day_began, time.monotonic() - step.at_s)
             else:
                 self.make(step.events)
         self._wait_until(length_s)
@@ -213,82 +213,86 @@
     def wait_settled(self, names: Sequence[str]) -> float | None:
         """Seconds until these controllers have their views, while no change is made; None: not all have."""
         started = time.monotonic()
-        self.trial.expected.take(self.changes)
-        while time.monotonic() < started + SETTLED_WITHIN_S:
-            if len(self.trial.told_as_expected(names)) == len(names):
+        self.trial.expected.apply(self.changes)
+        while time.monotonic() < started + SETTLE_TIMEOUT_S:
+            if len(self.trial.with_expected_views(names)) == len(names):
                 return time.monotonic() - started
             self._sample_if_due()
-            self._sleep(LOOK_EVERY_S)
+            self._sleep(POLL_INTERVAL_S)
         return None
 
     def _wait_until(self, at_s: float) -> None:
         """Sleeps until seconds from the day's start, without its pauses; takes the samples due meanwhile."""
-        while (now := time.monotonic()) < self._first + at_s:
+        while (now := time.monotonic()) < self._day_began + at_s:
             if not self._sample_if_due():
-                self._sleep(max(0.0, min(self._first + at_s, self._next_sample) - now))
+                self._sleep(max(0.0, min(self._day_began + at_s, self._next_sample) - now))
         self._sample_if_due()
 
     def _sample_if_due(self) -> bool:
         if time.monotonic() < self._next_sample:
             return False
         self.samples.append(self.trial.sample())
-        self._next_sample = self.samples[-1].at + SAMPLE_EVERY_S
+        self._next_sample = self.samples[-1].at + SAMPLE_INTERVAL_S
         return True
 
-    def _cut_or_join(self, event: Event) -> None:
+    def _start_or_end_partition(self, event: Event) -> None:
         """Cuts two regions from each other or joins them; the day's clock stands meanwhile."""
         began = time.monotonic()
         if isinstance(event, RegionsCut):
-            self._cut_off(event)
-        elif self._cut:
-            self._join(event)
+            self._start_partition(event)
+        elif self._partition:
+            self._end_partition(event)
         took = time.monotonic() - began
-        self._first += took
+        self._day_began += took
         self.paused_s += took
 
-    def _cut_off(self, event: RegionsCut) -> None:
-        if self._cut:
+    def _start_partition(self, event: RegionsCut) -> None:
+        if self._partition:
             raise NotReadyError("two cuts at once are not played")
         trial = self.trial
         region = max(event.second, event.first, key=lambda name: len(trial.controllers_of(name)))
         names = trial.controllers_of(region)
         self.wait_settled(trial.names)
-        told, cut = trial.relay.views().views, Cut(names, time.monotonic(), float("inf"))
+        sent, disconnection = trial.relay.views().views, Disconnection(names, time.monotonic(), float("inf"))
         trial.relay.cut(names)
-        self._cut = CutBegun(
-            cut,
+        self._partition = OngoingPartition(
+            disconnection,
             region,
-            {name: frozenset(told[name]) for name in names},
+            {name: frozenset(sent[name]) for name in names},
             {name: trial.expected.view(name) for name in names},
             trial.relay.clients(),
             len(self.changes),
         )
 
-    def _join(self, event: Event) -> None:
-        trial, begun = self.trial, self._cut
-        self._cut = None
-        cut = begun.cut._replace(until=time.monotonic())
-        trial.relay.join(cut.controllers)
-        caught_up_s = self.wait_settled(sorted(cut.controllers))
-        told, traffic = trial.relay.views().views, trial.relay.clients()
+    def _end_partition(self, event: Event) -> None:
+        trial, begun = self.trial, self._partition
+        self._partition = None
+        disconnection = begun.disconnection._replace(until=time.monotonic())
+        trial.relay.join(disconnection.controllers)
+        caught_up_s = self.wait_settled(sorted(disconnection.controllers))
+        sent, traffic = trial.relay.views().views, trial.relay.clients()
         moved = {
-            (name, endpoint) for name in cut.controllers for endpoint in begun.told[name] ^ told[name].keys()
+            (name, endpoint)
+            for name in disconnection.controllers
+            for endpoint in begun.sent[name] ^ sent[name].keys()
         }
         had_to_move = {
             (name, endpoint)
-            for name in cut.controllers
+            for name in disconnection.controllers
             for endpoint in begun.expected[name] ^ trial.expected.view(name)
         }
-        received = [traffic[name].bytes_in - begun.traffic[name].bytes_in for name in cut.controllers]
+        bytes_received = [
+            traffic[name].bytes_in - begun.traffic[name].bytes_in for name in disconnection.controllers
+        ]
         self.healings.append(
             Healing(
                 event.first,
                 event.second,
                 begun.region,
-                cut,
+                disconnection,
                 len(self.changes) - begun.changes,
                 caught_up_s,
-                sum(received),
+                sum(bytes_received),
                 len(moved),
                 len(had_to_move),
                 len(moved - had_to_move),
--- a/oatcart/scale/day_views.py
+++ b/oatcart/scale/day_views.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from oatcart.scale.day_relay import EntryState, entry_state
-from oatcart.scale.day_schedule import Change, Kind
+from oatcart.scale.day_schedule import Change, ChangeKind
 from oatcart.scale.discovery import DELETED
 from oatcart.views.configuration import EndpointFields
 from oatcart.views.entries import SERVING, parse_entry
@@ -17,7 +17,7 @@
 from oatcart.views.records import Controller, ViewLimits
 
 UNBOUNDED = ViewLimits(max_endpoints=10**9, max_bytes=10**9, max_entry_bytes=1)
-ZONES_LEAST = 2  # of each service in a view, where the service has endpoints ready in as many
+MIN_ZONES = 2  # of each service in a view, where the service has endpoints ready in as many
 
 
 class ViewAt(NamedTuple):
@@ -31,33 +31,35 @@
     """The views after each change made so far."""
 
     def __init__(
-        self, viewers: Sequence[Controller], limits: ViewLimits, seed: int, entries: Collection[dict]
+        self, controllers: Sequence[Controller], limits: ViewLimits, seed: int, entries: Collection[dict]
     ) -> None:
-        self.viewers = {viewer.name: viewer for viewer in viewers}
+        self.controllers = {controller.name: controller for controller in controllers}
         self.entries: dict[str, dict] = {}
-        self.taken = 0  # changes
-        self.returned: dict[
+        self.applied_changes = 0  # changes
+        self.holders_of_returned: dict[
             tuple[int, str], frozenset[str]
         ] = {}  # holders of endpoints that changes brought back
         self._fleet_views = FleetViews(limits, seed)
-        self._fleet_views.put_controllers(viewers)
+        self._fleet_views.put_controllers(controllers)
         self._set(entries)
-        self._history = {name: [ViewAt(-1, frozenset(self._fleet_views.view(name)))] for name in self.viewers}
+        self._history = {
+            name: [ViewAt(-1, frozenset(self._fleet_views.view(name)))] for name in self.controllers
+        }
         self._fleet_views.pop_changed()
 
-    def take(self, changes: Sequence[Change]) -> None:
+    def apply(self, changes: Sequence[Change]) -> None:
         """Works out the views after those of all changes that were not taken yet."""
-        for number in range(self.taken, len(changes)):
+        for number in range(self.applied_changes, len(changes)):
             change = changes[number]
             self._set(change.entries)
             for name in self._fleet_views.pop_changed():
                 endpoints = frozenset(self._fleet_views.view(name))
                 if endpoints != self._history[name][-1].endpoints:
                     self._history[name].append(ViewAt(number, endpoints))
-            if change.kind is Kind.RETURN:
+            if change.kind is ChangeKind.RETURN:
                 for entry in change.entries:
-                    self.returned[number, entry["id"]] = self._fleet_views.holders(entry["id"])
-        self.taken = len(changes)
+                    self.holders_of_returned[number, entry["id"]] = self._fleet_views.holders(entry["id"])
+        self.applied_changes = len(changes)
 
     def view(self, name: str) -> frozenset[str]:
         """The endpoints that a controller ought to hold now."""
@@ -67,7 +69,7 @@
         """The list that a controller ought to have been told."""
         return {endpoint: entry_state(self.entries[endpoint]) for endpoint in self.view(name)}
 
-    def is_dropped_after(self, name: str, endpoint: str, change: int) -> int | None:
+    def change_dropping(self, name: str, endpoint: str, change: int) -> int | None:
         """The number of the first later change by which an endpoint left a controller's view, or None."""
         return next(
             (
@@ -80,12 +82,12 @@
 
     def unusable(self, name: str, held: Collection[str]) -> list[str]:
         """The services for which a controller holds ready endpoints in too few zones."""
-        there, here = self._ready_zones(self.entries), self._ready_zones(held)
-        needed = self.viewers[name].services or there.keys()
+        listed_zones, held_zones = self._ready_zones(self.entries), self._ready_zones(held)
+        needed = self.controllers[name].services or listed_zones.keys()
         return [
             service
             for service in needed
-            if len(here.get(service, ())) < min(ZONES_LEAST, len(there.get(service, ())))
+            if len(held_zones.get(service, ())) < min(MIN_ZONES, len(listed_zones.get(service, ())))
         ]
 
     def _ready_zones(self, endpoints: Iterable[str]) -> dict[str, set[tuple[str, str]]]:
--- a/oatcart/scale/discovery.py
+++ b/oatcart/scale/discovery.py
@@ -29,7 +29,7 @@
 MAIN_LIST = "all"  # the name of the list that holds every endpoint
 END_OF_HEAD = b"\r\n\r\n"
 BACKLOG = 128
-WAIT_MOST_S = 60.0  # of a watch, by the protocol
+MAX_WATCH_WAIT_S = 60.0  # of a watch, by the protocol
 OK_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
 NOT_FOUND = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
 
@@ -60,16 +60,16 @@
                 self._current[entry["id"]] = encoded
         return self.revision
 
-    def whole(self) -> bytes:
+    def complete_list(self) -> bytes:
         """The answer with every listed endpoint."""
         if None not in self._encoded:
             self._encoded[None] = self._answer(True, self._current.values())
         return self._encoded[None]
 
-    def changes(self, since: int) -> bytes:
+    def changes_since(self, since: int) -> bytes:
         """The answer with the entries changed after a revision; the whole list from revision 0 on."""
         if since <= 0:
-            return self.whole()
+            return self.complete_list()
         if since not in self._encoded:
             first = bisect_right(self._log_revisions, since)
             changed = dict(self._log[first:])  # of several changes of an endpoint the last one
@@ -101,7 +101,7 @@
     bytes_sent: int = 0
     messages_received: int = 0
     messages_sent: int = 0
-    held: list[AcknowledgedRevision] = field(default_factory=list)
+    acknowledged: list[AcknowledgedRevision] = field(default_factory=list)
 
 
 class ClientConnection(asyncio.Protocol):
@@ -142,25 +142,27 @@
             return
         query = parse_qs(url.query)
         if "since" not in query:
-            self._answer(self.endpoints.whole())
+            self._answer(self.endpoints.complete_list())
             return
         since, wait_s = int(query["since"][0]), float(query.get("timeout_ms", ["0"])[0]) / 1000
-        self.account.held.append(AcknowledgedRevision(time.monotonic(), since, self.account.bytes_sent))
+        self.account.acknowledged.append(
+            AcknowledgedRevision(time.monotonic(), since, self.account.bytes_sent)
+        )
         if self.endpoints.revision > since or wait_s <= 0:
-            self._answer(self.endpoints.changes(since))
+            self._answer(self.endpoints.changes_since(since))
             return
         self.since = since
-        self.timer = self.service.loop.call_later(min(wait_s, WAIT_MOST_S), self.answer_watch)
-        self.service.waiting[self.account.list_name][self] = None
+        self.timer = self.service.loop.call_later(min(wait_s, MAX_WATCH_WAIT_S), self.answer_watch)
+        self.service.waiting_watches[self.account.list_name][self] = None
 
     def answer_watch(self) -> None:
         """Ends the wait of a watch: with what is newer, or with no entries when its time is over."""
         since = self.since
         self._end_wait()
-        self._answer(self.endpoints.changes(since) if since else self.endpoints.whole())
+        self._answer(self.endpoints.changes_since(since) if since else self.endpoints.complete_list())
 
     def _end_wait(self) -> None:
-        self.service.waiting[self.account.list_name].pop(self, None)
+        self.service.waiting_watches[self.account.list_name].pop(self, None)
         self.since = None
         if self.timer is not None:
             self.timer.cancel()
@@ -183,19 +185,19 @@
         self.lists: dict[str, EndpointList] = {}
         self.accounts: dict[str, ClientAccount] = {}
         self.connections: set[ClientConnection] = set()
-        self.waiting: dict[str, dict[ClientConnection, None]] = {}  # watches by list, oldest first
+        self.waiting_watches: dict[str, dict[ClientConnection, None]] = {}  # watches by list, oldest first
         self.changed_at: dict[
             str, list[float]
         ] = {}  # by list: when each revision was made, from revision 1 on
         self.down = False
-        self.servers: list[asyncio.Task] = []  # kept, as the loop holds tasks weakly
+        self.listener_tasks: list[asyncio.Task] = []  # kept, as the loop holds tasks weakly
 
     def change(self, entries: list[dict], list_name: str = MAIN_LIST) -> dict:
         """One new revision of a list, told to all its watchers."""
         endpoints = self.lists.setdefault(list_name, EndpointList())
-        waiting = self.waiting.setdefault(list_name, {})
+        waiting_watches = self.waiting_watches.setdefault(list_name, {})
         revision = endpoints.change(entries)
-        for connection in list(waiting):
+        for connection in list(waiting_watches):
             connection.answer_watch()
         return {"revision": revision}
 
@@ -218,19 +220,19 @@
 
     def held(self) -> dict:
         """Which revisions each client had when."""
-        return {"clients": {name: one.held for name, one in self.accounts.items()}}
+        return {"clients": {name: one.acknowledged for name, one in self.accounts.items()}}
 
     def open(self, clients: list[str], list_name: str) -> dict:
         """A port for each client of one list."""
         self.lists.setdefault(list_name, EndpointList())
-        self.waiting.setdefault(list_name, {})
+        self.waiting_watches.setdefault(list_name, {})
         return {"ports": {client: self._open(client, list_name) for client in clients}}
 
     def _open(self, client: str, list_name: str) -> int:
         account = self.accounts.setdefault(client, ClientAccount(list_name))
         listener = socket.create_server((LOOPBACK, 0), backlog=BACKLOG)  # takes connections from here on
         serving = self.loop.create_server(lambda: ClientConnection(self, account), sock=listener)
-        self.servers.append(self.loop.create_task(serving))
+        self.listener_tasks.append(self.loop.create_task(serving))
         return listener.getsockname()[1]
 
 
@@ -277,14 +279,16 @@
 
     def figures(self) -> DiscoveryFigures:
         """One reading of the process and of all clients."""
-        told = self.ask("figures")
-        clients = {name: ClientFigures(*figures) for name, figures in told["clients"].items()}
-        return DiscoveryFigures(Usage(**told["usage"]), clients)
+        answer = self.ask("figures")
+        clients = {name: ClientFigures(*figures) for name, figures in answer["clients"].items()}
+        return DiscoveryFigures(Usage(**answer["usage"]), clients)
 
-    def held(self) -> dict[str, list[AcknowledgedRevision]]:
+    def acknowledged_revisions(self) -> dict[str, list[AcknowledgedRevision]]:
         """Which revisions each client had when."""
         clients = self.ask("held")["clients"]
-        return {name: [AcknowledgedRevision(*one) for one in some] for name, some in clients.items()}
+        return {
+            name: [AcknowledgedRevision(*one) for one in revisions] for name, revisions in clients.items()
+        }
 
 
 async def serve() -> None:
--- a/oatcart/scale/fault_plan.py
+++ b/oatcart/scale/fault_plan.py
@@ -17,10 +17,10 @@
 from oatcart.scale.configuration import DAY_S, DaySettings
 from oatcart.scale.fleet import FleetPlan
 
-MOST_TIMES = 50
+MAX_DRAWS_PER_OUTAGE = 50
 """Times drawn for an outage that overlaps no other, before another endpoint is tried or it is given up."""
 
-MOST_ENDPOINTS = 200
+MAX_ENDPOINTS_PER_OUTAGE = 200
 """Endpoints tried for one outage, before it is given up."""
 
 
@@ -146,49 +146,49 @@
     def draw(self) -> list[Event]:
         """All events of endpoints."""
         settings = self.settings
-        self._lose_groups(self.fleet.endpoints_by_zone(), settings.zone_losses, Cause.ZONE_LOSS)
-        self._lose_groups(self.fleet.endpoints_by_rack(), settings.rack_losses, Cause.RACK_LOSS)
-        self._each_of_some_endpoints(settings.failures, settings.failed_for, self._fail, "failures")
+        self._draw_group_losses(self.fleet.endpoints_by_zone(), settings.zone_losses, Cause.ZONE_LOSS)
+        self._draw_group_losses(self.fleet.endpoints_by_rack(), settings.rack_losses, Cause.RACK_LOSS)
+        self._draw_endpoint_outages(settings.failures, settings.failed_for, self._fail, "failures")
         away_for = settings.drain_for + settings.restart_for
-        self._each_of_some_endpoints(settings.restarts, away_for, self._restart, "restarts")
+        self._draw_endpoint_outages(settings.restarts, away_for, self._restart, "restarts")
         return self.events
 
-    def _lose_groups(self, groups: dict[str, list], count: int, cause: Cause) -> None:
+    def _draw_group_losses(self, groups: dict[str, list], count: int, cause: Cause) -> None:
         if count > len(groups):
             raise FaultPlanError(f"{count} times {cause.value}, of only {len(groups)}")
         names = list(groups)
         for chosen in self.generator.permutation(len(names))[:count].tolist():
             endpoints = [endpoint.id for endpoint in groups[names[chosen]]]
-            outage = self._free_time(endpoints, self.settings.lost_for)
+            outage = self._draw_free_interval(endpoints, self.settings.lost_for)
             if outage is None:
                 raise FaultPlanError(f"{cause.value} of {names[chosen]} finds no time without another outage")
             for endpoint in endpoints:
                 self._lose(endpoint, outage, cause)
 
-    def _each_of_some_endpoints(
-        self, count: int, away_for: float, take_out: Callable[[str, _Interval], None], title: str
+    def _draw_endpoint_outages(
+        self, count: int, away_for: float, add_outage: Callable[[str, _Interval], None], title: str
     ) -> None:
         """An outage for each of `count` endpoints: different ones, as long as there are."""
         for position in self._drawn_endpoints(count):
             outage, endpoint = None, self.endpoint_ids[position]
-            for _ in range(MOST_ENDPOINTS):
-                outage = self._free_time([endpoint], away_for)
+            for _ in range(MAX_ENDPOINTS_PER_OUTAGE):
+                outage = self._draw_free_interval([endpoint], away_for)
                 if outage is not None:
                     break
                 endpoint = self.endpoint_ids[int(self.generator.integers(len(self.endpoint_ids)))]
             if outage is None:
                 raise FaultPlanError(f"{count} {title} find no room on {len(self.endpoint_ids)} nodes")
-            take_out(endpoint, outage)
+            add_outage(endpoint, outage)
 
     def _drawn_endpoints(self, count: int) -> list[int]:
         rounds = -(-count // len(self.endpoint_ids))
         drawn = [self.generator.permutation(len(self.endpoint_ids)) for _ in range(rounds)]
         return numpy.concatenate(drawn).tolist()[:count] if drawn else []
 
-    def _free_time(self, endpoints: Sequence[str], length: float) -> _Interval | None:
+    def _draw_free_interval(self, endpoints: Sequence[str], length: float) -> _Interval | None:
         """A time in which none of the endpoints is away, or None."""
         latest = DAY_S - length
-        for _ in range(MOST_TIMES):
+        for _ in range(MAX_DRAWS_PER_OUTAGE):
             start = float(self.generator.uniform(0.0, latest))
             interval = _Interval(start, start + length)
             if all(self._is_free(endpoint, interval) for endpoint in endpoints):
@@ -223,7 +223,7 @@
 ) -> list[Event]:
     """Pairs of regions cut from each other, each pair once."""
     regions = fleet.regions
-    pairs = [(first, second) for place, first in enumerate(regions) for second in regions[place + 1 :]]
+    pairs = [(first, second) for index, first in enumerate(regions) for second in regions[index + 1 :]]
     if settings.partitions > len(pairs):
         raise FaultPlanError(f"{settings.partitions} partitions, of only {len(pairs)} pairs of regions")
     events: list[Event] = []
--- a/oatcart/scale/fleet.py
+++ b/oatcart/scale/fleet.py
@@ -154,7 +154,7 @@
     settings: FleetSettings, zone_regions: dict[str, str], generator: numpy.random.Generator
 ) -> tuple[PlannedEndpoint, ...]:
     zone_weights = _zone_weights(settings, generator)
-    services, zones = _places(service_sizes(settings), zone_weights, generator)
+    services, zones = _assign_services_and_zones(service_sizes(settings), zone_weights, generator)
     order = generator.permutation(settings.nodes)
     services, zones = services[order], zones[order]
     _fill_empty_zones(services, zones, settings)
@@ -176,7 +176,7 @@
     )
 
 
-def _places(
+def _assign_services_and_zones(
     counts: Integers, zone_weights: Floats, generator: numpy.random.Generator
 ) -> tuple[Integers, Integers]:
     """The service and the zone of each endpoint."""
@@ -199,8 +199,8 @@
     """Moves an endpoint into each zone that the draw left empty, from the fullest zone's largest service."""
     for zone in numpy.setdiff1d(numpy.arange(settings.zones), zones).tolist():
         fullest = numpy.argmax(numpy.bincount(zones, minlength=settings.zones))
-        there = numpy.flatnonzero(zones == fullest)
-        zones[there[numpy.argmin(services[there])]] = zone
+        candidates = numpy.flatnonzero(zones == fullest)
+        zones[candidates[numpy.argmin(services[candidates])]] = zone
 
 
 def _positions_within(groups: Integers) -> Integers:
@@ -257,11 +257,11 @@
     dealt in turn has an infinite key.
     """
     log_weights = numpy.log(service_sizes(settings).astype(float))
-    dealt = generator.permutation(settings.services)
+    in_turn = generator.permutation(settings.services)
     called = numpy.empty((settings.conductors, settings.services_per_conductor), dtype=numpy.int64)
     for number in range(settings.conductors):
         keys = log_weights + generator.gumbel(size=settings.services)
-        keys[dealt[number % settings.services]] = numpy.inf
+        keys[in_turn[number % settings.services]] = numpy.inf
         top = numpy.argpartition(keys, -settings.services_per_conductor)[-settings.services_per_conductor :]
         called[number] = numpy.sort(top)
     return called
--- a/oatcart/scale/hollow.py
+++ b/oatcart/scale/hollow.py
@@ -42,11 +42,11 @@
 class HollowFleet:
     """All hollow controllers of the process on one loop; methods without an underscore are commands."""
 
-    def __init__(self, log_to: TextIO) -> None:
+    def __init__(self, log_stream: TextIO) -> None:
         self.loop = Loop(time.monotonic, self._failed)
         self.controllers: list[HollowController] = []
         self.due: dict[HollowController, None] = {}  # controllers that may have a round due
-        self.log_to = log_to
+        self.log_stream = log_stream
         self.failures: list[str] = []
         self.failing: list[str] = []
         self.late_s = 0.0  # the most by which a tick was late since the last reading
@@ -56,8 +56,8 @@
         self, settings: dict, ports: list[int], seeds: list[int], spread_s: float = START_SPREAD_S
     ) -> dict:
         """Starts a controller for each of discovery's ports, spread over some seconds."""
-        for place, (port, seed) in enumerate(zip(ports, seeds, strict=True)):
-            after = spread_s * place / len(ports)
+        for index, (port, seed) in enumerate(zip(ports, seeds, strict=True)):
+            after = spread_s * index / len(ports)
             self.loop.call_at(
                 self.loop.clock() + after, lambda port=port, seed=seed: self._start(settings, seed, port)
             )
@@ -65,10 +65,15 @@
 
     def join(self, peers: list[dict], keep_orders: bool) -> dict:
         """Lets the proxies of every controller join; from then on they report at every tick."""
-        for place, (controller, told) in enumerate(zip(self.controllers, peers, strict=True)):
-            one = ControllerPeers(peer_settings(told), keep_orders)
-            first = self.loop.clock() + TICK_S * place / len(peers)
-            self.loop.call_at(first, lambda controller=controller, one=one: self._join(controller, one))
+        for index, (controller, fields) in enumerate(zip(self.controllers, peers, strict=True)):
+            controller_peers = ControllerPeers(peer_settings(fields), keep_orders)
+            first = self.loop.clock() + TICK_S * index / len(peers)
+            self.loop.call_at(
+                first,
+                lambda controller=controller, controller_peers=controller_peers: self._join(
+                    controller, controller_peers
+                ),
+            )
         return {}
 
     def fail(self, endpoints: list[str]) -> dict:
@@ -81,17 +86,17 @@
 
     def figures(self) -> dict:
         """Of every controller its figures; the longest stretch and the lateness start anew."""
-        told = [self._figures(controller) for controller in self.controllers]
+        figures = [self._figures(controller) for controller in self.controllers]
         for controller in self.controllers:
             controller.meter.longest_s = 0.0
         late_s, self.late_s = self.late_s, 0.0
-        return {"usage": own_usage(), "conductors": told, "failures": self.failures, "late_s": late_s}
+        return {"usage": own_usage(), "conductors": figures, "failures": self.failures, "late_s": late_s}
 
     def orders(self) -> dict:
         """Of every controller its known endpoints and what its proxies hold."""
         return {
             "conductors": [
-                {"known": controller.known_endpoints(), "tables": held_tables(controller.peers)}
+                {"known": controller.known_endpoints(), "tables": encoded_tables(controller.peers)}
                 for controller in self.controllers
             ]
         }
@@ -107,7 +112,7 @@
 
     def _start(self, settings: dict, seed: int, port: int) -> None:
         self.controllers.append(
-            HollowController(self.loop, settings, seed, port, self.log_to, self._may_be_due)
+            HollowController(self.loop, settings, seed, port, self.log_stream, self._may_be_due)
         )
 
     def _may_be_due(self, controller: HollowController) -> None:
@@ -160,17 +165,19 @@
             self.reading = reader.read()
 
 
-def peer_settings(told: Mapping) -> PeerSettings:
+def peer_settings(fields: Mapping) -> PeerSettings:
     """Peer settings as they came with a command, where tuples are lists."""
-    return PeerSettings(**{**told, "routes": tuple(told["routes"]), "endpoints": tuple(told["endpoints"])})
+    return PeerSettings(
+        **{**fields, "routes": tuple(fields["routes"]), "endpoints": tuple(fields["endpoints"])}
+    )
 
 
-def held_tables(peers: ControllerPeers | None) -> dict:
+def encoded_tables(peers: ControllerPeers | None) -> dict:
     """What each proxy of a controller holds, by its number as text; nothing before they join."""
     if peers is None:
         return {}
     return {
-        str(number): {"weights": one.weights, "levels": one.levels, "shut_out": sorted(one.shut_out)}
+        str(number): {"weights": one.weights, "levels": one.admitted_shares, "shut_out": sorted(one.ejected)}
         for number, one in peers.tables.items()
     }
 
@@ -217,10 +224,10 @@
 
     def figures(self) -> HollowReading:
         """One reading of all controllers; the longest stretch and the lateness start anew."""
-        told = self.ask("figures")
-        controllers = [HollowFigures(*one) for one in told["conductors"]]
-        usage = Usage(**told["usage"])
-        return HollowReading(usage, controllers, told["failures"], told["late_s"])
+        answer = self.ask("figures")
+        controllers = [HollowFigures(*one) for one in answer["conductors"]]
+        usage = Usage(**answer["usage"])
+        return HollowReading(usage, controllers, answer["failures"], answer["late_s"])
 
     def tables(self) -> list[ControllerTables]:
         """Of each controller what its proxies hold; its peers must have joined with `keep_tables`."""
@@ -229,5 +236,5 @@
 
 if __name__ == "__main__":
     ignore_interrupts()
-    with open(os.devnull, "w", encoding="utf-8") as nowhere:
-        HollowFleet(nowhere).run()
+    with open(os.devnull, "w", encoding="utf-8") as null_stream:
+        HollowFleet(null_stream).run()
--- a/oatcart/scale/hollow_controller.py
+++ b/oatcart/scale/hollow_controller.py
@@ -67,24 +67,24 @@
 class HollowController:
     """One controller, assembled as `net.assembly.assemble` does but without the acceptor.
 
-    `log_to` gets its log; `may_be_due` is called when a round of it may be due. `applied_revisions` holds
+    `log_stream` gets its log; `may_be_due` is called when a round of it may be due. `applied_revisions` holds
     each newer revision of its list with the time (s) at which a round had run on it.
     """
 
     def __init__(
         self,
-        shared: Loop,
+        shared_loop: Loop,
         settings: Mapping,
         seed: int,
         discovery_port: int,
-        log_to: TextIO,
+        log_stream: TextIO,
         may_be_due: Callable[["HollowController"], None],
     ) -> None:
-        self.started_at = shared.clock()
+        self.started_at = shared_loop.clock()
         self.meter = Meter()
         self.may_be_due = lambda: may_be_due(self)
         with self.meter:
-            self._assemble(MeteredLoop(shared, self.meter), settings, seed, discovery_port, log_to)
+            self._assemble(MeteredLoop(shared_loop, self.meter), settings, seed, discovery_port, log_stream)
         self.peers: ControllerPeers | None = None
         self.applied_revisions: list[tuple[float, int]] = []
         self.revision = 0  # the last applied one
@@ -92,11 +92,11 @@
         self.may_be_due()
 
     def _assemble(
-        self, loop: MeteredLoop, settings: Mapping, seed: int, discovery_port: int, log_to: TextIO
+        self, loop: MeteredLoop, settings: Mapping, seed: int, discovery_port: int, log_stream: TextIO
     ) -> None:
-        log = Log(loop.clock, log_to)
+        log = Log(loop.clock, log_stream)
         codec = Codec(
-            [grade["name"] for grade in settings["grades"]],
+            [request_class["name"] for request_class in settings["grades"]],
             settings["zones"],
             settings["specifics"]["proxyCount"],
         )
--- a/oatcart/scale/peer_sockets.py
+++ b/oatcart/scale/peer_sockets.py
@@ -10,7 +10,7 @@
 
 from oatcart.scale.children import Child, answer_commands, ignore_interrupts, own_usage
 from oatcart.scale.discovery import LOOPBACK, Usage
-from oatcart.scale.hollow import ControllerTables, held_tables, peer_settings
+from oatcart.scale.hollow import ControllerTables, encoded_tables, peer_settings
 from oatcart.scale.peers import (
     TICK_S,
     ControllerPeers,
@@ -40,7 +40,7 @@
         self.streams: dict[int, asyncio.WriteTransport] = {}
         self.collector: asyncio.WriteTransport | None = None
 
-    async def live(self, first_after_s: float) -> None:
+    async def join_and_report(self, first_after_s: float) -> None:
         """Joins, then reports at every tick."""
         loop = asyncio.get_running_loop()
         await asyncio.sleep(first_after_s)
@@ -73,15 +73,17 @@
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.connections: list[ControllerConnections] = []
-        self.lives: list[asyncio.Task] = []
+        self.tasks: list[asyncio.Task] = []
         self.failures: list[str] = []
 
     def join(self, ports: list[int], peers: list[dict], keep_orders: bool) -> dict:
         """Lets the proxies of every controller join, spread over a tick; from then on they report."""
-        for place, (port, told) in enumerate(zip(ports, peers, strict=True)):
-            one = ControllerConnections(ControllerPeers(peer_settings(told), keep_orders), port)
+        for index, (port, fields) in enumerate(zip(ports, peers, strict=True)):
+            one = ControllerConnections(ControllerPeers(peer_settings(fields), keep_orders), port)
             self.connections.append(one)
-            self.lives.append(self.loop.create_task(self._live(one.live(TICK_S * place / len(ports)))))
+            self.tasks.append(
+                self.loop.create_task(self._run(one.join_and_report(TICK_S * index / len(ports))))
+            )
         return {}
 
     def fail(self, endpoints: list[str]) -> dict:
@@ -100,11 +102,11 @@
 
     def orders(self) -> dict:
         """What the proxies of each controller hold."""
-        return {"conductors": [held_tables(one.peers) for one in self.connections]}
+        return {"conductors": [encoded_tables(one.peers) for one in self.connections]}
 
-    async def _live(self, life: Coroutine) -> None:
+    async def _run(self, steps: Coroutine) -> None:
         try:
-            await life
+            await steps
         except OSError as error:
             self.failures.append(repr(error))
 
@@ -125,8 +127,8 @@
 
     def figures(self) -> tuple[Usage, list[PeerTraffic]]:
         """The process's usage, and each controller's traffic with its peers."""
-        told = self.ask("figures")
-        return Usage(**told["usage"]), [PeerTraffic(*one) for one in told["conductors"]]
+        answer = self.ask("figures")
+        return Usage(**answer["usage"]), [PeerTraffic(*one) for one in answer["conductors"]]
 
     def tables(self) -> list[ControllerTables]:
         """What the proxies of each controller hold; what endpoints a real one knows cannot be read."""
--- a/oatcart/scale/peers.py
+++ b/oatcart/scale/peers.py
@@ -19,13 +19,16 @@
 
 TICK_S = 0.25  # of the protocol's time between two bundles of reports
 REPORT_PERIOD_S = 1.0  # covered by one sum
-TICKS_OF_PERIOD = round(REPORT_PERIOD_S / TICK_S)
-SUMS_OF_ENDPOINTS_PER_S = (
+TICKS_PER_PERIOD = round(REPORT_PERIOD_S / TICK_S)
+MAX_LOAD_REPORTS_PER_S = (
     60  # at most; with more endpoints each is met less often, as a few proxies' requests meet it
 )
-ANSWER_MS = 40.0, 160.0  # the range of mean durations: well under what makes the module lean away from a zone
-CONCURRENT_MOST = 8  # requests that an endpoint reports to hold
-ACKNOWLEDGED_AFTER_MS = 1000 * TICK_S
+MEAN_DURATION_RANGE_MS = (
+    40.0,
+    160.0,
+)  # the range of mean durations: well under what makes the module lean away from a zone
+MAX_IN_FLIGHT = 8  # requests that an endpoint reports to hold
+ACKNOWLEDGEMENT_LAG_MS = 1000 * TICK_S
 NONCE_KEY = b'"nonce_out":'
 
 
@@ -54,25 +57,25 @@
     """What a proxy holds by its orders: weights by route and endpoint, and the endpoints it shuts out."""
 
     weights: dict[str, dict[str, float]] = field(default_factory=dict)
-    levels: dict[str, float] = field(default_factory=dict)
-    shut_out: set[str] = field(default_factory=set)
+    admitted_shares: dict[str, float] = field(default_factory=dict)
+    ejected: set[str] = field(default_factory=set)
 
-    def apply(self, order: Mapping, routes: Sequence[str]) -> None:
+    def apply(self, update: Mapping, routes: Sequence[str]) -> None:
         """Takes one part of an order, as the protocol tells it."""
-        for route in order.get("routes", routes):
-            if order.get("full"):
+        for route in update.get("routes", routes):
+            if update.get("full"):
                 self.weights[route] = {}
-                self.levels.pop(route, None)
+                self.admitted_shares.pop(route, None)
             table = self.weights.setdefault(route, {})
-            for endpoint, weight in order.get("endpoints", ()):
+            for endpoint, weight in update.get("endpoints", ()):
                 if weight > 0:
                     table[endpoint] = weight
                 else:
                     table.pop(endpoint, None)
-            if "admit" in order:
-                self.levels[route] = order["admit"]
-        self.shut_out.update(order.get("eject", ()))
-        self.shut_out.difference_update(order.get("restore", ()))
+            if "admit" in update:
+                self.admitted_shares[route] = update["admit"]
+        self.ejected.update(update.get("eject", ()))
+        self.ejected.difference_update(update.get("restore", ()))
 
 
 @dataclass
@@ -97,11 +100,11 @@
         self._ticks = count()
         self._endpoints = sorted(settings.endpoints)
         Random(settings.seed).shuffle(self._endpoints)
-        self._sums_per_s = min(SUMS_OF_ENDPOINTS_PER_S, len(self._endpoints))
+        self._load_reports_per_s = min(MAX_LOAD_REPORTS_PER_S, len(self._endpoints))
 
     def joins(self) -> list[PeerMessage]:
         """What the proxies say first, each on its stream."""
-        share = self.settings.requests_per_proxy
+        request_rate = self.settings.requests_per_proxy
         return [
             self._message(
                 number,
@@ -109,7 +112,7 @@
                     "msg": "joined",
                     "sidecar": number,
                     "az": self.settings.zone,
-                    "share": share,
+                    "share": request_rate,
                     "standing": True,
                 },
             )
@@ -127,7 +130,7 @@
         self.traffic.bytes_out += len(data)
         self._unread[proxy] += data
 
-    def rejoined(self, proxy: int) -> None:
+    def reset_stream(self, proxy: int) -> None:
         """The stream of a proxy has ended: what was cut off is lost, and its next stream starts anew."""
         self._unread[proxy].clear()
 
@@ -139,7 +142,8 @@
         nonces = {proxy: nonce for proxy in self.tables if (nonce := self._read(proxy)) is not None}
         return [
             self._message(
-                proxy, {"msg": "applied", "sidecar": proxy, "version": nonce, "lag_ms": ACKNOWLEDGED_AFTER_MS}
+                proxy,
+                {"msg": "applied", "sidecar": proxy, "version": nonce, "lag_ms": ACKNOWLEDGEMENT_LAG_MS},
             )
             for proxy, nonce in nonces.items()
         ]
@@ -157,15 +161,15 @@
             return last_nonce(lines)
         nonce = None
         for line in lines.splitlines():
-            order = orjson.loads(line)
-            self.tables[proxy].apply(order, self.settings.routes)
-            nonce = order.get("nonce_out", nonce)
+            update = orjson.loads(line)
+            self.tables[proxy].apply(update, self.settings.routes)
+            nonce = update.get("nonce_out", nonce)
         return nonce
 
     def _usage(self, tick: int, random: Random) -> list[PeerMessage]:
         """Every proxy tells its usage once a period, a part of the proxies in each tick."""
         count_of_route = self.settings.requests_per_proxy * REPORT_PERIOD_S / len(self.settings.routes)
-        telling = range(tick % TICKS_OF_PERIOD, self.settings.proxies, TICKS_OF_PERIOD)
+        reporting = range(tick % TICKS_PER_PERIOD, self.settings.proxies, TICKS_PER_PERIOD)
         return [
             self._message(
                 number,
@@ -178,29 +182,29 @@
                     "window": 1000 * REPORT_PERIOD_S,
                 },
             )
-            for number in telling
+            for number in reporting
             for route in self.settings.routes
         ]
 
     def _load_reports(self, tick: int, random: Random) -> list[PeerMessage]:
         """Sums of a part of the endpoints, in turn: one left out for long would be taken for silent."""
-        first = self._sums_per_s * tick // TICKS_OF_PERIOD
-        after_last = self._sums_per_s * (tick + 1) // TICKS_OF_PERIOD
+        first = self._load_reports_per_s * tick // TICKS_PER_PERIOD
+        after_last = self._load_reports_per_s * (tick + 1) // TICKS_PER_PERIOD
         endpoints = [self._endpoints[place % len(self._endpoints)] for place in range(first, after_last)]
-        return [self._message(None, self._sum(endpoint, random)) for endpoint in endpoints]
+        return [self._message(None, self._load_report(endpoint, random)) for endpoint in endpoints]
 
-    def _sum(self, endpoint: str, random: Random) -> dict:
+    def _load_report(self, endpoint: str, random: Random) -> dict:
         requests_per_s = self.settings.proxies * self.settings.requests_per_proxy
-        tries = max(1, round(requests_per_s / self._sums_per_s * random.uniform(0.5, 1.5)))
+        attempts = max(1, round(requests_per_s / self._load_reports_per_s * random.uniform(0.5, 1.5)))
         return {
             "msg": "heard",
             "az": self.settings.zone,
             "host": endpoint,
-            "n": tries,
-            "bad": tries if endpoint in self.failing else 0,
-            "avg": random.uniform(*ANSWER_MS),
+            "n": attempts,
+            "bad": attempts if endpoint in self.failing else 0,
+            "avg": random.uniform(*MEAN_DURATION_RANGE_MS),
             "window": 1000 * REPORT_PERIOD_S,
-            "report": {"inflight": random.randrange(CONCURRENT_MOST)},
+            "report": {"inflight": random.randrange(MAX_IN_FLIGHT)},
         }
 
     def _message(self, proxy: int | None, fields: dict) -> PeerMessage:
--- a/oatcart/scale/trial.py
+++ b/oatcart/scale/trial.py
@@ -46,8 +46,8 @@
 from oatcart.scale.real import NotReadyError, RealController, real_controllers
 from oatcart.scale.trial_settings import SizeLimitError, TrialSettings, check_fits
 
-READY_WITHIN_S = 60.0
-LOOK_EVERY_S = 0.05  # at what controllers have, while waiting
+READY_TIMEOUT_S = 60.0
+POLL_INTERVAL_S = 0.05  # at what controllers have, while waiting
 LAST_CHANGE_TIMEOUT_S = 5.0  # after the last change, for all controllers to have it
 
 
@@ -103,7 +103,7 @@
         self.hollow_before_mb = 0.0
         self.ready: dict[str, StartupFigures] = {}
         self.control_ready: StartupFigures | None = None
-        self.made: list[MadeChange] = []
+        self.made_changes: list[MadeChange] = []
 
     def check_fits(self) -> None:
         """Raises SizeLimitError where a limit is known to be exceeded before anything is started."""
@@ -154,7 +154,7 @@
 
     def acknowledged_revisions(self) -> dict[str, list[AcknowledgedRevision]]:
         """Which revisions of its list each controller had when."""
-        return self.discovery.held()
+        return self.discovery.acknowledged_revisions()
 
     def join_peers(self, keep_tables: bool = False) -> None:
         """Lets the proxies of all controllers join; from then on they report."""
@@ -202,7 +202,7 @@
         """Changes one endpoint's entry in the list that the endpoint is in."""
         name = entry["service"] if self.settings.lists_by_service else MAIN_LIST
         at = time.monotonic()
-        self.made.append(MadeChange(at, name, self.discovery.change([entry], name), entry["id"]))
+        self.made_changes.append(MadeChange(at, name, self.discovery.change([entry], name), entry["id"]))
 
     def wait_for_changes(self) -> dict[str, list[float]]:
         """Delays (s) of each change at each controller; raises NotReadyError where one never had it."""
@@ -213,7 +213,7 @@
                 return delays
             if time.monotonic() > until:
                 raise NotReadyError(f"{missing} changes lack a conductor after {LAST_CHANGE_TIMEOUT_S:.0f} s")
-            time.sleep(LOOK_EVERY_S)
+            time.sleep(POLL_INTERVAL_S)
 
     def change_delays(self) -> tuple[dict[str, list[float]], int]:
         """Of each controller the delays of the changes made, and how many it does not have yet, of all.
@@ -228,7 +228,7 @@
                 held[name] = [AcknowledgedRevision(at, revision, 0) for at, revision in one.applied_revisions]
         delays, missing = {}, 0
         for name in self.names:
-            made = [change for change in self.made if change.list_name == self.list_of(name)]
+            made = [change for change in self.made_changes if change.list_name == self.list_of(name)]
             had = [first_acknowledged_at(held[name], change.revision) for change in made]
             delays[name] = [at - change.at for at, change in zip(had, made, strict=True) if at is not None]
             missing += had.count(None)
@@ -246,14 +246,14 @@
             )
 
     def _wait_ready(self) -> None:
-        until = time.monotonic() + READY_WITHIN_S
+        until = time.monotonic() + READY_TIMEOUT_S
         while len(self.ready) < len(self.names):
             if time.monotonic() > until:
                 raise NotReadyError(
                     f"{len(self.names) - len(self.ready)} conductors hold no list: {self.errors()}"
                 )
-            time.sleep(LOOK_EVERY_S)
-            self._note_ready(self.acknowledged_revisions())
+            time.sleep(POLL_INTERVAL_S)
+            self._record_ready(self.acknowledged_revisions())
             self._check_memory()
         hollow = self.hollow_controllers.figures().controllers if self.hollow_controllers else []
         for name, one in zip(self.hollow_names, hollow, strict=True):
@@ -261,7 +261,7 @@
                 one.ready_after_s, one.ready_core_s, self.ready[name].bytes_received
             )
 
-    def _note_ready(self, revisions: dict[str, list[AcknowledgedRevision]]) -> None:
+    def _record_ready(self, revisions: dict[str, list[AcknowledgedRevision]]) -> None:
         """Controllers that have asked on from a revision by now. Hollow ones tell the rest themselves."""
         real = dict(zip(self.real_names, self.real, strict=True))
         for name in self.names:
--- a/oatcart/scale/view_relay.py
+++ b/oatcart/scale/view_relay.py
@@ -35,8 +35,8 @@
 class AnswerReader:
     """Finds the bodies of HTTP answers in a stream of bytes; every answer tells its length."""
 
-    def __init__(self, take: Callable[[bytes], None]) -> None:
-        self._take = take
+    def __init__(self, on_body: Callable[[bytes], None]) -> None:
+        self._on_body = on_body
         self._unread = bytearray()
 
     def read(self, data: bytes) -> None:
@@ -47,7 +47,7 @@
             length = content_length(bytes(self._unread[:end]))
             if len(self._unread) < start + length:
                 return
-            self._take(bytes(self._unread[start : start + length]))
+            self._on_body(bytes(self._unread[start : start + length]))
             del self._unread[: start + length]
 
 
@@ -70,9 +70,9 @@
         self.target_port = target_port
         self.account = ClientAccount("")
         self.members: set[str] = set()
-        self.told: list[tuple[float, str]] = []
+        self.acknowledged_endpoints: list[tuple[float, str]] = []
 
-    def take(self, body: bytes, tracked: set[str]) -> list[str]:
+    def record_answer(self, body: bytes, tracked: set[str]) -> list[str]:
         """Notes an answer; the tracked endpoints that it tells of. A body that is no list tells of none."""
         try:
             answer = orjson.loads(body)
@@ -93,16 +93,16 @@
         self.control: ControlSide | None = None
         self.unsent = bytearray()  # until the control role's connection is up
         self.unread = b""
-        self.news: list[str] = []  # tracked endpoints in answers since the last request
+        self.unacknowledged: list[str] = []  # tracked endpoints in answers since the last request
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Starts to connect to the control role."""
         self.transport = transport
-        self.service.begin(self)
+        self.service.open_upstream(self)
 
     def data_received(self, data: bytes) -> None:
         """Counts and forwards the bytes of a controller, and reads its requests."""
-        self._have_news()
+        self._acknowledge_answers()
         self.client.account.bytes_received += len(data)
         if self.control is None:
             self.unsent += data
@@ -115,11 +115,11 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """Resets the connection to the control role."""
-        self._have_news()
+        self._acknowledge_answers()
         if self.control is not None:
             self.control.transport.abort()
 
-    def up(self, control: "ControlSide") -> None:
+    def on_connected(self, control: "ControlSide") -> None:
         """The connection to the control role is up."""
         self.control = control
         control.transport.write(bytes(self.unsent))
@@ -129,12 +129,14 @@
         account.messages_received += 1
         since = parse_qs(urlsplit(target).query).get("since")
         if since:
-            account.held.append(AcknowledgedRevision(time.monotonic(), int(since[0]), account.bytes_sent))
+            account.acknowledged.append(
+                AcknowledgedRevision(time.monotonic(), int(since[0]), account.bytes_sent)
+            )
 
-    def _have_news(self) -> None:
+    def _acknowledge_answers(self) -> None:
         now = time.monotonic()
-        self.client.told += [(now, endpoint) for endpoint in self.news]
-        self.news.clear()
+        self.client.acknowledged_endpoints += [(now, endpoint) for endpoint in self.unacknowledged]
+        self.unacknowledged.clear()
 
 
 class ControlSide(asyncio.Protocol):
@@ -147,7 +149,7 @@
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Forwards what the controller has sent meanwhile."""
         self.transport = transport
-        self.controller.up(self)
+        self.controller.on_connected(self)
 
     def data_received(self, data: bytes) -> None:
         """Counts and forwards the bytes of the control role, and reads its answers."""
@@ -161,7 +163,7 @@
 
     def _answer(self, body: bytes) -> None:
         self.controller.client.account.messages_sent += 1
-        self.controller.news += self.controller.client.take(body, self.service.tracked)
+        self.controller.unacknowledged += self.controller.client.record_answer(body, self.service.tracked)
 
 
 class RelayService:
@@ -204,18 +206,18 @@
     def held(self) -> dict:
         """Of every controller the revisions that it had, and when it had word of tracked endpoints."""
         return {
-            "held": {name: one.account.held for name, one in self.clients.items()},
-            "told": {name: one.told for name, one in self.clients.items()},
+            "held": {name: one.account.acknowledged for name, one in self.clients.items()},
+            "told": {name: one.acknowledged_endpoints for name, one in self.clients.items()},
         }
 
-    def begin(self, controller: ControllerSide) -> None:
+    def open_upstream(self, controller: ControllerSide) -> None:
         """Connects to the control role for a controller; where that fails its connection is reset."""
-        self._keep(self._connect(controller))
+        self._start_task(self._connect(controller))
 
     def _open(self, name: str, target_port: int) -> int:
         client = self.clients.setdefault(name, RelayedClient(target_port))
         listener = socket.create_server((LOOPBACK, 0), backlog=BACKLOG)
-        self._keep(self.loop.create_server(lambda: ControllerSide(self, client), sock=listener))
+        self._start_task(self.loop.create_server(lambda: ControllerSide(self, client), sock=listener))
         return listener.getsockname()[1]
 
     async def _connect(self, controller: ControllerSide) -> None:
@@ -226,16 +228,16 @@
         except OSError:
             controller.transport.abort()
 
-    def _keep(self, steps: Coroutine) -> None:
+    def _start_task(self, coroutine: Coroutine) -> None:
         """Starts a task and keeps it, as the loop holds tasks weakly."""
-        self.tasks.add(self.loop.create_task(steps))
+        self.tasks.add(self.loop.create_task(coroutine))
 
 
-class RelayHeld(NamedTuple):
+class RelayAcknowledgements(NamedTuple):
     """Of every controller the revisions that it had, and when it had word of tracked endpoints."""
 
-    held: dict[str, list[AcknowledgedRevision]]
-    told: dict[str, list[tuple[float, str]]]
+    revisions: dict[str, list[AcknowledgedRevision]]
+    endpoints: dict[str, list[tuple[float, str]]]
 
 
 class ViewRelay(Child):
@@ -260,12 +262,16 @@
         """The traffic of each controller."""
         return {name: ClientFigures(*figures) for name, figures in self.ask("figures")["clients"].items()}
 
-    def held(self) -> RelayHeld:
+    def acknowledgements(self) -> RelayAcknowledgements:
         """What controllers had when."""
         answer = self.ask("held")
-        held = {name: [AcknowledgedRevision(*one) for one in some] for name, some in answer["held"].items()}
-        told = {name: [(at, endpoint) for at, endpoint in some] for name, some in answer["told"].items()}
-        return RelayHeld(held, told)
+        revisions = {
+            name: [AcknowledgedRevision(*one) for one in items] for name, items in answer["held"].items()
+        }
+        endpoints = {
+            name: [(at, endpoint) for at, endpoint in items] for name, items in answer["told"].items()
+        }
+        return RelayAcknowledgements(revisions, endpoints)
 
 
 async def serve() -> None:
--- a/oatcart/scale/view_trial.py
+++ b/oatcart/scale/view_trial.py
@@ -30,16 +30,18 @@
 from oatcart.scale.peers import PeerSettings
 from oatcart.scale.ports import free_ports
 from oatcart.scale.real import RUN, NotReadyError
-from oatcart.scale.trial import LOOK_EVERY_S, MadeChange, StartupFigures, Trial
+from oatcart.scale.trial import POLL_INTERVAL_S, MadeChange, StartupFigures, Trial
 from oatcart.scale.trial_settings import TrialSettings, check_fits
 from oatcart.scale.view_relay import ViewRelay
 
 CONTROL_CLIENT = "control"  # the control role's name at discovery
 CONTROL_MODULE = "oatcart.views"
-CONTROL_READY_WITHIN_S = 60.0  # until it holds the whole list
+CONTROL_READY_TIMEOUT_S = 60.0  # until it holds the whole list
 STATUS_PATH = "/v1/views"
-STATUS_WITHIN_S = 5.0
-GROWTH_OF_ENTRY = 16  # bytes by which an entry grows when its endpoint drains and restarts: the phase, a time
+STATUS_TIMEOUT_S = 5.0
+ENTRY_GROWTH_BYTES = (
+    16  # bytes by which an entry grows when its endpoint drains and restarts: the phase, a time
+)
 
 
 class ViewTrial(Trial):
@@ -69,8 +71,9 @@
 
     def control_configuration(self, source_port: int, main_port: int, served: dict[str, int]) -> dict:
         """The control role's file, which may be JSON as that is YAML."""
-        entry_most = (
-            max(len(orjson.dumps(list_entry(endpoint))) for endpoint in self.plan.endpoints) + GROWTH_OF_ENTRY
+        max_entry_bytes = (
+            max(len(orjson.dumps(list_entry(endpoint))) for endpoint in self.plan.endpoints)
+            + ENTRY_GROWTH_BYTES
         )
         return {
             "listen": f"{LOOPBACK}:{main_port}",
@@ -78,7 +81,7 @@
             "views": {
                 "most_members": self.settings.view.nodes,
                 "most_bytes": self.settings.view.size,
-                "most_entry_bytes": entry_most,
+                "most_entry_bytes": max_entry_bytes,
             },
             "conductors": [
                 {
@@ -107,7 +110,7 @@
 
     def acknowledged_revisions(self) -> dict[str, list[AcknowledgedRevision]]:
         """Which revisions of its view each controller had when."""
-        return self.relay.held().held
+        return self.relay.acknowledgements().revisions
 
     def peer_settings(self, name: str) -> PeerSettings:
         """Peers that meet the endpoints of the controller's view."""
@@ -134,12 +137,12 @@
 
         Word of the endpoint after the change counts, be it of that change or of a newer one that overtook it.
         """
-        told = self.relay.held().told
+        received = self.relay.acknowledgements().endpoints
         delays: dict[str, list[float]] = {name: [] for name in self.names}
         missing = 0
-        for change, holders in zip(self.made, self.holders, strict=True):
+        for change, holders in zip(self.made_changes, self.holders, strict=True):
             for name in holders:
-                at = first_word(told[name], change)
+                at = first_received_at(received[name], change)
                 if at is None:
                     missing += 1
                 else:
@@ -156,11 +159,11 @@
 
     def _wait_control(self, main_port: int) -> None:
         """Waits until the control role holds the whole list; it decides a view when it is asked for."""
-        until = time.monotonic() + CONTROL_READY_WITHIN_S
+        until = time.monotonic() + CONTROL_READY_TIMEOUT_S
         while self._endpoints_at_control(main_port) < len(self.plan.endpoints):
             if not self.control.running or time.monotonic() > until:
                 raise NotReadyError(f"the control role does not hold the list: {self.control.error_text()}")
-            time.sleep(LOOK_EVERY_S)
+            time.sleep(POLL_INTERVAL_S)
 
     def _wait_ready(self) -> None:
         """Waits until every controller has its view; then the control role is ready too."""
@@ -173,11 +176,11 @@
         """The endpoints that the control role's status tells; 0 while it does not answer."""
         with suppress(urllib.error.URLError, ConnectionError, TimeoutError):
             url = f"http://{LOOPBACK}:{main_port}{STATUS_PATH}"
-            with urllib.request.urlopen(url, timeout=STATUS_WITHIN_S) as answer:
+            with urllib.request.urlopen(url, timeout=STATUS_TIMEOUT_S) as answer:
                 return orjson.loads(answer.read())["nodes"]
         return 0
 
 
-def first_word(told: list[tuple[float, str]], change: MadeChange) -> float | None:
+def first_received_at(received: list[tuple[float, str]], change: MadeChange) -> float | None:
     """When a controller first had word of a changed endpoint after the change; None where it had none."""
-    return next((at for at, endpoint in told if endpoint == change.endpoint and at >= change.at), None)
+    return next((at for at, endpoint in received if endpoint == change.endpoint and at >= change.at), None)
--- a/tests/scale/test_scale_day.py
+++ b/tests/scale/test_scale_day.py
@@ -17,10 +17,10 @@
 from oatcart.scale.children import Interrupted
 from oatcart.scale.configuration import DaySettings, FleetSettings, Settings, ViewSettings
 from oatcart.scale.day import DayResult, DayScale, is_known, play_day, table_endpoints
-from oatcart.scale.day_deliveries import Cut, History, deliveries, drains
-from oatcart.scale.day_relay import DayClient, Word, entry_state
+from oatcart.scale.day_deliveries import Disconnection, History, delivery_stats, drain_stats
+from oatcart.scale.day_relay import DayClient, ReceivedState, entry_state
 from oatcart.scale.day_report import day_json, day_text
-from oatcart.scale.day_schedule import Change, Kind, ListedEndpoints, Step, schedule
+from oatcart.scale.day_schedule import Change, ChangeKind, ListedEndpoints, Step, schedule
 from oatcart.scale.day_trial import DayPlayer
 from oatcart.scale.day_views import UNBOUNDED, ExpectedViews
 from oatcart.scale.fault_plan import (
@@ -45,7 +45,7 @@
     failures=2, restarts=4, rack_losses=0, zone_losses=0, partitions=0, changes=12, burst_size=3
 )
 SMALL = DayScale(nodes=ENDPOINTS, hollow=3, real=0, time_compression=172_800.0, settle_s=0.1)
-LEAST_CUT_S = 0.4  # long enough for changes meanwhile
+MIN_PARTITION_S = 0.4  # long enough for changes meanwhile
 ENDED_WITHIN_S = 10.0
 
 
@@ -140,48 +140,67 @@
 DRAINING = FIRST._replace(phase="DRAINING")
 BACK = FIRST._replace(up_since_ms=5)
 DRAIN_CHANGES = [
-    Change(10.0, Kind.DRAIN, (ENTRIES[0] | {"phase": "DRAINING"},)),
-    Change(15.0, Kind.DELETE, (ENTRIES[0] | {"phase": "DELETED"},)),
-    Change(20.0, Kind.RETURN, (ENTRIES[0] | {"up_since_ms": 5},)),
+    Change(10.0, ChangeKind.DRAIN, (ENTRIES[0] | {"phase": "DRAINING"},)),
+    Change(15.0, ChangeKind.DELETE, (ENTRIES[0] | {"phase": "DELETED"},)),
+    Change(20.0, ChangeKind.RETURN, (ENTRIES[0] | {"up_since_ms": 5},)),
 ]
 
 
-def day_of(*words: Word, others: dict[str, list[Word]] | None = None) -> tuple[History, ExpectedViews]:
+def day_of(
+    *words: ReceivedState, others: dict[str, list[ReceivedState]] | None = None
+) -> tuple[History, ExpectedViews]:
     """One controller that held `x` from the start and was told these words, and perhaps others."""
-    told = {"c": [Word(1.0, "x", FIRST), *words]} | (others or {})
+    told = {"c": [ReceivedState(1.0, "x", FIRST), *words]} | (others or {})
     expected = ExpectedViews([Controller(name, "r", "z1", ()) for name in told], UNBOUNDED, 1, ENTRIES)
-    expected.take(DRAIN_CHANGES)
+    expected.apply(DRAIN_CHANGES)
     return History(ENTRIES, DRAIN_CHANGES, told), expected
 
 
 def test_all_words_in_time_are_delays() -> None:
-    history, expected = day_of(Word(10.5, "x", DRAINING), Word(15.25, "x", None), Word(21.0, "x", BACK))
-    found = deliveries(history, expected, [], 5.0)
-    assert [found[kind].delays for kind in (Kind.DRAIN, Kind.DELETE, Kind.RETURN)] == [[0.5], [0.25], [1.0]]
+    history, expected = day_of(
+        ReceivedState(10.5, "x", DRAINING), ReceivedState(15.25, "x", None), ReceivedState(21.0, "x", BACK)
+    )
+    found = delivery_stats(history, expected, [], 5.0)
+    assert [found[kind].delays for kind in (ChangeKind.DRAIN, ChangeKind.DELETE, ChangeKind.RETURN)] == [
+        [0.5],
+        [0.25],
+        [1.0],
+    ]
     assert not any(kind.missed or kind.unheld for kind in found.values())
-    assert drains(history, []).reached == 1 and drains(history, []).missed == []
+    assert drain_stats(history, []).reached == 1 and drain_stats(history, []).missed == []
 
 
 def test_a_controller_that_is_told_nothing_of_a_drain_is_missed() -> None:
-    deaf = {"deaf": [Word(1.0, "x", FIRST), Word(15.1, "x", None), Word(20.1, "x", BACK)]}
+    deaf = {
+        "deaf": [
+            ReceivedState(1.0, "x", FIRST),
+            ReceivedState(15.1, "x", None),
+            ReceivedState(20.1, "x", BACK),
+        ]
+    }
     history, expected = day_of(
-        Word(10.5, "x", DRAINING), Word(15.25, "x", None), Word(21.0, "x", BACK), others=deaf
+        ReceivedState(10.5, "x", DRAINING),
+        ReceivedState(15.25, "x", None),
+        ReceivedState(21.0, "x", BACK),
+        others=deaf,
     )
-    found = drains(history, [])
+    found = drain_stats(history, [])
     assert (found.reached, found.missed) == (1, ["deaf: x"])
-    silent = {"silent": [Word(1.0, "x", FIRST)]}
-    found = deliveries(*day_of(others=silent), [], 5.0)
-    assert len(found[Kind.DRAIN].missed) == 2 and len(found[Kind.RETURN].missed) == 2
+    silent = {"silent": [ReceivedState(1.0, "x", FIRST)]}
+    found = delivery_stats(*day_of(others=silent), [], 5.0)
+    assert len(found[ChangeKind.DRAIN].missed) == 2 and len(found[ChangeKind.RETURN].missed) == 2
 
 
 def test_a_drain_told_after_the_deletion_is_missed() -> None:
-    history, _ = day_of(Word(15.01, "x", DRAINING), Word(15.02, "x", None))
-    assert drains(history, []).missed == ["c: x"]
+    history, _ = day_of(ReceivedState(15.01, "x", DRAINING), ReceivedState(15.02, "x", None))
+    assert drain_stats(history, []).missed == ["c: x"]
 
 
 def test_a_word_of_an_older_state_is_not_the_change() -> None:
-    history, expected = day_of(Word(10.1, "x", FIRST), Word(12.0, "x", DRAINING), Word(15.1, "x", None))
-    assert deliveries(history, expected, [], 5.0)[Kind.DRAIN].delays == [2.0]
+    history, expected = day_of(
+        ReceivedState(10.1, "x", FIRST), ReceivedState(12.0, "x", DRAINING), ReceivedState(15.1, "x", None)
+    )
+    assert delivery_stats(history, expected, [], 5.0)[ChangeKind.DRAIN].delays == [2.0]
 
 
 def overtaken_return(dropped_at: float) -> tuple[int, list[str]]:
@@ -189,15 +208,19 @@
     back = ENTRIES[0] | {"up_since_ms": 5}
     changes = [
         *DRAIN_CHANGES,
-        Change(dropped_at, Kind.FAILURE, (back | {"phase": "DELETED"},)),
-        Change(29.0, Kind.RETURN, (back | {"up_since_ms": 9},)),
+        Change(dropped_at, ChangeKind.FAILURE, (back | {"phase": "DELETED"},)),
+        Change(29.0, ChangeKind.RETURN, (back | {"up_since_ms": 9},)),
     ]
     expected = ExpectedViews([Controller("c", "r", "z1", ())], UNBOUNDED, 1, ENTRIES)
-    expected.take(changes)
-    words = [Word(1.0, "x", FIRST), Word(10.5, "x", DRAINING), Word(15.5, "x", None)]
-    told = [*words, Word(30.0, "x", BACK._replace(up_since_ms=9))]
-    found = deliveries(History(ENTRIES, changes, {"c": told}), expected, [], 5.0)[Kind.RETURN]
-    return found.overtaken, found.late
+    expected.apply(changes)
+    words = [
+        ReceivedState(1.0, "x", FIRST),
+        ReceivedState(10.5, "x", DRAINING),
+        ReceivedState(15.5, "x", None),
+    ]
+    told = [*words, ReceivedState(30.0, "x", BACK._replace(up_since_ms=9))]
+    found = delivery_stats(History(ENTRIES, changes, {"c": told}), expected, [], 5.0)[ChangeKind.RETURN]
+    return found.overtaken, found.over_budget
 
 
 def test_an_endpoint_back_that_is_dropped_before_it_had_to_be_told_is_overtaken() -> None:
@@ -206,28 +229,32 @@
 
 
 def test_changes_to_a_controller_that_is_cut_off_are_counted_apart() -> None:
-    history, expected = day_of(Word(17.0, "x", None), Word(20.5, "x", BACK))
-    cut = Cut(frozenset("c"), 9.0, 16.0)
-    found = deliveries(history, expected, [cut], 5.0)
-    assert (found[Kind.DRAIN].cut_off, found[Kind.DELETE].cut_off, found[Kind.RETURN].cut_off) == (1, 1, 0)
-    told = drains(history, [cut])
+    history, expected = day_of(ReceivedState(17.0, "x", None), ReceivedState(20.5, "x", BACK))
+    disconnection = Disconnection(frozenset("c"), 9.0, 16.0)
+    found = delivery_stats(history, expected, [disconnection], 5.0)
+    assert (
+        found[ChangeKind.DRAIN].cut_off,
+        found[ChangeKind.DELETE].cut_off,
+        found[ChangeKind.RETURN].cut_off,
+    ) == (1, 1, 0)
+    told = drain_stats(history, [disconnection])
     assert (told.reached, told.cut_off, told.missed) == (0, 1, [])
-    assert drains(history, [cut._replace(controllers=frozenset("d"))]).missed == ["c: x"]
+    assert drain_stats(history, [disconnection._replace(controllers=frozenset("d"))]).missed == ["c: x"]
 
 
 def test_an_endpoint_that_nobody_holds_concerns_nobody() -> None:
-    change = Change(10.0, Kind.CONFIGURATION, (ENTRIES[1] | {"size": 2.0},))
-    history = History(ENTRIES, [change], {"c": [Word(1.0, "x", FIRST)]})
+    change = Change(10.0, ChangeKind.CONFIGURATION, (ENTRIES[1] | {"size": 2.0},))
+    history = History(ENTRIES, [change], {"c": [ReceivedState(1.0, "x", FIRST)]})
     expected = ExpectedViews([Controller("c", "r", "z1", ())], UNBOUNDED, 1, ENTRIES)
-    found = deliveries(history, expected, [], 5.0)[Kind.CONFIGURATION]
-    assert (found.nodes, found.unheld, found.pairs) == (1, 1, 0)
+    found = delivery_stats(history, expected, [], 5.0)[ChangeKind.CONFIGURATION]
+    assert (found.endpoints, found.unheld, found.pairs) == (1, 1, 0)
 
 
 def test_a_view_with_one_zone_of_two_is_not_usable() -> None:
     expected = ExpectedViews([Controller("c", "r", "z1", ("s",))], UNBOUNDED, 1, ENTRIES)
     assert expected.unusable("c", ["x", "y"]) == []
     assert expected.unusable("c", ["x"]) == ["s"]
-    expected.take([Change(1.0, Kind.DRAIN, (ENTRIES[1] | {"phase": "DRAINING"},))])
+    expected.apply([Change(1.0, ChangeKind.DRAIN, (ENTRIES[1] | {"phase": "DRAINING"},))])
     assert expected.unusable("c", ["x", "y"]) == [] and expected.unusable("c", ["y"]) == ["s"]
 
 
@@ -247,29 +274,29 @@
 
 def test_the_relay_notes_states_once_and_leaves_out_what_is_older() -> None:
     client = DayClient(0)
-    assert client.take(body(2, True, ENTRIES[0]), ()) == [("x", FIRST)]
-    assert client.take(body(3, True, ENTRIES[0]), ()) == []
+    assert client.record_answer(body(2, True, ENTRIES[0]), ()) == [("x", FIRST)]
+    assert client.record_answer(body(3, True, ENTRIES[0]), ()) == []
     drained = ENTRIES[0] | {"phase": "DRAINING"}
-    assert client.take(body(4, False, drained), ()) == [("x", DRAINING)]
-    assert client.take(body(3, True, ENTRIES[0]), ()) == [] and client.states == {"x": DRAINING}
-    assert client.take(body(5, False, drained | {"phase": "DELETED"}), ()) == [("x", None)]
-    assert client.members == set() and client.take(b"no json", ()) == []
+    assert client.record_answer(body(4, False, drained), ()) == [("x", DRAINING)]
+    assert client.record_answer(body(3, True, ENTRIES[0]), ()) == [] and client.states == {"x": DRAINING}
+    assert client.record_answer(body(5, False, drained | {"phase": "DELETED"}), ()) == [("x", None)]
+    assert client.members == set() and client.record_answer(b"no json", ()) == []
 
 
 # Days of few endpoints.
 
 
 def test_a_small_day_is_played_and_all_holds(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("oatcart.scale.day.LEAST_CUT_S", LEAST_CUT_S)
+    monkeypatch.setattr("oatcart.scale.day.MIN_PARTITION_S", MIN_PARTITION_S)
     result = play_small(replace(SMALL_DAY, zone_losses=1, rack_losses=1, partitions=1, changes=200))
     assert result.complaints == [] and "all held" in day_text(result)
-    assert set(result.kinds) == set(Kind)
+    assert set(result.kinds) == set(ChangeKind)
     assert result.drains.nodes == SMALL_DAY.restarts and result.drains.reached > 0
     assert result.end.told == result.end.tables == SMALL.hollow == result.end.known
     assert orjson.loads(day_json(result))["drains"]["nodes"] == SMALL_DAY.restarts
     (healing,) = result.healings
-    assert healing.cut.until - healing.cut.since >= LEAST_CUT_S
-    assert 0 < len(healing.cut.controllers) <= SMALL.hollow
+    assert healing.disconnection.until - healing.disconnection.since >= MIN_PARTITION_S
+    assert 0 < len(healing.disconnection.controllers) <= SMALL.hollow
     assert healing.changes > 0 and healing.caught_up_s is not None and healing.bytes_received > 0
     assert healing.moved == healing.had_to_move and healing.moved_needlessly == 0
     assert sum(kind.cut_off for kind in result.kinds.values()) > 0
@@ -288,8 +315,8 @@
 def test_a_controller_that_is_told_nothing_is_reported(
     monkeypatch: pytest.MonkeyPatch, whole_list: bool
 ) -> None:
-    monkeypatch.setattr("oatcart.scale.day_trial.SETTLED_WITHIN_S", 0.5)
-    monkeypatch.setattr("oatcart.scale.day.KNOWN_WITHIN_S", 0.1)
+    monkeypatch.setattr("oatcart.scale.day_trial.SETTLE_TIMEOUT_S", 0.5)
+    monkeypatch.setattr("oatcart.scale.day.VIEWS_KNOWN_TIMEOUT_S", 0.1)
     result = play_small(replace(SMALL_DAY, restarts=30), whole_list, OneDeaf)
     assert result.whole_list is whole_list and [load.role for load in result.loads] == (
         ["hollow_conductor"] if whole_list else ["control", "hollow_conductor"]
@@ -355,10 +382,10 @@
 class CutPlayer(DayPlayer):
     """A player that notes when it cuts and joins; its trial only gives samples."""
 
-    def _cut_off(self, event: RegionsCut) -> None:
-        self.since, self._cut = time.monotonic(), True
+    def _start_partition(self, event: RegionsCut) -> None:
+        self.since, self._partition = time.monotonic(), True
 
-    def _join(self, event: RegionsRejoined) -> None:
+    def _end_partition(self, event: RegionsRejoined) -> None:
         self.until = time.monotonic()
 
 
--- a/tests/scale/test_scale_discovery.py
+++ b/tests/scale/test_scale_discovery.py
@@ -29,14 +29,14 @@
     endpoints.change([ENDPOINT, OTHER])
     endpoints.change([ENDPOINT | {"phase": "DRAINING"}])
     endpoints.change([ENDPOINT | {"phase": "DELETED"}])
-    assert read(endpoints.whole()) == {"revision": 3, "complete": True, "members": [OTHER]}
-    assert read(endpoints.changes(1)) == {
+    assert read(endpoints.complete_list()) == {"revision": 3, "complete": True, "members": [OTHER]}
+    assert read(endpoints.changes_since(1)) == {
         "revision": 3,
         "complete": False,
         "members": [ENDPOINT | {"phase": "DELETED"}],
     }
-    assert read(endpoints.changes(3)) == {"revision": 3, "complete": False, "members": []}
-    assert endpoints.changes(0) == endpoints.whole()
+    assert read(endpoints.changes_since(3)) == {"revision": 3, "complete": False, "members": []}
+    assert endpoints.changes_since(0) == endpoints.complete_list()
 
 
 def test_an_endpoint_that_returns_is_listed_again() -> None:
@@ -44,7 +44,7 @@
     endpoints.change([ENDPOINT])
     endpoints.change([ENDPOINT | {"phase": "DELETED"}])
     endpoints.change([ENDPOINT])
-    assert ids(endpoints.whole()) == ["node-1"]
+    assert ids(endpoints.complete_list()) == ["node-1"]
 
 
 class Caller:
@@ -94,10 +94,10 @@
         answer = caller.answer()
         assert answer["revision"] == 2 and answer["members"] == [ENDPOINT | {"phase": "DRAINING"}]
         caller.send(f"/v1/servers?since=2&timeout_ms={LONG_WAIT_MS}")
-        while (at := first_acknowledged_at(discovery.held()["one"], 2)) is None:
+        while (at := first_acknowledged_at(discovery.acknowledged_revisions()["one"], 2)) is None:
             time.sleep(0.01)
         assert 0 < at - began < 5.0
-        assert first_acknowledged_at(discovery.held()["one"], 3) is None
+        assert first_acknowledged_at(discovery.acknowledged_revisions()["one"], 3) is None
 
 
 def test_a_watch_ends_empty_when_its_time_is_over(discovery: Discovery) -> None:
--- a/tests/scale/test_scale_hollow.py
+++ b/tests/scale/test_scale_hollow.py
@@ -107,11 +107,11 @@
     hollow_controllers.join_peers([peers()], keep_tables=True)
     hollow_controllers.fail([ENDPOINTS[5]])
 
-    def shut_out() -> bool:
+    def ejected() -> bool:
         (held,) = hollow_controllers.tables()
         return all(one["shut_out"] == [ENDPOINTS[5]] for one in held.tables.values())
 
-    wait_until(shut_out, "not shut out")
+    wait_until(ejected, "not shut out")
 
 
 def test_discovery_goes_away_and_returns(discovery: Discovery, hollow_controllers: HollowControllers) -> None:
@@ -176,9 +176,9 @@
     held.apply({"full": True, "endpoints": [["x", 1.5], ["y", 2]], "admit": 0.5, "policy": 1}, ["r", "s"])
     held.apply({"routes": ["r"], "endpoints": [["x", 0], ["z", 3]], "eject": ["y"]}, ["r", "s"])
     assert held.weights == {"r": {"y": 2, "z": 3}, "s": {"x": 1.5, "y": 2}}
-    assert held.shut_out == {"y"} and held.levels == {"r": 0.5, "s": 0.5}
+    assert held.ejected == {"y"} and held.admitted_shares == {"r": 0.5, "s": 0.5}
     held.apply({"routes": ["r"], "full": True, "endpoints": [], "restore": ["y"]}, ["r", "s"])
-    assert held.weights["r"] == {} and held.levels == {"s": 0.5} and not held.shut_out
+    assert held.weights["r"] == {} and held.admitted_shares == {"s": 0.5} and not held.ejected
 
 
 def test_nested_stretches_are_metered_once() -> None:
--- a/tests/scale/test_scale_views.py
+++ b/tests/scale/test_scale_views.py
@@ -15,7 +15,7 @@
 from oatcart.scale.trial import MadeChange, running
 from oatcart.scale.trial_settings import TrialSettings
 from oatcart.scale.view_relay import AnswerReader, RelayedClient
-from oatcart.scale.view_trial import ViewTrial, first_word
+from oatcart.scale.view_trial import ViewTrial, first_received_at
 
 ENDPOINTS = 120
 SMALL = TrialSettings(
@@ -121,28 +121,28 @@
 
 def test_members_follow_whole_lists_and_changes() -> None:
     client = RelayedClient(0)
-    client.take(list_body(True, x="SERVING", y="SERVING"), set())
-    client.take(list_body(False, y="DELETED", z="DRAINING"), set())
+    client.record_answer(list_body(True, x="SERVING", y="SERVING"), set())
+    client.record_answer(list_body(False, y="DELETED", z="DRAINING"), set())
     assert client.members == {"x", "z"}
-    client.take(list_body(True, w="SERVING"), set())
+    client.record_answer(list_body(True, w="SERVING"), set())
     assert client.members == {"w"}
 
 
 def test_word_of_tracked_endpoints_is_noted_also_when_a_whole_list_lacks_them() -> None:
     client = RelayedClient(0)
-    assert client.take(list_body(True, x="SERVING", y="SERVING"), {"x"}) == ["x"]
-    assert client.take(list_body(False, y="DRAINING"), {"x"}) == []
-    assert client.take(list_body(True, y="SERVING"), {"x"}) == ["x"]
+    assert client.record_answer(list_body(True, x="SERVING", y="SERVING"), {"x"}) == ["x"]
+    assert client.record_answer(list_body(False, y="DRAINING"), {"x"}) == []
+    assert client.record_answer(list_body(True, y="SERVING"), {"x"}) == ["x"]
 
 
 @pytest.mark.parametrize("body", [b"", b"no json", b"[]", b"{}", b'{"members":[{}],"complete":true}'])
 def test_a_body_that_is_no_list_tells_of_nothing(body: bytes) -> None:
     client = RelayedClient(0)
     client.members = {"x"}
-    assert client.take(body, {"x"}) == [] and client.members == {"x"}
+    assert client.record_answer(body, {"x"}) == [] and client.members == {"x"}
 
 
 def test_the_first_word_after_a_change_counts() -> None:
     told = [(1.0, "x"), (2.0, "y"), (3.0, "x")]
-    assert first_word(told, MadeChange(1.5, "all", 2, "x")) == 3.0
-    assert first_word(told, MadeChange(3.5, "all", 2, "x")) is None
+    assert first_received_at(told, MadeChange(1.5, "all", 2, "x")) == 3.0
+    assert first_received_at(told, MadeChange(3.5, "all", 2, "x")) is None
