--- a/oatcart/scale/children.py
+++ b/oatcart/scale/children.py
@@ -1,8 +1,8 @@
-"""Helper processes of a measured run: started with a pipe for commands, ended by whoever started them.
+"""Child processes of a measured run, which their parent controls through pipes.
 
-A child reads commands as JSON lines from its standard input and answers each with one JSON line. It ends at
-the end of its input, so it outlives neither its parent nor an interrupted run. Its processor time and
-memory are read from /proc and are its own role's.
+A child reads commands as JSON lines from its standard input and answers each with one JSON line. It ends
+when its input ends, so it outlives neither its parent nor an interrupted run. Each role of the run is a
+process of its own, so that its processor time and memory can be read from /proc.
 """
 
 import asyncio
@@ -23,29 +23,32 @@
 
 from oatcart.errors import OatcartError
 
-ANSWER_TIMEOUT_S = 60.0  # for one command; the longest sets up thousands of endpoints
-TERMINATE_TIMEOUT_S = 3.0  # from SIGTERM to SIGKILL
-MAX_ERROR_TEXT_LENGTH = 2000  # letters of a child's standard error in an error message
+ANSWER_TIMEOUT_S = 60.0  # for one command; the slowest one sets up thousands of endpoints
+TERMINATE_TIMEOUT_S = 3.0  # between SIGTERM and SIGKILL
+MAX_ERROR_TEXT_LENGTH = 2000  # characters of a child's standard error in an error message
 MEGABYTE = 1e6
 NANOSECONDS = 1e9  # in a second
-_USER_TICKS, _SYSTEM_TICKS = 11, 12  # fields of /proc/PID/stat behind the program's name
+_USER_TICKS, _SYSTEM_TICKS = 11, 12  # indexes of the fields that follow the program's name in /proc/PID/stat
 _SET_PARENT_DEATH_SIGNAL = 1  # prctl's PR_SET_PDEATHSIG
 _LIBC = ctypes.CDLL(None, use_errno=True)
 
 
 class ChildError(OatcartError):
-    """A child process that ended early, answered with an error or did not answer in time."""
+    """Raised when a child process ended early, answered with an error or did not answer in time."""
 
 
 class Interrupted(BaseException):
-    """SIGTERM came during a run; no Exception, like KeyboardInterrupt, so that only clean-up sees it."""
+    """Raised when SIGTERM arrives during a run.
+
+    Like KeyboardInterrupt it is not an Exception, so that only clean-up code handles it.
+    """
 
 
 def core_seconds(pid: int) -> float:
-    """Processor seconds that all threads of a process have used; raises OSError when it has ended.
+    """Returns the processor seconds that a process has used; raises OSError when it has ended.
 
-    The scheduler's count is in nanoseconds but lacks threads that have ended; the process's own count has
-    them, in ticks of a hundredth of a second.
+    The scheduler counts in nanoseconds, but only for threads that still run. The count of the process
+    includes ended threads, in ticks of a hundredth of a second. The larger count is returned.
     """
     live_threads_s = sum(_thread_core_ns(path) for path in Path(f"/proc/{pid}/task").iterdir()) / NANOSECONDS
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
@@ -57,24 +60,27 @@
     try:
         return int((task / "schedstat").read_text().split()[0])
     except (FileNotFoundError, ProcessLookupError):
-        return 0  # it has just ended
+        return 0  # the thread has just ended
 
 
 def resident_megabytes(pid: int) -> float:
-    """Resident memory of a process in megabytes (10^6 bytes); raises OSError when it has ended."""
+    """Returns the resident memory of a process in megabytes (10^6 bytes); raises OSError if it has ended."""
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE") / MEGABYTE
 
 
 def end_with_parent() -> None:
-    """Runs in a new process before its program: the kernel ends it when its parent dies, however it dies."""
+    """Makes the kernel send SIGTERM to this process when its parent dies, for whatever reason.
+
+    A new process calls it before it executes its program.
+    """
     _LIBC.prctl(_SET_PARENT_DEATH_SIGNAL, signal.SIGTERM)
 
 
 class ChildProcess:
-    """A process that is ended at the latest when its `with` block is left.
+    """A process that is ended when its `with` block is left.
 
-    Its standard error goes to a temporary file, as a pipe that nobody reads would stop it.
+    Its standard error goes to a temporary file, because a pipe that is not read would fill up and block it.
     """
 
     def __init__(
@@ -104,16 +110,16 @@
         return self.process.poll() is None
 
     def error_text(self) -> str:
-        """What the process has written to its standard error so far."""
-        with open(f"/proc/self/fd/{self.errors.fileno()}", "rb") as file:  # an offset of its own
+        """Returns what the process has written to its standard error so far."""
+        with open(f"/proc/self/fd/{self.errors.fileno()}", "rb") as file:  # it has its own file offset
             return file.read().decode(errors="replace")
 
     def core_seconds(self) -> float:
-        """Processor seconds of all its threads since its start; raises OSError once it has ended."""
+        """Returns the processor seconds used since its start; raises OSError once it has ended."""
         return core_seconds(self.pid)
 
     def resident_megabytes(self) -> float:
-        """Resident memory in megabytes (10^6 bytes); raises OSError once it has ended."""
+        """Returns the resident memory in megabytes (10^6 bytes); raises OSError once it has ended."""
         return resident_megabytes(self.pid)
 
     def end(self) -> None:
@@ -127,7 +133,7 @@
         self.process.wait()
         for pipe in self.process.stdin, self.process.stdout:
             if pipe is not None:
-                with suppress(BrokenPipeError):  # a command that a dead child did not read
+                with suppress(BrokenPipeError):  # the child died with a command unread
                     pipe.close()
         self.errors.close()
 
@@ -141,7 +147,7 @@
 
 
 class Child(ChildProcess):
-    """A process that runs one of our modules and answers commands."""
+    """A process that runs a module of this package and answers commands."""
 
     def __init__(self, module: str, *arguments: str) -> None:
         super().__init__([sys.executable, "-m", module, *arguments], pipes=True)
@@ -149,12 +155,12 @@
         self._unread = bytearray()
 
     def ask(self, command: str, **fields: object) -> dict:
-        """The answer to one command; raises ChildError."""
+        """Sends a command and returns its answer; raises ChildError."""
         self.send(command, **fields)
         return self.receive()
 
     def send(self, command: str, **fields: object) -> None:
-        """Sends a command whose answer `receive` reads; raises ChildError."""
+        """Sends a command, whose answer `receive` returns; raises ChildError."""
         try:
             self.process.stdin.write(orjson.dumps({"command": command, **fields}) + b"\n")
             self.process.stdin.flush()
@@ -162,7 +168,7 @@
             raise self._child_error("has ended") from None
 
     def receive(self, timeout_s: float = ANSWER_TIMEOUT_S) -> dict:
-        """The oldest answer that was not read yet; raises ChildError."""
+        """Returns the oldest unread answer; raises ChildError."""
         deadline = time.monotonic() + timeout_s
         descriptor = self.process.stdout.fileno()
         while b"\n" not in self._unread:
@@ -188,24 +194,24 @@
 
 
 def answer(line: bytes, commands: Commands) -> bytes:
-    """In a child: runs one command and encodes its answer; an error is answered, and the child goes on."""
+    """In a child: runs one command and returns its encoded answer; an exception becomes an error answer."""
     try:
         fields = orjson.loads(line)
         result = commands[fields.pop("command")](**fields)
-        return orjson.dumps(result or {}, default=tuple) + b"\n"  # a NamedTuple as the tuple that it is
+        return orjson.dumps(result or {}, default=tuple) + b"\n"  # encodes a NamedTuple as an array
     except Exception as error:
         return orjson.dumps({"error": repr(error)}) + b"\n"
 
 
 class CommandReader:
-    """In a child: answers every command that has arrived on standard input."""
+    """In a child: answers the commands that arrive on standard input."""
 
     def __init__(self, commands: Commands) -> None:
         self.commands = commands
         self._unread = bytearray()
 
     def read(self) -> bool:
-        """Answers what has arrived; False at the end of the input, when the child is to end."""
+        """Answers the commands that have arrived; returns False at the end of the input."""
         received = os.read(sys.stdin.fileno(), 1 << 20)
         self._unread += received
         while b"\n" in self._unread:
@@ -216,7 +222,7 @@
 
 
 async def answer_commands(commands: Commands) -> None:
-    """In a child on asyncio: answers the commands that arrive until the end of its input."""
+    """In a child that uses asyncio: answers commands until the end of its input."""
     ended = asyncio.Event()
     reader = CommandReader(commands)
 
@@ -236,10 +242,10 @@
 
 
 def own_usage() -> dict:
-    """In a child: processor seconds and resident megabytes of this process."""
+    """In a child: returns the processor seconds and resident megabytes of this process."""
     return {"core_s": core_seconds(os.getpid()), "resident_mb": resident_megabytes(os.getpid())}
 
 
 def ignore_interrupts() -> None:
-    """In a child: only its parent ends it, which reads the last figures first."""
+    """In a child: ignores SIGINT, as the parent reads the last figures before it ends the child."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
--- a/oatcart/scale/day.py
+++ b/oatcart/scale/day.py
@@ -1,14 +1,14 @@
-"""The ordinary day of a fleet, played on one machine: every event becomes a change of the list of endpoints.
+"""Plays the ordinary day of a fleet on one machine: every event becomes a change of the endpoint list.
 
-What is scaled: the fleet and the counts of events, to so many endpoints; the controllers, to what the machine
-bears; and the gaps between events, which are compressed. Not scaled are the delays of changes, which are
-measured in real time against the budget, and what `day_schedule.py` keeps long. A rack or a zone is lost as
-one revision of the list. What a cut between regions means here tells `day_trial.py`; which controllers a
-change concerns tells `day_deliveries.py`.
+Scaled down are the fleet and the counts of events, to a number of endpoints; the number of controllers, to
+what the machine can run; and the gaps between events, which are compressed. Not scaled are the delays of
+changes, which are measured in real time against the budget, and the spans that `day_schedule.py` keeps long.
+The loss of a rack or a zone is one revision of the list. `day_trial.py` describes how a partition between
+regions is played, `day_deliveries.py` which controllers a change affects.
 
-Processor time of a hollow controller in a single second is that of the process of all of them, its hollow
-proxies too, divided by their number; that of the whole day is also read by its own meter. As the day is
-compressed, a second of it has many times the changes of a real one.
+The processor time of a hollow controller in a single second is that of the process of all hollow controllers
+and their hollow proxies, divided by the number of controllers; for the complete day it is also measured by
+the controller's own meter. As the day is compressed, a second of it has many times the changes of a real one.
 """
 
 import time
@@ -30,10 +30,9 @@
 from oatcart.scale.trial import POLL_INTERVAL_S, Reading, running
 from oatcart.scale.trial_settings import TrialSettings
 
-MIN_PARTITION_S = 5.0  # of a cut between regions, in real time
-MAX_RETENTION_S = (
-    2 * FORGET_AFTER_S + 2.0
-)  # that a controller keeps a gone endpoint, and as long as it takes to be told
+MIN_PARTITION_S = 5.0  # real seconds between the start and the end of a partition between regions
+# The longest that a controller keeps a gone endpoint, with the time until the removal reaches it.
+MAX_RETENTION_S = 2 * FORGET_AFTER_S + 2.0
 VIEWS_KNOWN_TIMEOUT_S = 10.0  # after the last change, until controllers know exactly their views
 Progress = Callable[[str], None]
 
@@ -51,19 +50,18 @@
 
 QUICK = DayScale(nodes=1_000, hollow=10, real=1, time_compression=4_320.0)
 FULL = DayScale(nodes=2_000, hollow=24, real=2, time_compression=480.0, settle_s=3.0)
-MAX_COMPLETE_LIST_CONTROLLERS = (
-    4  # hollow controllers that follow the whole list: each of them takes far more
-)
+# Hollow controllers that watch the complete list take far more resources than those with a bounded view.
+MAX_COMPLETE_LIST_CONTROLLERS = 4
 
 
 class EndState(NamedTuple):
-    """How controllers stand at the end of the day, of `conductors` in all.
+    """The state of all `conductors` (controllers) at the end of the day.
 
-    `told`: were told exactly the list they ought to have. `known`: of `hollow` ones those that know all
-    endpoints of it and no others but such as have left it lately, of which there are `kept` in all: a
-    controller keeps the number of a gone endpoint for up to a minute. `tables`: controllers whose proxies
-    hold endpoints of the list alone. `unusable`: services of controllers with ready endpoints in too few
-    zones.
+    `told`: controllers that were sent exactly their expected list. `known`: of the `hollow` controllers,
+    those that know all endpoints of the list and otherwise only endpoints that left it lately, because a
+    controller keeps the number of a gone endpoint for up to a minute; `kept` counts these endpoints over all
+    hollow controllers. `tables`: controllers whose proxies hold only endpoints of the list. `unusable`: the
+    services that a controller calls but has ready endpoints for in too few zones.
     """
 
     conductors: int
@@ -77,10 +75,11 @@
 
 @dataclass(frozen=True)
 class DayResult:
-    """One played day; times in seconds. `late_s`: the most by which a change was made late.
+    """The result of one played day; times in seconds.
 
-    `hollow_late_s`: the most by which the process of hollow controllers was late with their reports;
-    `hollow_was_late` tells that this is more than their own longest round, so that delays are the machine's.
+    `late_s`: the longest by which a change was made later than scheduled. `hollow_late_s`: the longest by
+    which the process of hollow controllers sent their peers' reports late; `hollow_was_late`: this is longer
+    than their longest round, so that the machine caused part of the delays.
     """
 
     scale: DayScale
@@ -102,9 +101,9 @@
 
     @property
     def complaints(self) -> list[str]:
-        """All that ought not to be, a line each; none where the day went well."""
+        """The failed expectations, a line each; empty if the day passed."""
         found = [f"missed: {one}" for stats in self.kinds.values() for one in stats.missed]
-        found += [f"deleted before its drain was had: {one}" for one in self.drains.missed]
+        found += [f"deleted before its drain was received: {one}" for one in self.drains.missed]
         found += [
             f"over the budget of {self.budget_s:g} s: {one}"
             for stats in self.kinds.values()
@@ -112,16 +111,18 @@
         ]
         found += [f"not usable: {one}" for one in self.end.unusable]
         if self.end.told < self.end.conductors:
-            found.append(f"{self.end.conductors - self.end.told} conductors were not told their view")
+            found.append(f"{self.end.conductors - self.end.told} controllers were not sent their view")
         if self.end.known < self.end.hollow:
-            found.append(f"{self.end.hollow - self.end.known} hollow conductors do not know their view")
+            found.append(f"{self.end.hollow - self.end.known} hollow controllers do not know their view")
         if self.end.tables < self.end.conductors:
-            found.append(f"{self.end.conductors - self.end.tables} have proxies that hold other nodes")
+            found.append(
+                f"{self.end.conductors - self.end.tables} controllers have proxies that hold other endpoints"
+            )
         for healing in self.healings:
             if healing.caught_up_s is None:
-                found.append(f"{healing.region}: not all conductors caught up")
+                found.append(f"{healing.region}: not all controllers caught up")
             if healing.moved_needlessly:
-                found.append(f"{healing.region}: {healing.moved_needlessly} nodes moved without need")
+                found.append(f"{healing.region}: {healing.moved_needlessly} endpoints moved needlessly")
         return found
 
 
@@ -133,9 +134,9 @@
     kind: type[DayTrial] | None = None,
     player_kind: type[DayPlayer] = DayPlayer,
 ) -> DayResult:
-    """Plays the day of a file's fleet at a scale; all processes are ended when it returns or raises.
+    """Plays the day of the configured fleet at a scale; all processes are ended when it returns or raises.
 
-    Raises FaultPlanError where the day does not fit into so small a fleet, SizeLimitError, NotReadyError,
+    Raises FaultPlanError if the day does not fit into so small a fleet, SizeLimitError, NotReadyError and
     ChildError.
     """
     if whole_list:
@@ -155,7 +156,7 @@
         trial.start()
         trial.join_peers(keep_tables=True)
         interrupts.sleep(scale.settle_s)
-        progress("all are ready, the day begins")
+        progress("all controllers are ready, the day begins")
         before = trial.read()
         player = player_kind(trial, interrupts.sleep)
         player.play(steps, day_plan.length_s)
@@ -166,7 +167,7 @@
 
 
 def trial_settings(settings: Settings, scale: DayScale) -> TrialSettings:
-    """The controllers and the fleet of a played day."""
+    """Returns the settings of the trial on which a day is played."""
     return TrialSettings(
         fleet=replace(settings.fleet.scaled_to(scale.nodes), conductors=scale.hollow + scale.real),
         seed=settings.seed,
@@ -179,17 +180,14 @@
 
 
 def end_state(player: DayPlayer) -> EndState:
-    """How controllers stand once no more changes are made; they get some time to come to it."""
+    """Returns the state of the controllers after the last change, once they settled or a timeout passed."""
     trial = player.trial
     player.wait_settled(trial.names)
     until = time.monotonic() + VIEWS_KNOWN_TIMEOUT_S
     while True:
-        held, left = (
-            trial.controller_tables(),
-            endpoints_left_since(trial, time.monotonic() - MAX_RETENTION_S),
-        )
+        held, removed = trial.controller_tables(), removed_since(trial, time.monotonic() - MAX_RETENTION_S)
         views = {name: trial.expected.view(name) for name in trial.names}
-        known = [name for name in trial.hollow_names if is_known(held[name], views[name], left[name])]
+        known = [name for name in trial.hollow_names if is_known(held[name], views[name], removed[name])]
         tables = [name for name in trial.names if table_endpoints(held[name]) <= views[name]]
         if (known, tables) == (trial.hollow_names, trial.names) or time.monotonic() > until:
             break
@@ -210,21 +208,21 @@
     )
 
 
-def endpoints_left_since(trial: DayTrial, since: float) -> dict[str, set[str]]:
-    """By controller the endpoints that it was told have left its list, since a moment."""
+def removed_since(trial: DayTrial, since: float) -> dict[str, set[str]]:
+    """Returns for each controller the endpoints whose removal from its list it received since a moment."""
     return {
         name: {one.endpoint for one in received if one.state is None and one.at >= since}
         for name, received in trial.relay.received_states().items()
     }
 
 
-def is_known(held: ControllerTables, view: frozenset[str], left: set[str]) -> bool:
-    """Whether a hollow controller knows its whole view, and no other endpoints but those that left lately."""
-    return view <= set(held.known) <= view | left
+def is_known(held: ControllerTables, view: frozenset[str], removed: set[str]) -> bool:
+    """Returns whether a hollow controller knows its complete view and else only `removed` endpoints."""
+    return view <= set(held.known) <= view | removed
 
 
 def table_endpoints(held: ControllerTables) -> set[str]:
-    """The endpoints that a controller's proxies may send to."""
+    """Returns the endpoints that a controller's proxies may send requests to."""
     return {
         endpoint
         for table in held.tables.values()
@@ -243,7 +241,7 @@
     end: EndState,
     length_s: float,
 ) -> DayResult:
-    """Everything that a played day has shown."""
+    """Returns the result of a played day."""
     trial, (before, after) = player.trial, readings
     history = History(trial.first_entries, player.changes, trial.relay.received_states())
     disconnections = [healing.disconnection for healing in player.healings]
@@ -269,7 +267,7 @@
 
 
 def fleet_counts(plan: FleetPlan) -> dict[str, int]:
-    """The counts of the fleet as played."""
+    """Returns the counts of endpoints, services, zones and regions of the fleet as played."""
     return {
         "nodes": len(plan.endpoints),
         "services": len(plan.services),
@@ -279,5 +277,5 @@
 
 
 def fleet_text(plan: FleetPlan) -> str:
-    """The counts of the fleet as played, in words."""
+    """Returns the counts of the fleet as played, as text."""
     return ", ".join(f"{count} {name}" for name, count in fleet_counts(plan).items())
--- a/oatcart/scale/day_deliveries.py
+++ b/oatcart/scale/day_deliveries.py
@@ -1,10 +1,9 @@
-"""Which controllers had which change when: the changes of a day held against the words that controllers were
-told.
+"""When each controller received each change: the changes of a day compared with the states received.
 
-A change concerns the controllers that held the endpoint when it was made; an endpoint that is back concerns
-those whose view ought to have it then. A controller has the change once it has the state that it set, a newer
-one, or word that the endpoint has left its list. Times are real; the day compresses only the gaps between
-changes.
+A change affects the controllers whose list had the endpoint when the change was made; the return of an
+endpoint affects those whose expected view has it then. A controller has received a change once it has
+received the state that the change set, a newer one, or the removal of the endpoint from its list. Times are
+real; the day compresses only the gaps between changes.
 """
 
 from bisect import bisect_right
@@ -19,25 +18,26 @@
 
 
 class Disconnection(NamedTuple):
-    """Controllers that were told nothing from one moment to another (monotonic seconds)."""
+    """Controllers that received no answers between two moments (monotonic seconds)."""
 
     controllers: frozenset[str]
     since: float
     until: float
 
     def overlaps(self, name: str, first: float, last: float) -> bool:
-        """Whether a controller was cut off at any time between two moments."""
+        """Returns whether a controller was cut off at any time between two moments."""
         return name in self.controllers and first <= self.until and last >= self.since
 
 
 @dataclass
 class DeliveryStats:
-    """What became of the changes of one kind, in pairs of an endpoint changed and a controller concerned.
+    """The deliveries of changes of one kind, in pairs of a changed endpoint and an affected controller.
 
-    `delays` are seconds until a controller had the change, `last_delays` of each changed endpoint until the
-    last one had it. `late` pairs came after the budget, `missed` ones never; of `overtaken` ones a later
-    change took the endpoint from the view before it was told, within the budget; `cut_off` ones were made
-    while the controller was cut off. `unheld` endpoints concerned nobody.
+    `delays` are the seconds until a controller received the change, `last_delays` those until the last
+    affected controller did, one for each changed endpoint. Pairs `over_budget` were delivered after the
+    budget, `missed` ones never. For `overtaken` pairs a later change, made within the budget, removed the
+    endpoint from the view before it was delivered; for `cut_off` ones the controller was cut off between the
+    change and its delivery. `unheld` endpoints affected no controller.
     """
 
     revisions: int = 0
@@ -54,9 +54,10 @@
 
 @dataclass
 class DrainStats:
-    """Drained endpoints that were deleted, in pairs with the controllers that held them.
+    """Drained endpoints that were deleted, counted in pairs with the controllers whose list had them.
 
-    A pair is `reached` where the controller had the drain, or had the endpoint no more, before the deletion.
+    A pair is `reached` if the controller received the drain, or the removal of the endpoint from its list,
+    before the deletion.
     """
 
     nodes: int = 0
@@ -66,7 +67,7 @@
 
 
 class History:
-    """The states of all endpoints and what each controller was told of them, by endpoint."""
+    """The changes of a day and the endpoint states that each controller received, by endpoint."""
 
     def __init__(
         self,
@@ -87,17 +88,20 @@
                 by_endpoint.setdefault(one.endpoint, []).append(one)
 
     def change_of(self, one: ReceivedState) -> int:
-        """The number of the change that set the state told; -1 for the state before the day."""
+        """Returns the number of the change that set a received state; -1 for the state before the day."""
         return self._change_of[one.endpoint, one.state]
 
     def last_received(self, name: str, endpoint: str, at: float) -> ReceivedState | None:
-        """The last state of an endpoint that a controller was sent by a moment; None where it held none."""
+        """Returns the last state of an endpoint that a controller received up to a moment.
+
+        None if its list did not have the endpoint.
+        """
         received = self.received[name].get(endpoint, [])
         index = bisect_right(received, at, key=lambda one: one.at)
         return received[index - 1] if index and received[index - 1].state else None
 
     def received_at(self, name: str, endpoint: str, number: int) -> float | None:
-        """When a controller had a change of an endpoint; None where it never had."""
+        """Returns when a controller received a change of an endpoint; None if it never did."""
         made_at = self.changes[number].at
         return next(
             (
@@ -112,7 +116,7 @@
 def delivery_stats(
     history: History, expected: ExpectedViews, disconnections: Collection[Disconnection], budget_s: float
 ) -> dict[ChangeKind, DeliveryStats]:
-    """What became of each kind of change, which ought to be had within `budget_s`."""
+    """Returns the deliveries of each kind of change; each is expected within `budget_s`."""
     found: dict[ChangeKind, DeliveryStats] = {}
     for number, change in enumerate(history.changes):
         stats = found.setdefault(change.kind, DeliveryStats())
@@ -160,7 +164,7 @@
 def _affected_controllers(
     history: History, expected: ExpectedViews, number: int, endpoint: str
 ) -> Iterator[str]:
-    """The controllers that a change of an endpoint concerns."""
+    """Yields the controllers that a change of an endpoint affects."""
     change = history.changes[number]
     if change.kind is ChangeKind.RETURN:
         yield from expected.holders_of_returned[number, endpoint]
@@ -179,7 +183,7 @@
     endpoint: str,
     received_at: float | None,
 ) -> bool:
-    """Whether an endpoint that came back left the view again before it was told, and before it had to be."""
+    """Returns whether a returned endpoint left the view again before its delivery, and within the budget."""
     if history.changes[number].kind is not ChangeKind.RETURN:
         return False
     dropped = expected.change_dropping(name, endpoint, number)
@@ -191,7 +195,7 @@
 
 
 def drain_stats(history: History, disconnections: Collection[Disconnection]) -> DrainStats:
-    """Whether each drained endpoint reached every controller that held it before it was deleted."""
+    """Counts the controllers that received each drain before the endpoint was deleted, and the others."""
     found = DrainStats()
     last_drain: dict[str, int] = {}  # by endpoint, the number of its last drain
     for number, change in enumerate(history.changes):
@@ -217,7 +221,7 @@
         last = history.last_received(name, endpoint, deleted_at)
         has_drain = last is None or history.change_of(last) >= drain
         if last is None and not history.last_received(name, endpoint, drained_at):
-            continue  # it did not hold the endpoint
+            continue  # its list did not have the endpoint
         if not has_drain and any(one.overlaps(name, drained_at, deleted_at) for one in disconnections):
             found.cut_off += 1
         elif has_drain:
--- a/oatcart/scale/day_loads.py
+++ b/oatcart/scale/day_loads.py
@@ -1,4 +1,4 @@
-"""What each role took over a played day: the mean, the worst second, and the seconds after a zone's loss."""
+"""The load of each role over a played day: the mean, the worst second, and the seconds after a zone loss."""
 
 from collections.abc import Callable, Sequence
 from itertools import pairwise
@@ -12,7 +12,7 @@
 
 
 class Rates(NamedTuple):
-    """What a role takes in a span: share of a core, bytes and messages a second; of a controller the mean."""
+    """The load of a role: share of a core, bytes and messages a second; for controllers their mean."""
 
     core_share: float
     bytes_in_s: float
@@ -22,7 +22,10 @@
 
 
 class RoleLoad(NamedTuple):
-    """A role over the day; `worst` has of each figure the worst second, `zone_lost` that of a zone's loss."""
+    """The load of a role over the day.
+
+    `worst` has the largest figure of any second; `zone_lost` that of the seconds after the loss of a zone.
+    """
 
     role: str
     mean: Rates
@@ -31,7 +34,10 @@
 
 
 def metered_core_share(before: Reading, after: Reading) -> float:
-    """Of the mean hollow controller by its own meter, without its proxies; 0 where there are none."""
+    """Returns the share of a core of the mean hollow controller by its own meter, without its proxies.
+
+    0 if there are no hollow controllers.
+    """
     if not before.hollow or not after.hollow:
         return 0.0
     pairs = zip(before.hollow.controllers, after.hollow.controllers, strict=True)
@@ -39,7 +45,7 @@
 
 
 def role_loads(player: DayPlayer) -> list[RoleLoad]:
-    """What each role took, from the samples of the day."""
+    """Returns the load of each role from the samples of the day."""
     trial, samples = player.trial, player.samples
     readers: dict[str, Callable[[Sample, Sample], Rates]] = {}
     if trial.control:
@@ -62,7 +68,7 @@
     samples: Sequence[Sample],
     zone_losses: Sequence[float],
 ) -> RoleLoad:
-    """The mean and the worst seconds of one role."""
+    """Returns the mean and the worst seconds of one role."""
     seconds = [(then, now) for then, now in pairwise(samples) if now.at - then.at >= POLL_INTERVAL_S]
     after_loss = [
         reader(then, now)
@@ -78,12 +84,12 @@
 
 
 def worst(rates: Sequence[Rates]) -> Rates:
-    """Of each figure the largest."""
+    """Returns the largest value of each figure."""
     return Rates(*(max(figures) for figures in zip(*rates, strict=True)))
 
 
 def controller_rates(then: Sample, now: Sample, names: Sequence[str], core_s: float) -> Rates:
-    """The mean controller of some, which took so many core seconds together."""
+    """Returns the mean load of the named controllers, which took `core_s` core seconds in all."""
     shared = (now.at - then.at) * len(names)
     traffic = summed(*({name: one.clients[name] for name in names} for one in (then, now)))
     return Rates(
@@ -96,7 +102,7 @@
 
 
 def control_rates(then: Sample, now: Sample) -> Rates:
-    """The control role, with discovery and all controllers together."""
+    """Returns the load of the control role, whose traffic is that with discovery and all controllers."""
     span_s = now.at - then.at
     served, followed = summed(then.clients, now.clients), summed(then.source, now.source)
     return Rates(
--- a/oatcart/scale/day_relay.py
+++ b/oatcart/scale/day_relay.py
@@ -1,11 +1,10 @@
-"""The counting relay of a played day: it also notes the content of what each controller was told, and cuts
-controllers off.
+"""The counting relay of a played day, which also records the endpoint states sent and cuts controllers off.
 
-Unlike the relay of a trial it notes every endpoint, and of every endpoint the fields that a change of the day
-changes, so that each word to a controller can be matched to the one change that it tells of. A controller
-that is cut off has its connections reset, and every new one too, until it is joined again.
+Unlike the relay of a trial it records every endpoint, with the fields that the changes of the day set, so
+that each state that a controller received can be matched to the one change that set it. The connections of a
+controller that is cut off are reset, and so is each new one until the cut ends.
 
-The process (`python -m oatcart.scale.day_relay`) takes commands as in `children.py`.
+The process (`python -m oatcart.scale.day_relay`) takes commands as described in `children.py`.
 """
 
 import asyncio
@@ -21,7 +20,7 @@
 
 
 class EntryState(NamedTuple):
-    """The fields of an endpoint's entry that the day changes."""
+    """The fields of an endpoint's entry that the changes of a day set."""
 
     phase: str
     address: str
@@ -30,7 +29,10 @@
 
 
 class ReceivedState(NamedTuple):
-    """At a moment (monotonic seconds) a controller had this state of an endpoint; None: it left the list."""
+    """The state of an endpoint that a controller received, and when (monotonic seconds).
+
+    `state` is None if the endpoint left the controller's list.
+    """
 
     at: float
     endpoint: str
@@ -38,14 +40,14 @@
 
 
 def entry_state(entry: Mapping) -> EntryState:
-    """The state that an entry tells."""
+    """Returns the state of an endpoint from its entry."""
     return EntryState(
         entry["phase"], entry.get("host_port", ""), entry.get("size", 0.0), entry.get("up_since_ms", 0)
     )
 
 
 class DayClient(RelayedClient):
-    """One controller and the states of the endpoints in its list."""
+    """A controller behind the relay, with the states of the endpoints in its list."""
 
     def __init__(self, target_port: int) -> None:
         super().__init__(target_port)
@@ -53,10 +55,10 @@
         self.states: dict[str, EntryState] = {}
 
     def record_answer(self, body: bytes, tracked: Collection[str]) -> list[tuple[str, EntryState | None]]:
-        """The endpoints whose state differs from the last one sent, with it; all endpoints count as tracked.
+        """Records an answer and returns the endpoints whose state it changes, with the new state.
 
-        An answer that is older than the last one, as two connections overtake each other, tells nothing; a
-        controller takes it so too.
+        All endpoints are tracked, whatever `tracked` holds. An answer with an older revision than the last
+        one, which overtook it on another connection, is ignored, as controllers do.
         """
         try:
             answer = orjson.loads(body)
@@ -74,14 +76,15 @@
             (endpoint, state) for endpoint, state in listed.items() if self.states.get(endpoint) != state
         ]
         self.states.update(listed)
-        for endpoint in gone:  # some may be told gone that were never told: they came and went meanwhile
+        # An endpoint that was added and removed between two answers was never in the states.
+        for endpoint in gone:
             self.states.pop(endpoint, None)
         self.members = set(self.states)
         return [*changed, *((endpoint, None) for endpoint in sorted(gone))]
 
 
 class DayRelayService(RelayService):
-    """All controllers behind the relay; `cut`, `join` and `views` are commands too."""
+    """All controllers behind the relay, with the further commands `cut`, `join` and `views`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
@@ -89,7 +92,7 @@
         self.cut_off: set[str] = set()
 
     def open_upstream(self, controller: ControllerSide) -> None:
-        """Connects to what stands behind, unless the controller is cut off."""
+        """Connects to the control role or discovery, unless the controller is cut off."""
         if any(self.clients[name] is controller.client for name in self.cut_off):
             controller.transport.abort()
             return
@@ -97,7 +100,7 @@
         super().open_upstream(controller)
 
     def cut(self, names: list[str]) -> dict:
-        """Resets the connections of these controllers, and from now on every new one."""
+        """Cuts controllers off: resets their connections, and each new one until `join`."""
         self.cut_off.update(names)
         clients = {id(self.clients[name]) for name in names}
         for connection in [*self.connections]:
@@ -106,12 +109,12 @@
         return {}
 
     def join(self, names: list[str]) -> dict:
-        """Lets these controllers connect again."""
+        """Lets controllers that were cut off connect again."""
         self.cut_off.difference_update(names)
         return {}
 
     def views(self) -> dict:
-        """The list that each controller was told, and how many words were not yet asked on from."""
+        """Returns the list that each controller was sent, and the count of unacknowledged states."""
         pending = sum(len(connection.unacknowledged) for connection in self.connections)
         return {"views": {name: one.states for name, one in self.clients.items()}, "pending": pending}
 
@@ -121,28 +124,28 @@
 
 
 class ReceivedViews(NamedTuple):
-    """The list that each controller was told, by its name; `pending` words were not yet asked on from."""
+    """The list that each controller was sent, by name; `pending` counts the unacknowledged states."""
 
     views: dict[str, dict[str, EntryState]]
     pending: int
 
 
 class DayRelay(ViewRelay):
-    """The parent's side of the process."""
+    """The relay process, as its parent sees it."""
 
     def __init__(self) -> None:
         Child.__init__(self, "oatcart.scale.day_relay")
 
     def cut(self, names: Collection[str]) -> None:
-        """Cuts these controllers off from their list."""
+        """Cuts controllers off from their list."""
         self.ask("cut", names=list(names))
 
     def join(self, names: Collection[str]) -> None:
-        """Ends a cut."""
+        """Lets controllers that were cut off connect again."""
         self.ask("join", names=list(names))
 
     def views(self) -> ReceivedViews:
-        """The list that each controller was told."""
+        """Returns the list that each controller was sent."""
         answer = self.ask("views")
         views = {
             name: {endpoint: EntryState(*state) for endpoint, state in states.items()}
@@ -151,7 +154,7 @@
         return ReceivedViews(views, answer["pending"])
 
     def received_states(self) -> dict[str, list[ReceivedState]]:
-        """All that each controller was told since its start, in order of time."""
+        """Returns all states that each controller received since its start, in the order of time."""
         clients = self.ask("held")["told"]
         return {
             name: [
@@ -162,7 +165,7 @@
 
 
 async def serve() -> None:
-    """The life of the process: until its input ends."""
+    """Answers commands until the input of the process ends."""
     service = DayRelayService(asyncio.get_running_loop())
     commands = "open", "members", "figures", "held", "cut", "join", "views"
     await answer_commands({name: getattr(service, name) for name in commands})
--- a/oatcart/scale/day_report.py
+++ b/oatcart/scale/day_report.py
@@ -1,4 +1,4 @@
-"""A played day for people, as tables of text, and as JSON."""
+"""Reports a played day as tables of text and as JSON."""
 
 import json
 from dataclasses import asdict
@@ -14,14 +14,14 @@
 
 
 def day_text(result: DayResult) -> str:
-    """All of the day in tables."""
+    """Returns the report of a day as tables of text."""
     parts = [_scale_text(result), _kinds_text(result), _drains_text(result), _loads_text(result)]
     parts += [_healings_text(result), _end_text(result), _complaints_text(result)]
     return "\n\n".join(part for part in parts if part)
 
 
 def day_json(result: DayResult) -> str:
-    """The day as a JSON object; delays are summed up."""
+    """Returns the report of a day as a JSON object; of delays it has the median, p99 and last."""
     kinds = {kind.value: _kind_object(one) for kind, one in result.kinds.items()}
     document = {
         "scale": asdict(result.scale),
@@ -55,25 +55,25 @@
 
 def _scale_text(result: DayResult) -> str:
     scale = result.scale
-    followed = "the whole list" if result.whole_list else "bounded views of the control role"
-    late = " (THE MACHINE WAS LATE: delays are partly its own)" if result.hollow_was_late else ""
+    followed = "the complete list" if result.whole_list else "bounded views of the control role"
+    late = " (THE MACHINE WAS LATE: it caused part of the delays)" if result.hollow_was_late else ""
     return "\n".join(
         [
             f"fleet: {', '.join(f'{count:,} {name}' for name, count in result.fleet.items())}",
-            f"conductors: {scale.hollow} hollow and {scale.real} real, on {followed}",
+            f"controllers: {scale.hollow} hollow and {scale.real} real, watching {followed}",
             f"day: {result.length_s:.0f} s, compressed {scale.time_compression:,.0f} times; took "
-            f"{result.took_s:.1f} s, {result.paused_s:.1f} s of it paused round cuts",
+            f"{result.took_s:.1f} s, {result.paused_s:.1f} s of it paused around partitions",
             "Delays are in real time; only the gaps between events are compressed.",
-            f"changes made at most {result.late_s:.2f} s late; reports of hollow conductors at most "
+            f"changes made at most {result.late_s:.2f} s late; reports of hollow controllers at most "
             f"{result.hollow_late_s:.2f} s late{late}",
         ]
     )
 
 
 def _kinds_text(result: DayResult) -> str:
-    """Counts of each kind, then the times until the last controller had an endpoint's change."""
+    """Returns the counts of each kind of change and the times until the last controller received it."""
     rows = [
-        ["kind of change", "", "revisions", "nodes", "unheld", "pairs", "overtaken", "cut off", "missed"]
+        ["kind of change", "", "revisions", "endpoints", "unheld", "pairs", "overtaken", "cut off", "missed"]
         + ["median s", "p99 s", "last s", "median of pairs s"]
     ]
     for kind, one in result.kinds.items():
@@ -93,7 +93,7 @@
             times[2] += OVER_BUDGET if last.last_s > result.budget_s else ""
         rows.append([kind.value, "", *(f"{count:,}" for count in counts), *times])
     title = (
-        f"from a change of a node until the last conductor that held it had it "
+        f"from a change of an endpoint until the last controller whose list has it received the change "
         f"(budget {result.budget_s:g} s, {OVER_BUDGET}: over it)"
     )
     return f"{title}\n{align(rows)}"
@@ -102,8 +102,9 @@
 def _drains_text(result: DayResult) -> str:
     drains = result.drains
     return (
-        f"drained nodes deleted: {drains.nodes:,}; drains had before the deletion by conductors that held "
-        f"the node: {drains.reached:,}, missed {len(drains.missed):,}, cut off {drains.cut_off:,}"
+        f"drained endpoints deleted: {drains.nodes:,}; drains received before the deletion by controllers "
+        f"whose list had the endpoint: {drains.reached:,}, missed {len(drains.missed):,}, "
+        f"cut off {drains.cut_off:,}"
     )
 
 
@@ -113,8 +114,8 @@
         rows.append([load.role, "mean of the day", *_rate_cells(load.mean)])
         rows.append(["", "worst second", *_rate_cells(load.worst)])
         if load.zone_lost:
-            rows.append(["", "second of the zone's loss", *_rate_cells(load.zone_lost)])
-    metered = f"hollow conductor by its own meter: {number_text(result.hollow_core_share)} of a core"
+            rows.append(["", "worst second of a zone loss", *_rate_cells(load.zone_lost)])
+    metered = f"hollow controller by its own meter: {number_text(result.hollow_core_share)} of a core"
     return f"{align(rows)}\n{metered}"
 
 
@@ -127,11 +128,12 @@
     for one in result.healings:
         caught_up = "NOT ALL CAUGHT UP" if one.caught_up_s is None else f"{one.caught_up_s:.2f} s"
         lines.append(
-            f"{one.first} and {one.second} cut for "
+            f"{one.first} and {one.second} partitioned for "
             f"{one.disconnection.until - one.disconnection.since:.1f} s: "
-            f"{len(one.disconnection.controllers)} conductors of {one.region} without answers during "
-            f"{one.changes} changes; caught up {caught_up} after the joining with {one.bytes_received:,} bytes; moved "
-            f"{one.moved} nodes of their views, {one.had_to_move} had to, {one.moved_needlessly} without need"
+            f"{len(one.disconnection.controllers)} controllers of {one.region} without answers during "
+            f"{one.changes} changes; caught up {caught_up} after the end with {one.bytes_received:,} bytes; "
+            f"moved {one.moved} endpoints of their views: {one.had_to_move} because of the changes, "
+            f"{one.moved_needlessly} needlessly"
         )
     return "\n".join(lines)
 
@@ -139,10 +141,11 @@
 def _end_text(result: DayResult) -> str:
     end = result.end
     return (
-        f"at the end: {end.told} of {end.conductors} conductors were told exactly their view; {end.known} of "
-        f"{end.hollow} hollow ones know all of its nodes and no others but {end.kept} that left it lately; "
-        f"proxies of {end.tables} of {end.conductors} hold nodes of the view alone; services without ready "
-        f"nodes in two zones where there are two: {len(end.unusable)}"
+        f"at the end: {end.told} of {end.conductors} controllers were sent exactly their view; "
+        f"{end.known} of {end.hollow} hollow ones know all of its endpoints and no others except "
+        f"{end.kept} that left it lately; proxies of {end.tables} of {end.conductors} hold only endpoints "
+        f"of the view; services without ready endpoints in two zones, although the list has them: "
+        f"{len(end.unusable)}"
     )
 
 
@@ -150,7 +153,7 @@
     complaints = result.complaints
     more = len(complaints) - COMPLAINTS_SHOWN
     lines = complaints[:COMPLAINTS_SHOWN] + ([f"and {more:,} more"] if more > 0 else [])
-    return "\n".join(["FAILED:", *lines]) if lines else "all held"
+    return "\n".join(["FAILED:", *lines]) if lines else "all expectations were met"
 
 
 def _kind_object(one: DeliveryStats) -> dict[str, object]:
--- a/oatcart/scale/day_schedule.py
+++ b/oatcart/scale/day_schedule.py
@@ -1,8 +1,8 @@
-"""From the events of a drawn day to the changes of the list of endpoints that play them.
+"""Turns the events of a drawn day into the changes of the endpoint list that play them.
 
 Only the gaps between events are compressed. Two spans are not: a drained endpoint stays on the list for at
-least `least_drain_s` real seconds, and a cut between regions lasts at least `least_cut_s`. Where that moves
-an event of an endpoint behind its next one, the later ones of that endpoint are moved too.
+least `min_drain_s` real seconds, and a partition between regions lasts at least `min_partition_s`. If that
+moves an event of an endpoint past the next one, the later events of that endpoint are moved too.
 """
 
 from collections.abc import Iterable, Mapping
@@ -26,14 +26,13 @@
 )
 from oatcart.scale.fleet import FleetPlan, PlannedEndpoint
 
-SIZE_STEP = 0.01  # by which a change of configuration makes an endpoint's size larger
-ADDRESS_CHANGE_INTERVAL = (
-    2  # of so many changes of an endpoint's configuration one is of its address, the others of its size
-)
+SIZE_STEP = 0.01  # a change of configuration increases an endpoint's size by this
+# One in so many changes of an endpoint's configuration changes its address, the others its size.
+ADDRESS_CHANGE_INTERVAL = 2
 
 
 class ChangeKind(Enum):
-    """The kinds of changes, as they are reported."""
+    """The kinds of changes, named as in reports."""
 
     FAILURE = "node failed"
     RACK_LOSS = "rack lost"
@@ -52,14 +51,14 @@
 
 
 class Step(NamedTuple):
-    """Events of one type that happen at once, at seconds from the day's start."""
+    """Events of one type that are played at once, in seconds from the start of the day."""
 
     at_s: float
     events: tuple[Event, ...]
 
 
 class Change(NamedTuple):
-    """One revision of the list, made at a moment (monotonic seconds): the entries that it sets."""
+    """One revision of the list: the entries that it sets, and when it was made (monotonic seconds)."""
 
     at: float
     kind: ChangeKind
@@ -67,7 +66,7 @@
 
 
 def schedule(events: Iterable[Event], min_drain_s: float, min_partition_s: float) -> list[Step]:
-    """The day's events in the order in which they are played; those of one cause and moment together."""
+    """Returns the steps of the day in order; events of one type, cause and moment form one step."""
     timed = sorted(_timed_events(events, min_drain_s, min_partition_s), key=lambda one: one[0])
     return [
         Step(at_s, tuple(event for _, event in group))
@@ -82,8 +81,8 @@
 def _timed_events(
     events: Iterable[Event], min_drain_s: float, min_partition_s: float
 ) -> Iterable[tuple[float, Event]]:
-    last: dict[str, float] = {}  # by endpoint or pair of regions, when its last event is played
-    delay_s: dict[str, float] = {}  # and how much later than drawn
+    last: dict[str, float] = {}  # by endpoint or pair of regions: when its last event is played
+    delay_s: dict[str, float] = {}  # and how much later that is than drawn
     for event in events:
         at_s = event.at_s
         if not isinstance(event, ConfigurationChanged):
@@ -99,7 +98,7 @@
 
 @dataclass
 class EndpointState:
-    """An endpoint as the list has it; `configured` counts the changes of its configuration."""
+    """The state of an endpoint on the list; `configured` counts the changes of its configuration."""
 
     endpoint: PlannedEndpoint
     phase: str = SERVING
@@ -107,7 +106,7 @@
     configured: int = 0
 
     def entry(self) -> dict:
-        """The entry; no two changes of an endpoint have the same, so that each can be told apart."""
+        """Returns the entry; it differs after each change, so that each can be recognised by its state."""
         host, _, port = self.endpoint.address.rpartition(":")
         readdressed = self.configured // ADDRESS_CHANGE_INTERVAL
         resized = self.configured - readdressed
@@ -118,7 +117,7 @@
 
 
 class ListedEndpoints:
-    """All endpoints of a fleet as the list has them, changed by events."""
+    """The states of all endpoints of a fleet, changed by events."""
 
     def __init__(self, plan: FleetPlan) -> None:
         self.states = {endpoint.id: EndpointState(endpoint) for endpoint in plan.endpoints}
@@ -126,11 +125,14 @@
         self.service_count = len(plan.services)
 
     def entries(self) -> list[dict]:
-        """The whole list."""
+        """Returns the complete list."""
         return [state.entry() for state in self.states.values() if state.phase != DELETED]
 
     def change(self, events: tuple[Event, ...], unix_s: float) -> list[dict]:
-        """The entries that events of one step set, at a Unix time in seconds."""
+        """Applies the events of one step and returns the entries that they set.
+
+        `unix_s`: the Unix time in seconds, which becomes the start time of returned endpoints.
+        """
         return [entry for event in events for entry in self._change(event, unix_s)]
 
     def _change(self, event: Event, unix_s: float) -> list[dict]:
@@ -146,7 +148,7 @@
         return [state.entry()]
 
     def _configure(self, event: ConfigurationChanged) -> list[dict]:
-        """A change to a route is one to an endpoint of its service; none where all of them are away."""
+        """Plays a change of a route as one of an endpoint of its service; none if no endpoint is listed."""
         endpoints = [
             endpoint
             for endpoint in self.by_service[event.service]
@@ -160,7 +162,7 @@
 
 
 def kind_of(event: Event) -> ChangeKind:
-    """How a change of the list by this event is reported."""
+    """Returns the kind of change that an event causes."""
     if isinstance(event, NodeLost):
         return CHANGE_KIND_OF_LOSS[event.cause]
     return {
@@ -172,5 +174,5 @@
 
 
 def is_partition_event(event: Event) -> bool:
-    """Whether an event is of regions and not of endpoints."""
+    """Returns whether an event starts or ends a partition between regions."""
     return isinstance(event, RegionsCut | RegionsRejoined)
--- a/oatcart/scale/day_trial.py
+++ b/oatcart/scale/day_trial.py
@@ -1,13 +1,14 @@
 """The processes that a day is played on, and the player that makes its changes.
 
-The stand-ins are those of a trial behind the control role; the relay records all that controllers are sent.
-As a second way controllers follow the whole list, through the same relay and without a control role.
-
-Two regions cut from each other, with one discovery and one control role: the control role is taken to be in
-the one region, and the controllers of the other get no answers from it until the regions are joined. They
-keep their last list and go on. Which of the two regions it is: the one with more controllers. The control
-role itself reaches discovery all the time, so that the list goes on changing. Before a cut and after it the
-day waits until all controllers have their views, so that what moved meanwhile can be counted exactly.
+The processes are those of a trial behind the control role; the relay records all states that controllers are
+sent. In a second variant controllers watch the complete list, through the same relay and without a control
+role.
+
+A partition between two regions is played with one discovery and one control role: the control role counts
+as part of the region with fewer controllers, and the controllers of the other region get no answers from it
+until the partition ends. They keep their last list and go on. The control role still reaches discovery, so
+that the list goes on changing. Before and after a partition the day waits until all controllers have their
+views, so that the endpoints that moved meanwhile can be counted exactly.
 """
 
 import time
@@ -36,11 +37,15 @@
 from oatcart.views.records import Controller
 
 SAMPLE_INTERVAL_S = 1.0
-SETTLE_TIMEOUT_S = 15.0  # until all controllers have their views, when no changes are made
+SETTLE_TIMEOUT_S = 15.0  # until all controllers have their views, while no change is made
 
 
 class Sample(NamedTuple):
-    """Counters at a moment (monotonic seconds); processor seconds of processes, traffic of controllers."""
+    """All counters at a moment (monotonic seconds).
+
+    `*_core_s`: processor seconds of the processes; `clients`: the traffic of each controller; `source`: that
+    of each client of discovery.
+    """
 
     at: float
     control_core_s: float
@@ -51,12 +56,12 @@
 
 
 class Healing(NamedTuple):
-    """A cut between regions as it was played.
+    """A partition between two regions as it was played; `region`: the one whose controllers were cut off.
 
-    `caught_up_s`: real seconds from the joining until the last controller had its view; None: never.
-    `bytes_received` by all controllers that were cut off until then. `moved`: endpoints that came to or left
-    their views, `had_to_move`: those that the changes made meanwhile account for, `moved_needlessly` all
-    others.
+    `changes`: changes made meanwhile. `caught_up_s`: real seconds from the end of the partition until the
+    last controller had its view; None: never. `bytes_received`: by all controllers that were cut off, until
+    then. `moved`: endpoints that were added to or removed from their views; `had_to_move`: those that the
+    changes account for; `moved_needlessly`: all others.
     """
 
     first: str
@@ -72,7 +77,10 @@
 
 
 class OngoingPartition(NamedTuple):
-    """A cut that has not ended: by controller the endpoints sent and expected, and its traffic."""
+    """A partition that has not ended, with the state at its start.
+
+    `sent`, `expected`: the endpoints of each controller that is cut off; `traffic`: that of each controller.
+    """
 
     disconnection: Disconnection
     region: str
@@ -87,7 +95,7 @@
 
     def __init__(self, settings: TrialSettings, plan: FleetPlan, processes: ExitStack) -> None:
         super().__init__(settings, plan, processes)
-        self.relay.end()  # that of a trial, which notes less
+        self.relay.end()  # a trial's relay records less
         self.relay: DayRelay = processes.enter_context(DayRelay())
         self.listed = ListedEndpoints(plan)
         self.first_entries = self.listed.entries()
@@ -95,23 +103,23 @@
         self.views_file: dict = {}
 
     def control_configuration(self, source_port: int, main_port: int, served: dict[str, int]) -> dict:
-        """The control role's file, which is kept to work out the expected views."""
+        """Returns the control role's configuration and keeps it, to compute the expected views from it."""
         self.views_file = super().control_configuration(source_port, main_port, served)
         return self.views_file
 
     def start(self) -> None:
-        """Starts the trial and works out the views that controllers have at first."""
+        """Starts the trial and computes the views that controllers have at first."""
         super().start()
         self.expected = self.expected_views()
 
     def expected_views(self) -> ExpectedViews:
-        """The views by the control role's own file."""
+        """Returns the expected views by the configuration of the control role."""
         configuration = views_configuration(self.views_file)
         records = [controller.record for controller in configuration.controllers]
         return ExpectedViews(records, configuration.limits, configuration.seed, self.first_entries)
 
     def sample(self) -> Sample:
-        """All counters of which each second is told."""
+        """Returns the counters that are sampled every second."""
         return Sample(
             time.monotonic(),
             self.control.core_seconds() if self.control else 0.0,
@@ -122,43 +130,46 @@
         )
 
     def controllers_of(self, region: str) -> frozenset[str]:
-        """The controllers that run in a region."""
+        """Returns the controllers that run in a region."""
         return frozenset(name for name in self.names if self.planned(name).region == region)
 
     def with_expected_views(self, names: Sequence[str]) -> list[str]:
-        """Those of the controllers that were told exactly the list that they ought to have, and asked on."""
+        """Returns those of the controllers that were sent exactly their expected list.
+
+        None of them as long as the relay has unacknowledged states.
+        """
         received = self.relay.views()
         if received.pending:
             return []
         return [name for name in names if received.views[name] == self.expected.states(name)]
 
     def controller_tables(self) -> dict[str, ControllerTables]:
-        """Of each controller what its proxies hold and, of a hollow one, which endpoints it knows."""
+        """Returns for each controller what its proxies hold and, if hollow, which endpoints it knows."""
         hollow = self.hollow_controllers.tables() if self.hollow_controllers else []
         real = self.peers.tables() if self.peers else []
         return dict(zip(self.names, [*hollow, *real], strict=True))
 
 
 class CompleteListTrial(DayTrial):
-    """A day of controllers that follow the whole list, at discovery."""
+    """A day of controllers that watch the complete list, at discovery."""
 
     def check_fits(self) -> None:
-        """As for a trial without the control role."""
+        """Checks the same limits as a trial without the control role."""
         Trial.check_fits(self)
 
     def open_ports(self) -> dict[str, int]:
-        """Ports of the relay in front of discovery's."""
+        """Returns the relay's port for each controller, in front of that of discovery."""
         return self.relay.open(Trial.open_ports(self))
 
     def _wait_ready(self) -> None:
         Trial._wait_ready(self)
 
     def control_usage(self) -> None:
-        """None, as there is no control role."""
+        """Returns None, as there is no control role."""
         return None
 
     def expected_views(self) -> ExpectedViews:
-        """Every controller's view is the whole list."""
+        """Returns the expected views: for every controller the complete list."""
         records = [
             Controller(name, self.planned(name).region, self.planned(name).zone, ()) for name in self.names
         ]
@@ -166,7 +177,7 @@
 
 
 def views_configuration(settings: dict) -> Configuration:
-    """What the control role reads in its file."""
+    """Returns the configuration that the control role reads from a file with these settings."""
     with TemporaryDirectory() as directory:
         path = Path(directory, "views.yaml")
         path.write_bytes(orjson.dumps(settings))
@@ -174,20 +185,20 @@
 
 
 class DayPlayer:
-    """Plays the steps of a day at a trial that has started. `sleep` is a test's to replace."""
+    """Plays the steps of a day at a trial that has started; tests may replace `sleep`."""
 
     def __init__(self, trial: DayTrial, sleep: Callable[[float], None] = time.sleep) -> None:
         self.trial, self._sleep = trial, sleep
         self.changes: list[Change] = []
         self.samples: list[Sample] = []
         self.healings: list[Healing] = []
-        self.late_s = 0.0  # the most by which a step was made late
-        self.paused_s = 0.0  # that the day waited for controllers, before and after cuts
+        self.late_s = 0.0  # the longest by which a step was played later than scheduled
+        self.paused_s = 0.0  # time for which the day waited for controllers, around partitions
         self._day_began = self._next_sample = 0.0
         self._partition: OngoingPartition | None = None
 
     def play(self, steps: Sequence[Step], length_s: float) -> None:
-        """Makes all changes in their time and lasts at least as long as the day. Raises ChildError."""
+        """Makes all changes at their times and returns at `length_s` or later; raises ChildError."""
         self._day_began = self._next_sample = time.monotonic()
         for step in steps:
             self._wait_until(step.at_s)
@@ -196,7 +207,7 @@
                 for event in step.events:
                     self._start_or_end_partition(event)
                     if isinstance(event, RegionsCut):
-                        # a cut that was made late must not be shorter for it
+                        # a partition that starts late must last as long as planned
                         self._day_began = max(self._day_began, time.monotonic() - step.at_s)
             else:
                 self.make(step.events)
@@ -204,14 +215,17 @@
         self.samples.append(self.trial.sample())
 
     def make(self, events: Sequence[Event]) -> None:
-        """Makes one revision of the list."""
+        """Makes one revision of the list from the events of a step."""
         entries = self.trial.listed.change(tuple(events), time.time())
         if entries:
             self.changes.append(Change(time.monotonic(), kind_of(events[0]), tuple(entries)))
             self.trial.discovery.change(entries)
 
     def wait_settled(self, names: Sequence[str]) -> float | None:
-        """Seconds until these controllers have their views, while no change is made; None: not all have."""
+        """Waits until these controllers have their views and returns the seconds; None after the timeout.
+
+        No change may be made meanwhile.
+        """
         started = time.monotonic()
         self.trial.expected.apply(self.changes)
         while time.monotonic() < started + SETTLE_TIMEOUT_S:
@@ -222,7 +236,7 @@
         return None
 
     def _wait_until(self, at_s: float) -> None:
-        """Sleeps until seconds from the day's start, without its pauses; takes the samples due meanwhile."""
+        """Sleeps until a time of the day's clock, which stops during pauses; takes samples when due."""
         while (now := time.monotonic()) < self._day_began + at_s:
             if not self._sample_if_due():
                 self._sleep(max(0.0, min(self._day_began + at_s, self._next_sample) - now))
@@ -236,7 +250,7 @@
         return True
 
     def _start_or_end_partition(self, event: Event) -> None:
-        """Cuts two regions from each other or joins them; the day's clock stands meanwhile."""
+        """Starts or ends a partition between two regions; the day's clock stops meanwhile."""
         began = time.monotonic()
         if isinstance(event, RegionsCut):
             self._start_partition(event)
@@ -248,7 +262,7 @@
 
     def _start_partition(self, event: RegionsCut) -> None:
         if self._partition:
-            raise NotReadyError("two cuts at once are not played")
+            raise NotReadyError("two partitions at once are not supported")
         trial = self.trial
         region = max(event.second, event.first, key=lambda name: len(trial.controllers_of(name)))
         names = trial.controllers_of(region)
--- a/oatcart/scale/day_views.py
+++ b/oatcart/scale/day_views.py
@@ -1,7 +1,7 @@
-"""Which views controllers ought to have, worked out from the changes made, beside the control role.
+"""The views that controllers are expected to have, computed from the changes made.
 
-Views are a function of the list alone, so a second `FleetViews` that is told the same changes has the same
-views as the control role. Where controllers follow the whole list, their views have no bound.
+Views are a function of the list alone, so a second `FleetViews` that is given the same changes has the same
+views as the control role. If controllers watch the complete list, their views are unbounded.
 """
 
 from collections.abc import Collection, Iterable, Sequence
@@ -17,28 +17,27 @@
 from oatcart.views.records import Controller, ViewLimits
 
 UNBOUNDED = ViewLimits(max_endpoints=10**9, max_bytes=10**9, max_entry_bytes=1)
-MIN_ZONES = 2  # of each service in a view, where the service has endpoints ready in as many
+MIN_ZONES = 2  # with ready endpoints of a service in each view, if the service has them in as many
 
 
 class ViewAt(NamedTuple):
-    """The view that a controller ought to have after a change, by the change's number."""
+    """The expected view of a controller after the change of this number."""
 
     change: int
     endpoints: frozenset[str]
 
 
 class ExpectedViews:
-    """The views after each change made so far."""
+    """The expected views of all controllers after each change made so far."""
 
     def __init__(
         self, controllers: Sequence[Controller], limits: ViewLimits, seed: int, entries: Collection[dict]
     ) -> None:
         self.controllers = {controller.name: controller for controller in controllers}
         self.entries: dict[str, dict] = {}
-        self.applied_changes = 0  # changes
-        self.holders_of_returned: dict[
-            tuple[int, str], frozenset[str]
-        ] = {}  # holders of endpoints that changes brought back
+        self.applied_changes = 0
+        # By change and returned endpoint: the controllers whose view has the endpoint after the change.
+        self.holders_of_returned: dict[tuple[int, str], frozenset[str]] = {}
         self._fleet_views = FleetViews(limits, seed)
         self._fleet_views.put_controllers(controllers)
         self._set(entries)
@@ -48,7 +47,7 @@
         self._fleet_views.pop_changed()
 
     def apply(self, changes: Sequence[Change]) -> None:
-        """Works out the views after those of all changes that were not taken yet."""
+        """Computes the views after each of the changes that were not applied yet; `changes` are all."""
         for number in range(self.applied_changes, len(changes)):
             change = changes[number]
             self._set(change.entries)
@@ -62,15 +61,15 @@
         self.applied_changes = len(changes)
 
     def view(self, name: str) -> frozenset[str]:
-        """The endpoints that a controller ought to hold now."""
+        """Returns the endpoints that a controller's view is expected to have now."""
         return self._history[name][-1].endpoints
 
     def states(self, name: str) -> dict[str, EntryState]:
-        """The list that a controller ought to have been told."""
+        """Returns the list that a controller is expected to have been sent."""
         return {endpoint: entry_state(self.entries[endpoint]) for endpoint in self.view(name)}
 
     def change_dropping(self, name: str, endpoint: str, change: int) -> int | None:
-        """The number of the first later change by which an endpoint left a controller's view, or None."""
+        """Returns the first later change that removed an endpoint from a controller's view, or None."""
         return next(
             (
                 one.change
@@ -81,7 +80,7 @@
         )
 
     def unusable(self, name: str, held: Collection[str]) -> list[str]:
-        """The services for which a controller holds ready endpoints in too few zones."""
+        """Returns the services for which the endpoints held are ready in too few zones."""
         listed_zones, held_zones = self._ready_zones(self.entries), self._ready_zones(held)
         needed = self.controllers[name].services or listed_zones.keys()
         return [
--- a/oatcart/scale/discovery.py
+++ b/oatcart/scale/discovery.py
@@ -1,13 +1,14 @@
-"""A stand-in discovery on loopback that counts what it serves: whole lists, watches, revisions, changes.
+"""A stand-in discovery on loopback that counts the bytes and messages of each client.
 
-It speaks the protocol of real discovery (`GET /v1/servers`, with `since` and `timeout_ms` a watch). Every
-client is given a port of its own, so bytes and messages are counted by client and no client needs to say
-who it is. Each entry is encoded once, and each answer once for all watchers of the same revision.
+It speaks the protocol of real discovery: `GET /v1/servers` returns the complete list, with `since` and
+`timeout_ms` it is a watch. Every client has a port of its own, so that bytes and messages are counted for
+each client without any identification. Each entry is encoded once, and each answer once for all watches from
+the same revision.
 
-A client *has* a change once it asks on from its revision: a controller does so right after it has read the
-change. The process runs by itself (`python -m oatcart.scale.discovery`), so that its processor time is its
-own role's, and takes commands as in `children.py`. Several named lists may be served: one of all services,
-or one a service.
+A client has acknowledged a revision once it requests the changes after it: a controller does so right after
+it has read an answer. The stand-in runs in a process of its own (`python -m oatcart.scale.discovery`), so
+that its processor time can be measured, and takes commands as described in `children.py`. It may serve
+several named lists: one of all services, or one for each service.
 """
 
 import asyncio
@@ -29,25 +30,24 @@
 MAIN_LIST = "all"  # the name of the list that holds every endpoint
 END_OF_HEAD = b"\r\n\r\n"
 BACKLOG = 128
-MAX_WATCH_WAIT_S = 60.0  # of a watch, by the protocol
+MAX_WATCH_WAIT_S = 60.0  # set by the protocol
 OK_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
 NOT_FOUND = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
 
 
 class EndpointList:
-    """One list of endpoints with its revisions; every entry is encoded once, when it is set."""
+    """A list of endpoints with its revisions; an entry is encoded once, when it is set."""
 
     def __init__(self) -> None:
         self.revision = 0
-        self._current: dict[str, bytes] = {}  # encoded entries of listed endpoints, by id
+        self._current: dict[str, bytes] = {}  # encoded entries of the listed endpoints, by id
         self._log_revisions: list[int] = []  # ascending, one for each entry of _log
         self._log: list[tuple[str, bytes]] = []  # every change since the start: id and encoded entry
-        self._encoded: dict[
-            int | None, bytes
-        ] = {}  # answers of this revision: by `since`; None is the whole list
+        # The answers of this revision by `since`; None is the complete list.
+        self._encoded: dict[int | None, bytes] = {}
 
     def change(self, entries: Iterable[Mapping]) -> int:
-        """Sets some entries in one new revision, which is returned; an entry whose phase is DELETED goes."""
+        """Sets entries in a new revision and returns it; an entry whose phase is DELETED is removed."""
         self.revision += 1
         self._encoded.clear()
         for entry in entries:
@@ -61,18 +61,18 @@
         return self.revision
 
     def complete_list(self) -> bytes:
-        """The answer with every listed endpoint."""
+        """Returns the encoded answer with every listed endpoint."""
         if None not in self._encoded:
             self._encoded[None] = self._answer(True, self._current.values())
         return self._encoded[None]
 
     def changes_since(self, since: int) -> bytes:
-        """The answer with the entries changed after a revision; the whole list from revision 0 on."""
+        """Returns the encoded answer with the entries changed after a revision; for 0 the complete list."""
         if since <= 0:
             return self.complete_list()
         if since not in self._encoded:
             first = bisect_right(self._log_revisions, since)
-            changed = dict(self._log[first:])  # of several changes of an endpoint the last one
+            changed = dict(self._log[first:])  # keeps the last change of each endpoint
             self._encoded[since] = self._answer(False, changed.values())
         return self._encoded[since]
 
@@ -85,7 +85,7 @@
 
 
 class AcknowledgedRevision(NamedTuple):
-    """At a moment (monotonic seconds) a client had a revision, and had been sent so many bytes in all."""
+    """A revision that a client acknowledged, the time (monotonic seconds), and the bytes sent until then."""
 
     at: float
     revision: int
@@ -94,7 +94,7 @@
 
 @dataclass
 class ClientAccount:
-    """What one client has sent and was sent, in bytes and HTTP messages, and which revisions it had when."""
+    """The bytes and HTTP messages exchanged with one client, and the revisions that it acknowledged."""
 
     list_name: str
     bytes_received: int = 0
@@ -105,29 +105,29 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection of a client; calls are answered in the order of their coming."""
+    """One connection of a client; requests are answered in the order in which they arrive."""
 
     def __init__(self, service: "DiscoveryService", account: ClientAccount) -> None:
         self.service, self.account = service, account
         self.endpoints = service.lists[account.list_name]
         self.unread = b""
-        self.since: int | None = None  # of the watch that waits here
+        self.since: int | None = None  # revision of the waiting watch
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Registers the connection; resets it during an outage."""
+        """Registers the connection, or resets it during an outage."""
         self.transport = transport
         self.service.connections.add(self)
         if self.service.down:
             transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Forgets the connection and its watch."""
+        """Removes the connection and its watch."""
         self.service.connections.discard(self)
         self._end_wait()
 
     def data_received(self, data: bytes) -> None:
-        """Counts the bytes and answers each whole call."""
+        """Counts the bytes and answers each complete request."""
         self.account.bytes_received += len(data)
         self.unread += data
         while END_OF_HEAD in self.unread:
@@ -156,7 +156,7 @@
         self.service.waiting_watches[self.account.list_name][self] = None
 
     def answer_watch(self) -> None:
-        """Ends the wait of a watch: with what is newer, or with no entries when its time is over."""
+        """Answers the waiting watch with the changes after its revision; with no entries if it timed out."""
         since = self.since
         self._end_wait()
         self._answer(self.endpoints.changes_since(since) if since else self.endpoints.complete_list())
@@ -178,7 +178,7 @@
 
 
 class DiscoveryService:
-    """All lists and clients of the stand-in; its methods without an underscore are commands."""
+    """All lists and clients of the stand-in; the methods without an underscore are commands."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -186,14 +186,13 @@
         self.accounts: dict[str, ClientAccount] = {}
         self.connections: set[ClientConnection] = set()
         self.waiting_watches: dict[str, dict[ClientConnection, None]] = {}  # watches by list, oldest first
-        self.changed_at: dict[
-            str, list[float]
-        ] = {}  # by list: when each revision was made, from revision 1 on
+        # By list: when each revision was made, from revision 1 on.
+        self.changed_at: dict[str, list[float]] = {}
         self.down = False
-        self.listener_tasks: list[asyncio.Task] = []  # kept, as the loop holds tasks weakly
+        self.listener_tasks: list[asyncio.Task] = []  # the loop keeps only weak references to tasks
 
     def change(self, entries: list[dict], list_name: str = MAIN_LIST) -> dict:
-        """One new revision of a list, told to all its watchers."""
+        """Makes a new revision of a list and answers all its waiting watches."""
         endpoints = self.lists.setdefault(list_name, EndpointList())
         waiting_watches = self.waiting_watches.setdefault(list_name, {})
         revision = endpoints.change(entries)
@@ -202,14 +201,14 @@
         return {"revision": revision}
 
     def outage(self, down: bool) -> dict:
-        """Resets all connections and every new one, until told otherwise; lists and revisions stay."""
+        """Begins or ends an outage, during which all connections are reset; lists and revisions stay."""
         self.down = down
         for connection in list(self.connections) if down else ():
             connection.transport.abort()
         return {}
 
     def figures(self) -> dict:
-        """The process's usage, and of every client its bytes and messages."""
+        """Returns the usage of the process, and the bytes and messages of every client."""
         return {
             "usage": own_usage(),
             "clients": {
@@ -219,25 +218,25 @@
         }
 
     def held(self) -> dict:
-        """Which revisions each client had when."""
+        """Returns the revisions that each client acknowledged."""
         return {"clients": {name: one.acknowledged for name, one in self.accounts.items()}}
 
     def open(self, clients: list[str], list_name: str) -> dict:
-        """A port for each client of one list."""
+        """Opens a port for each client of a list."""
         self.lists.setdefault(list_name, EndpointList())
         self.waiting_watches.setdefault(list_name, {})
         return {"ports": {client: self._open(client, list_name) for client in clients}}
 
     def _open(self, client: str, list_name: str) -> int:
         account = self.accounts.setdefault(client, ClientAccount(list_name))
-        listener = socket.create_server((LOOPBACK, 0), backlog=BACKLOG)  # takes connections from here on
+        listener = socket.create_server((LOOPBACK, 0), backlog=BACKLOG)  # accepts connections from now on
         serving = self.loop.create_server(lambda: ClientConnection(self, account), sock=listener)
         self.listener_tasks.append(self.loop.create_task(serving))
         return listener.getsockname()[1]
 
 
 class ClientFigures(NamedTuple):
-    """Bytes and messages between one client and discovery, as the client sees them."""
+    """Bytes and messages between one client and discovery; `in` and `out` as the client sees them."""
 
     bytes_out: int
     bytes_in: int
@@ -246,21 +245,21 @@
 
 
 class Usage(NamedTuple):
-    """Processor seconds since a process started, and its resident megabytes."""
+    """The processor seconds of a process since its start, and its resident megabytes."""
 
     core_s: float
     resident_mb: float
 
 
 class DiscoveryFigures(NamedTuple):
-    """One reading of the stand-in: its own usage and the traffic of each client."""
+    """One reading of the stand-in: the usage of its process and the traffic of each client."""
 
     usage: Usage
     clients: dict[str, ClientFigures]
 
 
 class Discovery(Child):
-    """The parent's side of the stand-in process."""
+    """The stand-in process, as its parent sees it."""
 
     def __init__(self) -> None:
         super().__init__("oatcart.scale.discovery")
@@ -274,17 +273,17 @@
         return self.ask("open", clients=clients, list_name=list_name)["ports"]
 
     def outage(self, down: bool) -> None:
-        """Begins or ends an outage: connections are reset and none is served."""
+        """Begins or ends an outage, during which all connections are reset."""
         self.ask("outage", down=down)
 
     def figures(self) -> DiscoveryFigures:
-        """One reading of the process and of all clients."""
+        """Returns a reading of the process and of all clients."""
         answer = self.ask("figures")
         clients = {name: ClientFigures(*figures) for name, figures in answer["clients"].items()}
         return DiscoveryFigures(Usage(**answer["usage"]), clients)
 
     def acknowledged_revisions(self) -> dict[str, list[AcknowledgedRevision]]:
-        """Which revisions each client had when."""
+        """Returns the revisions that each client acknowledged."""
         clients = self.ask("held")["clients"]
         return {
             name: [AcknowledgedRevision(*one) for one in revisions] for name, revisions in clients.items()
@@ -292,7 +291,7 @@
 
 
 async def serve() -> None:
-    """The life of the stand-in process: until its input ends."""
+    """Answers commands until the input of the process ends."""
     loop = asyncio.get_running_loop()
     service = DiscoveryService(loop)
     commands = {
--- a/oatcart/scale/endpoint_entries.py
+++ b/oatcart/scale/endpoint_entries.py
@@ -1,19 +1,19 @@
-"""The entries of discovery's endpoint lists in a measured fleet, and the changes that are made to them."""
+"""The entries of discovery's endpoint lists in a measured fleet, and the changes made to them."""
 
 from collections.abc import Collection, Mapping
 from random import Random
 
 from oatcart.scale.fleet import PlannedEndpoint
 
-SERVING, DRAINING = "SERVING", "DRAINING"  # phases of an entry, as discovery names them
+SERVING, DRAINING = "SERVING", "DRAINING"  # the phases of an entry in discovery's protocol
 MACHINE_FLAVOR = "m2"
 MILLISECONDS = 1000.0  # in a second
 
 
 def list_entry(endpoint: PlannedEndpoint, phase: str = SERVING, up_since_ms: int = 0) -> dict:
-    """An endpoint's entry at discovery; controllers ignore its fields `service` and `region`.
+    """Returns an endpoint's entry at discovery; controllers ignore its fields `service` and `region`.
 
-    `up_since_ms`: Unix time of its start in milliseconds.
+    `up_since_ms`: the Unix time of its start in milliseconds.
     """
     return {
         "id": endpoint.id,
@@ -30,7 +30,7 @@
 
 
 class EndpointChanges:
-    """Changes of the list, one endpoint each: an endpoint drains, and the next change restarts it.
+    """A sequence of changes of one endpoint each: one change drains an endpoint, the next restarts it.
 
     A restarted endpoint is warming up. The same endpoints and seed give the same sequence.
     """
@@ -40,7 +40,7 @@
         self._draining: PlannedEndpoint | None = None
 
     def next_entry(self, unix_s: float) -> dict:
-        """The entry that the next change sets; `unix_s` is the Unix time (s) at which it is made."""
+        """Returns the entry that the next change sets; `unix_s`: the Unix time in seconds of the change."""
         if self._draining is None:
             self._draining = self._random.choice(self._endpoints)
             return list_entry(self._draining, DRAINING)
@@ -51,7 +51,7 @@
 def endpoints_of_lists(
     endpoints: Collection[PlannedEndpoint], by_service: bool, main_list: str
 ) -> Mapping[str, list[PlannedEndpoint]]:
-    """The endpoints of each list: one that is named `main_list`, or one for each service."""
+    """Returns the endpoints of each list: one list named `main_list`, or one for each service."""
     if not by_service:
         return {main_list: list(endpoints)}
     lists: dict[str, list[PlannedEndpoint]] = {}
--- a/oatcart/scale/fault_plan.py
+++ b/oatcart/scale/fault_plan.py
@@ -1,8 +1,8 @@
-"""One day of a fleet from one seed: failures, restarts, racks and zones lost, partitions, and changes.
+"""One day of a fleet drawn from a seed: failures, restarts, lost racks and zones, partitions, and changes.
 
-Events bear the time in seconds from the start of a run: the simulated day divided by `time_compression`. They
-are consistent: an endpoint has at most one outage at a time, an endpoint that is restarted is first DRAINING
-and then DELETED, and whatever was away returns cold at its `NodeReturned`.
+The time of an event is in seconds from the start of a run: the time of the simulated day divided by
+`time_compression`. Events are consistent: an endpoint has at most one outage at a time, a restarted endpoint
+is first DRAINING and then DELETED, and an endpoint that was away is warming up after its `NodeReturned`.
 """
 
 from bisect import bisect_right, insort
@@ -18,14 +18,14 @@
 from oatcart.scale.fleet import FleetPlan
 
 MAX_DRAWS_PER_OUTAGE = 50
-"""Times drawn for an outage that overlaps no other, before another endpoint is tried or it is given up."""
+"""Start times drawn for an outage that overlaps no other, before another endpoint is tried or it fails."""
 
 MAX_ENDPOINTS_PER_OUTAGE = 200
-"""Endpoints tried for one outage, before it is given up."""
+"""Endpoints tried for one outage before the drawing fails."""
 
 
 class FaultPlanError(OatcartError):
-    """A day that does not fit into this fleet, such as more restarts than its endpoints can go through."""
+    """Raised for a day that does not fit the fleet, such as one with more restarts than there is time for."""
 
 
 class Cause(Enum):
@@ -38,7 +38,7 @@
 
 
 class NodeLost(NamedTuple):
-    """An endpoint is gone without a word: by itself, or with its rack or zone."""
+    """An endpoint is gone without being drained: by itself, or with its rack or zone."""
 
     at_s: float
     endpoint: str
@@ -46,21 +46,21 @@
 
 
 class NodeDraining(NamedTuple):
-    """An endpoint is about to be restarted and takes no new requests."""
+    """An endpoint drains before a restart and takes no new requests."""
 
     at_s: float
     endpoint: str
 
 
 class NodeDeleted(NamedTuple):
-    """A drained endpoint leaves the list of endpoints."""
+    """A drained endpoint is removed from the endpoint list."""
 
     at_s: float
     endpoint: str
 
 
 class NodeReturned(NamedTuple):
-    """An endpoint is back, cold: its time of start is `at_s`."""
+    """An endpoint is back and warming up: it started at `at_s`."""
 
     at_s: float
     endpoint: str
@@ -68,7 +68,7 @@
 
 
 class RegionsCut(NamedTuple):
-    """Nothing passes between two regions any more."""
+    """A partition starts: two regions cannot reach each other any more."""
 
     at_s: float
     first: str
@@ -76,7 +76,7 @@
 
 
 class RegionsRejoined(NamedTuple):
-    """Two regions reach each other again."""
+    """A partition ends: two regions can reach each other again."""
 
     at_s: float
     first: str
@@ -84,7 +84,7 @@
 
 
 class ConfigurationChanged(NamedTuple):
-    """Change `number` of the day, to one route of a service; `burst` is the number of its burst, if any."""
+    """Change `number` of the day, of one route of a service; `burst` is the number of its burst, if any."""
 
     at_s: float
     number: int
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True)
 class DayPlan:
-    """The events of a day in the order of their times; `length_s` is how long the run takes."""
+    """The events of a day in the order of their times."""
 
     settings: DaySettings
     seed: int
@@ -108,12 +108,12 @@
 
     @property
     def length_s(self) -> float:
-        """Seconds that the compressed day takes."""
+        """The length of the compressed day in seconds."""
         return DAY_S / self.settings.time_compression
 
 
 def plan_day(fleet: FleetPlan, settings: DaySettings, seed: int) -> DayPlan:
-    """Draws the day of a fleet; raises FaultPlanError where it does not fit into the fleet."""
+    """Draws the day of a fleet; raises FaultPlanError if it does not fit the fleet."""
     streams = numpy.random.SeedSequence(seed).spawn(3)
     outages, partitions, changes = (numpy.random.default_rng(stream) for stream in streams)
     events = [
@@ -126,7 +126,7 @@
 
 
 class _Interval(NamedTuple):
-    """A time that an endpoint is draining or away, in seconds of the simulated day."""
+    """A span in which an endpoint is draining or away, in seconds of the simulated day."""
 
     start: float
     end: float
@@ -144,7 +144,7 @@
         self.events: list[Event] = []
 
     def draw(self) -> list[Event]:
-        """All events of endpoints."""
+        """Draws and returns all events of endpoints."""
         settings = self.settings
         self._draw_group_losses(self.fleet.endpoints_by_zone(), settings.zone_losses, Cause.ZONE_LOSS)
         self._draw_group_losses(self.fleet.endpoints_by_rack(), settings.rack_losses, Cause.RACK_LOSS)
@@ -155,20 +155,22 @@
 
     def _draw_group_losses(self, groups: dict[str, list], count: int, cause: Cause) -> None:
         if count > len(groups):
-            raise FaultPlanError(f"{count} times {cause.value}, of only {len(groups)}")
+            raise FaultPlanError(f"{count} times {cause.value}: expected at most {len(groups)}")
         names = list(groups)
         for chosen in self.generator.permutation(len(names))[:count].tolist():
             endpoints = [endpoint.id for endpoint in groups[names[chosen]]]
             outage = self._draw_free_interval(endpoints, self.settings.lost_for)
             if outage is None:
-                raise FaultPlanError(f"{cause.value} of {names[chosen]} finds no time without another outage")
+                raise FaultPlanError(
+                    f"{cause.value} of {names[chosen]}: no time without another outage found"
+                )
             for endpoint in endpoints:
                 self._lose(endpoint, outage, cause)
 
     def _draw_endpoint_outages(
         self, count: int, away_for: float, add_outage: Callable[[str, _Interval], None], title: str
     ) -> None:
-        """An outage for each of `count` endpoints: different ones, as long as there are."""
+        """Draws an outage for each of `count` endpoints: distinct ones as far as there are enough."""
         for position in self._drawn_endpoints(count):
             outage, endpoint = None, self.endpoint_ids[position]
             for _ in range(MAX_ENDPOINTS_PER_OUTAGE):
@@ -177,7 +179,7 @@
                     break
                 endpoint = self.endpoint_ids[int(self.generator.integers(len(self.endpoint_ids)))]
             if outage is None:
-                raise FaultPlanError(f"{count} {title} find no room on {len(self.endpoint_ids)} nodes")
+                raise FaultPlanError(f"{count} {title} do not fit on {len(self.endpoint_ids)} endpoints")
             add_outage(endpoint, outage)
 
     def _drawn_endpoints(self, count: int) -> list[int]:
@@ -186,7 +188,7 @@
         return numpy.concatenate(drawn).tolist()[:count] if drawn else []
 
     def _draw_free_interval(self, endpoints: Sequence[str], length: float) -> _Interval | None:
-        """A time in which none of the endpoints is away, or None."""
+        """Returns an interval in which none of the endpoints is draining or away, or None."""
         latest = DAY_S - length
         for _ in range(MAX_DRAWS_PER_OUTAGE):
             start = float(self.generator.uniform(0.0, latest))
@@ -221,11 +223,13 @@
 def _draw_partitions(
     fleet: FleetPlan, settings: DaySettings, generator: numpy.random.Generator
 ) -> list[Event]:
-    """Pairs of regions cut from each other, each pair once."""
+    """Draws partitions between distinct pairs of regions."""
     regions = fleet.regions
     pairs = [(first, second) for index, first in enumerate(regions) for second in regions[index + 1 :]]
     if settings.partitions > len(pairs):
-        raise FaultPlanError(f"{settings.partitions} partitions, of only {len(pairs)} pairs of regions")
+        raise FaultPlanError(
+            f"{settings.partitions} partitions: expected at most {len(pairs)}, one for each pair of regions"
+        )
     events: list[Event] = []
     for chosen in generator.permutation(len(pairs))[: settings.partitions].tolist():
         start = float(generator.uniform(0.0, DAY_S - settings.partition_for))
@@ -237,9 +241,9 @@
 def _draw_changes(
     fleet: FleetPlan, settings: DaySettings, generator: numpy.random.Generator
 ) -> list[ConfigurationChanged]:
-    """Changes at any time of the day and, in bursts, to routes of one service; numbered in order of time.
+    """Draws single changes at any time of the day and bursts of changes to the routes of one service.
 
-    Route number r leads to service r modulo the number of services.
+    Changes are numbered in order of time. Route number r leads to service r modulo the number of services.
     """
     in_bursts = round(settings.changes * settings.burst_share)
     alone = settings.changes - in_bursts
@@ -260,7 +264,7 @@
 def _draw_burst(
     fleet: FleetPlan, settings: DaySettings, burst: int, size: int, generator: numpy.random.Generator
 ) -> list[tuple[float, int, int]]:
-    """The time, the route and the burst of each change of one burst."""
+    """Draws the time, the route and the burst of each change of one burst."""
     route_count, service_count = fleet.settings.routes, len(fleet.services)
     first_route = int(generator.integers(min(route_count, service_count)))
     routes_of_service = numpy.arange(first_route, route_count, service_count)
--- a/oatcart/scale/fleet.py
+++ b/oatcart/scale/fleet.py
@@ -1,16 +1,16 @@
-"""A fleet drawn from one seed: endpoints over regions, zones, racks and services, and controllers by zone.
+"""A fleet drawn from a seed: endpoints in regions, zones, racks and services, and controllers in zones.
 
-How the operators' counts are read:
+How the operators' counts are applied:
 
-* A few services hold thousands of endpoints, most a handful: the service of rank ``r`` gets, beyond the two
-  endpoints that every service has, a part of the endpoints that falls as ``1 / r ** service_skew`` (Zipf's
-  law).
-* A small service lives in a few zones, a large one in many: one zone for every `NODES_PER_ZONE_OF_SERVICE`
-  endpoints, never fewer than two where there are two.
-* A controller orders for `proxies_per_conductor` proxies, which call `services_per_conductor` services: the
-  first is dealt in turn, so that every service is called by someone, the others by the endpoints they hold.
+* A few services have thousands of endpoints, most have a handful: every service has two endpoints, and the
+  rest is shared out so that the service of rank ``r`` gets a part proportional to ``1 / r ** service_skew``
+  (Zipf's law).
+* A small service has endpoints in a few zones, a large one in many: in one zone for every
+  `ENDPOINTS_PER_ZONE_OF_SERVICE` endpoints, and in two at least if the fleet has two.
+* A controller serves `proxies_per_conductor` proxies, which call `services_per_conductor` services: one is
+  assigned in turn, so that every service is called, the others are drawn by their numbers of endpoints.
 
-The same settings and seed give the same fleet. :meth:`FleetSettings.scaled_to` gives the settings of a
+The same settings and seed give the same fleet. :meth:`FleetSettings.scaled_to` returns the settings of a
 smaller one of the same shape.
 """
 
@@ -24,19 +24,19 @@
 from oatcart.scale.configuration import MIN_ENDPOINTS_PER_SERVICE, FleetSettings
 
 ENDPOINT_SIZES = (1, 2, 4)
-"""Sizes that machines come in, as multiples of the smallest."""
+"""The sizes of machines, as multiples of the smallest."""
 
 ENDPOINT_SIZE_SHARES = (0.6, 0.3, 0.1)
-"""The share of the endpoints that has each of `NODE_SIZES`."""
+"""The share of the endpoints that have each of `ENDPOINT_SIZES`."""
 
 ENDPOINTS_PER_ZONE_OF_SERVICE = 12
-"""Endpoints of a service in one zone, before it takes up another zone."""
+"""Endpoints of a service for each zone that it is in."""
 
 ZONE_SKEW = 0.5
-"""How unequal zones are: the zone of rank r is taken up in proportion to ``1 / r ** ZONE_SKEW``."""
+"""How unequal zones are: the zone of rank r has a weight of ``1 / r ** ZONE_SKEW``."""
 
 FIRST_ADDRESS = IPv4Address("10.0.0.1")
-"""The host of the first endpoint; the others follow."""
+"""The IP address of the first endpoint; the others follow it."""
 
 ENDPOINT_PORT = 8080
 """The port of every endpoint."""
@@ -58,7 +58,7 @@
 
 
 class PlannedController(NamedTuple):
-    """A controller, where it runs and the services that its proxies call."""
+    """A controller: where it runs and the services that its proxies call."""
 
     name: str
     region: str
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True)
 class FleetPlan:
-    """The fleet as drawn; `zone_regions` tells the region of each zone."""
+    """A drawn fleet; `zone_regions` has the region of each zone."""
 
     settings: FleetSettings
     seed: int
@@ -100,7 +100,7 @@
 
 
 def plan_fleet(settings: FleetSettings, seed: int) -> FleetPlan:
-    """Draws the fleet. The settings are taken as checked by :func:`oatcart.scale.configuration_file.read`."""
+    """Draws the fleet from settings that :func:`oatcart.scale.configuration_file.read` has checked."""
     endpoint_stream, controller_stream = numpy.random.SeedSequence(seed).spawn(2)
     zone_regions = _zone_regions(settings)
     endpoints = _draw_endpoints(settings, zone_regions, numpy.random.default_rng(endpoint_stream))
@@ -111,7 +111,7 @@
 
 
 def apportion(total: int, weights: Floats) -> Integers:
-    """Whole numbers that sum to `total` in proportion to the weights (method of largest remainders).
+    """Returns integers that sum to `total` in proportion to the weights (method of largest remainders).
 
     >>> apportion(10, numpy.array([3.0, 2.0, 1.0])).tolist()
     [5, 3, 2]
@@ -124,14 +124,14 @@
 
 
 def service_sizes(settings: FleetSettings) -> Integers:
-    """The endpoints of each service, the largest service first."""
+    """Returns the number of endpoints of each service, the largest service first."""
     ranks = numpy.arange(1, settings.services + 1, dtype=float)
     spare = settings.nodes - MIN_ENDPOINTS_PER_SERVICE * settings.services
     return MIN_ENDPOINTS_PER_SERVICE + apportion(spare, ranks**-settings.service_skew)
 
 
 def _zone_regions(settings: FleetSettings) -> dict[str, str]:
-    """Zones dealt to regions in turn, so that no region has two more zones than another."""
+    """Returns the region of each zone; the numbers of zones of two regions differ by one at most."""
     region_of = numpy.sort(numpy.arange(settings.zones) % settings.regions)
     return {_zone_name(zone): f"region-{region:02}" for zone, region in enumerate(region_of)}
 
@@ -145,7 +145,7 @@
 
 
 def _zone_weights(settings: FleetSettings, generator: numpy.random.Generator) -> Floats:
-    """How large each zone is, in an order that says nothing of its number."""
+    """Returns the weight of each zone; ranks are assigned at random."""
     ranks = generator.permutation(settings.zones) + 1.0
     return ranks**-ZONE_SKEW
 
@@ -179,7 +179,7 @@
 def _assign_services_and_zones(
     counts: Integers, zone_weights: Floats, generator: numpy.random.Generator
 ) -> tuple[Integers, Integers]:
-    """The service and the zone of each endpoint."""
+    """Returns the service and the zone of each endpoint."""
     zone_parts = []
     for count in counts.tolist():
         chosen = _zones_of_service(count, zone_weights, generator)
@@ -204,7 +204,7 @@
 
 
 def _positions_within(groups: Integers) -> Integers:
-    """For each item, how many items of its group stand before it.
+    """Returns for each item how many items of its group come before it.
 
     >>> _positions_within(numpy.array([7, 3, 7, 7, 3])).tolist()
     [0, 0, 1, 2, 1]
@@ -242,7 +242,7 @@
     zone_names: list[str],
     generator: numpy.random.Generator,
 ) -> Integers:
-    """The zone of each controller: as many controllers in a zone as its endpoints make up of the fleet."""
+    """Returns the zone of each controller; a zone's share of the controllers is that of the endpoints."""
     counts = dict.fromkeys(zone_names, 0)
     for endpoint in endpoints:
         counts[endpoint.zone] += 1
@@ -251,10 +251,10 @@
 
 
 def _called_services(settings: FleetSettings, generator: numpy.random.Generator) -> Integers:
-    """A row of distinct services for each controller, in the order of their numbers.
+    """Returns a row of distinct services for each controller, in the order of their numbers.
 
     The weighted draw without replacement takes the largest keys ``log(weight) + Gumbel noise``; the service
-    dealt in turn has an infinite key.
+    that is assigned in turn has an infinite key.
     """
     log_weights = numpy.log(service_sizes(settings).astype(float))
     in_turn = generator.permutation(settings.services)
--- a/oatcart/scale/hollow.py
+++ b/oatcart/scale/hollow.py
@@ -1,10 +1,10 @@
 """Hollow controllers: hundreds in one process, with the real decisions, rounds, codec and list watcher.
 
-All share one `net.loop.Loop`. Every task and every round of a controller runs under its own `Meter`; what the
-loop and the hollow proxies need is in no meter. How much less that is than the processor time of a real
-controller is measured in `agreement.py`.
+They share one `net.loop.Loop`. Every task and every round of a controller runs under the controller's own
+`Meter`, which leaves out the processor time of the loop and of the hollow proxies. `agreement.py` measures
+how much less that is than the processor time of a real controller.
 
-The process (`python -m oatcart.scale.hollow`) takes commands as in `children.py`.
+The process (`python -m oatcart.scale.hollow`) takes commands as described in `children.py`.
 """
 
 import os
@@ -20,11 +20,16 @@
 from oatcart.scale.hollow_controller import HollowController
 from oatcart.scale.peers import TICK_S, ControllerPeers, PeerSettings, PeerTraffic
 
-START_SPREAD_S = 0.25  # over which controllers start, so that their rounds do not coincide
+START_SPREAD_S = 0.25  # controllers start spread over this span, so that their rounds do not coincide
 
 
 class HollowFigures(NamedTuple):
-    """One hollow controller's figures since its start; `applied_revisions`: see `HollowController`."""
+    """One hollow controller's figures since its start.
+
+    `longest_s`: the longest metered stretch since the last reading. `ready_after_s`, `ready_core_s`: the time
+    and processor seconds from the start to the first round on a list. `applied_revisions`: pairs of the time
+    (s) at which a round had run on a revision, and the revision.
+    """
 
     core_s: float
     longest_s: float
@@ -40,7 +45,7 @@
 
 
 class HollowFleet:
-    """All hollow controllers of the process on one loop; methods without an underscore are commands."""
+    """All hollow controllers of the process on one loop; the methods without an underscore are commands."""
 
     def __init__(self, log_stream: TextIO) -> None:
         self.loop = Loop(time.monotonic, self._failed)
@@ -49,13 +54,13 @@
         self.log_stream = log_stream
         self.failures: list[str] = []
         self.failing: list[str] = []
-        self.late_s = 0.0  # the most by which a tick was late since the last reading
+        self.late_s = 0.0  # the longest by which a tick was late since the last reading
         self.reading = True
 
     def start(
         self, settings: dict, ports: list[int], seeds: list[int], spread_s: float = START_SPREAD_S
     ) -> dict:
-        """Starts a controller for each of discovery's ports, spread over some seconds."""
+        """Starts a controller for each of discovery's ports, spread over `spread_s` seconds."""
         for index, (port, seed) in enumerate(zip(ports, seeds, strict=True)):
             after = spread_s * index / len(ports)
             self.loop.call_at(
@@ -64,7 +69,7 @@
         return {}
 
     def join(self, peers: list[dict], keep_orders: bool) -> dict:
-        """Lets the proxies of every controller join; from then on they report at every tick."""
+        """Lets the proxies of every controller join; they report at every tick afterwards."""
         for index, (controller, fields) in enumerate(zip(self.controllers, peers, strict=True)):
             controller_peers = ControllerPeers(peer_settings(fields), keep_orders)
             first = self.loop.clock() + TICK_S * index / len(peers)
@@ -77,7 +82,7 @@
         return {}
 
     def fail(self, endpoints: list[str]) -> dict:
-        """From now on these endpoints fail every request of all controllers' proxies."""
+        """Makes these endpoints, and no others, fail every request of the proxies of all controllers."""
         self.failing = endpoints
         for controller in self.controllers:
             if controller.peers is not None:
@@ -85,7 +90,7 @@
         return {}
 
     def figures(self) -> dict:
-        """Of every controller its figures; the longest stretch and the lateness start anew."""
+        """Returns the figures of every controller; resets the longest stretch and the lateness."""
         figures = [self._figures(controller) for controller in self.controllers]
         for controller in self.controllers:
             controller.meter.longest_s = 0.0
@@ -93,7 +98,7 @@
         return {"usage": own_usage(), "conductors": figures, "failures": self.failures, "late_s": late_s}
 
     def orders(self) -> dict:
-        """Of every controller its known endpoints and what its proxies hold."""
+        """Returns the known endpoints of every controller and the tables of its proxies."""
         return {
             "conductors": [
                 {"known": controller.known_endpoints(), "tables": encoded_tables(controller.peers)}
@@ -102,7 +107,7 @@
         }
 
     def run(self) -> None:
-        """The life of the process: until its input ends."""
+        """Runs all controllers until the input of the process ends."""
         self.loop.spawn(self._read_commands())
         while self.reading:
             self.loop.turn()
@@ -166,14 +171,14 @@
 
 
 def peer_settings(fields: Mapping) -> PeerSettings:
-    """Peer settings as they came with a command, where tuples are lists."""
+    """Returns peer settings from the fields of a command, in which tuples are lists."""
     return PeerSettings(
         **{**fields, "routes": tuple(fields["routes"]), "endpoints": tuple(fields["endpoints"])}
     )
 
 
 def encoded_tables(peers: ControllerPeers | None) -> dict:
-    """What each proxy of a controller holds, by its number as text; nothing before they join."""
+    """Returns the tables of each proxy of a controller, by its number as text; empty before they join."""
     if peers is None:
         return {}
     return {
@@ -183,17 +188,17 @@
 
 
 class ControllerTables(NamedTuple):
-    """What the proxies of one controller hold, by number as text, and the endpoints that it knows."""
+    """The tables of one controller's proxies, by number as text, and the endpoints that it knows."""
 
     tables: dict[str, dict]
     known: list[str] | None
 
 
 class HollowReading(NamedTuple):
-    """One reading of a hollow fleet: the process's usage and the figures of each controller.
+    """One reading of a hollow fleet: the usage of the process and the figures of each controller.
 
-    `late_s` is the most by which a controller's peers were late with their reports since the last reading:
-    where the process has no time for all its controllers, their rounds are late too.
+    `late_s` is the longest by which a controller's peers sent their reports late since the last reading: if
+    the process is too busy for all its controllers, their rounds are late too.
     """
 
     usage: Usage
@@ -203,7 +208,7 @@
 
 
 class HollowControllers(Child):
-    """The parent's side of a process of hollow controllers."""
+    """A process of hollow controllers, as its parent sees it."""
 
     def __init__(self) -> None:
         super().__init__("oatcart.scale.hollow")
@@ -211,26 +216,26 @@
     def start_controllers(
         self, settings: Mapping, ports: list[int], seeds: list[int], spread_s: float = START_SPREAD_S
     ) -> None:
-        """Starts a controller for each port of discovery, spread over some seconds."""
+        """Starts a controller for each port of discovery, spread over `spread_s` seconds."""
         self.ask("start", settings=settings, ports=ports, seeds=seeds, spread_s=spread_s)
 
     def join_peers(self, peers: list[PeerSettings], keep_tables: bool = False) -> None:
-        """Lets the proxies of every controller join and report from then on."""
+        """Lets the proxies of every controller join; they report at every tick afterwards."""
         self.ask("join", peers=[asdict(one) for one in peers], keep_orders=keep_tables)
 
     def fail(self, endpoints: list[str]) -> None:
-        """From now on these endpoints, and no others, fail every request."""
+        """Makes these endpoints, and no others, fail every request."""
         self.ask("fail", endpoints=endpoints)
 
     def figures(self) -> HollowReading:
-        """One reading of all controllers; the longest stretch and the lateness start anew."""
+        """Returns a reading of all controllers; resets the longest stretch and the lateness."""
         answer = self.ask("figures")
         controllers = [HollowFigures(*one) for one in answer["conductors"]]
         usage = Usage(**answer["usage"])
         return HollowReading(usage, controllers, answer["failures"], answer["late_s"])
 
     def tables(self) -> list[ControllerTables]:
-        """Of each controller what its proxies hold; its peers must have joined with `keep_tables`."""
+        """Returns the tables of each controller's proxies, which must have joined with `keep_tables`."""
         return [ControllerTables(**one) for one in self.ask("orders")["conductors"]]
 
 
--- a/oatcart/scale/hollow_controller.py
+++ b/oatcart/scale/hollow_controller.py
@@ -1,7 +1,7 @@
 """A hollow controller: the real decisions, rounds, codec and endpoint list watcher, without an acceptor.
 
-Its proxies and their collector are objects in the same process (`peers.py`): their lines are read by the real
-codec, and the bytes of updates are handed to them. Discovery is called over HTTP on loopback.
+Its proxies and their collector are objects in the same process (`peers.py`): the real codec decodes their
+lines, and the encoded updates are passed to them. Discovery is called over HTTP on loopback.
 """
 
 import time
@@ -25,7 +25,7 @@
 
 
 class HollowRounds(Rounds):
-    """Rounds that notify the fleet when one may be due; so no turn of the loop polls all controllers."""
+    """Rounds that notify the fleet when one may be due, so that the loop need not poll all controllers."""
 
     def __init__(
         self,
@@ -54,21 +54,21 @@
 
 
 class HollowStream:
-    """A proxy's stream inside the process: hands encoded updates to the proxy and never fails."""
+    """A proxy's stream inside the process: passes encoded updates to the proxy and never fails."""
 
     def __init__(self, peers: ControllerPeers, proxy: int) -> None:
         self.peers, self.proxy = peers, proxy
 
     def write(self, data: bytes) -> None:
-        """Hands some bytes to the proxy."""
+        """Passes some bytes to the proxy."""
         self.peers.receive_data(self.proxy, data)
 
 
 class HollowController:
     """One controller, assembled as `net.assembly.assemble` does but without the acceptor.
 
-    `log_stream` gets its log; `may_be_due` is called when a round of it may be due. `applied_revisions` holds
-    each newer revision of its list with the time (s) at which a round had run on it.
+    Its log is written to `log_stream`; `may_be_due` is called when a round of it may be due.
+    `applied_revisions` has each new revision of its list with the time (s) at which a round had run on it.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
             self._assemble(MeteredLoop(shared_loop, self.meter), settings, seed, discovery_port, log_stream)
         self.peers: ControllerPeers | None = None
         self.applied_revisions: list[tuple[float, int]] = []
-        self.revision = 0  # the last applied one
+        self.revision = 0  # the last applied revision
         self.ready_after_s = self.ready_core_s = 0.0
         self.may_be_due()
 
@@ -133,17 +133,17 @@
         self.applied_revisions.append((now, self.revision))
 
     def join(self, peers: ControllerPeers) -> None:
-        """Lets all its proxies join at once."""
+        """Lets all its proxies join."""
         self.peers = peers
         self.receive(peers.joins())
 
     def receive(self, messages: list[PeerMessage]) -> None:
-        """Reads messages of its peers as the acceptor's tasks would, which skip unusable ones."""
+        """Processes messages of its peers as the tasks of the acceptor do, which skip invalid ones."""
         with self.meter:
             for message in messages:
                 try:
                     event = self.rounds.codec.decode_message(memoryview(message.line))
-                except InvalidMessageError:  # of an endpoint that is not listed
+                except InvalidMessageError:  # a load report of an endpoint that is not listed
                     continue
                 if isinstance(event, ProxyJoined):
                     self.rounds.join(
@@ -156,5 +156,5 @@
                 self.rounds.add_event(event)
 
     def known_endpoints(self) -> list[str]:
-        """The ids of all endpoints that have a number at this controller."""
+        """Returns the ids of all endpoints that have a number at this controller."""
         return list(self.rounds.codec.endpoint_numbers)
--- a/oatcart/scale/peer_sockets.py
+++ b/oatcart/scale/peer_sockets.py
@@ -1,7 +1,7 @@
-"""The peers of real controllers over sockets: streams of hollow proxies and a collector's connection each.
+"""The peers of real controllers over sockets: streams of hollow proxies, and a collector connection each.
 
-The process (`python -m oatcart.scale.peer_sockets`) takes commands as in `children.py` and plays the same
-`peers.ControllerPeers` that hollow controllers meet in their own process.
+The process (`python -m oatcart.scale.peer_sockets`) takes commands as described in `children.py`. Its
+messages come from `peers.ControllerPeers`, as do those to hollow controllers.
 """
 
 import asyncio
@@ -22,18 +22,18 @@
 
 
 class ProxyStream(asyncio.Protocol):
-    """A proxy's stream: hands what it receives to the peers."""
+    """A proxy's stream: passes the bytes received to the peers."""
 
     def __init__(self, peers: ControllerPeers, proxy: int) -> None:
         self.peers, self.proxy = peers, proxy
 
     def data_received(self, data: bytes) -> None:
-        """Hands encoded updates to the proxy."""
+        """Passes encoded updates to the proxy."""
         self.peers.receive_data(self.proxy, data)
 
 
 class ControllerConnections:
-    """All connections of one controller's peers; when the controller ends they are not dialled again."""
+    """All connections of one controller's peers; they are not opened again when the controller ends."""
 
     def __init__(self, peers: ControllerPeers, port: int) -> None:
         self.peers, self.port = peers, port
@@ -41,7 +41,7 @@
         self.collector: asyncio.WriteTransport | None = None
 
     async def join_and_report(self, first_after_s: float) -> None:
-        """Joins, then reports at every tick."""
+        """Waits, connects, lets all proxies join, then reports at every tick."""
         loop = asyncio.get_running_loop()
         await asyncio.sleep(first_after_s)
         self.collector, _ = await loop.create_connection(asyncio.Protocol, LOOPBACK, self.port)
@@ -59,7 +59,7 @@
             self._send(self.peers.tick())
 
     def _send(self, messages: list[PeerMessage]) -> None:
-        """One write for each connection, as a proxy or collector that bundles its lines."""
+        """Writes to each connection once, as a proxy or collector that bundles its lines does."""
         bundles: dict[int | None, bytearray] = {}
         for message in messages:
             bundles.setdefault(message.proxy, bytearray()).extend(message.line)
@@ -68,7 +68,7 @@
 
 
 class PeerService:
-    """The peers of all real controllers; methods without an underscore are commands."""
+    """The peers of all real controllers; the methods without an underscore are commands."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -77,7 +77,7 @@
         self.failures: list[str] = []
 
     def join(self, ports: list[int], peers: list[dict], keep_orders: bool) -> dict:
-        """Lets the proxies of every controller join, spread over a tick; from then on they report."""
+        """Lets the proxies of every controller join, spread over a tick; they report afterwards."""
         for index, (port, fields) in enumerate(zip(ports, peers, strict=True)):
             one = ControllerConnections(ControllerPeers(peer_settings(fields), keep_orders), port)
             self.connections.append(one)
@@ -87,13 +87,13 @@
         return {}
 
     def fail(self, endpoints: list[str]) -> dict:
-        """From now on these endpoints fail every request of all controllers' proxies."""
+        """Makes these endpoints, and no others, fail every request of the proxies of all controllers."""
         for one in self.connections:
             one.peers.fail(endpoints)
         return {}
 
     def figures(self) -> dict:
-        """The process's usage, and each controller's traffic with its peers."""
+        """Returns the usage of the process, and each controller's traffic with its peers."""
         return {
             "usage": own_usage(),
             "failures": self.failures,
@@ -101,7 +101,7 @@
         }
 
     def orders(self) -> dict:
-        """What the proxies of each controller hold."""
+        """Returns the tables of the proxies of each controller."""
         return {"conductors": [encoded_tables(one.peers) for one in self.connections]}
 
     async def _run(self, steps: Coroutine) -> None:
@@ -112,31 +112,31 @@
 
 
 class PeerSockets(Child):
-    """The parent's side of the process."""
+    """The process with the peers of real controllers, as its parent sees it."""
 
     def __init__(self) -> None:
         super().__init__("oatcart.scale.peer_sockets")
 
     def join(self, ports: list[int], peers: list[PeerSettings], keep_tables: bool = False) -> None:
-        """Lets the proxies of the controllers at these ports join and report from then on."""
+        """Lets the proxies of the controllers at these ports join; they report afterwards."""
         self.ask("join", ports=ports, peers=[asdict(one) for one in peers], keep_orders=keep_tables)
 
     def fail(self, endpoints: list[str]) -> None:
-        """From now on these endpoints, and no others, fail every request."""
+        """Makes these endpoints, and no others, fail every request."""
         self.ask("fail", endpoints=endpoints)
 
     def figures(self) -> tuple[Usage, list[PeerTraffic]]:
-        """The process's usage, and each controller's traffic with its peers."""
+        """Returns the usage of the process, and each controller's traffic with its peers."""
         answer = self.ask("figures")
         return Usage(**answer["usage"]), [PeerTraffic(*one) for one in answer["conductors"]]
 
     def tables(self) -> list[ControllerTables]:
-        """What the proxies of each controller hold; what endpoints a real one knows cannot be read."""
+        """Returns the tables of each controller's proxies; what endpoints a real one knows cannot be read."""
         return [ControllerTables(tables, None) for tables in self.ask("orders")["conductors"]]
 
 
 async def serve() -> None:
-    """The life of the process: until its input ends."""
+    """Answers commands until the input of the process ends."""
     service = PeerService(asyncio.get_running_loop())
     await answer_commands(
         {"join": service.join, "fail": service.fail, "figures": service.figures, "orders": service.orders}
--- a/oatcart/scale/peers.py
+++ b/oatcart/scale/peers.py
@@ -1,12 +1,12 @@
-"""Hollow proxies, collectors and endpoints of one controller: what they send, and what they were sent.
+"""Hollow proxies, collectors and endpoints of one controller: messages sent and updates received.
 
-Nothing here owns a connection or a clock: `ControllerPeers` yields encoded lines of the protocol, tick by
-tick, and takes the bytes of orders. In-process hollow controllers and real ones over sockets are driven by
-the same object, so that both meet the same arrivals. What a tick brings is a function of seed and tick
-alone; acknowledgements depend on the orders that came.
+This module has no connections and no clock: `ControllerPeers` returns encoded lines of the protocol for each
+tick and receives the bytes of updates. The same object drives hollow controllers in their own process and
+real ones over sockets, so that both receive the same arrivals. The messages of a tick depend on seed and tick
+alone, but acknowledgements depend on the updates received.
 
-An endpoint that fails answers nothing but errors in the sums of what proxies met; drains and restarts are
-changes of the list, made at discovery.
+All requests to a failing endpoint are errors in the load reports; drains and restarts are changes of the
+list, made at discovery.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -17,23 +17,20 @@
 
 import orjson
 
-TICK_S = 0.25  # of the protocol's time between two bundles of reports
-REPORT_PERIOD_S = 1.0  # covered by one sum
+TICK_S = 0.25  # time between two bundles of reports, set by the protocol
+REPORT_PERIOD_S = 1.0  # covered by one report
 TICKS_PER_PERIOD = round(REPORT_PERIOD_S / TICK_S)
-MAX_LOAD_REPORTS_PER_S = (
-    60  # at most; with more endpoints each is met less often, as a few proxies' requests meet it
-)
-MEAN_DURATION_RANGE_MS = (
-    40.0,
-    160.0,
-)  # the range of mean durations: well under what makes the module lean away from a zone
-MAX_IN_FLIGHT = 8  # requests that an endpoint reports to hold
+# With more endpoints each is reported less often, as a few proxies send only so many requests.
+MAX_LOAD_REPORTS_PER_S = 60
+# Mean durations are well under those at which the decision module spills over to other zones.
+MEAN_DURATION_RANGE_MS = 40.0, 160.0
+IN_FLIGHT_BOUND = 8  # endpoints report fewer requests in flight than this
 ACKNOWLEDGEMENT_LAG_MS = 1000 * TICK_S
 NONCE_KEY = b'"nonce_out":'
 
 
 class PeerMessage(NamedTuple):
-    """A line to a controller: on a proxy's stream, or on the collector's where `proxy` is None."""
+    """A line to a controller: on a proxy's stream, or on the collector's if `proxy` is None."""
 
     proxy: int | None
     zone: str
@@ -42,7 +39,10 @@
 
 @dataclass(frozen=True)
 class PeerSettings:
-    """The peers of one controller. `requests_per_proxy` is a rate a second, told at joining and in usage."""
+    """The peers of one controller.
+
+    `requests_per_proxy` is a rate a second, which proxies state when they join and report as usage.
+    """
 
     seed: int
     proxies: int
@@ -54,14 +54,17 @@
 
 @dataclass
 class ProxyTables:
-    """What a proxy holds by its orders: weights by route and endpoint, and the endpoints it shuts out."""
+    """The state of a proxy after its updates.
+
+    Weights by route and endpoint, admitted shares by route, and the ejected endpoints.
+    """
 
     weights: dict[str, dict[str, float]] = field(default_factory=dict)
     admitted_shares: dict[str, float] = field(default_factory=dict)
     ejected: set[str] = field(default_factory=set)
 
     def apply(self, update: Mapping, routes: Sequence[str]) -> None:
-        """Takes one part of an order, as the protocol tells it."""
+        """Applies one part of an update, as the protocol defines it."""
         for route in update.get("routes", routes):
             if update.get("full"):
                 self.weights[route] = {}
@@ -89,7 +92,10 @@
 
 
 class ControllerPeers:
-    """All peers of one controller. `keep_tables`: updates are applied to tables, else searched for nonces."""
+    """All peers of one controller.
+
+    `keep_tables`: updates are decoded and applied to `tables`; otherwise only their nonces are read.
+    """
 
     def __init__(self, settings: PeerSettings, keep_tables: bool = False) -> None:
         self.settings, self.keep_tables = settings, keep_tables
@@ -103,7 +109,7 @@
         self._load_reports_per_s = min(MAX_LOAD_REPORTS_PER_S, len(self._endpoints))
 
     def joins(self) -> list[PeerMessage]:
-        """What the proxies say first, each on its stream."""
+        """Returns the first message of each proxy, on its stream."""
         request_rate = self.settings.requests_per_proxy
         return [
             self._message(
@@ -120,22 +126,22 @@
         ]
 
     def tick(self) -> list[PeerMessage]:
-        """All that is said in the next tick: acknowledgements, a part of the usage, sums of what was met."""
+        """Returns all messages of the next tick: acknowledgements, usage and load reports."""
         tick = next(self._ticks)
         random = Random(self.settings.seed * 1_000_003 + tick)
         return [*self._acknowledgements(), *self._usage(tick, random), *self._load_reports(tick, random)]
 
     def receive_data(self, proxy: int, data: bytes) -> None:
-        """Bytes that came on a proxy's stream; they are read with the next tick."""
+        """Adds bytes received on a proxy's stream, which the next tick reads."""
         self.traffic.bytes_out += len(data)
         self._unread[proxy] += data
 
     def reset_stream(self, proxy: int) -> None:
-        """The stream of a proxy has ended: what was cut off is lost, and its next stream starts anew."""
+        """Drops the incomplete line of a proxy's stream that has ended, before its next stream starts."""
         self._unread[proxy].clear()
 
     def fail(self, endpoints: Collection[str]) -> None:
-        """From now on these endpoints, and no others, fail every request."""
+        """Makes these endpoints, and no others, fail every request."""
         self.failing = set(endpoints)
 
     def _acknowledgements(self) -> list[PeerMessage]:
@@ -149,7 +155,7 @@
         ]
 
     def _read(self, proxy: int) -> int | None:
-        """Reads whole lines of a stream; the last nonce that was asked for."""
+        """Reads the complete lines of a stream; returns the last nonce to be acknowledged, or None."""
         unread = self._unread[proxy]
         end = unread.rfind(b"\n") + 1
         lines = bytes(unread[:end])
@@ -167,7 +173,7 @@
         return nonce
 
     def _usage(self, tick: int, random: Random) -> list[PeerMessage]:
-        """Every proxy tells its usage once a period, a part of the proxies in each tick."""
+        """Returns usage messages: every proxy reports once a period, a part of the proxies in each tick."""
         count_of_route = self.settings.requests_per_proxy * REPORT_PERIOD_S / len(self.settings.routes)
         reporting = range(tick % TICKS_PER_PERIOD, self.settings.proxies, TICKS_PER_PERIOD)
         return [
@@ -187,7 +193,10 @@
         ]
 
     def _load_reports(self, tick: int, random: Random) -> list[PeerMessage]:
-        """Sums of a part of the endpoints, in turn: one left out for long would be taken for silent."""
+        """Returns load reports of a part of the endpoints.
+
+        The endpoints take turns, because one that is not reported for long is taken for unresponsive.
+        """
         first = self._load_reports_per_s * tick // TICKS_PER_PERIOD
         after_last = self._load_reports_per_s * (tick + 1) // TICKS_PER_PERIOD
         endpoints = [self._endpoints[place % len(self._endpoints)] for place in range(first, after_last)]
@@ -204,7 +213,7 @@
             "bad": attempts if endpoint in self.failing else 0,
             "avg": random.uniform(*MEAN_DURATION_RANGE_MS),
             "window": 1000 * REPORT_PERIOD_S,
-            "report": {"inflight": random.randrange(MAX_IN_FLIGHT)},
+            "report": {"inflight": random.randrange(IN_FLIGHT_BOUND)},
         }
 
     def _message(self, proxy: int | None, fields: dict) -> PeerMessage:
@@ -215,7 +224,7 @@
 
 
 def last_nonce(lines: bytes) -> int | None:
-    """The last nonce asked for in encoded orders, found without reading their tables.
+    """Returns the last nonce in encoded updates, found without decoding their tables; None if there is none.
 
     >>> last_nonce(b'{"msg":"update","nonce_out":904}\\n{"msg":"update","nonce_out":905}\\n')
     905
@@ -227,5 +236,5 @@
 
 
 def collector_line(zone: str) -> bytes:
-    """What a collector says first."""
+    """Returns the first message of a collector."""
     return orjson.dumps({"msg": "collector", "az": zone}) + b"\n"
--- a/oatcart/scale/trial.py
+++ b/oatcart/scale/trial.py
@@ -1,24 +1,24 @@
-"""One trial: a fleet of hollow and real controllers under one stand-in discovery, measured quiet and under
-changes.
+"""One trial: hollow and real controllers with one stand-in discovery, measured idle and under changes.
 
-The order of a trial: discovery is given its lists; controllers start and are *ready* once they hold the list
-(a real one must also have answered `pong`); their proxies join; after a time to settle come a quiet span,
-whose processor time, bytes and messages are measured, and a span of changes at a fixed rate.
+The order of a trial: the lists of discovery are set; controllers start and are *ready* once they have the
+list (a real one must also have answered `pong`); their proxies join; after a time to settle there are a quiet
+span without changes, in which processor time, bytes and messages are measured, and a span of changes at a
+fixed rate.
 
-How the quantities of a `Measurement` are read here:
+How the quantities of a `Measurement` are measured:
 
 * Processor time is the kernel's count of a process, and for a hollow controller the time under its meter.
 * Bytes and messages of a controller are those of its control connections, to discovery; those from and to
   its proxies and collectors are proportional to what the harness reports and are compared in
   `agreement.py`.
 * Resident memory of a hollow controller is the growth of its process divided by the number of controllers.
-* Hollow controllers whose process had no time for all of them are left out; where it had none while changes
-  were made, their delays are.
-* A change is in force at a hollow controller once a round has run on it, at a real one once it asks
-  discovery on from it. `change_last_s` is the largest delay; one that never came within the trial makes it
-  a failed trial.
-* A controller fetches the whole list every 20 s; a quiet span that is shorter may leave that out, and what a
-  trial tells of bytes and processor time is then without it.
+* If the process of the hollow controllers was too busy to run them all in time, they are left out of the
+  measurements; if that was so while changes were made, their delays are.
+* A change is in force at a hollow controller once a round has run on it, at a real one once it requests the
+  changes after it. `change_last_s` is the largest delay; a change that is not in force at all controllers
+  within the trial makes it a failed trial.
+* A controller fetches the complete list every 20 s. A shorter quiet span may miss that fetch; its bytes and
+  processor time are then not included.
 """
 
 import time
@@ -47,12 +47,12 @@
 from oatcart.scale.trial_settings import SizeLimitError, TrialSettings, check_fits
 
 READY_TIMEOUT_S = 60.0
-POLL_INTERVAL_S = 0.05  # at what controllers have, while waiting
-LAST_CHANGE_TIMEOUT_S = 5.0  # after the last change, for all controllers to have it
+POLL_INTERVAL_S = 0.05  # between checks whether all controllers are ready or have a change
+LAST_CHANGE_TIMEOUT_S = 5.0  # after the last change, until it is in force at all controllers
 
 
 class StartupFigures(NamedTuple):
-    """What a controller took from its start to ready; seconds, core seconds, bytes received."""
+    """The cost of a start until the controller is ready: seconds, processor seconds, bytes received."""
 
     after_s: float
     core_s: float
@@ -60,7 +60,7 @@
 
 
 class MadeChange(NamedTuple):
-    """A change of the list, made at a moment: monotonic seconds, revision, the endpoint changed."""
+    """A change of one endpoint in a list; `at`: when it was made (monotonic seconds)."""
 
     at: float
     list_name: str
@@ -69,7 +69,7 @@
 
 
 class Reading(NamedTuple):
-    """All counters at one moment of a trial; `clients` is the control traffic of each controller."""
+    """All counters of a trial at one moment (monotonic seconds); `clients`: control traffic by controller."""
 
     at: float
     discovery: DiscoveryFigures
@@ -80,7 +80,7 @@
 
 
 class Trial:
-    """The processes of one trial and what is asked of them; made by `running`, which ends them."""
+    """The processes of one trial and the operations on them; created by `running`, which ends them."""
 
     def __init__(self, settings: TrialSettings, plan: FleetPlan, processes: ExitStack) -> None:
         self.settings, self.plan, self._processes = settings, plan, processes
@@ -106,21 +106,24 @@
         self.made_changes: list[MadeChange] = []
 
     def check_fits(self) -> None:
-        """Raises SizeLimitError where a limit is known to be exceeded before anything is started."""
+        """Raises SizeLimitError if a limit will be exceeded, before any controller is started."""
         check_fits(self.settings, max(list_size(endpoints) for endpoints in self.lists.values()))
 
     @property
     def names(self) -> list[str]:
-        """All controllers' names, at discovery."""
+        """The names of all controllers as clients of discovery."""
         return self.hollow_names + self.real_names
 
     def list_of(self, name: str) -> str:
-        """The list that a controller follows."""
+        """Returns the name of the list that a controller watches."""
         names = list(self.lists)
         return names[int(name.rpartition("-")[2]) % len(names)]
 
     def start(self) -> None:
-        """Starts everything, waits until all are ready; raises SizeLimitError, NotReadyError, ChildError."""
+        """Starts all processes and waits until all controllers are ready.
+
+        Raises SizeLimitError, NotReadyError and ChildError.
+        """
         for name, endpoints in self.lists.items():
             self.discovery.change([list_entry(endpoint) for endpoint in endpoints], name)
         ports = self.open_ports()
@@ -138,26 +141,26 @@
         self._wait_ready()
 
     def open_ports(self) -> dict[str, int]:
-        """Where each controller is to ask for its list."""
+        """Opens a port for each controller, at which it gets its list."""
         ports = {}
         for name in self.names:
             ports |= self.discovery.open([name], self.list_of(name))
         return ports
 
     def client_figures(self, discovery: DiscoveryFigures) -> dict[str, ClientFigures]:
-        """The control traffic of each controller."""
+        """Returns the control traffic of each controller."""
         return discovery.clients
 
     def control_usage(self) -> Usage | None:
-        """The usage of the control role, where there is one."""
+        """Returns the usage of the control role, or None if there is none."""
         return None
 
     def acknowledged_revisions(self) -> dict[str, list[AcknowledgedRevision]]:
-        """Which revisions of its list each controller had when."""
+        """Returns the revisions of its list that each controller acknowledged."""
         return self.discovery.acknowledged_revisions()
 
     def join_peers(self, keep_tables: bool = False) -> None:
-        """Lets the proxies of all controllers join; from then on they report."""
+        """Lets the proxies of all controllers join; they report afterwards."""
         if self.hollow_controllers:
             self.hollow_controllers.join_peers(
                 [self.peer_settings(name) for name in self.hollow_names], keep_tables
@@ -170,7 +173,7 @@
             )
 
     def peer_settings(self, name: str) -> PeerSettings:
-        """The peers of a controller; a hollow and a real one of the same number have the same."""
+        """Returns the settings of a controller's peers; hollow and real ones of a number have the same."""
         number = int(name.rpartition("-")[2])
         zones = list(self.plan.zone_regions)
         return PeerSettings(
@@ -182,7 +185,7 @@
         )
 
     def read(self) -> Reading:
-        """All counters now; raises SizeLimitError where memory is over the limit."""
+        """Reads all counters; raises SizeLimitError if memory is over the limit."""
         reading = Reading(
             time.monotonic(),
             discovery := self.discovery.figures(),
@@ -195,30 +198,34 @@
         return reading
 
     def changed_endpoints(self) -> list[PlannedEndpoint]:
-        """The endpoints of which some are changed."""
+        """Returns the endpoints from which those to be changed are drawn."""
         return list(self.plan.endpoints)
 
     def make_change(self, entry: dict) -> None:
-        """Changes one endpoint's entry in the list that the endpoint is in."""
+        """Changes one endpoint's entry in the list that has the endpoint."""
         name = entry["service"] if self.settings.lists_by_service else MAIN_LIST
         at = time.monotonic()
         self.made_changes.append(MadeChange(at, name, self.discovery.change([entry], name), entry["id"]))
 
     def wait_for_changes(self) -> dict[str, list[float]]:
-        """Delays (s) of each change at each controller; raises NotReadyError where one never had it."""
+        """Waits until all changes are in force everywhere and returns the delays (s) at each controller.
+
+        Raises NotReadyError after a timeout.
+        """
         until = time.monotonic() + LAST_CHANGE_TIMEOUT_S
         while True:
             delays, missing = self.change_delays()
             if not missing:
                 return delays
             if time.monotonic() > until:
-                raise NotReadyError(f"{missing} changes lack a conductor after {LAST_CHANGE_TIMEOUT_S:.0f} s")
+                raise NotReadyError(f"{missing} changes not delivered after {LAST_CHANGE_TIMEOUT_S:.0f} s")
             time.sleep(POLL_INTERVAL_S)
 
     def change_delays(self) -> tuple[dict[str, list[float]], int]:
-        """Of each controller the delays of the changes made, and how many it does not have yet, of all.
+        """Returns the delays (s) of the changes at each controller, and the count of missing ones in all.
 
-        A hollow controller has a change once a round has run on it, a real one once it asks on from it.
+        A change is in force at a hollow controller once a round has run on it, at a real one once it
+        acknowledges it.
         """
         held = self.acknowledged_revisions()
         if self.hollow_controllers:
@@ -235,14 +242,14 @@
         return delays, missing
 
     def running_processes(self) -> list[ChildProcess]:
-        """All processes of the trial."""
+        """Returns all processes of the trial."""
         return [one for one in (self.discovery, self.hollow_controllers, self.peers, *self.real) if one]
 
     def _check_memory(self) -> None:
         resident = sum(one.resident_megabytes() for one in self.running_processes()) * MEGABYTE
         if resident > self.settings.limits.memory:
             raise SizeLimitError(
-                f"{resident:.0f} bytes of memory are over the limit of {self.settings.limits.memory}"
+                f"memory: {resident:.0f} bytes exceed the limit of {self.settings.limits.memory}"
             )
 
     def _wait_ready(self) -> None:
@@ -250,7 +257,7 @@
         while len(self.ready) < len(self.names):
             if time.monotonic() > until:
                 raise NotReadyError(
-                    f"{len(self.names) - len(self.ready)} conductors hold no list: {self.errors()}"
+                    f"{len(self.names) - len(self.ready)} controllers have no list: {self.errors()}"
                 )
             time.sleep(POLL_INTERVAL_S)
             self._record_ready(self.acknowledged_revisions())
@@ -262,7 +269,10 @@
             )
 
     def _record_ready(self, revisions: dict[str, list[AcknowledgedRevision]]) -> None:
-        """Controllers that have asked on from a revision by now. Hollow ones tell the rest themselves."""
+        """Records the controllers that have acknowledged a revision, with startup figures of the real ones.
+
+        Hollow controllers measure their own startup.
+        """
         real = dict(zip(self.real_names, self.real, strict=True))
         for name in self.names:
             held = next((one for one in revisions[name] if one.revision), None)
@@ -274,12 +284,12 @@
                 )
 
     def errors(self) -> str:
-        """What real controllers have written to their logs."""
+        """Returns what real controllers have written to standard error."""
         return "\n".join(one.error_text() for one in self.real)
 
 
 def make_changes(trials: Sequence[Trial], count: int, per_s: float) -> None:
-    """Makes so many changes in each trial, side by side at a fixed rate."""
+    """Makes `count` changes in each of the trials, at the same times and at a fixed rate."""
     changes = [EndpointChanges(trial.changed_endpoints(), trial.settings.seed) for trial in trials]
     first = time.monotonic()
     for number in range(count):
@@ -289,18 +299,18 @@
 
 
 def first_acknowledged_at(held: Sequence[AcknowledgedRevision], revision: int) -> float | None:
-    """When a revision, or a newer one, was first had; None where it was not."""
+    """Returns when a revision, or a newer one, was first acknowledged, or None."""
     return next((one.at for one in held if one.revision >= revision), None)
 
 
 @contextmanager
 def running(settings: TrialSettings, kind: type[Trial] = Trial) -> Iterator[Trial]:
-    """A trial whose processes are all ended when the block is left, however it is left."""
+    """Yields a trial whose processes are all ended when the `with` block is left, for whatever reason."""
     plan = plan_fleet(settings.fleet, settings.seed)
     with ExitStack() as processes:
         yield kind(settings, plan, processes)
 
 
 def list_size(endpoints: Sequence[PlannedEndpoint]) -> int:
-    """The bytes of a whole list of some endpoints, but for its few fields beside the entries."""
+    """Returns the encoded size in bytes of all entries of a list, without the other fields of the answer."""
     return sum(len(orjson.dumps(list_entry(endpoint))) + 1 for endpoint in endpoints)
--- a/oatcart/scale/view_relay.py
+++ b/oatcart/scale/view_relay.py
@@ -1,12 +1,12 @@
 """A counting relay on loopback between many controllers and the control role, which counts nothing itself.
 
-Every controller is given a port of its own, behind which stands its address at the control role. Bytes pass
-unchanged; beside that requests and answers are read, so that it is known which endpoints a controller was
-told of and when. A controller *has* what an answer told once it asks on, or ends the connection, on the same
-one.
+Every controller has a port of its own, which the relay connects to its address at the control role. Bytes are
+forwarded unchanged; requests and answers are also parsed, to find out which endpoints each controller was
+sent and when. A controller has acknowledged an answer once it sends another request on the same connection,
+or closes it.
 
-The process (`python -m oatcart.scale.view_relay`) takes commands as in `children.py`; its processor time is
-nobody's role.
+The process (`python -m oatcart.scale.view_relay`) takes commands as described in `children.py`; its processor
+time is not part of any measurement.
 """
 
 import asyncio
@@ -33,14 +33,14 @@
 
 
 class AnswerReader:
-    """Finds the bodies of HTTP answers in a stream of bytes; every answer tells its length."""
+    """Finds the bodies of HTTP answers in a stream of bytes; every answer has its length in its head."""
 
     def __init__(self, on_body: Callable[[bytes], None]) -> None:
         self._on_body = on_body
         self._unread = bytearray()
 
     def read(self, data: bytes) -> None:
-        """Takes the next bytes; hands each whole body on."""
+        """Parses the next bytes; calls `on_body` with each complete body."""
         self._unread += data
         while (end := self._unread.find(END_OF_HEAD)) >= 0:
             start = end + len(END_OF_HEAD)
@@ -52,7 +52,7 @@
 
 
 def content_length(head: bytes) -> int:
-    """The length that the head of an answer tells; 0 where it tells none.
+    """Returns the content length in the head of an answer; 0 if there is none.
 
     >>> content_length(b"HTTP/1.1 200 OK\\r\\nContent-Length: 12")
     12
@@ -64,7 +64,10 @@
 
 
 class RelayedClient:
-    """One controller: its traffic, the endpoints of its list, and when it had news of tracked ones."""
+    """A controller behind the relay.
+
+    Its traffic, the endpoints of its list, and when it acknowledged answers with tracked endpoints.
+    """
 
     def __init__(self, target_port: int) -> None:
         self.target_port = target_port
@@ -73,7 +76,10 @@
         self.acknowledged_endpoints: list[tuple[float, str]] = []
 
     def record_answer(self, body: bytes, tracked: set[str]) -> list[str]:
-        """Notes an answer; the tracked endpoints that it tells of. A body that is no list tells of none."""
+        """Records an answer and returns the tracked endpoints that it has or removes.
+
+        A body that is not an endpoint list is ignored.
+        """
         try:
             answer = orjson.loads(body)
             entries = {entry["id"]: entry["phase"] for entry in answer["members"]}
@@ -91,7 +97,7 @@
     def __init__(self, service: "RelayService", client: RelayedClient) -> None:
         self.service, self.client = service, client
         self.control: ControlSide | None = None
-        self.unsent = bytearray()  # until the control role's connection is up
+        self.unsent = bytearray()  # received before the connection to the control role is open
         self.unread = b""
         self.unacknowledged: list[str] = []  # tracked endpoints in answers since the last request
 
@@ -101,7 +107,7 @@
         self.service.open_upstream(self)
 
     def data_received(self, data: bytes) -> None:
-        """Counts and forwards the bytes of a controller, and reads its requests."""
+        """Counts and forwards the bytes of a controller, and parses its requests."""
         self._acknowledge_answers()
         self.client.account.bytes_received += len(data)
         if self.control is None:
@@ -120,7 +126,7 @@
             self.control.transport.abort()
 
     def on_connected(self, control: "ControlSide") -> None:
-        """The connection to the control role is up."""
+        """Keeps the open connection to the control role and forwards the bytes received meanwhile."""
         self.control = control
         control.transport.write(bytes(self.unsent))
 
@@ -140,19 +146,19 @@
 
 
 class ControlSide(asyncio.Protocol):
-    """The connection to the control role that belongs to a controller's."""
+    """The connection to the control role that belongs to a connection of a controller."""
 
     def __init__(self, service: "RelayService", controller: ControllerSide) -> None:
         self.service, self.controller = service, controller
         self.answers = AnswerReader(self._answer)
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Forwards what the controller has sent meanwhile."""
+        """Lets the controller's side forward the bytes that it received meanwhile."""
         self.transport = transport
         self.controller.on_connected(self)
 
     def data_received(self, data: bytes) -> None:
-        """Counts and forwards the bytes of the control role, and reads its answers."""
+        """Counts and forwards the bytes of the control role, and parses its answers."""
         self.controller.client.account.bytes_sent += len(data)
         self.controller.transport.write(data)
         self.answers.read(data)
@@ -167,7 +173,10 @@
 
 
 class RelayService:
-    """All controllers behind the relay; methods without an underscore but `begin` are commands."""
+    """All controllers behind the relay.
+
+    The methods without an underscore are commands, except `open_upstream`.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -176,20 +185,20 @@
         self.tasks: set[asyncio.Task] = set()
 
     def open(self, targets: dict[str, int]) -> dict:
-        """A port for each controller; `targets` are the ports that stand behind them."""
+        """Opens a port for each controller; `targets` are the ports that they are connected to."""
         return {"ports": {name: self._open(name, port) for name, port in targets.items()}}
 
     def track(self, endpoint: str) -> dict:
-        """From now on word of this endpoint is noted; the controllers whose list has it now."""
+        """Starts to track an endpoint and returns the controllers whose list has it now."""
         self.tracked.add(endpoint)
         return {"holders": [name for name, one in self.clients.items() if endpoint in one.members]}
 
     def members(self, name: str) -> dict:
-        """The endpoints that a controller's list has now."""
+        """Returns the endpoints that a controller's list has now."""
         return {"nodes": sorted(self.clients[name].members)}
 
     def figures(self) -> dict:
-        """The process's usage, and of every controller its bytes and messages."""
+        """Returns the usage of the process, and the bytes and messages of every controller."""
         return {
             "usage": own_usage(),
             "clients": {
@@ -204,14 +213,14 @@
         }
 
     def held(self) -> dict:
-        """Of every controller the revisions that it had, and when it had word of tracked endpoints."""
+        """Returns the revisions that each controller acknowledged, and when it did tracked endpoints."""
         return {
             "held": {name: one.account.acknowledged for name, one in self.clients.items()},
             "told": {name: one.acknowledged_endpoints for name, one in self.clients.items()},
         }
 
     def open_upstream(self, controller: ControllerSide) -> None:
-        """Connects to the control role for a controller; where that fails its connection is reset."""
+        """Connects to the control role for a controller; resets the controller's connection if that fails."""
         self._start_task(self._connect(controller))
 
     def _open(self, name: str, target_port: int) -> int:
@@ -229,41 +238,41 @@
             controller.transport.abort()
 
     def _start_task(self, coroutine: Coroutine) -> None:
-        """Starts a task and keeps it, as the loop holds tasks weakly."""
+        """Starts a task and keeps it, because the loop has only weak references to tasks."""
         self.tasks.add(self.loop.create_task(coroutine))
 
 
 class RelayAcknowledgements(NamedTuple):
-    """Of every controller the revisions that it had, and when it had word of tracked endpoints."""
+    """The revisions that each controller acknowledged, and when it acknowledged tracked endpoints."""
 
     revisions: dict[str, list[AcknowledgedRevision]]
     endpoints: dict[str, list[tuple[float, str]]]
 
 
 class ViewRelay(Child):
-    """The parent's side of the process."""
+    """The relay process, as its parent sees it."""
 
     def __init__(self) -> None:
         super().__init__("oatcart.scale.view_relay")
 
     def open(self, targets: dict[str, int]) -> dict[str, int]:
-        """A port for each controller in front of the control role's port for it."""
+        """Opens a port for each controller, in front of its port at the control role."""
         return self.ask("open", targets=targets)["ports"]
 
     def track(self, endpoint: str) -> list[str]:
-        """From now on word of this endpoint is noted; the controllers whose list has it now."""
+        """Starts to track an endpoint and returns the controllers whose list has it now."""
         return self.ask("track", endpoint=endpoint)["holders"]
 
     def members(self, name: str) -> list[str]:
-        """The endpoints that a controller's list has now."""
+        """Returns the endpoints that a controller's list has now."""
         return self.ask("members", name=name)["nodes"]
 
     def clients(self) -> dict[str, ClientFigures]:
-        """The traffic of each controller."""
+        """Returns the traffic of each controller."""
         return {name: ClientFigures(*figures) for name, figures in self.ask("figures")["clients"].items()}
 
     def acknowledgements(self) -> RelayAcknowledgements:
-        """What controllers had when."""
+        """Returns what each controller acknowledged, and when."""
         answer = self.ask("held")
         revisions = {
             name: [AcknowledgedRevision(*one) for one in items] for name, items in answer["held"].items()
@@ -275,7 +284,7 @@
 
 
 async def serve() -> None:
-    """The life of the process: until its input ends."""
+    """Answers commands until the input of the process ends."""
     service = RelayService(asyncio.get_running_loop())
     await answer_commands(
         {
--- a/oatcart/scale/view_trial.py
+++ b/oatcart/scale/view_trial.py
@@ -1,10 +1,9 @@
-"""A trial whose controllers follow bounded views of the list, served by the control role `python -m
-oatcart.views`.
+"""A trial whose controllers watch bounded views of the list, served by the control role (`oatcart.views`).
 
-Only the control role follows discovery. Between it and the controllers stands a counting relay
-(`view_relay.py`), whose ports the controllers are given as their discovery. Changes are of endpoints that
-some view holds. A change counts for the controllers whose view held the endpoint when it was made, and is had
-once the relay sees the controller go on after the answer that told of the endpoint.
+Only the control role watches discovery. Between it and the controllers is a counting relay (`view_relay.py`),
+whose ports the controllers use as their discovery. Only endpoints that are in some view are changed. A change
+counts for the controllers whose view had the endpoint when it was made; it is delivered once the relay sees
+the controller acknowledge an answer with the endpoint.
 """
 
 import json
@@ -34,14 +33,13 @@
 from oatcart.scale.trial_settings import TrialSettings, check_fits
 from oatcart.scale.view_relay import ViewRelay
 
-CONTROL_CLIENT = "control"  # the control role's name at discovery
+CONTROL_CLIENT = "control"  # the control role's name as a client of discovery
 CONTROL_MODULE = "oatcart.views"
-CONTROL_READY_TIMEOUT_S = 60.0  # until it holds the whole list
+CONTROL_READY_TIMEOUT_S = 60.0  # until the control role has the complete list
 STATUS_PATH = "/v1/views"
 STATUS_TIMEOUT_S = 5.0
-ENTRY_GROWTH_BYTES = (
-    16  # bytes by which an entry grows when its endpoint drains and restarts: the phase, a time
-)
+# An entry grows by a longer phase and a start time when its endpoint drains and restarts.
+ENTRY_GROWTH_BYTES = 16
 
 
 class ViewTrial(Trial):
@@ -51,14 +49,16 @@
         super().__init__(settings, plan, processes)
         self.relay = processes.enter_context(ViewRelay())
         self.control: ChildProcess | None = None
-        self.holders: list[list[str]] = []  # of each change made: whose view held the endpoint
+        self.holders: list[
+            list[str]
+        ] = []  # for each change made: the controllers whose view had the endpoint
 
     def check_fits(self) -> None:
-        """As for any trial, but for the whole list, which no controller is sent."""
+        """Checks the limits of any trial, except that of the complete list, which no controller is sent."""
         check_fits(self.settings, 0)
 
     def open_ports(self) -> dict[str, int]:
-        """Starts the control role and waits until it holds the whole list."""
+        """Starts the control role, waits until it has the complete list, and returns the relay's ports."""
         source_port = self.discovery.open([CONTROL_CLIENT])[CONTROL_CLIENT]
         main_port, *ports = free_ports(1 + len(self.names))
         served = dict(zip(self.names, ports, strict=True))
@@ -70,7 +70,7 @@
         return self.relay.open(served)
 
     def control_configuration(self, source_port: int, main_port: int, served: dict[str, int]) -> dict:
-        """The control role's file, which may be JSON as that is YAML."""
+        """Returns the control role's configuration; it is written as JSON, which is also YAML."""
         max_entry_bytes = (
             max(len(orjson.dumps(list_entry(endpoint))) for endpoint in self.plan.endpoints)
             + ENTRY_GROWTH_BYTES
@@ -96,24 +96,24 @@
         }
 
     def planned(self, name: str) -> PlannedController:
-        """Where a controller runs and what it needs; the same for a hollow and a real one of a number."""
+        """Returns where a controller runs and its services; hollow and real ones of a number share them."""
         number = int(name.rpartition("-")[2])
         return self.plan.controllers[number % len(self.plan.controllers)]
 
     def client_figures(self, discovery: DiscoveryFigures) -> dict[str, ClientFigures]:
-        """The control traffic of each controller, as the relay counts it."""
+        """Returns the control traffic of each controller, as the relay counts it."""
         return self.relay.clients()
 
     def control_usage(self) -> Usage:
-        """The control role's processor seconds and memory."""
+        """Returns the control role's processor seconds and memory."""
         return Usage(self.control.core_seconds(), self.control.resident_megabytes())
 
     def acknowledged_revisions(self) -> dict[str, list[AcknowledgedRevision]]:
-        """Which revisions of its view each controller had when."""
+        """Returns the revisions of its view that each controller acknowledged."""
         return self.relay.acknowledgements().revisions
 
     def peer_settings(self, name: str) -> PeerSettings:
-        """Peers that meet the endpoints of the controller's view."""
+        """Returns the settings of a controller's peers, which report the endpoints of its view."""
         return PeerSettings(
             seed=self.settings.seed + int(name.rpartition("-")[2]),
             proxies=self.settings.proxies,
@@ -123,19 +123,20 @@
         )
 
     def changed_endpoints(self) -> list[PlannedEndpoint]:
-        """Endpoints that some controller's view holds: others are told to nobody."""
+        """Returns the endpoints that are in some controller's view; changes of others reach no controller."""
         held = {endpoint for name in self.names for endpoint in self.relay.members(name)}
         return [endpoint for endpoint in self.plan.endpoints if endpoint.id in held]
 
     def make_change(self, entry: dict) -> None:
-        """Changes one endpoint's entry and keeps which controllers hold the endpoint."""
+        """Changes one endpoint's entry and records the controllers whose view has the endpoint."""
         self.holders.append(self.relay.track(entry["id"]))
         super().make_change(entry)
 
     def change_delays(self) -> tuple[dict[str, list[float]], int]:
-        """By controller the delays of the changes to endpoints of its view, and how many are missing.
+        """Returns for each controller the delays (s) of changes in its view, and the count of missing ones.
 
-        Word of the endpoint after the change counts, be it of that change or of a newer one that overtook it.
+        The first answer with the endpoint that is acknowledged after the change counts, even if the answer
+        already has a newer change.
         """
         received = self.relay.acknowledgements().endpoints
         delays: dict[str, list[float]] = {name: [] for name in self.names}
@@ -150,19 +151,19 @@
         return delays, missing
 
     def running_processes(self) -> list[ChildProcess]:
-        """All processes of the trial, with the relay and the control role."""
+        """Returns all processes of the trial, including the relay and the control role."""
         return [*super().running_processes(), self.relay, *([self.control] if self.control else [])]
 
     def errors(self) -> str:
-        """What real controllers and the control role have written to their logs."""
+        """Returns what real controllers and the control role have written to standard error."""
         return f"{super().errors()}\n{self.control.error_text() if self.control else ''}"
 
     def _wait_control(self, main_port: int) -> None:
-        """Waits until the control role holds the whole list; it decides a view when it is asked for."""
+        """Waits until the control role has the complete list; it computes a view on its first request."""
         until = time.monotonic() + CONTROL_READY_TIMEOUT_S
         while self._endpoints_at_control(main_port) < len(self.plan.endpoints):
             if not self.control.running or time.monotonic() > until:
-                raise NotReadyError(f"the control role does not hold the list: {self.control.error_text()}")
+                raise NotReadyError(f"the control role did not get the list: {self.control.error_text()}")
             time.sleep(POLL_INTERVAL_S)
 
     def _wait_ready(self) -> None:
@@ -173,7 +174,7 @@
         self.control_ready = StartupFigures(after_s, self.control.core_seconds(), received)
 
     def _endpoints_at_control(self, main_port: int) -> int:
-        """The endpoints that the control role's status tells; 0 while it does not answer."""
+        """Returns the count of endpoints in the control role's status; 0 while it does not answer."""
         with suppress(urllib.error.URLError, ConnectionError, TimeoutError):
             url = f"http://{LOOPBACK}:{main_port}{STATUS_PATH}"
             with urllib.request.urlopen(url, timeout=STATUS_TIMEOUT_S) as answer:
@@ -182,5 +183,5 @@
 
 
 def first_received_at(received: list[tuple[float, str]], change: MadeChange) -> float | None:
-    """When a controller first had word of a changed endpoint after the change; None where it had none."""
+    """Returns when a controller first acknowledged a changed endpoint after the change, or None."""
     return next((at for at, endpoint in received if endpoint == change.endpoint and at >= change.at), None)
--- a/tests/scale/test_scale_day.py
+++ b/tests/scale/test_scale_day.py
@@ -289,7 +289,7 @@
 def test_a_small_day_is_played_and_all_holds(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("oatcart.scale.day.MIN_PARTITION_S", MIN_PARTITION_S)
     result = play_small(replace(SMALL_DAY, zone_losses=1, rack_losses=1, partitions=1, changes=200))
-    assert result.complaints == [] and "all held" in day_text(result)
+    assert result.complaints == [] and "all expectations were met" in day_text(result)
     assert set(result.kinds) == set(ChangeKind)
     assert result.drains.nodes == SMALL_DAY.restarts and result.drains.reached > 0
     assert result.end.told == result.end.tables == SMALL.hollow == result.end.known
@@ -325,7 +325,7 @@
     assert result.drains.missed and all(one.startswith(deaf) for one in result.drains.missed)
     assert all(one.endswith(deaf) for kind in result.kinds.values() for one in kind.missed)
     assert result.end.told == SMALL.hollow - 1 and "FAILED" in day_text(result)
-    assert "1 conductors were not told their view" in result.complaints
+    assert "1 controllers were not sent their view" in result.complaints
 
 
 def children_of(pid: int) -> list[int]:
--- a/tests/scale/test_scale_fault_plan.py
+++ b/tests/scale/test_scale_fault_plan.py
@@ -167,9 +167,9 @@
 @pytest.mark.parametrize(
     ("counts", "message"),
     [
-        ({"restarts": 500, "restart_for": 3_600.0}, "500 restarts find no room on 10 nodes"),
-        ({"zone_losses": 3}, "3 times zone loss, of only 2"),
-        ({"partitions": 2}, "2 partitions, of only 1 pairs of regions"),
+        ({"restarts": 500, "restart_for": 3_600.0}, "500 restarts do not fit on 10 endpoints"),
+        ({"zone_losses": 3}, "3 times zone loss: expected at most 2"),
+        ({"partitions": 2}, "2 partitions: expected at most 1, one for each pair of regions"),
     ],
 )
 def test_a_day_without_room_in_the_fleet_is_refused(counts, message):
--- a/tests/scale/test_scale_report.py
+++ b/tests/scale/test_scale_report.py
@@ -252,7 +252,7 @@
         "day:\n  failures: 0\n  restarts: 500\n  restart_for: 60m\n  rack_losses: 0\n"
     )
     assert command.main(["plan", str(tmp_path / "s.yaml")]) == 2
-    assert "day: 500 restarts find no room on 20 nodes" in capsys.readouterr().err
+    assert "day: 500 restarts do not fit on 20 endpoints" in capsys.readouterr().err
 
 
 def test_matplotlib_and_the_runs_are_loaded_only_when_asked_for():
--- a/tests/scale/test_scale_runs.py
+++ b/tests/scale/test_scale_runs.py
@@ -200,4 +200,4 @@
     deaf = Specification(replace(SMALL, hollow=1, real=0), Deaf, {"hollow_conductor": "deaf"})
     found = by_role(play_beside([Specification(replace(SMALL, hollow=1, real=0)), deaf], "nodes", 40))
     assert found["hollow_conductor"].left_out is None
-    assert "changes lack a conductor" in found["deaf"].left_out
+    assert "changes not delivered" in found["deaf"].left_out
