--- a/tests/scale/test_scale_day.py
+++ b/tests/scale/test_scale_day.py
@@ -1,4 +1,4 @@
-"""A played day: what is scheduled, which controllers had what, cuts, an interrupt; days of few endpoints."""
+"""A played day: schedules, deliveries, the relay, days of few endpoints, partitions and interrupts."""
 
 import os
 import signal
@@ -45,7 +45,7 @@
     failures=2, restarts=4, rack_losses=0, zone_losses=0, partitions=0, changes=12, burst_size=3
 )
 SMALL = DayScale(nodes=ENDPOINTS, hollow=3, real=0, time_compression=172_800.0, settle_s=0.1)
-MIN_PARTITION_S = 0.4  # long enough for changes meanwhile
+MIN_PARTITION_S = 0.4  # long enough for changes in the meantime
 ENDED_WITHIN_S = 10.0
 
 
@@ -63,7 +63,7 @@
 # Schedules.
 
 
-def test_a_drain_is_kept_long_and_the_return_moves_with_it() -> None:
+def test_a_drain_lasts_its_minimum_and_the_return_moves_with_it() -> None:
     events = [NodeDraining(1.0, "x"), NodeDeleted(1.1, "x"), NodeReturned(1.3, "x", Cause.RESTART)]
     steps = schedule(events, 5.0, 5.0)
     assert [step.at_s for step in steps] == pytest.approx([1.0, 6.0, 6.2])
@@ -87,7 +87,7 @@
     ]
 
 
-def test_a_lost_zone_is_one_step_and_a_cut_lasts() -> None:
+def test_a_lost_zone_is_one_step_and_a_partition_lasts_its_minimum() -> None:
     events = [
         NodeLost(1.0, "x", Cause.ZONE_LOSS),
         NodeLost(1.0, "y", Cause.ZONE_LOSS),
@@ -106,22 +106,22 @@
     assert [step.at_s for step in steps] == sorted(step.at_s for step in steps)
 
 
-def test_no_two_entries_of_an_endpoint_are_the_same() -> None:
+def test_each_change_gives_an_endpoint_a_distinct_entry() -> None:
     plan = plan_fleet(SMALL_FLEET, 1)
     listed, endpoint = ListedEndpoints(plan), plan.endpoints[0]
-    told = [entry for entry in listed.entries() if entry["id"] == endpoint.id]
-    told += listed.change((NodeDraining(0.0, endpoint.id),), 1.0)
-    told += listed.change((NodeDeleted(0.0, endpoint.id),), 2.0)
+    entries = [entry for entry in listed.entries() if entry["id"] == endpoint.id]
+    entries += listed.change((NodeDraining(0.0, endpoint.id),), 1.0)
+    entries += listed.change((NodeDeleted(0.0, endpoint.id),), 2.0)
     assert endpoint.id not in {entry["id"] for entry in listed.entries()}
-    told += listed.change((NodeReturned(0.0, endpoint.id, Cause.RESTART),), 3.0)
+    entries += listed.change((NodeReturned(0.0, endpoint.id, Cause.RESTART),), 3.0)
     for number in range(200):
         route = plan.services.index(endpoint.service)
-        told += listed.change((ConfigurationChanged(0.0, number, endpoint.service, route, None),), 4.0)
-    own = [entry_state(entry) for entry in told if entry["id"] == endpoint.id]
+        entries += listed.change((ConfigurationChanged(0.0, number, endpoint.service, route, None),), 4.0)
+    own = [entry_state(entry) for entry in entries if entry["id"] == endpoint.id]
     assert len(own) > 100 and len(set(own)) == len(own)
 
 
-# Who had what.
+# Deliveries of changes.
 
 ENTRIES = [
     {
@@ -146,18 +146,18 @@
 ]
 
 
-def day_of(
-    *words: ReceivedState, others: dict[str, list[ReceivedState]] | None = None
+def played_day(
+    *states: ReceivedState, others: dict[str, list[ReceivedState]] | None = None
 ) -> tuple[History, ExpectedViews]:
-    """One controller that held `x` from the start and was told these words, and perhaps others."""
-    told = {"c": [ReceivedState(1.0, "x", FIRST), *words]} | (others or {})
-    expected = ExpectedViews([Controller(name, "r", "z1", ()) for name in told], UNBOUNDED, 1, ENTRIES)
+    """A day of a controller that had `x` from the start and received these states, and of others if given."""
+    received = {"c": [ReceivedState(1.0, "x", FIRST), *states]} | (others or {})
+    expected = ExpectedViews([Controller(name, "r", "z1", ()) for name in received], UNBOUNDED, 1, ENTRIES)
     expected.apply(DRAIN_CHANGES)
-    return History(ENTRIES, DRAIN_CHANGES, told), expected
+    return History(ENTRIES, DRAIN_CHANGES, received), expected
 
 
-def test_all_words_in_time_are_delays() -> None:
-    history, expected = day_of(
+def test_states_received_in_time_count_as_delays() -> None:
+    history, expected = played_day(
         ReceivedState(10.5, "x", DRAINING), ReceivedState(15.25, "x", None), ReceivedState(21.0, "x", BACK)
     )
     found = delivery_stats(history, expected, [], 5.0)
@@ -170,41 +170,44 @@
     assert drain_stats(history, []).reached == 1 and drain_stats(history, []).missed == []
 
 
-def test_a_controller_that_is_told_nothing_of_a_drain_is_missed() -> None:
-    deaf = {
-        "deaf": [
+def test_a_controller_that_does_not_receive_a_drain_is_missed() -> None:
+    without_drain = {
+        "other": [
             ReceivedState(1.0, "x", FIRST),
             ReceivedState(15.1, "x", None),
             ReceivedState(20.1, "x", BACK),
         ]
     }
-    history, expected = day_of(
+    history, expected = played_day(
         ReceivedState(10.5, "x", DRAINING),
         ReceivedState(15.25, "x", None),
         ReceivedState(21.0, "x", BACK),
-        others=deaf,
+        others=without_drain,
     )
     found = drain_stats(history, [])
-    assert (found.reached, found.missed) == (1, ["deaf: x"])
-    silent = {"silent": [ReceivedState(1.0, "x", FIRST)]}
-    found = delivery_stats(*day_of(others=silent), [], 5.0)
+    assert (found.reached, found.missed) == (1, ["other: x"])
+    without_changes = {"other": [ReceivedState(1.0, "x", FIRST)]}
+    found = delivery_stats(*played_day(others=without_changes), [], 5.0)
     assert len(found[ChangeKind.DRAIN].missed) == 2 and len(found[ChangeKind.RETURN].missed) == 2
 
 
-def test_a_drain_told_after_the_deletion_is_missed() -> None:
-    history, _ = day_of(ReceivedState(15.01, "x", DRAINING), ReceivedState(15.02, "x", None))
+def test_a_drain_received_after_the_deletion_is_missed() -> None:
+    history, _ = played_day(ReceivedState(15.01, "x", DRAINING), ReceivedState(15.02, "x", None))
     assert drain_stats(history, []).missed == ["c: x"]
 
 
-def test_a_word_of_an_older_state_is_not_the_change() -> None:
-    history, expected = day_of(
+def test_an_older_state_does_not_count_as_the_change() -> None:
+    history, expected = played_day(
         ReceivedState(10.1, "x", FIRST), ReceivedState(12.0, "x", DRAINING), ReceivedState(15.1, "x", None)
     )
     assert delivery_stats(history, expected, [], 5.0)[ChangeKind.DRAIN].delays == [2.0]
 
 
 def overtaken_return(dropped_at: float) -> tuple[int, list[str]]:
-    """Pairs overtaken and late where an endpoint is back, is dropped at a moment and is told of at 30."""
+    """Returns the overtaken pairs and those over budget of a return at 20.
+
+    The endpoint is removed at `dropped_at`, and the controller receives its next state at 30.
+    """
     back = ENTRIES[0] | {"up_since_ms": 5}
     changes = [
         *DRAIN_CHANGES,
@@ -213,23 +216,23 @@
     ]
     expected = ExpectedViews([Controller("c", "r", "z1", ())], UNBOUNDED, 1, ENTRIES)
     expected.apply(changes)
-    words = [
+    states = [
         ReceivedState(1.0, "x", FIRST),
         ReceivedState(10.5, "x", DRAINING),
         ReceivedState(15.5, "x", None),
     ]
-    told = [*words, ReceivedState(30.0, "x", BACK._replace(up_since_ms=9))]
-    found = delivery_stats(History(ENTRIES, changes, {"c": told}), expected, [], 5.0)[ChangeKind.RETURN]
+    received = [*states, ReceivedState(30.0, "x", BACK._replace(up_since_ms=9))]
+    found = delivery_stats(History(ENTRIES, changes, {"c": received}), expected, [], 5.0)[ChangeKind.RETURN]
     return found.overtaken, found.over_budget
 
 
-def test_an_endpoint_back_that_is_dropped_before_it_had_to_be_told_is_overtaken() -> None:
+def test_a_returned_endpoint_removed_within_the_budget_is_overtaken() -> None:
     assert overtaken_return(dropped_at=22.0) == (1, [])
     assert overtaken_return(dropped_at=26.0) == (0, ["node back: x: c: 10.00 s"])
 
 
-def test_changes_to_a_controller_that_is_cut_off_are_counted_apart() -> None:
-    history, expected = day_of(ReceivedState(17.0, "x", None), ReceivedState(20.5, "x", BACK))
+def test_changes_are_counted_separately_for_a_controller_that_is_cut_off() -> None:
+    history, expected = played_day(ReceivedState(17.0, "x", None), ReceivedState(20.5, "x", BACK))
     disconnection = Disconnection(frozenset("c"), 9.0, 16.0)
     found = delivery_stats(history, expected, [disconnection], 5.0)
     assert (
@@ -237,12 +240,12 @@
         found[ChangeKind.DELETE].cut_off,
         found[ChangeKind.RETURN].cut_off,
     ) == (1, 1, 0)
-    told = drain_stats(history, [disconnection])
-    assert (told.reached, told.cut_off, told.missed) == (0, 1, [])
+    drains = drain_stats(history, [disconnection])
+    assert (drains.reached, drains.cut_off, drains.missed) == (0, 1, [])
     assert drain_stats(history, [disconnection._replace(controllers=frozenset("d"))]).missed == ["c: x"]
 
 
-def test_an_endpoint_that_nobody_holds_concerns_nobody() -> None:
+def test_a_change_of_an_endpoint_in_no_list_affects_no_controller() -> None:
     change = Change(10.0, ChangeKind.CONFIGURATION, (ENTRIES[1] | {"size": 2.0},))
     history = History(ENTRIES, [change], {"c": [ReceivedState(1.0, "x", FIRST)]})
     expected = ExpectedViews([Controller("c", "r", "z1", ())], UNBOUNDED, 1, ENTRIES)
@@ -250,7 +253,7 @@
     assert (found.endpoints, found.unheld, found.pairs) == (1, 1, 0)
 
 
-def test_a_view_with_one_zone_of_two_is_not_usable() -> None:
+def test_a_service_with_one_ready_zone_of_two_is_not_usable() -> None:
     expected = ExpectedViews([Controller("c", "r", "z1", ("s",))], UNBOUNDED, 1, ENTRIES)
     assert expected.unusable("c", ["x", "y"]) == []
     assert expected.unusable("c", ["x"]) == ["s"]
@@ -258,7 +261,7 @@
     assert expected.unusable("c", ["x", "y"]) == [] and expected.unusable("c", ["y"]) == ["s"]
 
 
-def test_known_endpoints_are_those_of_the_view_and_what_left_it_lately() -> None:
+def test_known_endpoints_may_include_those_that_left_the_view_lately() -> None:
     held = ControllerTables({"0": {"weights": {"route": {"x": 1.0, "y": 0.0}}}}, ["x", "old"])
     assert is_known(held, frozenset("x"), {"old"}) and table_endpoints(held) == {"x"}
     assert not is_known(held, frozenset("x"), set())
@@ -272,7 +275,7 @@
     return orjson.dumps({"revision": revision, "complete": complete, "members": entries})
 
 
-def test_the_relay_notes_states_once_and_leaves_out_what_is_older() -> None:
+def test_the_relay_records_each_state_once_and_ignores_older_revisions() -> None:
     client = DayClient(0)
     assert client.record_answer(body(2, True, ENTRIES[0]), ()) == [("x", FIRST)]
     assert client.record_answer(body(3, True, ENTRIES[0]), ()) == []
@@ -286,7 +289,7 @@
 # Days of few endpoints.
 
 
-def test_a_small_day_is_played_and_all_holds(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_small_day_meets_all_expectations(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("oatcart.scale.day.MIN_PARTITION_S", MIN_PARTITION_S)
     result = play_small(replace(SMALL_DAY, zone_losses=1, rack_losses=1, partitions=1, changes=200))
     assert result.complaints == [] and "all expectations were met" in day_text(result)
@@ -302,8 +305,8 @@
     assert sum(kind.cut_off for kind in result.kinds.values()) > 0
 
 
-class OneDeaf(DayPlayer):
-    """Cuts one controller off from the first change on, which the day knows nothing of."""
+class CutOffPlayer(DayPlayer):
+    """Cuts one controller off at the first change, without recording a disconnection."""
 
     def make(self, events: tuple) -> None:
         if not self.changes:
@@ -312,18 +315,18 @@
 
 
 @pytest.mark.parametrize("whole_list", [False, True])
-def test_a_controller_that_is_told_nothing_is_reported(
+def test_a_controller_that_receives_nothing_is_reported(
     monkeypatch: pytest.MonkeyPatch, whole_list: bool
 ) -> None:
     monkeypatch.setattr("oatcart.scale.day_trial.SETTLE_TIMEOUT_S", 0.5)
     monkeypatch.setattr("oatcart.scale.day.VIEWS_KNOWN_TIMEOUT_S", 0.1)
-    result = play_small(replace(SMALL_DAY, restarts=30), whole_list, OneDeaf)
+    result = play_small(replace(SMALL_DAY, restarts=30), whole_list, CutOffPlayer)
     assert result.whole_list is whole_list and [load.role for load in result.loads] == (
         ["hollow_conductor"] if whole_list else ["control", "hollow_conductor"]
     )
-    deaf = "hollow-0"
-    assert result.drains.missed and all(one.startswith(deaf) for one in result.drains.missed)
-    assert all(one.endswith(deaf) for kind in result.kinds.values() for one in kind.missed)
+    cut_off = "hollow-0"
+    assert result.drains.missed and all(one.startswith(cut_off) for one in result.drains.missed)
+    assert all(one.endswith(cut_off) for kind in result.kinds.values() for one in kind.missed)
     assert result.end.told == SMALL.hollow - 1 and "FAILED" in day_text(result)
     assert "1 controllers were not sent their view" in result.complaints
 
@@ -350,7 +353,8 @@
     command = [sys.executable, "-m", "oatcart.scale", "day", str(file), "--quick"]
     with subprocess.Popen(command, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL) as run:
         until = time.monotonic() + ENDED_WITHIN_S
-        while len(children_of(run.pid)) < 6:  # discovery, hollow ones, peers, the relay, control, a real one
+        # The children are discovery, hollow controllers, peers, relay, control role and a real controller.
+        while len(children_of(run.pid)) < 6:
             assert run.poll() is None and time.monotonic() < until, children_of(run.pid)
             time.sleep(0.05)
         children = children_of(run.pid)
@@ -359,7 +363,7 @@
     assert not any(map(alive, children))
 
 
-def test_an_interrupt_that_was_ignored_where_it_came_is_raised_again() -> None:
+def test_an_interrupt_that_was_suppressed_is_raised_again() -> None:
     with pytest.raises(Interrupted), noted_interrupts() as interrupts:
         with suppress(Interrupted):
             os.kill(os.getpid(), signal.SIGINT)
@@ -368,7 +372,7 @@
     assert signal.getsignal(signal.SIGINT) is signal.default_int_handler
 
 
-def test_a_fleet_without_room_for_its_day_and_a_missing_folder_are_said(
+def test_a_day_that_does_not_fit_and_a_missing_folder_are_reported(
     tmp_path: Path, capsys: pytest.CaptureFixture
 ) -> None:
     file = tmp_path / "scale.yaml"
@@ -379,8 +383,8 @@
     assert "zone loss" in capsys.readouterr().err
 
 
-class CutPlayer(DayPlayer):
-    """A player that notes when it cuts and joins; its trial only gives samples."""
+class PartitionPlayer(DayPlayer):
+    """A player that only records when it starts and ends a partition."""
 
     def _start_partition(self, event: RegionsCut) -> None:
         self.since, self._partition = time.monotonic(), True
@@ -390,17 +394,17 @@
 
 
 class SampledTrial:
-    """A trial that does nothing."""
+    """A trial that can only be sampled."""
 
     def sample(self) -> SimpleNamespace:
-        """A sample of now."""
+        """Returns a sample with only the current time."""
         return SimpleNamespace(at=time.monotonic())
 
 
-def test_a_cut_that_is_made_late_lasts_as_long_as_any() -> None:
-    """Failure: the join came at its time on the day's clock, so a cut was shorter by what it was late."""
+def test_a_partition_that_starts_late_lasts_as_long_as_planned() -> None:
+    """Guards against a partition that starts late but ends at its scheduled time, and so is too short."""
     delays = iter([0.15])  # the first sleep lasts longer, as on a busy machine
-    player = CutPlayer(SampledTrial(), lambda seconds: time.sleep(seconds + next(delays, 0.0)))
+    player = PartitionPlayer(SampledTrial(), lambda seconds: time.sleep(seconds + next(delays, 0.0)))
     cut, join = RegionsCut(0.02, "a", "b"), RegionsRejoined(0.32, "a", "b")
     player.play([Step(0.02, (cut,)), Step(0.32, (join,))], 0.33)
     assert player.until - player.since >= 0.3
--- a/tests/scale/test_scale_discovery.py
+++ b/tests/scale/test_scale_discovery.py
@@ -24,7 +24,7 @@
     return [entry["id"] for entry in read(answer)["members"]]
 
 
-def test_a_whole_list_holds_what_is_listed_and_changes_hold_the_last_state() -> None:
+def test_a_complete_list_has_all_endpoints_and_changes_have_the_last_state() -> None:
     endpoints = EndpointList()
     endpoints.change([ENDPOINT, OTHER])
     endpoints.change([ENDPOINT | {"phase": "DRAINING"}])
@@ -47,8 +47,8 @@
     assert ids(endpoints.complete_list()) == ["node-1"]
 
 
-class Caller:
-    """A client with one kept connection."""
+class Client:
+    """A client with one persistent connection."""
 
     def __init__(self, port: int) -> None:
         self.socket = socket.create_connection((LOOPBACK, port), 5.0)
@@ -84,26 +84,26 @@
         yield running
 
 
-def test_a_watch_is_answered_by_the_next_change_and_its_delay_is_known(discovery: Discovery) -> None:
+def test_a_watch_is_answered_by_the_next_change_and_its_delay_is_measured(discovery: Discovery) -> None:
     port = discovery.open(["one"])["one"]
-    with closing(Caller(port)) as caller:
-        assert len(caller.call("/v1/servers?since=0&timeout_ms=0")["members"]) == 2
-        caller.send(f"/v1/servers?since=1&timeout_ms={LONG_WAIT_MS}")
+    with closing(Client(port)) as client:
+        assert len(client.call("/v1/servers?since=0&timeout_ms=0")["members"]) == 2
+        client.send(f"/v1/servers?since=1&timeout_ms={LONG_WAIT_MS}")
         began = time.monotonic()
         discovery.change([ENDPOINT | {"phase": "DRAINING"}])
-        answer = caller.answer()
+        answer = client.answer()
         assert answer["revision"] == 2 and answer["members"] == [ENDPOINT | {"phase": "DRAINING"}]
-        caller.send(f"/v1/servers?since=2&timeout_ms={LONG_WAIT_MS}")
+        client.send(f"/v1/servers?since=2&timeout_ms={LONG_WAIT_MS}")
         while (at := first_acknowledged_at(discovery.acknowledged_revisions()["one"], 2)) is None:
             time.sleep(0.01)
         assert 0 < at - began < 5.0
         assert first_acknowledged_at(discovery.acknowledged_revisions()["one"], 3) is None
 
 
-def test_a_watch_ends_empty_when_its_time_is_over(discovery: Discovery) -> None:
-    with closing(Caller(discovery.open(["one"])["one"])) as caller:
+def test_a_watch_is_answered_empty_at_its_timeout(discovery: Discovery) -> None:
+    with closing(Client(discovery.open(["one"])["one"])) as client:
         began = time.monotonic()
-        assert caller.call("/v1/servers?since=1&timeout_ms=120") == {
+        assert client.call("/v1/servers?since=1&timeout_ms=120") == {
             "revision": 1,
             "complete": False,
             "members": [],
@@ -111,43 +111,43 @@
         assert time.monotonic() - began >= 0.1
 
 
-def test_what_is_no_list_is_not_found(discovery: Discovery) -> None:
-    with closing(Caller(discovery.open(["one"])["one"])) as caller:
-        assert caller.call("/healthz") == {"status": 404}
+def test_an_unknown_path_is_not_found(discovery: Discovery) -> None:
+    with closing(Client(discovery.open(["one"])["one"])) as client:
+        assert client.call("/healthz") == {"status": 404}
 
 
-def test_clients_are_counted_each_by_itself(discovery: Discovery) -> None:
+def test_each_client_is_counted_separately(discovery: Discovery) -> None:
     ports = discovery.open(["one", "two"])
-    with closing(Caller(ports["one"])) as caller:
-        answer = caller.call("/v1/servers")
-        caller.call("/v1/servers")
+    with closing(Client(ports["one"])) as client:
+        answer = client.call("/v1/servers")
+        client.call("/v1/servers")
     clients = discovery.figures().clients
     assert clients["two"] == (0, 0, 0, 0)
     assert clients["one"].messages_in == clients["one"].messages_out == 2
     assert clients["one"].bytes_in > 2 * len(orjson.dumps(answer))
 
 
-def test_lists_are_apart(discovery: Discovery) -> None:
+def test_lists_are_separate(discovery: Discovery) -> None:
     discovery.change([OTHER], "service-2")
-    with closing(Caller(discovery.open(["two"], "service-2")["two"])) as caller:
-        assert [entry["id"] for entry in caller.call("/v1/servers")["members"]] == ["node-2"]
+    with closing(Client(discovery.open(["two"], "service-2")["two"])) as client:
+        assert [entry["id"] for entry in client.call("/v1/servers")["members"]] == ["node-2"]
 
 
-def test_an_outage_resets_connections_and_refuses_new_ones_until_it_ends(discovery: Discovery) -> None:
+def test_an_outage_resets_existing_and_new_connections_until_it_ends(discovery: Discovery) -> None:
     port = discovery.open(["one"])["one"]
-    with closing(Caller(port)) as caller:
-        caller.call("/v1/servers")
+    with closing(Client(port)) as client:
+        client.call("/v1/servers")
         discovery.outage(True)
         with pytest.raises(ConnectionError):
-            caller.call("/v1/servers")
-    with closing(Caller(port)) as caller, pytest.raises(ConnectionError):
-        caller.call("/v1/servers")
+            client.call("/v1/servers")
+    with closing(Client(port)) as client, pytest.raises(ConnectionError):
+        client.call("/v1/servers")
     discovery.outage(False)
-    with closing(Caller(port)) as caller:
-        assert caller.call("/v1/servers")["revision"] == 1
+    with closing(Client(port)) as client:
+        assert client.call("/v1/servers")["revision"] == 1
 
 
-def test_an_unknown_command_is_an_error_and_the_process_goes_on(discovery: Discovery) -> None:
+def test_an_unknown_command_is_an_error_and_the_process_continues(discovery: Discovery) -> None:
     with pytest.raises(ChildError, match="KeyError"):
         discovery.ask("nothing")
     assert discovery.figures().usage.core_s > 0
@@ -161,7 +161,7 @@
             discovery.figures()
 
 
-def test_a_revision_is_had_with_the_first_that_is_as_new() -> None:
+def test_a_revision_is_acknowledged_by_the_first_that_is_as_new() -> None:
     held = [AcknowledgedRevision(1.1, 1, 0), AcknowledgedRevision(2.5, 3, 0), AcknowledgedRevision(3.5, 4, 0)]
     assert [first_acknowledged_at(held, revision) for revision in (1, 2, 3, 4)] == [1.1, 2.5, 2.5, 3.5]
     assert first_acknowledged_at(held, 5) is None and first_acknowledged_at([], 1) is None
--- a/tests/scale/test_scale_fault_plan.py
+++ b/tests/scale/test_scale_fault_plan.py
@@ -1,4 +1,4 @@
-"""The drawn day: its counts, its order, and that no endpoint is in two states at once."""
+"""The drawn day: its counts and order, and that no endpoint is in two states at once."""
 
 from collections import Counter
 from dataclasses import replace
@@ -38,7 +38,7 @@
     return plan_day(fleet, DaySettings(), SEED)
 
 
-def of_kind(day: DayPlan, kind: type) -> list:
+def events_of_type(day: DayPlan, kind: type) -> list:
     """The day's events of one type."""
     return [event for event in day.events if type(event) is kind]
 
@@ -62,11 +62,11 @@
 
 
 def test_the_operators_counts_are_met(day):
-    lost = Counter(event.cause for event in of_kind(day, NodeLost))
+    lost = Counter(event.cause for event in events_of_type(day, NodeLost))
     assert lost[Cause.FAILURE] == 46
-    assert len(of_kind(day, NodeDraining)) == len(of_kind(day, NodeDeleted)) == 1_800
-    assert len(of_kind(day, ConfigurationChanged)) == 22_000
-    assert len(of_kind(day, RegionsCut)) == len(of_kind(day, RegionsRejoined)) == 1
+    assert len(events_of_type(day, NodeDraining)) == len(events_of_type(day, NodeDeleted)) == 1_800
+    assert len(events_of_type(day, ConfigurationChanged)) == 22_000
+    assert len(events_of_type(day, RegionsCut)) == len(events_of_type(day, RegionsRejoined)) == 1
 
 
 def test_events_are_in_time_order_within_the_compressed_day(day):
@@ -80,48 +80,48 @@
     assert_consistent(day)
 
 
-def test_failures_and_restarts_strike_different_endpoints(day):
-    failed = [event.endpoint for event in of_kind(day, NodeLost) if event.cause is Cause.FAILURE]
+def test_failures_and_restarts_affect_different_endpoints(day):
+    failed = [event.endpoint for event in events_of_type(day, NodeLost) if event.cause is Cause.FAILURE]
     assert len(set(failed)) == 46
-    assert len({event.endpoint for event in of_kind(day, NodeDraining)}) > 1_780
+    assert len({event.endpoint for event in events_of_type(day, NodeDraining)}) > 1_780
 
 
 @pytest.mark.parametrize(
     ("cause", "groups"), [(Cause.ZONE_LOSS, "endpoints_by_zone"), (Cause.RACK_LOSS, "endpoints_by_rack")]
 )
-def test_a_zone_and_a_rack_are_lost_whole_and_at_once(fleet, day, cause, groups):
-    lost = [event for event in of_kind(day, NodeLost) if event.cause is cause]
+def test_all_endpoints_of_a_lost_zone_or_rack_are_lost_at_once(fleet, day, cause, groups):
+    lost = [event for event in events_of_type(day, NodeLost) if event.cause is cause]
     assert len({event.at_s for event in lost}) == 1
     endpoints = {event.endpoint for event in lost}
     assert endpoints in [{endpoint.id for endpoint in group} for group in getattr(fleet, groups)().values()]
 
 
-def test_what_is_lost_returns_after_the_time_stated(day):
-    lost_at = {event.endpoint: event for event in of_kind(day, NodeLost)}
+def test_lost_endpoints_return_after_the_configured_time(day):
+    lost_at = {event.endpoint: event for event in events_of_type(day, NodeLost)}
     lengths = {Cause.FAILURE: 30.0, Cause.ZONE_LOSS: 20.0, Cause.RACK_LOSS: 20.0}  # compressed 60 times
-    for event in of_kind(day, NodeReturned):
+    for event in events_of_type(day, NodeReturned):
         if event.cause in lengths and lost_at[event.endpoint].cause is event.cause:
             assert event.at_s - lost_at[event.endpoint].at_s == pytest.approx(lengths[event.cause])
 
 
 def test_a_partition_lasts_an_hour_between_two_regions(fleet, day):
-    (cut,), (rejoined,) = of_kind(day, RegionsCut), of_kind(day, RegionsRejoined)
+    (cut,), (rejoined,) = events_of_type(day, RegionsCut), events_of_type(day, RegionsRejoined)
     assert cut.first != cut.second
     assert {cut.first, cut.second} <= set(fleet.regions)
     assert (cut.first, cut.second) == (rejoined.first, rejoined.second)
     assert rejoined.at_s - cut.at_s == pytest.approx(3_600.0 / 60.0)
 
 
-def test_changes_are_numbered_in_order_and_concern_known_routes(fleet, day):
-    changes = of_kind(day, ConfigurationChanged)
+def test_changes_are_numbered_in_order_and_are_of_known_routes(fleet, day):
+    changes = events_of_type(day, ConfigurationChanged)
     assert [change.number for change in changes] == list(range(22_000))
     services = fleet.services
     assert all(0 <= change.route < 37_000 for change in changes)
     assert all(change.service == services[change.route % 720] for change in changes)
 
 
-def test_bursts_hold_their_share_their_size_and_one_service_each(day):
-    in_bursts = [change for change in of_kind(day, ConfigurationChanged) if change.burst is not None]
+def test_bursts_have_their_share_their_size_and_one_service_each(day):
+    in_bursts = [change for change in events_of_type(day, ConfigurationChanged) if change.burst is not None]
     bursts: dict[int, list[ConfigurationChanged]] = {}
     for change in in_bursts:
         bursts.setdefault(change.burst, []).append(change)
@@ -148,10 +148,10 @@
 
 def test_fewer_changes_leave_the_outages_as_they_are(fleet, day):
     other = plan_day(fleet, replace(DaySettings(), changes=10), SEED)
-    assert of_kind(other, NodeLost) == of_kind(day, NodeLost)
+    assert events_of_type(other, NodeLost) == events_of_type(day, NodeLost)
 
 
-def test_a_day_of_nothing_is_empty(fleet):
+def test_a_day_without_faults_and_changes_is_empty(fleet):
     nothing = DaySettings(
         failures=0, restarts=0, rack_losses=0, zone_losses=0, partitions=0, changes=0, burst_size=1
     )
@@ -172,7 +172,7 @@
         ({"partitions": 2}, "2 partitions: expected at most 1, one for each pair of regions"),
     ],
 )
-def test_a_day_without_room_in_the_fleet_is_refused(counts, message):
+def test_a_day_that_does_not_fit_the_fleet_raises_an_error(counts, message):
     small = plan_fleet(
         FleetSettings(
             conductors=2, nodes=10, services=3, routes=3, regions=2, zones=2, services_per_conductor=2
--- a/tests/scale/test_scale_fleet.py
+++ b/tests/scale/test_scale_fleet.py
@@ -35,7 +35,7 @@
     assert len({controller.name for controller in planned.controllers}) == len(planned.controllers)
 
 
-def test_a_few_services_hold_thousands_and_most_a_handful(planned):
+def test_a_few_services_have_thousands_of_endpoints_and_most_a_handful(planned):
     sizes = sorted(len(endpoints) for endpoints in planned.endpoints_by_service().values())
     assert sizes[-1] > 4_000
     assert sum(size >= 1_000 for size in sizes) < 10
@@ -57,17 +57,17 @@
     assert set(zones_of_region.values()) == {3, 4}
 
 
-def test_no_rack_holds_more_than_it_has_room_for(planned):
+def test_no_rack_exceeds_its_capacity(planned):
     assert max(len(endpoints) for endpoints in planned.endpoints_by_rack().values()) == 24
 
 
-def test_endpoint_sizes_are_the_known_ones_and_mostly_small(planned):
+def test_endpoint_sizes_are_valid_and_mostly_small(planned):
     counts = Counter(endpoint.size for endpoint in planned.endpoints)
     assert set(counts) == set(ENDPOINT_SIZES)
     assert counts[1] > counts[2] > counts[4]
 
 
-def test_controllers_stand_where_endpoints_are(planned):
+def test_controllers_are_in_zones_in_proportion_to_endpoints(planned):
     controllers = Counter(controller.zone for controller in planned.controllers)
     for zone, endpoints in planned.endpoints_by_zone().items():
         assert abs(controllers[zone] - 5_800 * len(endpoints) / 27_000) <= 1
@@ -112,7 +112,7 @@
     assert len(plan_fleet(replace(fewer, conductors=1), SEED).endpoints_by_zone()) == 53
 
 
-def test_a_fleet_with_very_few_endpoints_gives_up_what_they_do_not_allow():
+def test_a_fleet_with_very_few_endpoints_has_fewer_services_and_zones():
     fewest = FleetSettings().with_endpoints(4)
     assert (fewest.services, fewest.zones, fewest.regions, fewest.services_per_conductor) == (2, 4, 4, 2)
     assert len(plan_fleet(replace(fewest, conductors=1), SEED).endpoints) == 4
@@ -126,7 +126,7 @@
 
 @given(endpoints=st.integers(2, 300), seed=st.integers(0, 100))
 @settings(max_examples=30, deadline=None)
-def test_any_scaled_fleet_is_whole(endpoints, seed):
+def test_any_scaled_fleet_has_endpoints_in_all_zones_and_services(endpoints, seed):
     fleet = plan_fleet(FleetSettings().scaled_to(endpoints), seed)
     assert len(fleet.endpoints) == endpoints
     assert set(fleet.endpoints_by_zone()) == set(fleet.zone_regions)
@@ -150,6 +150,6 @@
     assert numpy.all(numpy.diff(sizes) <= 0)
 
 
-def test_without_skew_services_are_alike():
+def test_without_skew_services_have_equal_sizes():
     sizes = service_sizes(FleetSettings(nodes=100, services=10, service_skew=0.0))
     assert sizes.tolist() == [10] * 10
--- a/tests/scale/test_scale_hollow.py
+++ b/tests/scale/test_scale_hollow.py
@@ -1,4 +1,4 @@
-"""Hollow controllers: what they follow, order, count, and how they meet failures."""
+"""Hollow controllers: lists, updates, metering, outages and failing endpoints."""
 
 import time
 from collections.abc import Callable, Iterator
@@ -24,9 +24,9 @@
     return {"id": endpoint, "host_port": "10.0.0.1:80", "locality": "a", "phase": phase, "size": 1.0}
 
 
-def wait_until(met: Callable[[], bool], what: str) -> None:
+def wait_until(condition: Callable[[], bool], what: str) -> None:
     until = time.monotonic() + WITHIN_S
-    while not met():
+    while not condition():
         assert time.monotonic() < until, what
         time.sleep(0.05)
 
@@ -56,12 +56,12 @@
             [one.known_endpoints for one in hollow_controllers.figures().controllers]
             == [len(ENDPOINTS)] * count
         ),
-        "no list",
+        "no complete list",
     )
 
 
-def tables_name(hollow_controllers: HollowControllers, endpoints: set[str]) -> bool:
-    """Whether every table of every proxy names these endpoints and no others."""
+def all_tables_have(hollow_controllers: HollowControllers, endpoints: set[str]) -> bool:
+    """Returns whether every table of every proxy has exactly these endpoints."""
     tables = [
         table
         for one in hollow_controllers.tables()
@@ -71,7 +71,7 @@
     return bool(tables) and all(set(table) == endpoints for table in tables)
 
 
-def test_many_follow_one_list_and_each_change_comes_to_all(
+def test_each_change_of_a_list_reaches_all_controllers_that_watch_it(
     discovery: Discovery, hollow_controllers: HollowControllers
 ) -> None:
     start(discovery, hollow_controllers, 40)
@@ -80,27 +80,30 @@
         lambda: all(
             one.applied_revisions[-1][1] == revision for one in hollow_controllers.figures().controllers
         ),
-        "no change",
+        "the change did not reach all controllers",
     )
     figures = hollow_controllers.figures()
     assert all(0 < one.ready_core_s <= one.core_s and one.ready_after_s > 0 for one in figures.controllers)
     assert not figures.failures
 
 
-def test_proxies_are_ordered_all_ready_endpoints_and_no_drained_one(
+def test_proxies_receive_all_ready_endpoints_and_no_draining_one(
     discovery: Discovery, hollow_controllers: HollowControllers
 ) -> None:
     start(discovery, hollow_controllers, 2)
     hollow_controllers.join_peers([peers(), peers(2)], keep_tables=True)
-    wait_until(lambda: tables_name(hollow_controllers, set(ENDPOINTS)), "no tables")
+    wait_until(lambda: all_tables_have(hollow_controllers, set(ENDPOINTS)), "no tables")
     discovery.change([entry(ENDPOINTS[3], "DRAINING")])
-    wait_until(lambda: tables_name(hollow_controllers, set(ENDPOINTS) - {ENDPOINTS[3]}), "still ordered")
+    wait_until(
+        lambda: all_tables_have(hollow_controllers, set(ENDPOINTS) - {ENDPOINTS[3]}),
+        "the draining endpoint is still in a table",
+    )
     figures = hollow_controllers.figures().controllers
     assert all(one.peer_bytes_in > 0 and one.peer_bytes_out > 0 for one in figures)
     assert all(one.peer_messages_out >= PROXIES for one in figures)
 
 
-def test_an_endpoint_that_fails_is_shut_out_at_all_proxies(
+def test_a_failing_endpoint_is_ejected_at_all_proxies(
     discovery: Discovery, hollow_controllers: HollowControllers
 ) -> None:
     start(discovery, hollow_controllers, 1)
@@ -111,10 +114,12 @@
         (held,) = hollow_controllers.tables()
         return all(one["shut_out"] == [ENDPOINTS[5]] for one in held.tables.values())
 
-    wait_until(ejected, "not shut out")
+    wait_until(ejected, "not ejected")
 
 
-def test_discovery_goes_away_and_returns(discovery: Discovery, hollow_controllers: HollowControllers) -> None:
+def test_controllers_recover_from_an_outage_of_discovery(
+    discovery: Discovery, hollow_controllers: HollowControllers
+) -> None:
     start(discovery, hollow_controllers, 5)
     discovery.outage(True)
     revision = discovery.change([entry(ENDPOINTS[0], "DRAINING")])
@@ -123,12 +128,12 @@
     discovery.outage(False)
     wait_until(
         lambda: all(one.revision == revision for one in hollow_controllers.figures().controllers),
-        "not followed anew",
+        "the list was not updated after the outage",
     )
     assert not hollow_controllers.figures().failures
 
 
-def test_a_tick_is_a_function_of_seed_and_tick() -> None:
+def test_the_messages_of_a_tick_depend_on_seed_and_tick_alone() -> None:
     one, same, other = ControllerPeers(peers()), ControllerPeers(peers()), ControllerPeers(peers(2))
     assert one.joins() == same.joins()
     ticks = [one.tick() for _ in range(4)]
@@ -138,25 +143,25 @@
 
 def test_every_proxy_and_every_endpoint_is_reported_once_a_period() -> None:
     one = ControllerPeers(peers())
-    told = [orjson.loads(message.line) for _ in range(4) for message in one.tick()]
-    assert sorted(line["host"] for line in told if line["msg"] == "heard") == sorted(ENDPOINTS)
-    usage = sorted((line["sidecar"], line["kind"]) for line in told if line["msg"] == "usage")
+    lines = [orjson.loads(message.line) for _ in range(4) for message in one.tick()]
+    assert sorted(line["host"] for line in lines if line["msg"] == "heard") == sorted(ENDPOINTS)
+    usage = sorted((line["sidecar"], line["kind"]) for line in lines if line["msg"] == "usage")
     assert usage == sorted((number, route) for number in range(PROXIES) for route in route_names(ROUTES))
-    assert one.traffic.messages_in == len(told)
+    assert one.traffic.messages_in == len(lines)
 
 
 def test_failing_endpoints_fail_every_request_and_no_others() -> None:
     one = ControllerPeers(peers())
     one.fail([ENDPOINTS[0]])
-    told = [orjson.loads(message.line) for _ in range(4) for message in one.tick()]
-    failed = {line["host"]: line["bad"] / line["n"] for line in told if line["msg"] == "heard"}
+    lines = [orjson.loads(message.line) for _ in range(4) for message in one.tick()]
+    failed = {line["host"]: line["bad"] / line["n"] for line in lines if line["msg"] == "heard"}
     assert {endpoint for endpoint, share in failed.items() if share} == {ENDPOINTS[0]} and failed[
         ENDPOINTS[0]
     ] == 1.0
 
 
 @pytest.mark.parametrize("keep_tables", [False, True])
-def test_a_nonce_is_acknowledged_once_its_line_is_whole(keep_tables: bool) -> None:
+def test_a_nonce_is_acknowledged_once_its_line_is_complete(keep_tables: bool) -> None:
     one = ControllerPeers(peers(), keep_tables)
     line = b'{"msg":"update","endpoints":[["node-01",1.5]],"nonce_out":905}\n'
     one.receive_data(1, line[:20])
@@ -167,11 +172,11 @@
     assert one.traffic.bytes_out == len(line) and one.traffic.messages_out == 1
 
 
-def test_without_a_nonce_there_is_none() -> None:
+def test_an_update_without_a_nonce_has_no_last_nonce() -> None:
     assert last_nonce(b'{"msg":"update","eject":["node-01"]}\n') is None
 
 
-def test_a_proxy_holds_what_its_orders_say() -> None:
+def test_updates_are_applied_to_the_tables_of_a_proxy() -> None:
     held = ProxyTables()
     held.apply({"full": True, "endpoints": [["x", 1.5], ["y", 2]], "admit": 0.5, "policy": 1}, ["r", "s"])
     held.apply({"routes": ["r"], "endpoints": [["x", 0], ["z", 3]], "eject": ["y"]}, ["r", "s"])
--- a/tests/scale/test_scale_views.py
+++ b/tests/scale/test_scale_views.py
@@ -1,4 +1,4 @@
-"""Controllers behind the control role: what the relay counts, whom a change concerns, what is measured."""
+"""Controllers behind the control role: what the relay records, whom a change affects, what is measured."""
 
 from contextlib import ExitStack
 from dataclasses import replace
@@ -30,7 +30,7 @@
 )
 
 
-def test_controllers_behind_the_control_role_are_measured_and_know_a_part_only() -> None:
+def test_controllers_behind_the_control_role_know_only_their_view() -> None:
     with running(SMALL, ViewTrial) as trial:
         trial.start()
         assert all(0 < len(trial.relay.members(name)) <= SMALL.view.nodes for name in trial.names)
@@ -52,7 +52,7 @@
     assert found["control"].resident_mb > 5 and found["control"].ready_s > 0
 
 
-def test_changes_of_endpoints_are_had_by_the_controllers_whose_views_hold_them() -> None:
+def test_a_change_is_delivered_to_the_controllers_whose_view_has_the_endpoint() -> None:
     with running(SMALL, ViewTrial) as trial:
         trial.start()
         name = trial.hollow_names[0]
@@ -67,7 +67,7 @@
         assert sum(map(len, delays.values())) == len(trial.holders[0])
 
 
-def test_changes_are_of_endpoints_that_some_view_holds() -> None:
+def test_only_endpoints_of_some_view_are_changed() -> None:
     with running(SMALL, ViewTrial) as trial:
         trial.start()
         changed = {endpoint.id for endpoint in trial.changed_endpoints()}
@@ -75,7 +75,7 @@
         assert 0 < len(changed) <= len(trial.plan.endpoints)
 
 
-def test_a_control_role_that_died_is_an_error_and_all_else_is_ended() -> None:
+def test_a_control_role_that_died_is_an_error_and_all_processes_are_ended() -> None:
     with pytest.raises((NotReadyError, ChildError, OSError)), running(SMALL, ViewTrial) as trial:
         trial.start()
         processes = [one.process for one in trial.running_processes()]
@@ -85,14 +85,14 @@
     assert all(process.returncode is not None for process in processes)
 
 
-def test_the_control_role_is_told_where_each_controller_runs_and_what_it_needs() -> None:
+def test_the_control_role_is_configured_with_the_place_and_services_of_each_controller() -> None:
     with ExitStack() as processes:
         trial = ViewTrial(SMALL, plan_fleet(SMALL.fleet, SMALL.seed), processes)
-        told = trial.control_configuration(1, 2, {"hollow-0": 3, "real-0": 4})
-    hollow, real = told["conductors"]
+        configuration = trial.control_configuration(1, 2, {"hollow-0": 3, "real-0": 4})
+    hollow, real = configuration["conductors"]
     assert hollow["services"] and hollow["zone"] in trial.plan.zone_regions
     assert hollow | {"name": "", "address": ""} == real | {"name": "", "address": ""}
-    assert told["views"]["most_members"] == SMALL.view.nodes
+    assert configuration["views"]["most_members"] == SMALL.view.nodes
 
 
 def test_free_ports_are_distinct() -> None:
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("piece", [1, 7, 1000])
-def test_bodies_are_found_however_the_bytes_come(piece: int) -> None:
+def test_bodies_are_found_in_pieces_of_any_size(piece: int) -> None:
     bodies: list[bytes] = []
     reader = AnswerReader(bodies.append)
     data = (
@@ -119,7 +119,7 @@
     return orjson.dumps({"revision": 1, "complete": complete, "members": members})
 
 
-def test_members_follow_whole_lists_and_changes() -> None:
+def test_members_follow_complete_lists_and_changes() -> None:
     client = RelayedClient(0)
     client.record_answer(list_body(True, x="SERVING", y="SERVING"), set())
     client.record_answer(list_body(False, y="DELETED", z="DRAINING"), set())
@@ -128,7 +128,7 @@
     assert client.members == {"w"}
 
 
-def test_word_of_tracked_endpoints_is_noted_also_when_a_whole_list_lacks_them() -> None:
+def test_a_tracked_endpoint_is_recorded_also_if_a_complete_list_lacks_it() -> None:
     client = RelayedClient(0)
     assert client.record_answer(list_body(True, x="SERVING", y="SERVING"), {"x"}) == ["x"]
     assert client.record_answer(list_body(False, y="DRAINING"), {"x"}) == []
@@ -136,13 +136,13 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"no json", b"[]", b"{}", b'{"members":[{}],"complete":true}'])
-def test_a_body_that_is_no_list_tells_of_nothing(body: bytes) -> None:
+def test_a_body_that_is_not_a_list_is_ignored(body: bytes) -> None:
     client = RelayedClient(0)
     client.members = {"x"}
     assert client.record_answer(body, {"x"}) == [] and client.members == {"x"}
 
 
-def test_the_first_word_after_a_change_counts() -> None:
-    told = [(1.0, "x"), (2.0, "y"), (3.0, "x")]
-    assert first_received_at(told, MadeChange(1.5, "all", 2, "x")) == 3.0
-    assert first_received_at(told, MadeChange(3.5, "all", 2, "x")) is None
+def test_the_first_acknowledgement_after_a_change_counts() -> None:
+    received = [(1.0, "x"), (2.0, "y"), (3.0, "x")]
+    assert first_received_at(received, MadeChange(1.5, "all", 2, "x")) == 3.0
+    assert first_received_at(received, MadeChange(3.5, "all", 2, "x")) is None
