--- a/oatcart/scale/day_loads.py
+++ b/oatcart/scale/day_loads.py
@@ -104,11 +104,11 @@
 def control_rates(then: Sample, now: Sample) -> Rates:
     """Returns the load of the control role, whose traffic is that with discovery and all controllers."""
     span_s = now.at - then.at
-    served, followed = summed(then.clients, now.clients), summed(then.source, now.source)
+    served, watched = summed(then.clients, now.clients), summed(then.source, now.source)
     return Rates(
         (now.control_core_s - then.control_core_s) / span_s,
-        (served.bytes_out + followed.bytes_in) / span_s,
-        (served.bytes_in + followed.bytes_out) / span_s,
-        (served.messages_out + followed.messages_in) / span_s,
-        (served.messages_in + followed.messages_out) / span_s,
+        (served.bytes_out + watched.bytes_in) / span_s,
+        (served.bytes_in + watched.bytes_out) / span_s,
+        (served.messages_out + watched.messages_in) / span_s,
+        (served.messages_in + watched.messages_out) / span_s,
     )
--- a/oatcart/scale/day_relay.py
+++ b/oatcart/scale/day_relay.py
@@ -57,7 +57,7 @@
     def record_answer(self, body: bytes, tracked: Collection[str]) -> list[tuple[str, EntryState | None]]:
         """Records an answer and returns the endpoints whose state it changes, with the new state.
 
-        All endpoints are tracked, whatever `tracked` holds. An answer with an older revision than the last
+        All endpoints are tracked; `tracked` is ignored. An answer with an older revision than the last
         one, which overtook it on another connection, is ignored, as controllers do.
         """
         try:
--- a/oatcart/scale/trial.py
+++ b/oatcart/scale/trial.py
@@ -227,18 +227,22 @@
         A change is in force at a hollow controller once a round has run on it, at a real one once it
         acknowledges it.
         """
-        held = self.acknowledged_revisions()
+        acknowledged = self.acknowledged_revisions()
         if self.hollow_controllers:
             for name, one in zip(
                 self.hollow_names, self.hollow_controllers.figures().controllers, strict=True
             ):
-                held[name] = [AcknowledgedRevision(at, revision, 0) for at, revision in one.applied_revisions]
+                acknowledged[name] = [
+                    AcknowledgedRevision(at, revision, 0) for at, revision in one.applied_revisions
+                ]
         delays, missing = {}, 0
         for name in self.names:
             made = [change for change in self.made_changes if change.list_name == self.list_of(name)]
-            had = [first_acknowledged_at(held[name], change.revision) for change in made]
-            delays[name] = [at - change.at for at, change in zip(had, made, strict=True) if at is not None]
-            missing += had.count(None)
+            delivered_at = [first_acknowledged_at(acknowledged[name], change.revision) for change in made]
+            delays[name] = [
+                at - change.at for at, change in zip(delivered_at, made, strict=True) if at is not None
+            ]
+            missing += delivered_at.count(None)
         return delays, missing
 
     def running_processes(self) -> list[ChildProcess]:
@@ -275,12 +279,12 @@
         """
         real = dict(zip(self.real_names, self.real, strict=True))
         for name in self.names:
-            held = next((one for one in revisions[name] if one.revision), None)
-            if name not in self.ready and held:
+            acknowledged = next((one for one in revisions[name] if one.revision), None)
+            if name not in self.ready and acknowledged:
                 one = real.get(name)
-                after_s = max(held.at - one.started_at, one.ready_after_s) if one else 0.0
+                after_s = max(acknowledged.at - one.started_at, one.ready_after_s) if one else 0.0
                 self.ready[name] = StartupFigures(
-                    after_s, one.core_seconds() if one else 0.0, held.bytes_sent
+                    after_s, one.core_seconds() if one else 0.0, acknowledged.bytes_sent
                 )
 
     def errors(self) -> str:
@@ -298,9 +302,9 @@
             trial.make_change(of_trial.next_entry(time.time()))
 
 
-def first_acknowledged_at(held: Sequence[AcknowledgedRevision], revision: int) -> float | None:
+def first_acknowledged_at(acknowledged: Sequence[AcknowledgedRevision], revision: int) -> float | None:
     """Returns when a revision, or a newer one, was first acknowledged, or None."""
-    return next((one.at for one in held if one.revision >= revision), None)
+    return next((one.at for one in acknowledged if one.revision >= revision), None)
 
 
 @contextmanager
--- a/oatcart/scale/view_trial.py
+++ b/oatcart/scale/view_trial.py
@@ -49,9 +49,8 @@
         super().__init__(settings, plan, processes)
         self.relay = processes.enter_context(ViewRelay())
         self.control: ChildProcess | None = None
-        self.holders: list[
-            list[str]
-        ] = []  # for each change made: the controllers whose view had the endpoint
+        # For each change made: the controllers whose view had the endpoint.
+        self.holders: list[list[str]] = []
 
     def check_fits(self) -> None:
         """Checks the limits of any trial, except that of the complete list, which no controller is sent."""
@@ -124,8 +123,8 @@
 
     def changed_endpoints(self) -> list[PlannedEndpoint]:
         """Returns the endpoints that are in some controller's view; changes of others reach no controller."""
-        held = {endpoint for name in self.names for endpoint in self.relay.members(name)}
-        return [endpoint for endpoint in self.plan.endpoints if endpoint.id in held]
+        viewed = {endpoint for name in self.names for endpoint in self.relay.members(name)}
+        return [endpoint for endpoint in self.plan.endpoints if endpoint.id in viewed]
 
     def make_change(self, entry: dict) -> None:
         """Changes one endpoint's entry and records the controllers whose view has the endpoint."""
