--- a/oatcart/trace/generate.py
+++ b/oatcart/trace/generate.py
@@ -1,6 +1,7 @@
 """Generates the trace of a small fleet from a seed, for tests and benchmarks.
 
-No model of load: the rounds are those of a real controller, the requests are drawn by its tables' weights.
+Load is not modelled: a real controller decides the rounds, and endpoints are drawn by the weights that it
+sets.
 """
 
 from collections.abc import Iterator
@@ -34,7 +35,7 @@
 
 
 class GeneratedClass(NamedTuple):
-    """A request class: its name, its share of the requests, what the controller knows of it."""
+    """A request class: its name, its share of the requests, and its settings at the controller."""
 
     name: str
     share: float
@@ -67,8 +68,8 @@
 )
 
 
-class TableKeeper(CommandWriter):
-    """A command writer that keeps the latest weight of each endpoint, ejections, and nonces asked for."""
+class RoutingTable(CommandWriter):
+    """A command writer that keeps the latest weight of each endpoint, ejections and requested nonces."""
 
     def __init__(self) -> None:
         self.weights: dict[int, float] = {}
@@ -76,22 +77,22 @@
         self.nonces: list[int] = []
 
     def set_weight(self, table: int, endpoint: int, weight: float) -> None:
-        """See `CommandWriter`."""
+        """Keep the weight of an endpoint."""
         self.weights[endpoint] = weight
 
     def set_ejected(self, endpoint: int, ejected: bool) -> None:
-        """See `CommandWriter`."""
+        """Keep whether an endpoint is ejected."""
         if ejected:
             self.ejected.add(endpoint)
         else:
             self.ejected.discard(endpoint)
 
     def request_ack(self, nonce: int, all_proxies: bool) -> None:
-        """See `CommandWriter`."""
+        """Keep a nonce that proxies have to acknowledge."""
         self.nonces.append(nonce)
 
-    def usable(self) -> list[int]:
-        """The endpoints that requests may go to."""
+    def usable_endpoints(self) -> list[int]:
+        """Return the endpoints that requests may be forwarded to."""
         return [
             endpoint
             for endpoint, weight in self.weights.items()
@@ -99,55 +100,55 @@
         ]
 
 
-class _Seen:
-    """What the proxies of a zone saw of an endpoint since the last report."""
+class _EndpointStatistics:
+    """The results of a zone's attempts at an endpoint since the last report."""
 
     def __init__(self) -> None:
         self.succeeded = 0
         self.failed = 0
-        self.duration = 0.0  # s, of the attempts that did not fail
+        self.duration = 0.0  # s, sum over the attempts that succeeded
 
 
 class _Fleet:
-    """Proxies that forward requests by the controller's tables and report what they see."""
+    """Proxies that forward requests by the controller's routing table and send load reports."""
 
     def __init__(self, seed: int, request_rate: float) -> None:
         self.random = Random(seed)
         self.request_rate = request_rate  # requests/s of all proxies
-        self.tables = TableKeeper()
-        self.names = {place: f"{ZONES[place % 2]}-{place:02}" for place in range(ENDPOINTS)}
+        self.table = RoutingTable()
+        self.names = {number: f"{ZONES[number % 2]}-{number:02}" for number in range(ENDPOINTS)}
         self.request_counts = [0] * PROXIES
-        self.seen: dict[tuple[int, int], _Seen] = {}  # by endpoint and zone
+        self.statistics: dict[tuple[int, int], _EndpointStatistics] = {}  # by endpoint and zone
 
     def first_events(self) -> list[Event]:
-        """The endpoint list, and the proxies that join."""
+        """Return the first endpoint list, and a join event for each proxy."""
         entries = [
-            EndpointEntry(place, place % 2, 0.0, EndpointState.READY, 1.0) for place in range(ENDPOINTS)
+            EndpointEntry(number, number % 2, 0.0, EndpointState.READY, 1.0) for number in range(ENDPOINTS)
         ]
         rate = self.request_rate / PROXIES
         joined = [ProxyJoined(proxy, proxy % 2, rate, True) for proxy in range(PROXIES)]
         return [EndpointListReceived(True, entries), *joined]
 
     def load_reports(self) -> list[Event]:
-        """What was seen since the last reports."""
+        """Return the load reports since the last call."""
         events: list[Event] = []
-        for (endpoint, zone), seen in sorted(self.seen.items()):
+        for (endpoint, zone), statistics in sorted(self.statistics.items()):
             load = LoadReport(None, self.random.uniform(0.2, 0.7), None)
-            mean = seen.duration / max(1, seen.succeeded)
-            attempts = seen.succeeded + seen.failed
+            mean = statistics.duration / max(1, statistics.succeeded)
+            attempts = statistics.succeeded + statistics.failed
             events.append(
-                EndpointLoadReported(endpoint, zone, REPORT_PERIOD, mean, seen.failed, attempts, load)
+                EndpointLoadReported(endpoint, zone, REPORT_PERIOD, mean, statistics.failed, attempts, load)
             )
         events += [
             ProxyLoadReported(proxy, 0, self.random.randrange(1, 8), 0, REPORT_PERIOD)
             for proxy in range(PROXIES)
         ]
-        self.seen.clear()
+        self.statistics.clear()
         return events
 
     def acknowledgements(self) -> list[Event]:
-        """The acknowledgements of all proxies that the controller asked for since the last call."""
-        nonces, self.tables.nonces = self.tables.nonces, []
+        """Return the acknowledgements that the controller requested since the last call, of all proxies."""
+        nonces, self.table.nonces = self.table.nonces, []
         return [
             UpdateAcknowledged(proxy, nonce, ACKNOWLEDGED_AFTER)
             for nonce in nonces
@@ -155,9 +156,9 @@
         ]
 
     def request(self, now: float) -> Iterator[tuple]:
-        """The records of a request that comes now."""
+        """Return the records of a request that is received at `now`."""
         proxy = self.random.randrange(PROXIES)
-        name, _, request_class = self.random.choices(CLASSES, [one.share for one in CLASSES])[0]
+        name, _, request_class = self.random.choices(CLASSES, [generated.share for generated in CLASSES])[0]
         idempotent = request_class.idempotency == Idempotency.IDEMPOTENT
         self.request_counts[proxy] += 1
         common = {
@@ -168,10 +169,10 @@
             "kind": name,
         }
         attempts, endpoint, outcome, duration = 0, "", RequestOutcome.REJECTED, 0.0
-        usable = self.tables.usable()
-        while usable:
+        usable_endpoints = self.table.usable_endpoints()
+        while usable_endpoints:
             attempts += 1
-            endpoint, duration, failed = self._attempt(usable, proxy % 2)
+            endpoint, duration, failed = self._attempt(usable_endpoints, proxy % 2)
             outcome = RequestOutcome.FAILED if failed else RequestOutcome.SUCCEEDED
             if not (failed and attempts == 1 and idempotent):
                 break
@@ -188,33 +189,33 @@
             value=request_class.priority_weight,
         )
 
-    def _attempt(self, usable: list[int], zone: int) -> tuple[str, float, bool]:
-        """Forward a request: the endpoint's name, the duration in seconds, whether it failed."""
-        weights = [self.tables.weights[endpoint] for endpoint in usable]
-        endpoint = self.random.choices(usable, weights)[0]
+    def _attempt(self, usable_endpoints: list[int], zone: int) -> tuple[str, float, bool]:
+        """Forward a request; return the endpoint's name, the duration in seconds, and whether it failed."""
+        weights = [self.table.weights[endpoint] for endpoint in usable_endpoints]
+        endpoint = self.random.choices(usable_endpoints, weights)[0]
         duration = self.random.lognormvariate(-3.2, 0.5)
         failed = self.random.random() < FAILING_SHARE
-        seen = self.seen.setdefault((endpoint, zone), _Seen())
+        statistics = self.statistics.setdefault((endpoint, zone), _EndpointStatistics())
         if failed:
-            seen.failed += 1
+            statistics.failed += 1
         else:
-            seen.succeeded += 1
-            seen.duration += duration
+            statistics.succeeded += 1
+            statistics.duration += duration
         return self.names[endpoint], duration, failed
 
 
 def generate_records(
     seed: int, duration: float, request_rate: float, instance: str = "n0", begin: float = 1000.0
 ) -> Iterator[tuple]:
-    """The records of `duration` seconds, in order of time, as a `Writer` takes them.
+    """Return the records of `duration` seconds in order of time, in the form that `Writer.put` takes.
 
-    `request_rate` is in requests/s of all proxies, `begin` the first time in seconds.
+    `request_rate` is in requests/s over all proxies; `begin` is the first time in seconds.
     """
     fleet = _Fleet(seed, request_rate)
     pending: list[tuple] = []
     now = begin
     recorder = RoundRecorder(Controller(SETTINGS, seed).round, pending.append, lambda: now + UNIX_OFFSET)
-    yield start_record(now, instance, seed, SETTINGS, [one.name for one in CLASSES], ZONES)
+    yield start_record(now, instance, seed, SETTINGS, [generated.name for generated in CLASSES], ZONES)
     for endpoint, name in fleet.names.items():
         recorder.name_endpoint(now, endpoint, name)
     events = fleet.first_events()
@@ -231,7 +232,7 @@
             next_report += REPORT_PERIOD
             events += fleet.load_reports()
         events += fleet.acknowledgements()
-        recorder.round(now, iter(events), fleet.tables)
+        recorder.round(now, iter(events), fleet.table)
         events = []
         yield from pending
         pending.clear()
