--- a/tests/scale/test_scale_real.py
+++ b/tests/scale/test_scale_real.py
@@ -46,7 +46,7 @@
         discovery.change([ENTRY])
         ports = discovery.open(["one", "two"])
         with real_controllers(SETTINGS, list(ports.values()), [1, 2]) as controllers:
-            wait_until(lambda: all(discovery.held().values()), "no watch")
+            wait_until(lambda: all(discovery.acknowledged_revisions().values()), "no watch")
             assert all(one.ready_after_s > 0 for one in controllers)
             assert all(one.core_seconds() > 0 and one.resident_megabytes() > 5 for one in controllers)
             pids = [one.pid for one in controllers]
