--- a/tests/scale/test_scale_hollow.py
+++ b/tests/scale/test_scale_hollow.py
@@ -1,4 +1,4 @@
-"""Hollow controllers: what they follow, order, count, and how they meet failures."""
+"""Hollow controllers: lists, updates, metering, outages and failing endpoints."""
 
 import time
 from collections.abc import Callable, Iterator
@@ -9,7 +9,7 @@
 from oatcart.net.loop import Loop, Wait
 from oatcart.scale.controller_settings import controller_settings, route_names
 from oatcart.scale.discovery import Discovery
-from oatcart.scale.hollow import Hollows
+from oatcart.scale.hollow import HollowControllers
 from oatcart.scale.metering import Meter, MeteredLoop, metered
 from oatcart.scale.peers import ControllerPeers, PeerSettings, ProxyTables, last_nonce
 
@@ -24,9 +24,9 @@
     return {"id": endpoint, "host_port": "10.0.0.1:80", "locality": "a", "phase": phase, "size": 1.0}
 
 
-def wait_until(met: Callable[[], bool], what: str) -> None:
+def wait_until(condition: Callable[[], bool], what: str) -> None:
     until = time.monotonic() + WITHIN_S
-    while not met():
+    while not condition():
         assert time.monotonic() < until, what
         time.sleep(0.05)
 
@@ -43,82 +43,97 @@
 
 
 @pytest.fixture
-def hollows() -> Iterator[Hollows]:
-    with Hollows() as running:
+def hollow_controllers() -> Iterator[HollowControllers]:
+    with HollowControllers() as running:
         yield running
 
 
-def start(discovery: Discovery, hollows: Hollows, count: int) -> None:
+def start(discovery: Discovery, hollow_controllers: HollowControllers, count: int) -> None:
     ports = discovery.open([f"hollow-{number}" for number in range(count)])
-    hollows.start_controllers(SETTINGS, list(ports.values()), list(range(count)))
+    hollow_controllers.start_controllers(SETTINGS, list(ports.values()), list(range(count)))
     wait_until(
-        lambda: [one.known_endpoints for one in hollows.figures().controllers] == [len(ENDPOINTS)] * count,
-        "no list",
+        lambda: (
+            [one.known_endpoints for one in hollow_controllers.figures().controllers]
+            == [len(ENDPOINTS)] * count
+        ),
+        "no complete list",
     )
 
 
-def tables_name(hollows: Hollows, endpoints: set[str]) -> bool:
-    """Whether every table of every proxy names these endpoints and no others."""
+def all_tables_have(hollow_controllers: HollowControllers, endpoints: set[str]) -> bool:
+    """Returns whether every table of every proxy has exactly these endpoints."""
     tables = [
         table
-        for one in hollows.orders()
+        for one in hollow_controllers.tables()
         for held in one.tables.values()
         for table in [*held["weights"].values()]
     ]
     return bool(tables) and all(set(table) == endpoints for table in tables)
 
 
-def test_many_follow_one_list_and_each_change_comes_to_all(discovery: Discovery, hollows: Hollows) -> None:
-    start(discovery, hollows, 40)
+def test_each_change_of_a_list_reaches_all_controllers_that_watch_it(
+    discovery: Discovery, hollow_controllers: HollowControllers
+) -> None:
+    start(discovery, hollow_controllers, 40)
     revision = discovery.change([entry(ENDPOINTS[0], "DRAINING")])
     wait_until(
-        lambda: all(one.applied_revisions[-1][1] == revision for one in hollows.figures().controllers),
-        "no change",
+        lambda: all(
+            one.applied_revisions[-1][1] == revision for one in hollow_controllers.figures().controllers
+        ),
+        "the change did not reach all controllers",
     )
-    figures = hollows.figures()
+    figures = hollow_controllers.figures()
     assert all(0 < one.ready_core_s <= one.core_s and one.ready_after_s > 0 for one in figures.controllers)
     assert not figures.failures
 
 
-def test_proxies_are_ordered_all_ready_endpoints_and_no_drained_one(
-    discovery: Discovery, hollows: Hollows
+def test_proxies_receive_all_ready_endpoints_and_no_draining_one(
+    discovery: Discovery, hollow_controllers: HollowControllers
 ) -> None:
-    start(discovery, hollows, 2)
-    hollows.join_peers([peers(), peers(2)], keep_orders=True)
-    wait_until(lambda: tables_name(hollows, set(ENDPOINTS)), "no tables")
+    start(discovery, hollow_controllers, 2)
+    hollow_controllers.join_peers([peers(), peers(2)], keep_tables=True)
+    wait_until(lambda: all_tables_have(hollow_controllers, set(ENDPOINTS)), "no tables")
     discovery.change([entry(ENDPOINTS[3], "DRAINING")])
-    wait_until(lambda: tables_name(hollows, set(ENDPOINTS) - {ENDPOINTS[3]}), "still ordered")
-    figures = hollows.figures().controllers
+    wait_until(
+        lambda: all_tables_have(hollow_controllers, set(ENDPOINTS) - {ENDPOINTS[3]}),
+        "the draining endpoint is still in a table",
+    )
+    figures = hollow_controllers.figures().controllers
     assert all(one.peer_bytes_in > 0 and one.peer_bytes_out > 0 for one in figures)
     assert all(one.peer_messages_out >= PROXIES for one in figures)
 
 
-def test_an_endpoint_that_fails_is_shut_out_at_all_proxies(discovery: Discovery, hollows: Hollows) -> None:
-    start(discovery, hollows, 1)
-    hollows.join_peers([peers()], keep_orders=True)
-    hollows.fail([ENDPOINTS[5]])
+def test_a_failing_endpoint_is_ejected_at_all_proxies(
+    discovery: Discovery, hollow_controllers: HollowControllers
+) -> None:
+    start(discovery, hollow_controllers, 1)
+    hollow_controllers.join_peers([peers()], keep_tables=True)
+    hollow_controllers.fail([ENDPOINTS[5]])
 
-    def shut_out() -> bool:
-        (held,) = hollows.orders()
+    def ejected() -> bool:
+        (held,) = hollow_controllers.tables()
         return all(one["shut_out"] == [ENDPOINTS[5]] for one in held.tables.values())
 
-    wait_until(shut_out, "not shut out")
+    wait_until(ejected, "not ejected")
 
 
-def test_discovery_goes_away_and_returns(discovery: Discovery, hollows: Hollows) -> None:
-    start(discovery, hollows, 5)
+def test_controllers_recover_from_an_outage_of_discovery(
+    discovery: Discovery, hollow_controllers: HollowControllers
+) -> None:
+    start(discovery, hollow_controllers, 5)
     discovery.outage(True)
     revision = discovery.change([entry(ENDPOINTS[0], "DRAINING")])
     time.sleep(0.3)
-    assert all(one.revision < revision for one in hollows.figures().controllers)
+    assert all(one.revision < revision for one in hollow_controllers.figures().controllers)
     discovery.outage(False)
     wait_until(
-        lambda: all(one.revision == revision for one in hollows.figures().controllers), "not followed anew"
+        lambda: all(one.revision == revision for one in hollow_controllers.figures().controllers),
+        "the list was not updated after the outage",
     )
-    assert not hollows.figures().failures
+    assert not hollow_controllers.figures().failures
 
 
-def test_a_tick_is_a_function_of_seed_and_tick() -> None:
+def test_the_messages_of_a_tick_depend_on_seed_and_tick_alone() -> None:
     one, same, other = ControllerPeers(peers()), ControllerPeers(peers()), ControllerPeers(peers(2))
     assert one.joins() == same.joins()
     ticks = [one.tick() for _ in range(4)]
@@ -128,47 +143,47 @@
 
 def test_every_proxy_and_every_endpoint_is_reported_once_a_period() -> None:
     one = ControllerPeers(peers())
-    told = [orjson.loads(message.line) for _ in range(4) for message in one.tick()]
-    assert sorted(line["host"] for line in told if line["msg"] == "heard") == sorted(ENDPOINTS)
-    usage = sorted((line["sidecar"], line["kind"]) for line in told if line["msg"] == "usage")
+    lines = [orjson.loads(message.line) for _ in range(4) for message in one.tick()]
+    assert sorted(line["host"] for line in lines if line["msg"] == "heard") == sorted(ENDPOINTS)
+    usage = sorted((line["sidecar"], line["kind"]) for line in lines if line["msg"] == "usage")
     assert usage == sorted((number, route) for number in range(PROXIES) for route in route_names(ROUTES))
-    assert one.traffic.messages_in == len(told)
+    assert one.traffic.messages_in == len(lines)
 
 
 def test_failing_endpoints_fail_every_request_and_no_others() -> None:
     one = ControllerPeers(peers())
     one.fail([ENDPOINTS[0]])
-    told = [orjson.loads(message.line) for _ in range(4) for message in one.tick()]
-    failed = {line["host"]: line["bad"] / line["n"] for line in told if line["msg"] == "heard"}
+    lines = [orjson.loads(message.line) for _ in range(4) for message in one.tick()]
+    failed = {line["host"]: line["bad"] / line["n"] for line in lines if line["msg"] == "heard"}
     assert {endpoint for endpoint, share in failed.items() if share} == {ENDPOINTS[0]} and failed[
         ENDPOINTS[0]
     ] == 1.0
 
 
-@pytest.mark.parametrize("keep_orders", [False, True])
-def test_a_nonce_is_acknowledged_once_its_line_is_whole(keep_orders: bool) -> None:
-    one = ControllerPeers(peers(), keep_orders)
+@pytest.mark.parametrize("keep_tables", [False, True])
+def test_a_nonce_is_acknowledged_once_its_line_is_complete(keep_tables: bool) -> None:
+    one = ControllerPeers(peers(), keep_tables)
     line = b'{"msg":"update","endpoints":[["node-01",1.5]],"nonce_out":905}\n'
-    one.take(1, line[:20])
+    one.receive_data(1, line[:20])
     assert b"applied" not in b"".join(message.line for message in one.tick())
-    one.take(1, line[20:])
+    one.receive_data(1, line[20:])
     (answer,) = [message for message in one.tick() if b"applied" in message.line]
     assert answer.proxy == 1 and orjson.loads(answer.line)["version"] == 905
     assert one.traffic.bytes_out == len(line) and one.traffic.messages_out == 1
 
 
-def test_without_a_nonce_there_is_none() -> None:
+def test_an_update_without_a_nonce_has_no_last_nonce() -> None:
     assert last_nonce(b'{"msg":"update","eject":["node-01"]}\n') is None
 
 
-def test_a_proxy_holds_what_its_orders_say() -> None:
+def test_updates_are_applied_to_the_tables_of_a_proxy() -> None:
     held = ProxyTables()
     held.apply({"full": True, "endpoints": [["x", 1.5], ["y", 2]], "admit": 0.5, "policy": 1}, ["r", "s"])
     held.apply({"routes": ["r"], "endpoints": [["x", 0], ["z", 3]], "eject": ["y"]}, ["r", "s"])
     assert held.weights == {"r": {"y": 2, "z": 3}, "s": {"x": 1.5, "y": 2}}
-    assert held.shut_out == {"y"} and held.levels == {"r": 0.5, "s": 0.5}
+    assert held.ejected == {"y"} and held.admitted_shares == {"r": 0.5, "s": 0.5}
     held.apply({"routes": ["r"], "full": True, "endpoints": [], "restore": ["y"]}, ["r", "s"])
-    assert held.weights["r"] == {} and held.levels == {"s": 0.5} and not held.shut_out
+    assert held.weights["r"] == {} and held.admitted_shares == {"s": 0.5} and not held.ejected
 
 
 def test_nested_stretches_are_metered_once() -> None:
