--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -80,7 +80,7 @@
         real=1,
         proxies=settings.fleet.proxies_per_conductor,
         settle_s=run.settle_for,
-        quiet_s=whole_fetches(run.measure_for),
+        measure_s=whole_fetches(run.measure_for),
         changes=run.repeats,
         changes_per_s=CHANGES_PER_S,
         limits=settings.limits,
--- a/oatcart/scale/agreement.py
+++ b/oatcart/scale/agreement.py
@@ -79,7 +79,7 @@
         trial.join_peers(keep_orders=True)
         time.sleep(settings.settle_s)
         quiet_from = trial.read()
-        time.sleep(settings.quiet_s)
+        time.sleep(settings.measure_s)
         quiet_until = trial.read()
         make_changes([trial], settings.changes, settings.changes_per_s)
         trial.wait_for_changes()
--- a/oatcart/scale/day.py
+++ b/oatcart/scale/day.py
@@ -23,10 +23,10 @@
 from oatcart.scale.day_schedule import Kind, schedule
 from oatcart.scale.day_trial import DayPlayer, DayTrial, Healing, WholeListTrial
 from oatcart.scale.fault_plan import plan_day
-from oatcart.scale.figures import is_late
+from oatcart.scale.figures import fell_behind
 from oatcart.scale.fleet import FleetPlan
 from oatcart.scale.hollow import HeldTables
-from oatcart.scale.interrupts import noted_interrupts
+from oatcart.scale.interrupts import recorded_interrupts
 from oatcart.scale.trial import LOOK_EVERY_S, Reading, running
 from oatcart.scale.trial_settings import TrialSettings
 
@@ -139,7 +139,7 @@
     if whole_list:
         scale = replace(scale, hollow=min(scale.hollow, WHOLE_LIST_MOST))
     with (
-        noted_interrupts() as interrupts,
+        recorded_interrupts() as interrupts,
         running(
             trial_settings(settings, scale), kind or (WholeListTrial if whole_list else DayTrial)
         ) as trial,
@@ -253,7 +253,7 @@
         paused_s=player.paused_s,
         late_s=player.late_s,
         hollow_late_s=after.hollow.late_s if after.hollow else 0.0,
-        hollow_was_late=bool(after.hollow and is_late(after.hollow)),
+        hollow_was_late=bool(after.hollow and fell_behind(after.hollow)),
         hollow_core_share=metered_core_share(before, after),
         kinds=deliveries(history, trial.expected, cuts, budget_s),
         drains=drains(history, cuts),
--- a/oatcart/scale/day_loads.py
+++ b/oatcart/scale/day_loads.py
@@ -7,7 +7,7 @@
 
 from oatcart.scale.day_schedule import Kind
 from oatcart.scale.day_trial import DayPlayer, Sample
-from oatcart.scale.figures import CONTROL_ROLE, HOLLOW_ROLE, REAL_ROLE, summed
+from oatcart.scale.figures import CONTROL_ROLE, HOLLOW_ROLE, REAL_ROLE, total_traffic
 from oatcart.scale.trial import LOOK_EVERY_S, Reading
 
 
@@ -85,7 +85,7 @@
 def controller_rates(then: Sample, now: Sample, names: Sequence[str], core_s: float) -> Rates:
     """The mean controller of some, which took so many core seconds together."""
     shared = (now.at - then.at) * len(names)
-    traffic = summed(*({name: one.clients[name] for name in names} for one in (then, now)))
+    traffic = total_traffic(*({name: one.clients[name] for name in names} for one in (then, now)))
     return Rates(
         core_s / shared,
         traffic.bytes_in / shared,
@@ -98,7 +98,7 @@
 def control_rates(then: Sample, now: Sample) -> Rates:
     """The control role, with discovery and all controllers together."""
     span_s = now.at - then.at
-    served, followed = summed(then.clients, now.clients), summed(then.source, now.source)
+    served, followed = total_traffic(then.clients, now.clients), total_traffic(then.source, now.source)
     return Rates(
         (now.control_core_s - then.control_core_s) / span_s,
         (served.bytes_out + followed.bytes_in) / span_s,
--- a/oatcart/scale/day_report.py
+++ b/oatcart/scale/day_report.py
@@ -6,7 +6,7 @@
 from oatcart.scale.day import DayResult
 from oatcart.scale.day_deliveries import Deliveries
 from oatcart.scale.day_loads import Rates
-from oatcart.scale.figures import summarised
+from oatcart.scale.figures import summarize_delays
 from oatcart.scale.report import NOT_MEASURED, OVER_BUDGET, align, number_text
 
 COMPLAINTS_SHOWN = 20
@@ -78,7 +78,7 @@
     ]
     for kind, one in result.kinds.items():
         counts = one.events, one.nodes, one.unheld, one.pairs, one.overtaken, one.cut_off, len(one.missed)
-        pairs, last = summarised(one.delays), summarised(one.last_delays)
+        pairs, last = summarize_delays(one.delays), summarize_delays(one.last_delays)
         times = [NOT_MEASURED] * 4
         if pairs and last:
             times = [number_text(figure) for figure in (*last, pairs.median_s)]
@@ -145,7 +145,7 @@
 
 
 def _kind_object(one: Deliveries) -> dict[str, object]:
-    delays, last = summarised(one.delays), summarised(one.last_delays)
+    delays, last = summarize_delays(one.delays), summarize_delays(one.last_delays)
     return {
         "revisions": one.events,
         "nodes": one.nodes,
--- a/oatcart/scale/figures.py
+++ b/oatcart/scale/figures.py
@@ -133,11 +133,11 @@
         return []
     before = [trial.read() for trial in trials]
     if not settings.measure_under_changes:
-        time.sleep(settings.quiet_s)
+        time.sleep(settings.measure_s)
         after = [trial.read() for trial in trials]
     make_changes(trials, settings.changes, settings.changes_per_s)
     if settings.measure_under_changes:
-        time.sleep(max(0.0, before[0].at + settings.quiet_s - time.monotonic()))
+        time.sleep(max(0.0, before[0].at + settings.measure_s - time.monotonic()))
         after = [trial.read() for trial in trials]
     return [Observed(*one) for one in zip(before, after, strict=True)]
 
@@ -148,7 +148,7 @@
     Raises NotReadyError where a change never came to some controller.
     """
     delays = trial.wait_for_changes()
-    if trial.hollows and is_late(trial.hollows.figures()):
+    if trial.hollows and fell_behind(trial.hollows.figures()):
         delays |= dict.fromkeys(trial.hollow_names, [])  # they would be the process's, not a controller's
     observed = observed._replace(delays=delays)
     readers = {DISCOVERY_ROLE: discovery_measurement}
@@ -167,7 +167,7 @@
     return measurements
 
 
-def is_late(reading: HollowReading) -> bool:
+def fell_behind(reading: HollowReading) -> bool:
     """Whether the process of hollow controllers had no time for all of them since the reading before."""
     return reading.late_s > LATE_MOST_S + max(one.longest_s for one in reading.controllers)
 
@@ -175,7 +175,7 @@
 def hollow_measurement(trial: Trial, observed: Observed, dimension: str, size: float) -> Measurement:
     """The mean hollow controller; raises SizeLimitError where their process was late."""
     before, after = observed.before.hollow, observed.after.hollow
-    if is_late(after):
+    if fell_behind(after):
         raise SizeLimitError(
             f"the process of {trial.settings.hollow} hollow conductors was {after.late_s:.2f} s late"
         )
@@ -213,7 +213,7 @@
 ) -> Measurement:
     """Adds what is read alike for hollow and real controllers: traffic, delays, readiness."""
     traffic = mean_traffic(observed, names)
-    summary = summarised([delay for name in names for delay in observed.delays[name]])
+    summary = summarize_delays([delay for name in names for delay in observed.delays[name]])
     starts = [ready[name] for name in names]
     return replace(
         measurement,
@@ -230,7 +230,7 @@
 def discovery_measurement(trial: Trial, observed: Observed, dimension: str, size: float) -> Measurement:
     """The stand-in discovery: its process, and its traffic with all clients together."""
     before, after = observed.before.discovery, observed.after.discovery
-    sums = summed(before.clients, after.clients)
+    sums = total_traffic(before.clients, after.clients)
     return Measurement(
         dimension,
         size,
@@ -247,8 +247,8 @@
 def control_measurement(trial: Trial, observed: Observed, dimension: str, size: float) -> Measurement:
     """The control role: its process, and its traffic with discovery and all controllers together."""
     before, after = observed.before, observed.after
-    served = summed(before.clients, after.clients)
-    followed = summed(before.discovery.clients, after.discovery.clients)
+    served = total_traffic(before.clients, after.clients)
+    followed = total_traffic(before.discovery.clients, after.discovery.clients)
     return Measurement(
         dimension,
         size,
@@ -265,7 +265,7 @@
     )
 
 
-def summed(before: Mapping[str, ClientFigures], after: Mapping[str, ClientFigures]) -> ClientFigures:
+def total_traffic(before: Mapping[str, ClientFigures], after: Mapping[str, ClientFigures]) -> ClientFigures:
     """The traffic of all clients together between two readings, as they see it."""
     return ClientFigures(
         *(
@@ -286,7 +286,7 @@
     return Traffic(means["bytes_in"], means["bytes_out"], means["messages_in"], means["messages_out"])
 
 
-def summarised(delays: Sequence[float]) -> Delays | None:
+def summarize_delays(delays: Sequence[float]) -> Delays | None:
     """Median, 99th percentile and maximum of some delays; None of none."""
     if not delays:
         return None
--- a/oatcart/scale/interrupts.py
+++ b/oatcart/scale/interrupts.py
@@ -13,7 +13,7 @@
 from oatcart.scale.children import Interrupted
 
 
-class InterruptNote:
+class InterruptRecord:
     """The signal that came, if any."""
 
     def __init__(self) -> None:
@@ -36,9 +36,9 @@
 
 
 @contextmanager
-def noted_interrupts() -> Iterator[InterruptNote]:
+def recorded_interrupts() -> Iterator[InterruptRecord]:
     """Within the block SIGINT and SIGTERM are noted and raise Interrupted; signals are the main thread's."""
-    note = InterruptNote()
+    note = InterruptRecord()
     if threading.current_thread() is not threading.main_thread():
         yield note
         return
--- a/oatcart/scale/real.py
+++ b/oatcart/scale/real.py
@@ -20,7 +20,7 @@
 from oatcart.scale.children import ChildProcess
 from oatcart.scale.discovery import LOOPBACK
 
-RUN = sys.executable, "-m", "oatcart"  # what `run` of deploy/balancer.toml executes
+CONTROLLER_COMMAND = sys.executable, "-m", "oatcart"  # what `run` of deploy/balancer.toml executes
 CONFIG_VARIABLE = "EDGE_CONFIG"
 DESCRIPTORS = 256  # a controller's `limits.sockets`
 READY_WITHIN_S = 30.0  # from a start to the pong; the slowest reads a configuration of tens of megabytes
@@ -53,7 +53,7 @@
     """One controller process; `port` and `ready_after_s` are known once `wait_ready` has returned."""
 
     def __init__(self, configuration: Path) -> None:
-        super().__init__(RUN, {CONFIG_VARIABLE: str(configuration)})
+        super().__init__(CONTROLLER_COMMAND, {CONFIG_VARIABLE: str(configuration)})
         self.port = 0
         self.ready_after_s = 0.0
 
--- a/oatcart/scale/runs.py
+++ b/oatcart/scale/runs.py
@@ -39,7 +39,7 @@
     play_beside,
 )
 from oatcart.scale.fleet import plan_fleet
-from oatcart.scale.interrupts import noted_interrupts
+from oatcart.scale.interrupts import recorded_interrupts
 from oatcart.scale.measurement import Measurement
 from oatcart.scale.module_rounds import module_figures
 from oatcart.scale.peers import PeerSettings
@@ -96,7 +96,7 @@
             real=REAL_BESIDE,
             proxies=settings.fleet.proxies_per_conductor,
             settle_s=self.run.settle_for,
-            quiet_s=self.run.measure_for if quick else whole_fetches(self.run.measure_for),
+            measure_s=self.run.measure_for if quick else whole_fetches(self.run.measure_for),
             changes=self.run.repeats,
             changes_per_s=CHANGES_PER_S_QUICK if quick else CHANGES_PER_S,
             limits=settings.limits,
@@ -188,7 +188,7 @@
             [list_entry(endpoint) for endpoint in plan.endpoints],
             peers,
             trial.settle_s,
-            min(trial.quiet_s, MODULE_SPAN_MOST_S),
+            min(trial.measure_s, MODULE_SPAN_MOST_S),
             trial.seed,
         )
         return Measurement(
@@ -213,7 +213,7 @@
     """
     runs = Runs(settings, quick, progress)
     measurements: list[Measurement] = []
-    with noted_interrupts() as interrupts:
+    with recorded_interrupts() as interrupts:
         for dimension, sizes in sizes_of(runs.run, dimensions).items():
             grown = getattr(runs, dimension)
             for size in sizes:
--- a/oatcart/scale/trial_settings.py
+++ b/oatcart/scale/trial_settings.py
@@ -30,7 +30,7 @@
     tenants: int = 0
     warm_up_s: float = WARM_UP_S
     settle_s: float = 3.0
-    quiet_s: float = 15.0
+    measure_s: float = 15.0
     changes: int = 20
     changes_per_s: float = 10.0
     measure_under_changes: bool = False
--- a/oatcart/scale/view_trial.py
+++ b/oatcart/scale/view_trial.py
@@ -29,7 +29,7 @@
 from oatcart.scale.fleet import FleetPlan, PlannedController, PlannedEndpoint
 from oatcart.scale.peers import PeerSettings
 from oatcart.scale.ports import free_ports
-from oatcart.scale.real import RUN, NotReadyError
+from oatcart.scale.real import CONTROLLER_COMMAND, NotReadyError
 from oatcart.scale.trial import LOOK_EVERY_S, MadeChange, Ready, Trial
 from oatcart.scale.trial_settings import TrialSettings, check_fits
 from oatcart.scale.view_relay import ViewRelay
@@ -63,7 +63,9 @@
         directory = self._processes.enter_context(TemporaryDirectory())
         path = Path(directory, "views.yaml")
         path.write_text(json.dumps(self.control_configuration(source_port, main_port, served)))
-        self.control = self._processes.enter_context(ChildProcess([*RUN[:2], CONTROL_MODULE, str(path)]))
+        self.control = self._processes.enter_context(
+            ChildProcess([*CONTROLLER_COMMAND[:2], CONTROL_MODULE, str(path)])
+        )
         self._wait_control(main_port)
         return self.relay.open(served)
 
--- a/tests/scale/test_scale_agreement.py
+++ b/tests/scale/test_scale_agreement.py
@@ -16,7 +16,7 @@
     hollow=2,
     real=2,
     settle_s=0.5,
-    quiet_s=5.0,  # long enough that one message more on the way is well under a tenth of all
+    measure_s=5.0,  # long enough that one message more on the way is well under a tenth of all
     warm_up_s=1.0,
     changes=4,
     changes_per_s=4.0,
@@ -56,7 +56,7 @@
 
     monkeypatch.setattr(Trial, "start", start)
     monkeypatch.setattr(agreement, "ORDERS_AFTER_WARM_S", 1.0)
-    found = compare(replace(SETTINGS, hollow=1, real=1, quiet_s=0.5, changes=0), failing=0)
+    found = compare(replace(SETTINGS, hollow=1, real=1, measure_s=0.5, changes=0), failing=0)
     assert not found.agrees
     assert not figure(found, "nodes ordered").agrees
     assert not figure(found, "lines of tables at one of a pair only").agrees
--- a/tests/scale/test_scale_day.py
+++ b/tests/scale/test_scale_day.py
@@ -36,7 +36,7 @@
 )
 from oatcart.scale.fleet import plan_fleet
 from oatcart.scale.hollow import HeldTables
-from oatcart.scale.interrupts import noted_interrupts
+from oatcart.scale.interrupts import recorded_interrupts
 from oatcart.views.records import Controller
 
 ENDPOINTS = 60
@@ -333,7 +333,7 @@
 
 
 def test_an_interrupt_that_was_ignored_where_it_came_is_raised_again() -> None:
-    with pytest.raises(Interrupted), noted_interrupts() as interrupts:
+    with pytest.raises(Interrupted), recorded_interrupts() as interrupts:
         with suppress(Interrupted):
             os.kill(os.getpid(), signal.SIGINT)
             time.sleep(1.0)
--- a/tests/scale/test_scale_real.py
+++ b/tests/scale/test_scale_real.py
@@ -14,7 +14,7 @@
 from oatcart.scale.children import Child, ChildProcess, core_seconds, resident_megabytes
 from oatcart.scale.controller_settings import MAX_ROUTES, controller_settings
 from oatcart.scale.discovery import Discovery
-from oatcart.scale.real import RUN, NotReadyError, RealController, real_controllers
+from oatcart.scale.real import CONTROLLER_COMMAND, NotReadyError, RealController, real_controllers
 
 SETTINGS = controller_settings(["a", "b"], routes=2, proxies=2)
 ENTRY = {"id": "node-1", "host_port": "127.0.0.1:1", "locality": "a", "phase": "SERVING"}
@@ -38,7 +38,7 @@
 
 def test_controllers_are_started_as_the_platform_starts_them() -> None:
     run = tomllib.loads(Path("deploy/balancer.toml").read_text())["run"].split()
-    assert run[:4] == ["trap", "''", "HUP;", "exec"] and run[5:] == list(RUN[1:])
+    assert run[:4] == ["trap", "''", "HUP;", "exec"] and run[5:] == list(CONTROLLER_COMMAND[1:])
 
 
 def test_controllers_answer_follow_the_list_and_end_with_the_block() -> None:
--- a/tests/scale/test_scale_runs.py
+++ b/tests/scale/test_scale_runs.py
@@ -15,16 +15,24 @@
 from oatcart.scale import runs, trial, trial_settings
 from oatcart.scale.children import Interrupted
 from oatcart.scale.configuration import FleetSettings, LimitSettings, RunSettings, Settings
-from oatcart.scale.figures import Delays, Observed, Specification, measured, play, play_beside, summarised
+from oatcart.scale.figures import (
+    Delays,
+    Observed,
+    Specification,
+    measured,
+    play,
+    play_beside,
+    summarize_delays,
+)
 from oatcart.scale.hollow import HollowReading
-from oatcart.scale.interrupts import noted_interrupts
+from oatcart.scale.interrupts import recorded_interrupts
 from oatcart.scale.measurement import Measurement
 from oatcart.scale.runs import measure, sizes_of
 from oatcart.scale.trial import make_changes, running
 from oatcart.scale.trial_settings import SizeLimitError, TrialSettings, check_fits
 
 SMALL = TrialSettings(
-    FleetSettings().scaled_to(40), seed=1, hollow=2, real=1, settle_s=0.1, quiet_s=0.3, changes=3
+    FleetSettings().scaled_to(40), seed=1, hollow=2, real=1, settle_s=0.1, measure_s=0.3, changes=3
 )
 ENDED_WITHIN_S = 10.0
 
@@ -121,12 +129,12 @@
 
 
 def test_delays_are_summed_up() -> None:
-    delays = summarised([0.001 * number for number in range(1, 101)])
+    delays = summarize_delays([0.001 * number for number in range(1, 101)])
     assert delays.median_s == pytest.approx(0.050, rel=0.01) and delays.p99_s == pytest.approx(
         0.099, rel=0.01
     )
     assert delays.last_s == 0.1
-    assert summarised([]) is None
+    assert summarize_delays([]) is None
     assert isinstance(delays, Delays)
 
 
@@ -180,7 +188,7 @@
 
 def test_sigterm_is_the_callers_again_after_a_run() -> None:
     before = signal.getsignal(signal.SIGTERM)
-    with pytest.raises(Interrupted), noted_interrupts():
+    with pytest.raises(Interrupted), recorded_interrupts():
         os.kill(os.getpid(), signal.SIGTERM)
         time.sleep(1.0)
     assert signal.getsignal(signal.SIGTERM) is before
--- a/tests/scale/test_scale_views.py
+++ b/tests/scale/test_scale_views.py
@@ -24,7 +24,7 @@
     hollow=3,
     real=1,
     settle_s=0.1,
-    quiet_s=0.3,
+    measure_s=0.3,
     changes=6,
     view=ViewSettings(nodes=30),
 )
