--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -36,7 +36,7 @@
 from oatcart.scale.measurement import Measurement
 from oatcart.scale.real import NotReadyError
 from oatcart.scale.report import text_report
-from oatcart.scale.runs import BASE_ENDPOINTS, CHANGES_PER_S, whole_fetches
+from oatcart.scale.runs import BASE_ENDPOINTS, CHANGES_PER_S, round_up_to_fetch_period
 from oatcart.scale.slopes import QuantitySlope, analyse
 from oatcart.scale.trial_settings import SizeLimitError, TrialSettings
 from oatcart.scale.view_trial import ViewTrial
@@ -80,7 +80,7 @@
         real=1,
         proxies=settings.fleet.proxies_per_conductor,
         settle_s=run.settle_for,
-        measure_s=whole_fetches(run.measure_for),
+        measure_s=round_up_to_fetch_period(run.measure_for),
         changes=run.repeats,
         changes_per_s=CHANGES_PER_S,
         limits=settings.limits,
--- a/oatcart/scale/__main__.py
+++ b/oatcart/scale/__main__.py
@@ -21,7 +21,7 @@
 UNUSABLE = 2
 """Exit code where a file or an argument cannot be used."""
 
-LARGEST_SHOWN = 5
+SERVICES_SHOWN = 5
 """Services shown by name in the summary of a plan."""
 
 
@@ -42,7 +42,7 @@
     dimensions = parsed.dimension or list(chosen.sizes)
     absent = [dimension for dimension in dimensions if dimension not in chosen.sizes]
     if absent:
-        print(_absent_text(absent, chosen, parsed), file=sys.stderr)
+        print(_missing_sizes_text(absent, chosen, parsed), file=sys.stderr)
         return UNUSABLE
     if parsed.json and not Path(parsed.json).parent.is_dir():
         print(f"{parsed.json}: there is no such folder", file=sys.stderr)
@@ -108,7 +108,7 @@
     """How the endpoints of a fleet are spread."""
     services = sorted((len(endpoints), name) for name, endpoints in fleet.endpoints_by_service().items())
     zones = sorted(len(endpoints) for endpoints in fleet.endpoints_by_zone().values())
-    largest = ", ".join(f"{name} {count:,}" for count, name in services[: -LARGEST_SHOWN - 1 : -1])
+    largest = ", ".join(f"{name} {count:,}" for count, name in services[: -SERVICES_SHOWN - 1 : -1])
     return "\n".join(
         [
             f"nodes: {len(fleet.endpoints):,} in {len(services):,} services, {len(zones):,} zones, "
@@ -154,7 +154,7 @@
     return parser
 
 
-def _absent_text(absent: Sequence[str], chosen: RunSettings, parsed: argparse.Namespace) -> str:
+def _missing_sizes_text(absent: Sequence[str], chosen: RunSettings, parsed: argparse.Namespace) -> str:
     section = "quick" if parsed.quick else "full"
     return f"{parsed.file}: {section}.sizes has no {', '.join(absent)}; it has {', '.join(chosen.sizes)}"
 
--- a/oatcart/scale/agreement.py
+++ b/oatcart/scale/agreement.py
@@ -25,16 +25,16 @@
 from oatcart.scale.trial import Reading, Trial, make_changes, running
 from oatcart.scale.trial_settings import TrialSettings
 
-DIFFERENCE_MOST = 0.1  # of bytes and messages, as a part of the real controller's
-COMMON_WEIGHT_LEAST = 0.9  # of a table's weight on the same endpoints
-ORDERS_AFTER_WARM_S = 4.0  # from when an endpoint restarted last is warm until the same orders stand
-LOOK_EVERY_S = 0.5  # at the orders that stand
-WITHDRAWN_WITHIN_S = (
+MAX_RELATIVE_DIFFERENCE = 0.1  # of bytes and messages, as a part of the real controller's
+MIN_COMMON_WEIGHT = 0.9  # of a table's weight on the same endpoints
+COMMANDS_AGREE_WITHIN_S = 4.0  # from when an endpoint restarted last is warm until the same orders stand
+POLL_INTERVAL_S = 0.5  # at the orders that stand
+EJECTED_WITHIN_S = (
     10.0  # from failing endpoints until the module has withdrawn them: several sums must show it
 )
 
 
-class Compared(NamedTuple):
+class ComparedFigure(NamedTuple):
     """One figure of a hollow and a real controller, both means over all controllers of the kind."""
 
     name: str
@@ -53,7 +53,7 @@
 class Agreement(NamedTuple):
     """The outcome; `core_ratio` is the processor time of a real controller divided by a hollow one's."""
 
-    figures: list[Compared]
+    figures: list[ComparedFigure]
     core_ratio: float
 
     @property
@@ -78,15 +78,15 @@
         trial.start()
         trial.join_peers(keep_orders=True)
         time.sleep(settings.settle_s)
-        quiet_from = trial.read()
+        before = trial.read()
         time.sleep(settings.measure_s)
-        quiet_until = trial.read()
+        after = trial.read()
         make_changes([trial], settings.changes, settings.changes_per_s)
         trial.wait_for_changes()
         fail_endpoints(trial, failing)
-        orders = settled_orders(trial)
+        orders = wait_for_equal_commands(trial)
         figures = [*compare_traffic(trial, trial.read()), *orders]
-        return Agreement(figures, core_ratio(quiet_from, quiet_until))
+        return Agreement(figures, core_ratio(before, after))
 
 
 def fail_endpoints(trial: Trial, failing: int) -> None:
@@ -95,9 +95,9 @@
         endpoints = [endpoint.id for endpoint in trial.plan.endpoints[:failing]]
         trial.hollows.fail(endpoints)
         trial.peers.fail(endpoints)
-        until = time.monotonic() + WITHDRAWN_WITHIN_S
+        until = time.monotonic() + EJECTED_WITHIN_S
         while not all(map(shut_out, trial.peers.orders())) and time.monotonic() < until:
-            time.sleep(LOOK_EVERY_S)
+            time.sleep(POLL_INTERVAL_S)
 
 
 def core_ratio(before: Reading, after: Reading) -> float:
@@ -110,7 +110,7 @@
     return fmean(real) / fmean(hollow)
 
 
-def compare_traffic(trial: Trial, reading: Reading) -> Iterator[Compared]:
+def compare_traffic(trial: Trial, reading: Reading) -> Iterator[ComparedFigure]:
     """All bytes and messages since the start, and the revisions held."""
     clients = reading.discovery.clients
     for field in ClientFigures._fields:
@@ -140,44 +140,44 @@
     )
 
 
-def settled_orders(trial: Trial) -> list[Compared]:
+def wait_for_equal_commands(trial: Trial) -> list[ComparedFigure]:
     """The orders compared once they agree, or as they stand after the time that they are given.
 
     An endpoint that was restarted gets its lines back as it warms up, at each controller in a round of its
     own.
     """
-    until = time.monotonic() + trial.settings.warm_up_s + ORDERS_AFTER_WARM_S
+    until = time.monotonic() + trial.settings.warm_up_s + COMMANDS_AGREE_WITHIN_S
     while True:
-        figures = list(compare_orders(trial))
+        figures = list(compare_commands(trial))
         if all(figure.agrees for figure in figures) or time.monotonic() > until:
             return figures
-        time.sleep(LOOK_EVERY_S)
+        time.sleep(POLL_INTERVAL_S)
 
 
-def compare_orders(trial: Trial) -> Iterator[Compared]:
+def compare_commands(trial: Trial) -> Iterator[ComparedFigure]:
     """What stands at the proxies of each pair of controllers, summed up over all pairs.
 
     Which endpoints a real controller knows cannot be read from outside: those that its orders name can.
     """
     pairs = list(zip(trial.hollows.orders(), trial.peers.orders(), strict=True))
-    ordered = [named_endpoints(one) for one, _ in pairs]
+    ordered = [endpoints_in_tables(one) for one, _ in pairs]
     yield same(
-        "nodes ordered", sum(map(len, ordered)), sum(len(named_endpoints(other)) for _, other in pairs)
+        "nodes ordered", sum(map(len, ordered)), sum(len(endpoints_in_tables(other)) for _, other in pairs)
     )
     yield none(
         "nodes ordered by one of a pair only",
         sum(
-            len(endpoints ^ named_endpoints(other))
+            len(endpoints ^ endpoints_in_tables(other))
             for endpoints, (_, other) in zip(ordered, pairs, strict=True)
         ),
     )
     yield none(
         "nodes ordered that a hollow one does not know",
-        sum(len(named_endpoints(other) - set(one.known)) for one, other in pairs),
+        sum(len(endpoints_in_tables(other) - set(one.known)) for one, other in pairs),
     )
     yield none(
         "lines of tables at one of a pair only",
-        sum(len(table_lines(one) ^ table_lines(other)) for one, other in pairs),
+        sum(len(table_entries(one) ^ table_entries(other)) for one, other in pairs),
     )
     yield same("nodes shut out", *(sum(len(shut_out(pair[side])) for pair in pairs) for side in (0, 1)))
     yield none(
@@ -191,30 +191,30 @@
         for route, table in held["weights"].items()
         if route in other.tables[proxy]["weights"]
     )
-    yield Compared("least weight in common of a table", common, 1.0, common >= COMMON_WEIGHT_LEAST)
+    yield ComparedFigure("least weight in common of a table", common, 1.0, common >= MIN_COMMON_WEIGHT)
 
 
-def within(name: str, hollow: float, real: float) -> Compared:
+def within(name: str, hollow: float, real: float) -> ComparedFigure:
     """A figure that may differ by a tenth."""
-    return Compared(name, hollow, real, abs(hollow - real) <= DIFFERENCE_MOST * real)
+    return ComparedFigure(name, hollow, real, abs(hollow - real) <= MAX_RELATIVE_DIFFERENCE * real)
 
 
-def same(name: str, hollow: float, real: float) -> Compared:
+def same(name: str, hollow: float, real: float) -> ComparedFigure:
     """A figure that must be the same."""
-    return Compared(name, hollow, real, hollow == real)
+    return ComparedFigure(name, hollow, real, hollow == real)
 
 
-def none(name: str, differing: int) -> Compared:
+def none(name: str, differing: int) -> ComparedFigure:
     """A count of differences, of which there must be none."""
-    return Compared(name, differing, 0, differing == 0)
+    return ComparedFigure(name, differing, 0, differing == 0)
 
 
-def named_endpoints(held: HeldTables) -> set[str]:
+def endpoints_in_tables(held: HeldTables) -> set[str]:
     """All endpoints that some table of a controller's proxies names."""
-    return {endpoint for _, _, endpoint in table_lines(held)}
+    return {endpoint for _, _, endpoint in table_entries(held)}
 
 
-def table_lines(held: HeldTables) -> set[tuple[str, str, str]]:
+def table_entries(held: HeldTables) -> set[tuple[str, str, str]]:
     """Proxy, route and endpoint of each line with a weight."""
     return {
         (proxy, route, endpoint)
--- a/oatcart/scale/figures.py
+++ b/oatcart/scale/figures.py
@@ -20,14 +20,12 @@
 
 HOLLOW_ROLE, REAL_ROLE = "hollow_conductor", "conductor"
 DISCOVERY_ROLE, CONTROL_ROLE = "discovery", "control"
-LATE_MOST_S = (
-    TICK_S  # beside a controller's own longest stretch: later, a process has no time for all of them
-)
+MAX_LAG_S = TICK_S  # beside a controller's own longest stretch: later, a process has no time for all of them
 MICROSECONDS = 1e6
-DELAY_MOST_US, DELAY_DIGITS = 120_000_000, 3  # of the histogram of delays
+MAX_DELAY_US, DELAY_SIGNIFICANT_DIGITS = 120_000_000, 3  # of the histogram of delays
 
 
-class Delays(NamedTuple):
+class DelaySummary(NamedTuple):
     """Seconds from changes to controllers that have them."""
 
     median_s: float
@@ -35,7 +33,7 @@
     last_s: float
 
 
-class Observed(NamedTuple):
+class Observation(NamedTuple):
     """What a trial has shown: readings before and after the measured span, and how late changes came.
 
     `delays` has, by controller, the seconds from each change until it had it.
@@ -51,7 +49,7 @@
         return self.after.at - self.before.at
 
 
-class Specification(NamedTuple):
+class TrialSpecification(NamedTuple):
     """A trial that is played beside others; `role_names` renames its roles."""
 
     settings: TrialSettings
@@ -84,14 +82,16 @@
         return measured(trial, observed, dimension, size)
 
 
-def play_beside(specifications: Sequence[Specification], dimension: str, size: float) -> list[Measurement]:
+def play_beside(
+    specifications: Sequence[TrialSpecification], dimension: str, size: float
+) -> list[Measurement]:
     """The measurements of several trials in the same span of time; all last as long as the first is to.
 
     A trial that does not fit is left out and said so. Raises ChildError.
     """
     found: list[Measurement] = []
-    made: list[tuple[Specification, Trial]] = []
-    started: list[tuple[Specification, Trial]] = []
+    made: list[tuple[TrialSpecification, Trial]] = []
+    started: list[tuple[TrialSpecification, Trial]] = []
     with ExitStack() as processes:
         for one in specifications:
             try:
@@ -120,14 +120,14 @@
     return found
 
 
-def left_out(one: Specification, dimension: str, size: float, why: str) -> list[Measurement]:
+def left_out(one: TrialSpecification, dimension: str, size: float, why: str) -> list[Measurement]:
     """The roles of controllers of a trial that did not fit."""
     settings = one.settings
     roles = [role for role, count in ((REAL_ROLE, settings.real), (HOLLOW_ROLE, settings.hollow)) if count]
     return [one.named(Measurement(dimension, size, role, left_out=why)) for role in roles]
 
 
-def observe(trials: Sequence[Trial], settings: TrialSettings) -> list[Observed]:
+def observe(trials: Sequence[Trial], settings: TrialSettings) -> list[Observation]:
     """A quiet span, then a span of changes; or one span in which changes are made. Raises SizeLimitError."""
     if not trials:
         return []
@@ -139,10 +139,10 @@
     if settings.measure_under_changes:
         time.sleep(max(0.0, before[0].at + settings.measure_s - time.monotonic()))
         after = [trial.read() for trial in trials]
-    return [Observed(*one) for one in zip(before, after, strict=True)]
+    return [Observation(*one) for one in zip(before, after, strict=True)]
 
 
-def measured(trial: Trial, observed: Observed, dimension: str, size: float) -> list[Measurement]:
+def measured(trial: Trial, observed: Observation, dimension: str, size: float) -> list[Measurement]:
     """The measurement of each role that the trial had; a role that did not fit is left out and said so.
 
     Raises NotReadyError where a change never came to some controller.
@@ -169,10 +169,10 @@
 
 def fell_behind(reading: HollowReading) -> bool:
     """Whether the process of hollow controllers had no time for all of them since the reading before."""
-    return reading.late_s > LATE_MOST_S + max(one.longest_s for one in reading.controllers)
+    return reading.late_s > MAX_LAG_S + max(one.longest_s for one in reading.controllers)
 
 
-def hollow_measurement(trial: Trial, observed: Observed, dimension: str, size: float) -> Measurement:
+def hollow_measurement(trial: Trial, observed: Observation, dimension: str, size: float) -> Measurement:
     """The mean hollow controller; raises SizeLimitError where their process was late."""
     before, after = observed.before.hollow, observed.after.hollow
     if fell_behind(after):
@@ -190,10 +190,10 @@
         longest_round_s=max(one.longest_s for one in after.controllers),
         resident_mb=(after.usage.resident_mb - trial.hollow_before_mb) / trial.settings.hollow,
     )
-    return with_common(empty, trial.hollow_names, trial.ready, observed)
+    return with_common_quantities(empty, trial.hollow_names, trial.ready, observed)
 
 
-def real_measurement(trial: Trial, observed: Observed, dimension: str, size: float) -> Measurement:
+def real_measurement(trial: Trial, observed: Observation, dimension: str, size: float) -> Measurement:
     """The mean real controller; its longest round cannot be read from outside."""
     spent = [
         now.core_s - then.core_s for then, now in zip(observed.before.real, observed.after.real, strict=True)
@@ -205,11 +205,11 @@
         core_share=fmean(spent) / observed.span_s,
         resident_mb=fmean(one.resident_mb for one in observed.after.real),
     )
-    return with_common(empty, trial.real_names, trial.ready, observed)
+    return with_common_quantities(empty, trial.real_names, trial.ready, observed)
 
 
-def with_common(
-    measurement: Measurement, names: Sequence[str], ready: dict[str, Ready], observed: Observed
+def with_common_quantities(
+    measurement: Measurement, names: Sequence[str], ready: dict[str, Ready], observed: Observation
 ) -> Measurement:
     """Adds what is read alike for hollow and real controllers: traffic, delays, readiness."""
     traffic = mean_traffic(observed, names)
@@ -227,7 +227,7 @@
     )
 
 
-def discovery_measurement(trial: Trial, observed: Observed, dimension: str, size: float) -> Measurement:
+def discovery_measurement(trial: Trial, observed: Observation, dimension: str, size: float) -> Measurement:
     """The stand-in discovery: its process, and its traffic with all clients together."""
     before, after = observed.before.discovery, observed.after.discovery
     sums = total_traffic(before.clients, after.clients)
@@ -244,7 +244,7 @@
     )
 
 
-def control_measurement(trial: Trial, observed: Observed, dimension: str, size: float) -> Measurement:
+def control_measurement(trial: Trial, observed: Observation, dimension: str, size: float) -> Measurement:
     """The control role: its process, and its traffic with discovery and all controllers together."""
     before, after = observed.before, observed.after
     served = total_traffic(before.clients, after.clients)
@@ -275,7 +275,7 @@
     )
 
 
-def mean_traffic(observed: Observed, names: Iterable[str]) -> Traffic:
+def mean_traffic(observed: Observation, names: Iterable[str]) -> Traffic:
     """The mean control traffic of some controllers in the measured span."""
     before, after = observed.before.clients, observed.after.clients
     means = {
@@ -286,12 +286,12 @@
     return Traffic(means["bytes_in"], means["bytes_out"], means["messages_in"], means["messages_out"])
 
 
-def summarize_delays(delays: Sequence[float]) -> Delays | None:
+def summarize_delays(delays: Sequence[float]) -> DelaySummary | None:
     """Median, 99th percentile and maximum of some delays; None of none."""
     if not delays:
         return None
-    histogram = HdrHistogram(1, DELAY_MOST_US, DELAY_DIGITS)
+    histogram = HdrHistogram(1, MAX_DELAY_US, DELAY_SIGNIFICANT_DIGITS)
     for delay in delays:
-        histogram.record_value(max(1, min(DELAY_MOST_US, round(delay * MICROSECONDS))))
+        histogram.record_value(max(1, min(MAX_DELAY_US, round(delay * MICROSECONDS))))
     median, p99 = (histogram.get_value_at_percentile(percent) / MICROSECONDS for percent in (50.0, 99.0))
-    return Delays(median, p99, max(delays))
+    return DelaySummary(median, p99, max(delays))
--- a/oatcart/scale/module_rounds.py
+++ b/oatcart/scale/module_rounds.py
@@ -27,14 +27,14 @@
 START_S = 100.0  # virtual time at the start
 
 
-class CountingOrders(RoutingTables):
+class EncodingCommandWriter(RoutingTables):
     """An order writer that encodes every message and hands its bytes to the hollow proxies."""
 
     def __init__(self, codec: Codec, peers: ControllerPeers) -> None:
         super().__init__(len(codec.request_class_names))
         self.codec, self.peers = codec, peers
 
-    def tell(self) -> None:
+    def send_updates(self) -> None:
         """Tells the round's orders, each distinct message encoded once."""
         encoded: dict[tuple, bytes] = {}
         for proxy, parts in self.updates():
@@ -76,7 +76,7 @@
     before_mb = resident_megabytes(os.getpid())
     hollow_peers = ControllerPeers(peers)
     codec = Codec(peers.routes, settings["zones"], settings["specifics"]["proxyCount"])
-    orders = CountingOrders(codec, hollow_peers)
+    orders = EncodingCommandWriter(codec, hollow_peers)
     module = Controller(read_socket_controller_settings(settings), seed)
 
     def one_round(now: float, messages: list[PeerMessage], first: list[Event]) -> float:
@@ -86,7 +86,7 @@
             if isinstance(arrival, ProxyJoined):
                 orders.add_proxy(arrival.proxy, arrival.unconfigured)
         module.round(now, arrivals, orders)
-        orders.tell()
+        orders.send_updates()
         return time.process_time() - began
 
     began = time.process_time()
--- a/oatcart/scale/ports.py
+++ b/oatcart/scale/ports.py
@@ -9,7 +9,7 @@
 
 OUTGOING_RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
 FIRST_PORT = 10_000  # below it are ports of well-known services
-TRIES_MOST = 10_000
+MAX_ATTEMPTS = 10_000
 
 
 def free_ports(count: int) -> list[int]:
@@ -22,7 +22,7 @@
     random = SystemRandom()
     with ExitStack() as opened:
         ports: list[int] = []
-        for _ in range(TRIES_MOST):
+        for _ in range(MAX_ATTEMPTS):
             if len(ports) == count:
                 return ports
             port = random.randrange(FIRST_PORT, below)
--- a/oatcart/scale/real.py
+++ b/oatcart/scale/real.py
@@ -22,11 +22,11 @@
 
 CONTROLLER_COMMAND = sys.executable, "-m", "oatcart"  # what `run` of deploy/balancer.toml executes
 CONFIG_VARIABLE = "EDGE_CONFIG"
-DESCRIPTORS = 256  # a controller's `limits.sockets`
+DESCRIPTOR_LIMIT = 256  # a controller's `limits.sockets`
 READY_WITHIN_S = 30.0  # from a start to the pong; the slowest reads a configuration of tens of megabytes
-LOOK_EVERY_S = 0.005
+POLL_INTERVAL_S = 0.005
 PONG_WITHIN_S = 5.0
-_LISTENS = re.compile(rf"listens at {re.escape(LOOPBACK)}:(\d+)")
+_LISTENING_LINE = re.compile(rf"listens at {re.escape(LOOPBACK)}:(\d+)")
 
 
 class NotReadyError(OatcartError):
@@ -42,7 +42,7 @@
                 "listen": f"{LOOPBACK}:0",
                 "discovery": f"{LOOPBACK}:{discovery_port}",
                 "seed": f"{seed:x}",
-                "limits": {"cores": 1.0, "memory_mb": 256, "sockets": DESCRIPTORS},
+                "limits": {"cores": 1.0, "memory_mb": 256, "sockets": DESCRIPTOR_LIMIT},
                 "settings": settings,
             }
         )
@@ -60,10 +60,10 @@
     def wait_ready(self) -> None:
         """Waits for the first `pong`; raises NotReadyError."""
         until = self.started_at + READY_WITHIN_S
-        while not (listening := _LISTENS.search(self.error_text())):
+        while not (listening := _LISTENING_LINE.search(self.error_text())):
             if not self.running or time.monotonic() > until:
                 raise NotReadyError(f"exit code {self.process.poll()}: {self.error_text()}")
-            time.sleep(LOOK_EVERY_S)
+            time.sleep(POLL_INTERVAL_S)
         self.port = int(listening[1])
         self._ping()
         self.ready_after_s = time.monotonic() - self.started_at
--- a/oatcart/scale/report.py
+++ b/oatcart/scale/report.py
@@ -7,7 +7,7 @@
 
 from oatcart.scale.configuration import Budgets
 from oatcart.scale.measurement import QUANTITIES, Measurement, Quantity
-from oatcart.scale.slopes import PROVED_WITHIN, QuantitySlope, Slope
+from oatcart.scale.slopes import MAX_PROVED_ERROR, QuantitySlope, Slope
 
 NOT_MEASURED = "-"
 """What stands in a table where a quantity was not measured."""
@@ -153,7 +153,7 @@
         number_text(proof.predicted),
         number_text(proof.measured),
         f"{proof.off:.0%}",
-        "yes" if proof.is_proved else f"NOT PROVED (over {PROVED_WITHIN:.0%})",
+        "yes" if proof.is_proved else f"NOT PROVED (over {MAX_PROVED_ERROR:.0%})",
     ]
 
 
--- a/oatcart/scale/runs.py
+++ b/oatcart/scale/runs.py
@@ -35,7 +35,7 @@
     DISCOVERY_ROLE,
     HOLLOW_ROLE,
     REAL_ROLE,
-    Specification,
+    TrialSpecification,
     play_beside,
 )
 from oatcart.scale.fleet import plan_fleet
@@ -58,26 +58,29 @@
 BASE_ENDPOINTS = 200  # where endpoints are not what grows
 CONTROLLERS_ENDPOINTS = 50  # a list small enough for many controllers in one process
 VIEWS_ENDPOINTS = 2_000  # behind the control role: more than the bound of a view
-VIEWED, VIEWED_QUICK = 24, 6  # hollow controllers behind the control role where endpoints grow
+HOLLOW_WITH_VIEWS, HOLLOW_WITH_VIEWS_QUICK = (
+    24,
+    6,
+)  # hollow controllers behind the control role where endpoints grow
 SERVICES_ENDPOINTS = 2_000  # enough for two endpoints in each of 720 services, few enough for one list
-HOLLOW_BESIDE, REAL_BESIDE = 4, 2  # controllers where they are not what grows
-HOLLOW_OF_LARGE_LIST, REAL_OF_LARGE_LIST = 1, 1  # each may take up a good part of a core
-REAL_MOST, REAL_MOST_QUICK = 8, 2  # in the dimension of controllers
+DEFAULT_HOLLOW, DEFAULT_REAL = 4, 2  # controllers where they are not what grows
+HOLLOW_WITH_LARGE_LIST, REAL_WITH_LARGE_LIST = 1, 1  # each may take up a good part of a core
+MAX_REAL, MAX_REAL_QUICK = 8, 2  # in the dimension of controllers
 CHANGES_PER_S, CHANGES_PER_S_QUICK = 10.0, 40.0  # where changes are not what grows
-MODULE_SPAN_MOST_S = 4.0  # virtual; at 27,000 endpoints a second of it takes more than one of a core
+MAX_MODULE_SPAN_S = 4.0  # virtual; at 27,000 endpoints a second of it takes more than one of a core
 
 Progress = Callable[[str], None]
 
 
-def viewed(trial: TrialSettings) -> Specification:
+def viewed(trial: TrialSettings) -> TrialSpecification:
     """A trial behind the control role, whose roles have names of their own."""
-    return Specification(trial, ViewTrial, VIEWED_ROLES)
+    return TrialSpecification(trial, ViewTrial, VIEWED_ROLES)
 
 
-def whole_fetches(span_s: float) -> float:
+def round_up_to_fetch_period(span_s: float) -> float:
     """The span, made longer until it holds a whole number of the list's periodic fetches.
 
-    >>> whole_fetches(15.0), whole_fetches(40.0)
+    >>> round_up_to_fetch_period(15.0), round_up_to_fetch_period(40.0)
     (20.0, 40.0)
     """
     return ceil(span_s / REFRESH_S) * REFRESH_S
@@ -92,11 +95,11 @@
         self.base = TrialSettings(
             fleet=settings.fleet.scaled_to(BASE_ENDPOINTS),
             seed=settings.seed,
-            hollow=HOLLOW_BESIDE,
-            real=REAL_BESIDE,
+            hollow=DEFAULT_HOLLOW,
+            real=DEFAULT_REAL,
             proxies=settings.fleet.proxies_per_conductor,
             settle_s=self.run.settle_for,
-            measure_s=self.run.measure_for if quick else whole_fetches(self.run.measure_for),
+            measure_s=self.run.measure_for if quick else round_up_to_fetch_period(self.run.measure_for),
             changes=self.run.repeats,
             changes_per_s=CHANGES_PER_S_QUICK if quick else CHANGES_PER_S,
             limits=settings.limits,
@@ -105,25 +108,25 @@
 
     def conductors(self, size: int) -> list[Measurement]:
         """So many hollow controllers, with a few real ones beside them."""
-        real = min(size, REAL_MOST_QUICK if self.quick else REAL_MOST)
+        real = min(size, MAX_REAL_QUICK if self.quick else MAX_REAL)
         fleet = self.settings.fleet.scaled_to(CONTROLLERS_ENDPOINTS)
         trial = replace(self.base, fleet=fleet, hollow=size, real=real)
         behind = replace(trial, fleet=self._fleet_with(VIEWS_ENDPOINTS, size))
         if self.quick:  # what grows with controllers is the control role
             return play_beside([viewed(behind)], "conductors", size)
-        return play_beside([Specification(trial), viewed(behind)], "conductors", size)
+        return play_beside([TrialSpecification(trial), viewed(behind)], "conductors", size)
 
     def nodes(self, size: int) -> list[Measurement]:
         """One list of so many endpoints; controllers with views of it and the module alone beside it."""
         trial = replace(
             self.base,
             fleet=self.settings.fleet.scaled_to(size),
-            hollow=HOLLOW_OF_LARGE_LIST,
-            real=REAL_OF_LARGE_LIST,
+            hollow=HOLLOW_WITH_LARGE_LIST,
+            real=REAL_WITH_LARGE_LIST,
         )
-        hollow = VIEWED_QUICK if self.quick else VIEWED
+        hollow = HOLLOW_WITH_VIEWS_QUICK if self.quick else HOLLOW_WITH_VIEWS
         behind = replace(trial, fleet=self._fleet_with(size, hollow), hollow=hollow)
-        found = play_beside([Specification(trial), viewed(behind)], "nodes", size)
+        found = play_beside([TrialSpecification(trial), viewed(behind)], "nodes", size)
         if self.quick and not any(one.left_out for one in found):
             return found  # the module has been measured in its controllers
         return [*found, self._module(size, trial)]
@@ -135,9 +138,9 @@
             services=size,
             services_per_conductor=min(size, self.settings.fleet.services_per_conductor),
         )
-        trial = replace(self.base, fleet=fleet, real=REAL_OF_LARGE_LIST)
-        one_list = Specification(replace(trial, hollow=HOLLOW_OF_LARGE_LIST))
-        lists = Specification(replace(trial, lists_by_service=True), role_names=ROLES_OF_SERVICE)
+        trial = replace(self.base, fleet=fleet, real=REAL_WITH_LARGE_LIST)
+        one_list = TrialSpecification(replace(trial, hollow=HOLLOW_WITH_LARGE_LIST))
+        lists = TrialSpecification(replace(trial, lists_by_service=True), role_names=ROLES_OF_SERVICE)
         return play_beside([one_list, lists], "services", size)
 
     def routes(self, size: int) -> list[Measurement]:
@@ -170,7 +173,7 @@
         return replace(self.settings.fleet.scaled_to(endpoints), conductors=conductors)
 
     def _play(self, dimension: str, size: float, trial: TrialSettings) -> list[Measurement]:
-        return play_beside([Specification(trial)], dimension, size)
+        return play_beside([TrialSpecification(trial)], dimension, size)
 
     def _module(self, size: int, trial: TrialSettings) -> Measurement:
         """The decision module alone, in virtual time."""
@@ -188,7 +191,7 @@
             [list_entry(endpoint) for endpoint in plan.endpoints],
             peers,
             trial.settle_s,
-            min(trial.measure_s, MODULE_SPAN_MOST_S),
+            min(trial.measure_s, MAX_MODULE_SPAN_S),
             trial.seed,
         )
         return Measurement(
--- a/oatcart/scale/slopes.py
+++ b/oatcart/scale/slopes.py
@@ -17,16 +17,16 @@
 
 from oatcart.scale.measurement import QUANTITIES, Measurement, Quantity
 
-FEWEST_SIZES_TO_FIT = 4
+MIN_SIZES_TO_FIT = 4
 """Different sizes that a fit needs."""
 
-FEWEST_SIZES_TO_PROVE = FEWEST_SIZES_TO_FIT + 1
+MIN_SIZES_TO_PROVE = MIN_SIZES_TO_FIT + 1
 """Different sizes that a proof needs: those of the fit and the largest, left out."""
 
-PROVED_WITHIN = 0.2
+MAX_PROVED_ERROR = 0.2
 """The share of the measured cost that a prediction may be off and count as proved."""
 
-EXACT = 1e-9
+ROUNDING_TOLERANCE = 1e-9
 """A residual below this share of the largest cost is rounding, not misfit."""
 
 Floats = NDArray[numpy.float64]
@@ -58,7 +58,7 @@
     """How a form's growing term is computed and by what factor the form must be better than a simpler one."""
 
     growing: Callable[[Floats, Floats], Floats] | None
-    must_be_better_by: float
+    required_improvement: float
 
 
 _TERMS = {
@@ -68,8 +68,8 @@
     Form.PRODUCT: _Term(lambda size, other: size * other, 1.2),
     Form.QUADRATIC: _Term(lambda size, other: size**2, 2.0),
 }
-_FORMS_OF_ONE = (Form.CONSTANT, Form.LINEAR, Form.N_LOG_N, Form.QUADRATIC)
-_FORMS_OF_TWO = (Form.CONSTANT, Form.LINEAR, Form.N_LOG_N, Form.PRODUCT)
+_FORMS_OF_ONE_DIMENSION = (Form.CONSTANT, Form.LINEAR, Form.N_LOG_N, Form.QUADRATIC)
+_FORMS_OF_TWO_DIMENSIONS = (Form.CONSTANT, Form.LINEAR, Form.N_LOG_N, Form.PRODUCT)
 
 
 class Coefficient(NamedTuple):
@@ -112,7 +112,7 @@
     @property
     def is_proved(self) -> bool:
         """Whether the prediction is off by a fifth at most."""
-        return self.off <= PROVED_WITHIN
+        return self.off <= MAX_PROVED_ERROR
 
 
 @dataclass(frozen=True)
@@ -139,9 +139,12 @@
 def fit(points: Iterable[Point]) -> Slope:
     """The form that fits best; raises TooFewSizesError, or ValueError for a point that is no number."""
     points = _checked(points)
-    _need_sizes(points, FEWEST_SIZES_TO_FIT, "a fit")
-    grown_two = len({point.other for point in points}) > 1
-    slopes = [_fit_form(form, points) for form in (_FORMS_OF_TWO if grown_two else _FORMS_OF_ONE)]
+    _require_sizes(points, MIN_SIZES_TO_FIT, "a fit")
+    has_two_dimensions = len({point.other for point in points}) > 1
+    slopes = [
+        _fit_form(form, points)
+        for form in (_FORMS_OF_TWO_DIMENSIONS if has_two_dimensions else _FORMS_OF_ONE_DIMENSION)
+    ]
     return _choose(slopes, max(abs(point.cost) for point in points))
 
 
@@ -151,19 +154,19 @@
     Raises TooFewSizesError.
     """
     points = _checked(points)
-    _need_sizes(points, FEWEST_SIZES_TO_PROVE, "a proof")
+    _require_sizes(points, MIN_SIZES_TO_PROVE, "a proof")
     largest = max(point.size for point in points)
     left_out = [point for point in points if point.size == largest]
     slope = fit(point for point in points if point.size < largest)
     measured = float(numpy.median([point.cost for point in left_out]))
     predicted = float(numpy.median([slope.predict(point.size, point.other) for point in left_out]))
-    return Proof(slope, largest, measured, predicted, off_share(measured, predicted))
+    return Proof(slope, largest, measured, predicted, relative_error(measured, predicted))
 
 
-def off_share(measured: float, predicted: float) -> float:
+def relative_error(measured: float, predicted: float) -> float:
     """How far a prediction is off, as a share of the measured cost; 1 where only the measured cost is 0.
 
-    >>> off_share(10.0, 12.0), off_share(0.0, 0.0), off_share(0.0, 3.0)
+    >>> relative_error(10.0, 12.0), relative_error(0.0, 0.0), relative_error(0.0, 3.0)
     (0.2, 0.0, 1.0)
     """
     if measured == predicted:
@@ -214,7 +217,7 @@
     return listed
 
 
-def _need_sizes(points: list[Point], fewest: int, what: str) -> None:
+def _require_sizes(points: list[Point], fewest: int, what: str) -> None:
     count = len({point.size for point in points})
     if count < fewest:
         raise TooFewSizesError(f"{count} sizes measured; {what} needs {fewest}")
@@ -255,7 +258,7 @@
 
 def _leave_out_residual(residuals: Floats, leverages: Floats) -> float:
     """Each point's distance from the fit to the others is its residual over one less its leverage."""
-    return _root_mean_square(residuals / numpy.maximum(1.0 - leverages, EXACT))
+    return _root_mean_square(residuals / numpy.maximum(1.0 - leverages, ROUNDING_TOLERANCE))
 
 
 def _root_mean_square(values: Floats) -> float:
@@ -264,10 +267,10 @@
 
 def _choose(slopes: list[Slope], largest_cost: float) -> Slope:
     """The simplest form that none of the others is better than by its factor."""
-    rounding = EXACT * largest_cost
+    rounding = ROUNDING_TOLERANCE * largest_cost
     chosen = slopes[0]
     for slope in slopes[1:]:
-        factor = _TERMS[slope.form].must_be_better_by
+        factor = _TERMS[slope.form].required_improvement
         if chosen.leave_out_residual > rounding and (
             slope.leave_out_residual * factor < chosen.leave_out_residual
         ):
--- a/oatcart/scale/trial_settings.py
+++ b/oatcart/scale/trial_settings.py
@@ -8,9 +8,9 @@
 from oatcart.scale.configuration import FleetSettings, LimitSettings, ViewSettings
 from oatcart.scale.controller_settings import WARM_UP_S
 
-STAND_INS = 3  # processes beside controllers: discovery, the hollow fleet, the peers' sockets
-DESCRIPTORS_OF_CONTROLLER = 4  # at discovery: a port, a watch, a fetch, a spare
-DESCRIPTORS_SPARE = 64
+STAND_IN_PROCESSES = 3  # processes beside controllers: discovery, the hollow fleet, the peers' sockets
+DESCRIPTORS_PER_CONTROLLER = 4  # at discovery: a port, a watch, a fetch, a spare
+SPARE_DESCRIPTORS = 64
 
 
 class SizeLimitError(OatcartError):
@@ -48,13 +48,13 @@
 
 def check_fits(settings: TrialSettings, list_bytes: int) -> None:
     """Raises SizeLimitError where a limit is known to be exceeded before anything is started."""
-    processes = settings.real + STAND_INS
+    processes = settings.real + STAND_IN_PROCESSES
     if processes > settings.limits.processes:
         raise SizeLimitError(f"{processes} processes are over the limit of {settings.limits.processes}")
     if list_bytes > MAX_MESSAGE_BYTES:
         raise SizeLimitError(
             f"a list of {list_bytes} bytes is over the protocol's {MAX_MESSAGE_BYTES}: refused"
         )
-    descriptors = DESCRIPTORS_OF_CONTROLLER * (settings.hollow + settings.real) + DESCRIPTORS_SPARE
+    descriptors = DESCRIPTORS_PER_CONTROLLER * (settings.hollow + settings.real) + SPARE_DESCRIPTORS
     if descriptors > (most := raise_descriptor_limit()):
         raise SizeLimitError(f"{descriptors} descriptors are over the limit of {most}")
--- a/tests/scale/test_scale_agreement.py
+++ b/tests/scale/test_scale_agreement.py
@@ -5,7 +5,7 @@
 import pytest
 
 from oatcart.scale import agreement
-from oatcart.scale.agreement import Agreement, Compared, compare, none, same, within
+from oatcart.scale.agreement import Agreement, ComparedFigure, compare, none, same, within
 from oatcart.scale.configuration import FleetSettings
 from oatcart.scale.trial import Trial
 from oatcart.scale.trial_settings import TrialSettings
@@ -27,7 +27,7 @@
 )  # real to hollow, where a busy machine spoils short spans; the figure itself is in the report
 
 
-def figure(found: Agreement, name: str) -> Compared:
+def figure(found: Agreement, name: str) -> ComparedFigure:
     return next(one for one in found.figures if one.name == name)
 
 
@@ -55,7 +55,7 @@
         begin(self)
 
     monkeypatch.setattr(Trial, "start", start)
-    monkeypatch.setattr(agreement, "ORDERS_AFTER_WARM_S", 1.0)
+    monkeypatch.setattr(agreement, "COMMANDS_AGREE_WITHIN_S", 1.0)
     found = compare(replace(SETTINGS, hollow=1, real=1, measure_s=0.5, changes=0), failing=0)
     assert not found.agrees
     assert not figure(found, "nodes ordered").agrees
--- a/tests/scale/test_scale_ports.py
+++ b/tests/scale/test_scale_ports.py
@@ -24,6 +24,6 @@
 
 
 def test_too_many_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ports, "TRIES_MOST", 3)
+    monkeypatch.setattr(ports, "MAX_ATTEMPTS", 3)
     with pytest.raises(OSError, match="no 50 free ports"):
         ports.free_ports(50)
--- a/tests/scale/test_scale_runs.py
+++ b/tests/scale/test_scale_runs.py
@@ -16,9 +16,9 @@
 from oatcart.scale.children import Interrupted
 from oatcart.scale.configuration import FleetSettings, LimitSettings, RunSettings, Settings
 from oatcart.scale.figures import (
-    Delays,
-    Observed,
-    Specification,
+    DelaySummary,
+    Observation,
+    TrialSpecification,
     measured,
     play,
     play_beside,
@@ -104,7 +104,7 @@
 
 
 def test_hollow_controllers_in_a_full_process_are_left_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("oatcart.scale.figures.LATE_MOST_S", -10.0)
+    monkeypatch.setattr("oatcart.scale.figures.MAX_LAG_S", -10.0)
     found = by_role(play(SMALL, "nodes", 40))
     assert "late" in found["hollow_conductor"].left_out and found["conductor"].left_out is None
 
@@ -114,11 +114,11 @@
         one.start()
         one.join_peers()
         before, after = one.read(), one.read()
-        found = by_role(measured(one, Observed(before, after), "nodes", 40))
+        found = by_role(measured(one, Observation(before, after), "nodes", 40))
         assert found["hollow_conductor"].left_out is None
         make_changes([one], 2, 20.0)
         monkeypatch.setattr(one.hollows, "figures", late(one.hollows.figures))
-        found = by_role(measured(one, Observed(before, after), "nodes", 40))
+        found = by_role(measured(one, Observation(before, after), "nodes", 40))
     assert found["hollow_conductor"].left_out is None and found["hollow_conductor"].change_last_s is None
     assert found["conductor"].change_last_s is not None
 
@@ -135,7 +135,7 @@
     )
     assert delays.last_s == 0.1
     assert summarize_delays([]) is None
-    assert isinstance(delays, Delays)
+    assert isinstance(delays, DelaySummary)
 
 
 def children_of(pid: int) -> list[int]:
@@ -205,7 +205,7 @@
             super().make_change(entry)
 
     monkeypatch.setattr(trial, "LAST_CHANGE_WITHIN_S", 0.5)
-    deaf = Specification(replace(SMALL, hollow=1, real=0), Deaf, {"hollow_conductor": "deaf"})
-    found = by_role(play_beside([Specification(replace(SMALL, hollow=1, real=0)), deaf], "nodes", 40))
+    deaf = TrialSpecification(replace(SMALL, hollow=1, real=0), Deaf, {"hollow_conductor": "deaf"})
+    found = by_role(play_beside([TrialSpecification(replace(SMALL, hollow=1, real=0)), deaf], "nodes", 40))
     assert found["hollow_conductor"].left_out is None
     assert "changes lack a conductor" in found["deaf"].left_out
--- a/tests/scale/test_scale_slopes.py
+++ b/tests/scale/test_scale_slopes.py
@@ -15,9 +15,9 @@
     TooFewSizesError,
     analyse,
     fit,
-    off_share,
     points_of,
     prove,
+    relative_error,
 )
 
 SIZES = (500, 1_500, 4_000, 9_000, 18_000, 27_000)
@@ -176,7 +176,7 @@
 
 @given(st.floats(0.0, 1e9), st.floats(0.0, 1e9))
 def test_the_share_off_is_zero_only_where_nothing_is_off(measured, predicted):
-    share = off_share(measured, predicted)
+    share = relative_error(measured, predicted)
     assert share >= 0.0
     assert (share == 0.0) == (measured == predicted)
 
