--- a/oatcart/scale/__main__.py
+++ b/oatcart/scale/__main__.py
@@ -1,4 +1,4 @@
-"""What each role costs as the fleet grows. `python -m oatcart.scale COMMAND --help` tells of each command."""
+"""Measures what each role costs as the fleet grows; see `python -m oatcart.scale COMMAND --help`."""
 
 import argparse
 import sys
@@ -16,17 +16,17 @@
 from oatcart.scale.slopes import QuantitySlope, analyse
 
 FAILED = 1
-"""Exit code where a run has failed, of which nothing is kept, or where something of a day did not hold."""
+"""Exit code if a run failed, whose results are discarded, or if a check of the simulated day failed."""
 
 UNUSABLE = 2
-"""Exit code where a file or an argument cannot be used."""
+"""Exit code if a file or an argument is invalid."""
 
 SERVICES_SHOWN = 5
-"""Services shown by name in the summary of a plan."""
+"""Number of the largest services that the summary of a plan lists by name."""
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Runs one command and hands back the exit code."""
+    """Runs one command and returns the exit code."""
     parsed = _parser().parse_args(arguments)
     try:
         settings = read(parsed.file)
@@ -37,32 +37,32 @@
 
 
 def run(settings: Settings, parsed: argparse.Namespace) -> int:
-    """Measures the sizes of the file, fits and proves the slopes, and prints a table for each dimension."""
+    """Measures the sizes in the file, fits and proves the slopes, and prints tables for each dimension."""
     chosen = settings.quick if parsed.quick else settings.full
     dimensions = parsed.dimension or list(chosen.sizes)
-    absent = [dimension for dimension in dimensions if dimension not in chosen.sizes]
-    if absent:
-        print(_missing_sizes_text(absent, chosen, parsed), file=sys.stderr)
+    missing = [dimension for dimension in dimensions if dimension not in chosen.sizes]
+    if missing:
+        print(_missing_sizes_text(missing, chosen, parsed), file=sys.stderr)
         return UNUSABLE
     if parsed.json and not Path(parsed.json).parent.is_dir():
-        print(f"{parsed.json}: there is no such folder", file=sys.stderr)
+        print(f"{parsed.json}: the folder does not exist", file=sys.stderr)
         return UNUSABLE
-    from oatcart.scale.children import ChildError  # started roles are needed by this command alone
+    from oatcart.scale.children import ChildError  # only this command starts roles
     from oatcart.scale.runs import measure
 
     try:
         measurements = measure(settings, parsed.quick, dimensions, report_progress)
     except ChildError as error:
-        print(f"the run has failed: {error}", file=sys.stderr)
+        print(f"the run failed: {error}", file=sys.stderr)
         return FAILED
     slopes = analyse(measurements)
     print(text_report(measurements, slopes, settings.budgets))
-    _keep(parsed, settings, measurements, slopes)
+    _write_results(parsed, settings, measurements, slopes)
     return 0
 
 
 def plan(settings: Settings, parsed: argparse.Namespace) -> int:
-    """Draws the fleet and its day and prints a summary of both."""
+    """Generates the fleet and its day and prints a summary of both."""
     fleet = plan_fleet(settings.fleet, settings.seed)
     try:
         day = plan_day(fleet, settings.day, settings.seed)
@@ -75,9 +75,9 @@
 
 
 def day(settings: Settings, parsed: argparse.Namespace) -> int:
-    """Plays the fleet's day, scaled to this machine, and prints what it cost and whether all held."""
+    """Runs the fleet's day, scaled to this machine, and prints its costs and the result of its checks."""
     if parsed.json and not Path(parsed.json).parent.is_dir():
-        print(f"{parsed.json}: there is no such folder", file=sys.stderr)
+        print(f"{parsed.json}: the folder does not exist", file=sys.stderr)
         return UNUSABLE
     from oatcart.scale.children import ChildError
     from oatcart.scale.day import FULL, QUICK, play_day
@@ -91,7 +91,7 @@
         print(f"{parsed.file}: day: {error}", file=sys.stderr)
         return UNUSABLE
     except (ChildError, NotReadyError, SizeLimitError) as error:
-        print(f"the day has failed: {error}", file=sys.stderr)
+        print(f"the day failed: {error}", file=sys.stderr)
         return FAILED
     print(day_text(result))
     if parsed.json:
@@ -100,28 +100,29 @@
 
 
 def report_progress(line: str) -> None:
-    """A line of progress, on standard error."""
+    """Prints a line of progress on standard error."""
     print(line, file=sys.stderr, flush=True)
 
 
 def fleet_summary(fleet: FleetPlan) -> str:
-    """How the endpoints of a fleet are spread."""
+    """Returns text on how the endpoints of a fleet are spread over services, zones and racks."""
     services = sorted((len(endpoints), name) for name, endpoints in fleet.endpoints_by_service().items())
     zones = sorted(len(endpoints) for endpoints in fleet.endpoints_by_zone().values())
     largest = ", ".join(f"{name} {count:,}" for count, name in services[: -SERVICES_SHOWN - 1 : -1])
     return "\n".join(
         [
-            f"nodes: {len(fleet.endpoints):,} in {len(services):,} services, {len(zones):,} zones, "
+            f"endpoints: {len(fleet.endpoints):,} in {len(services):,} services, {len(zones):,} zones, "
             f"{len(fleet.endpoints_by_rack()):,} racks and {len(fleet.regions):,} regions",
             f"largest services: {largest}; median {services[len(services) // 2][0]:,}",
-            f"nodes of a zone: {zones[0]:,} to {zones[-1]:,}, median {zones[len(zones) // 2]:,}",
-            f"conductors: {len(fleet.controllers):,}, for {fleet.settings.services_per_conductor} services",
+            f"endpoints per zone: {zones[0]:,} to {zones[-1]:,}, median {zones[len(zones) // 2]:,}",
+            f"controllers: {len(fleet.controllers):,}, "
+            f"for {fleet.settings.services_per_conductor} services each",
         ]
     )
 
 
 def day_summary(day: DayPlan) -> str:
-    """How many events of each kind a day has."""
+    """Returns text on the number of events of each type in a day."""
     counts = Counter(type(event).__name__ for event in day.events)
     lines = [f"day: {len(day.events):,} events in {day.length_s:,.0f} s"]
     lines += [f"  {name}: {count:,}" for name, count in sorted(counts.items())]
@@ -132,34 +133,36 @@
     parser = argparse.ArgumentParser(prog="python -m oatcart.scale", description=__doc__)
     commands = parser.add_subparsers(required=True, metavar="COMMAND")
     run_parser = commands.add_parser("run", help=run.__doc__, description=run.__doc__)
-    run_parser.add_argument("file", help="the settings, as deploy/scale.yaml")
-    run_parser.add_argument("--quick", action="store_true", help="the sizes and times under `quick`")
+    run_parser.add_argument("file", help="the settings file, such as deploy/scale.yaml")
+    run_parser.add_argument("--quick", action="store_true", help="use the sizes and times under `quick`")
     run_parser.add_argument(
-        "--dimension", action="append", choices=DIMENSIONS, help="only this one; may be given more than once"
+        "--dimension", action="append", choices=DIMENSIONS, help="measure only this one; may be repeated"
     )
-    run_parser.add_argument("--json", metavar="PATH", help="keeps measurements and slopes")
-    run_parser.add_argument("--plots", metavar="FOLDER", help="draws each slope; needs matplotlib")
+    run_parser.add_argument("--json", metavar="PATH", help="write measurements and slopes to this file")
+    run_parser.add_argument("--plots", metavar="FOLDER", help="draw each slope as a PNG; needs matplotlib")
     run_parser.set_defaults(command=run)
     plan_parser = commands.add_parser("plan", help=plan.__doc__, description=plan.__doc__)
-    plan_parser.add_argument("file", help="the settings, as deploy/scale.yaml")
+    plan_parser.add_argument("file", help="the settings file, such as deploy/scale.yaml")
     plan_parser.set_defaults(command=plan)
     day_parser = commands.add_parser("day", help=day.__doc__, description=day.__doc__)
-    day_parser.add_argument("file", help="the settings, as deploy/scale.yaml")
-    day_parser.add_argument("--quick", action="store_true", help="a smaller fleet and a shorter day")
+    day_parser.add_argument("file", help="the settings file, such as deploy/scale.yaml")
+    day_parser.add_argument("--quick", action="store_true", help="use a smaller fleet and a shorter day")
     day_parser.add_argument(
-        "--whole-list", action="store_true", help="conductors on the whole list, without the control role"
+        "--whole-list",
+        action="store_true",
+        help="controllers watch the complete list, without the control role",
     )
-    day_parser.add_argument("--json", metavar="PATH", help="keeps the figures")
+    day_parser.add_argument("--json", metavar="PATH", help="write the figures to this file")
     day_parser.set_defaults(command=day)
     return parser
 
 
-def _missing_sizes_text(absent: Sequence[str], chosen: RunSettings, parsed: argparse.Namespace) -> str:
+def _missing_sizes_text(missing: Sequence[str], chosen: RunSettings, parsed: argparse.Namespace) -> str:
     section = "quick" if parsed.quick else "full"
-    return f"{parsed.file}: {section}.sizes has no {', '.join(absent)}; it has {', '.join(chosen.sizes)}"
+    return f"{parsed.file}: {section}.sizes has no {', '.join(missing)}; it has {', '.join(chosen.sizes)}"
 
 
-def _keep(
+def _write_results(
     parsed: argparse.Namespace,
     settings: Settings,
     measurements: Sequence[Measurement],
@@ -168,7 +171,7 @@
     if parsed.json:
         Path(parsed.json).write_text(json_report(measurements, slopes) + "\n", encoding="utf-8")
     if parsed.plots:
-        from oatcart.scale.plots import draw_slopes  # matplotlib is loaded only when asked for
+        from oatcart.scale.plots import draw_slopes  # needs matplotlib, which is optional
 
         for path in draw_slopes(slopes, parsed.plots, settings.budgets):
             report_progress(f"drew {path}")
--- a/oatcart/scale/agreement.py
+++ b/oatcart/scale/agreement.py
@@ -1,17 +1,15 @@
-"""Do hollow controllers agree with real ones? The same list, changes and arrivals are played at both and
-compared.
+"""Checks that hollow controllers behave like real ones under the same list, changes and peer messages.
 
-Compared are: bytes and messages exchanged with discovery and with the peers, which may differ by a tenth; the
-revisions held; the endpoints known; and what stands at the proxies. Tables must name the same endpoints,
-route by route, and the same endpoints must be shut out. Weights follow from reports, which the two fold in at
-other moments; so nine tenths of a table's weight must lie on the same endpoints, and they get some seconds to
-come to this.
+The checks compare bytes and messages exchanged with discovery and with the peers, which may differ by a
+tenth; the cached revisions; the known endpoints; and the tables of the proxies. For each route, the tables of
+both must contain the same endpoints, and the same endpoints must be ejected. Weights depend on load reports,
+which the two process at different times; so nine tenths of a table's weight must be on the same endpoints,
+and the tables have some seconds to reach this.
 
-With more endpoints than the channel to the proxies carries, each table gets a part of them; which part is a
-draw that depends on the moment, so agreement in tables is to be asked for with fewer.
+If there are more endpoints than the update channel can carry, each table gets a subset of them. The subset is
+drawn at random and depends on timing, so tables should be compared only with fewer endpoints.
 
-Processor time is not equal and need not be: its ratio is measured, and a hollow controller's time is to be
-multiplied by it.
+Processor time may differ: its ratio is measured, and a hollow controller's time has to be multiplied by it.
 """
 
 import time
@@ -25,17 +23,16 @@
 from oatcart.scale.trial import Reading, Trial, make_changes, running
 from oatcart.scale.trial_settings import TrialSettings
 
-MAX_RELATIVE_DIFFERENCE = 0.1  # of bytes and messages, as a part of the real controller's
-MIN_COMMON_WEIGHT = 0.9  # of a table's weight on the same endpoints
-COMMANDS_AGREE_WITHIN_S = 4.0  # from when an endpoint restarted last is warm until the same orders stand
-POLL_INTERVAL_S = 0.5  # at the orders that stand
-EJECTED_WITHIN_S = (
-    10.0  # from failing endpoints until the module has withdrawn them: several sums must show it
-)
+MAX_RELATIVE_DIFFERENCE = 0.1  # of bytes and messages, as a share of the real controller's
+MIN_COMMON_WEIGHT = 0.9  # share of a table's weight that is on the same endpoints
+COMMANDS_AGREE_WITHIN_S = 4.0  # after the warm-up of the endpoint that restarted last
+POLL_INTERVAL_S = 0.5  # of the tables of the proxies
+# The controllers eject failing endpoints only after several load reports that show the failures.
+EJECTED_WITHIN_S = 10.0
 
 
 class ComparedFigure(NamedTuple):
-    """One figure of a hollow and a real controller, both means over all controllers of the kind."""
+    """One figure of a hollow and a real controller, each the mean over all controllers of its type."""
 
     name: str
     hollow: float
@@ -44,25 +41,25 @@
 
     @property
     def ratio(self) -> float:
-        """The hollow controller's figure as a part of the real one's; 1 where both are 0."""
+        """The hollow controller's figure divided by the real one's; 1 if both are 0."""
         if self.real:
             return self.hollow / self.real
         return 1.0 if not self.hollow else float("inf")
 
 
 class Agreement(NamedTuple):
-    """The outcome; `core_ratio` is the processor time of a real controller divided by a hollow one's."""
+    """The result; `core_ratio` is the processor time of a real controller divided by a hollow one's."""
 
     figures: list[ComparedFigure]
     core_ratio: float
 
     @property
     def agrees(self) -> bool:
-        """Whether hollow controllers count."""
+        """Whether all figures agree, so that measurements of hollow controllers are valid."""
         return all(figure.agrees for figure in self.figures)
 
     def text(self) -> str:
-        """A line for each figure."""
+        """Returns one line of text for each figure."""
         return "\n".join(
             f"{one.name}: hollow {one.hollow:.4g}, real {one.real:.4g}, ratio {one.ratio:.3f}, "
             f"{'agrees' if one.agrees else 'DIFFERS'}"
@@ -70,10 +67,16 @@
         )
 
 
-def compare(settings: TrialSettings, failing: int = 1) -> Agreement:
-    """Plays one trial with as many hollow controllers as real ones, and so many failing endpoints."""
+def compare(settings: TrialSettings, failing_count: int = 1) -> Agreement:
+    """Runs one trial with equally many hollow and real controllers and `failing_count` failing endpoints.
+
+    Raises ValueError if the numbers of hollow and real controllers differ.
+    """
     if not settings.hollow == settings.real > 0:
-        raise ValueError(f"{settings.hollow} hollow and {settings.real} real conductors cannot be paired")
+        raise ValueError(
+            f"expected equally many hollow and real controllers to be paired, "
+            f"got {settings.hollow} and {settings.real}"
+        )
     with running(settings) as trial:
         trial.start()
         trial.join_peers(keep_orders=True)
@@ -83,25 +86,25 @@
         after = trial.read()
         make_changes([trial], settings.changes, settings.changes_per_s)
         trial.wait_for_changes()
-        fail_endpoints(trial, failing)
-        orders = wait_for_equal_commands(trial)
-        figures = [*compare_traffic(trial, trial.read()), *orders]
+        fail_endpoints(trial, failing_count)
+        command_figures = wait_for_equal_commands(trial)
+        figures = [*compare_traffic(trial, trial.read()), *command_figures]
         return Agreement(figures, core_ratio(before, after))
 
 
-def fail_endpoints(trial: Trial, failing: int) -> None:
-    """Lets some endpoints fail every request, until every real controller's proxies have ejected one."""
-    if failing:
-        endpoints = [endpoint.id for endpoint in trial.plan.endpoints[:failing]]
+def fail_endpoints(trial: Trial, count: int) -> None:
+    """Makes `count` endpoints fail every request, and waits until each real controller has ejected one."""
+    if count:
+        endpoints = [endpoint.id for endpoint in trial.plan.endpoints[:count]]
         trial.hollows.fail(endpoints)
         trial.peers.fail(endpoints)
         until = time.monotonic() + EJECTED_WITHIN_S
-        while not all(map(shut_out, trial.peers.orders())) and time.monotonic() < until:
+        while not all(map(ejected_endpoints, trial.peers.orders())) and time.monotonic() < until:
             time.sleep(POLL_INTERVAL_S)
 
 
 def core_ratio(before: Reading, after: Reading) -> float:
-    """Processor time of the mean real controller divided by the mean hollow one's, in a quiet span."""
+    """Returns the mean processor time of real controllers divided by that of hollow ones."""
     hollow = [
         now.core_s - then.core_s
         for then, now in zip(before.hollow.controllers, after.hollow.controllers, strict=True)
@@ -111,10 +114,10 @@
 
 
 def compare_traffic(trial: Trial, reading: Reading) -> Iterator[ComparedFigure]:
-    """All bytes and messages since the start, and the revisions held."""
+    """Compares all bytes and messages since the start, and the cached revisions."""
     clients = reading.discovery.clients
     for field in ClientFigures._fields:
-        yield within(
+        yield within_tolerance(
             f"discovery {field}",
             *(
                 fmean(getattr(clients[name], field) for name in names)
@@ -127,11 +130,11 @@
         for one in reading.hollow.controllers
     ]
     for field in "bytes_in", "bytes_out", "messages_in", "messages_out":
-        yield within(
+        yield within_tolerance(
             f"peers {field}", *(fmean(getattr(one, field) for one in some) for some in (hollow, real))
         )
     held = trial.held_revisions()
-    yield same(
+    yield equal(
         "revision",
         *(
             fmean(held[name][-1].revision for name in names)
@@ -141,10 +144,9 @@
 
 
 def wait_for_equal_commands(trial: Trial) -> list[ComparedFigure]:
-    """The orders compared once they agree, or as they stand after the time that they are given.
+    """Compares the commands until they agree or the time for this is over; returns the last comparison.
 
-    An endpoint that was restarted gets its lines back as it warms up, at each controller in a round of its
-    own.
+    A restarted endpoint returns to the tables as it warms up, in a different round at each controller.
     """
     until = time.monotonic() + trial.settings.warm_up_s + COMMANDS_AGREE_WITHIN_S
     while True:
@@ -155,67 +157,71 @@
 
 
 def compare_commands(trial: Trial) -> Iterator[ComparedFigure]:
-    """What stands at the proxies of each pair of controllers, summed up over all pairs.
+    """Compares the tables of the proxies of each pair of controllers, summed over all pairs.
 
-    Which endpoints a real controller knows cannot be read from outside: those that its orders name can.
+    The endpoints that a real controller knows cannot be read from outside; those in its commands can.
     """
     pairs = list(zip(trial.hollows.orders(), trial.peers.orders(), strict=True))
-    ordered = [endpoints_in_tables(one) for one, _ in pairs]
-    yield same(
-        "nodes ordered", sum(map(len, ordered)), sum(len(endpoints_in_tables(other)) for _, other in pairs)
+    in_hollow_tables = [endpoints_in_tables(one) for one, _ in pairs]
+    yield equal(
+        "endpoints in commands",
+        sum(map(len, in_hollow_tables)),
+        sum(len(endpoints_in_tables(other)) for _, other in pairs),
     )
-    yield none(
-        "nodes ordered by one of a pair only",
+    yield no_difference(
+        "endpoints in commands of one of a pair only",
         sum(
             len(endpoints ^ endpoints_in_tables(other))
-            for endpoints, (_, other) in zip(ordered, pairs, strict=True)
+            for endpoints, (_, other) in zip(in_hollow_tables, pairs, strict=True)
         ),
     )
-    yield none(
-        "nodes ordered that a hollow one does not know",
+    yield no_difference(
+        "endpoints in commands that the hollow controller does not know",
         sum(len(endpoints_in_tables(other) - set(one.known)) for one, other in pairs),
     )
-    yield none(
-        "lines of tables at one of a pair only",
+    yield no_difference(
+        "table entries at one of a pair only",
         sum(len(table_entries(one) ^ table_entries(other)) for one, other in pairs),
     )
-    yield same("nodes shut out", *(sum(len(shut_out(pair[side])) for pair in pairs) for side in (0, 1)))
-    yield none(
-        "nodes shut out at one of a pair only",
-        sum(len(shut_out(one) ^ shut_out(other)) for one, other in pairs),
+    yield equal(
+        "endpoints ejected", *(sum(len(ejected_endpoints(pair[side])) for pair in pairs) for side in (0, 1))
+    )
+    yield no_difference(
+        "endpoints ejected at one of a pair only",
+        sum(len(ejected_endpoints(one) ^ ejected_endpoints(other)) for one, other in pairs),
     )
     common = min(
         common_weight(table, other.tables[proxy]["weights"][route])
         for one, other in pairs
-        for proxy, held in one.tables.items()
-        for route, table in held["weights"].items()
+        for proxy, proxy_tables in one.tables.items()
+        for route, table in proxy_tables["weights"].items()
         if route in other.tables[proxy]["weights"]
     )
-    yield ComparedFigure("least weight in common of a table", common, 1.0, common >= MIN_COMMON_WEIGHT)
+    yield ComparedFigure("smallest common weight of a table", common, 1.0, common >= MIN_COMMON_WEIGHT)
 
 
-def within(name: str, hollow: float, real: float) -> ComparedFigure:
-    """A figure that may differ by a tenth."""
+def within_tolerance(name: str, hollow: float, real: float) -> ComparedFigure:
+    """Compares a figure that may differ by a tenth."""
     return ComparedFigure(name, hollow, real, abs(hollow - real) <= MAX_RELATIVE_DIFFERENCE * real)
 
 
-def same(name: str, hollow: float, real: float) -> ComparedFigure:
-    """A figure that must be the same."""
+def equal(name: str, hollow: float, real: float) -> ComparedFigure:
+    """Compares a figure that must be the same."""
     return ComparedFigure(name, hollow, real, hollow == real)
 
 
-def none(name: str, differing: int) -> ComparedFigure:
-    """A count of differences, of which there must be none."""
+def no_difference(name: str, differing: int) -> ComparedFigure:
+    """Checks that a count of differences is 0."""
     return ComparedFigure(name, differing, 0, differing == 0)
 
 
 def endpoints_in_tables(held: HeldTables) -> set[str]:
-    """All endpoints that some table of a controller's proxies names."""
+    """Returns all endpoints in the tables of a controller's proxies."""
     return {endpoint for _, _, endpoint in table_entries(held)}
 
 
 def table_entries(held: HeldTables) -> set[tuple[str, str, str]]:
-    """Proxy, route and endpoint of each line with a weight."""
+    """Returns proxy, route and endpoint of each table entry that has a weight."""
     return {
         (proxy, route, endpoint)
         for proxy, one in held.tables.items()
@@ -224,20 +230,20 @@
     }
 
 
-def shut_out(held: HeldTables) -> set[tuple[str, str]]:
-    """Proxy and endpoint of each withdrawal that stands."""
+def ejected_endpoints(held: HeldTables) -> set[tuple[str, str]]:
+    """Returns proxy and endpoint of each endpoint that is ejected at a proxy."""
     return {(proxy, endpoint) for proxy, one in held.tables.items() for endpoint in one["shut_out"]}
 
 
 def common_weight(one: Mapping[str, float], other: Mapping[str, float]) -> float:
-    """The part of two tables' weight that lies on the same endpoints, from 0 to 1.
+    """Returns the share of two tables' weight that is on the same endpoints, from 0 to 1.
 
     >>> common_weight({"a": 1.0, "b": 1.0}, {"a": 3.0, "b": 1.0})
     0.75
     """
-    whole, other_whole = sum(one.values()), sum(other.values())
-    if not whole or not other_whole:
-        return float(whole == other_whole)
+    total, other_total = sum(one.values()), sum(other.values())
+    if not total or not other_total:
+        return float(total == other_total)
     return sum(
-        min(weight / whole, other.get(endpoint, 0.0) / other_whole) for endpoint, weight in one.items()
+        min(weight / total, other.get(endpoint, 0.0) / other_total) for endpoint, weight in one.items()
     )
--- a/oatcart/scale/configuration.py
+++ b/oatcart/scale/configuration.py
@@ -1,7 +1,7 @@
-"""What `deploy/scale.yaml` holds: the planned fleet, its day, the budgets and the measured sizes.
+"""The settings in `deploy/scale.yaml`: the planned fleet, its day, the budgets and the measured sizes.
 
 Fields have the names of the file's keys; `configuration_file.py` reads them. Times are in seconds, memory in
-bytes, traffic in bytes/s. An endpoint of the file is an endpoint, a controller a controller.
+bytes, traffic in bytes/s. The file calls an endpoint a node, and a controller a conductor.
 """
 
 import math
@@ -9,20 +9,20 @@
 from dataclasses import dataclass, field, replace
 
 MIN_ENDPOINTS_PER_SERVICE = 2
-"""Endpoints that a service has at least, so that the loss of one leaves another."""
+"""Each service has at least so many endpoints, so that one remains if another is lost."""
 
 DAY_S = 86_400.0
-"""Seconds in the day that is simulated."""
+"""The length of the simulated day in seconds."""
 
 MAX_COUNT = 100_000_000
-"""The largest count that is accepted anywhere."""
+"""The largest count that the file may contain."""
 
 
 @dataclass(frozen=True)
 class FleetSettings:
-    """The counts that a fleet is drawn from; `requests` are requests/s at the day's peak.
+    """The counts from which a fleet is generated; `requests` is in requests/s at the day's peak.
 
-    `service_skew`: the service of rank r has a share of the endpoints that falls as 1/r^skew.
+    `service_skew`: the share of the endpoints that belong to the service of rank r falls as 1/r^skew.
     """
 
     conductors: int = 5_800
@@ -39,9 +39,10 @@
     proxies_per_conductor: int = 8
 
     def with_endpoints(self, nodes: int) -> "FleetSettings":
-        """This fleet with so many endpoints; the rest stays, except what so few endpoints do not allow.
+        """Returns this fleet with `nodes` endpoints and otherwise the same counts.
 
-        Raises ValueError for fewer than two endpoints.
+        Services, zones and regions are reduced if there are too few endpoints for them. Raises ValueError
+        for fewer than two endpoints.
         """
         _check_endpoints(nodes)
         services = min(self.services, nodes // MIN_ENDPOINTS_PER_SERVICE)
@@ -56,10 +57,11 @@
         )
 
     def scaled_to(self, nodes: int) -> "FleetSettings":
-        """A fleet of the same shape with so many endpoints: all counts shrink or grow by the same ratio.
+        """Returns a fleet of the same shape with `nodes` endpoints.
 
-        Counts are rounded and stay possible: every service has two endpoints and every zone one, and there
-        are no fewer zones than regions. Raises ValueError for fewer than two endpoints.
+        Counts are scaled by the ratio of the endpoints; zones and regions by its square root. They are
+        rounded and limited so that each service has two endpoints, each zone has one, and there are no fewer
+        zones than regions. Raises ValueError for fewer than two endpoints.
         """
         _check_endpoints(nodes)
         ratio = nodes / self.nodes
@@ -100,7 +102,10 @@
     time_compression: float = 60.0
 
     def scaled(self, ratio: float) -> "DaySettings":
-        """The day of a fleet `ratio` times as large; racks, zones, regions and times stay as they are."""
+        """Returns the day of a fleet `ratio` times as large.
+
+        Losses of racks and zones, partitions and times do not change.
+        """
         return replace(
             self,
             failures=round(self.failures * ratio),
@@ -111,9 +116,10 @@
 
 @dataclass(frozen=True)
 class Budgets:
-    """What one controller may spend for control, and how soon a change must be in force everywhere.
+    """Limits of one controller's costs, and the time until a change must be in force everywhere.
 
-    `core_share` is a share of one core; `memory` bytes; `traffic` bytes/s; `change_in_force` seconds.
+    `core_share` is a share of one core; `memory` is in bytes, `traffic` in bytes/s, `change_in_force` in
+    seconds.
     """
 
     core_share: float = 0.043
@@ -125,7 +131,7 @@
 
 @dataclass(frozen=True)
 class ViewSettings:
-    """The bounds of one controller's view: endpoints, and bytes as sent."""
+    """The largest view of one controller: in endpoints, and in bytes as sent."""
 
     nodes: int = 500
     size: int = 68 << 10
@@ -133,7 +139,7 @@
 
 @dataclass(frozen=True)
 class LimitSettings:
-    """What a run may take of the measuring machine at once: bytes of memory, and processes."""
+    """Limits of what a run may use on the measuring machine at once: bytes of memory, and processes."""
 
     memory: int = 8 << 30
     processes: int = 32
@@ -156,9 +162,9 @@
 
 @dataclass(frozen=True)
 class RunSettings:
-    """How long each size is measured (seconds), how many changes are timed, and which sizes.
+    """How long each size is measured (seconds), how many changes are timed, and which sizes are measured.
 
-    `sizes` holds the sizes of each dimension in growing order; those of `changes` are changes a day.
+    `sizes` are the sizes of each dimension in ascending order; those of `changes` are changes a day.
     """
 
     settle_for: float = 3.0
@@ -168,13 +174,13 @@
 
 
 def quick_run_settings() -> RunSettings:
-    """The defaults of a quick run, which ends within a minute on a developer's machine."""
+    """Returns the defaults of a quick run, which takes less than a minute on a developer's machine."""
     return RunSettings(settle_for=0.5, measure_for=2.0, repeats=20, sizes=dict(QUICK_SIZES))
 
 
 @dataclass(frozen=True)
 class Settings:
-    """The whole file. `seed` is that of every draw."""
+    """The contents of the file. `seed` is the seed of all random numbers."""
 
     seed: int = 1
     fleet: FleetSettings = FleetSettings()
@@ -188,7 +194,7 @@
 
 def _check_endpoints(nodes: int) -> None:
     if nodes < MIN_ENDPOINTS_PER_SERVICE:
-        raise ValueError(f"{nodes} nodes are fewer than the {MIN_ENDPOINTS_PER_SERVICE} of one service")
+        raise ValueError(f"{nodes} endpoints are fewer than the {MIN_ENDPOINTS_PER_SERVICE} of one service")
 
 
 def _scaled(count: int, ratio: float, maximum: int) -> int:
--- a/oatcart/scale/configuration_checks.py
+++ b/oatcart/scale/configuration_checks.py
@@ -1,4 +1,4 @@
-"""Which settings contradict each other, though each of them is possible alone."""
+"""Finds settings that contradict each other, although each of them is valid alone."""
 
 import math
 from collections.abc import Iterator
@@ -13,21 +13,21 @@
 
 
 class ImpossibleCombination(NamedTuple):
-    """Fields (`section.key`) that contradict each other, and what to tell the operator about it."""
+    """Fields (`section.key`) that contradict each other, and the message for the operator."""
 
     fields: tuple[str, ...]
     problem: str
 
 
 def impossible_combinations(settings: Settings) -> Iterator[ImpossibleCombination]:
-    """All contradictions within some settings."""
+    """Yields all contradictions in the settings."""
     yield from _fleet_contradictions(settings.fleet)
     yield from _day_contradictions(settings.day, settings.fleet)
     memory, limit = settings.budgets.memory, settings.limits.memory
     if memory > limit:
         yield ImpossibleCombination(
             ("limits.memory", "budgets.memory"),
-            f"{limit} bytes do not hold one conductor of budgets.memory ({memory} bytes)",
+            f"{limit} bytes are less than budgets.memory of one controller ({memory} bytes)",
         )
 
 
@@ -40,18 +40,18 @@
     if fleet.zones > fleet.nodes:
         yield ImpossibleCombination(
             ("fleet.zones", "fleet.nodes"),
-            f"{fleet.zones} zones are more than the {fleet.nodes} nodes",
+            f"{fleet.zones} zones are more than the {fleet.nodes} endpoints",
         )
     min_endpoints = MIN_ENDPOINTS_PER_SERVICE * fleet.services
     if fleet.nodes < min_endpoints:
         yield ImpossibleCombination(
             ("fleet.services", "fleet.nodes"),
-            f"{fleet.services} services need {min_endpoints} nodes, the fleet has {fleet.nodes}",
+            f"{fleet.services} services need {min_endpoints} endpoints, the fleet has {fleet.nodes}",
         )
     if fleet.services_per_conductor > fleet.services:
         yield ImpossibleCombination(
             ("fleet.services_per_conductor", "fleet.services"),
-            f"{fleet.services_per_conductor} services a conductor are more than all {fleet.services}",
+            f"{fleet.services_per_conductor} services per controller are more than all {fleet.services}",
         )
 
 
@@ -60,20 +60,20 @@
     if day.failures > fleet.nodes:
         yield ImpossibleCombination(
             ("day.failures", "fleet.nodes"),
-            f"{day.failures} failures are more than the {fleet.nodes} nodes",
+            f"{day.failures} failures are more than the {fleet.nodes} endpoints",
         )
     if day.rack_losses > min_racks:
         yield ImpossibleCombination(
             ("day.rack_losses", "fleet.nodes_per_rack", "fleet.nodes"),
-            f"{day.rack_losses} racks lost are more than the {min_racks} that the nodes fill",
+            f"{day.rack_losses} lost racks are more than the {min_racks} that the endpoints fill",
         )
     if day.zone_losses > fleet.zones:
         yield ImpossibleCombination(
             ("day.zone_losses", "fleet.zones"),
-            f"{day.zone_losses} zones lost are more than the {fleet.zones} there are",
+            f"{day.zone_losses} lost zones are more than the {fleet.zones} zones",
         )
     if day.partitions > 0 and fleet.regions < 2:
         yield ImpossibleCombination(
             ("day.partitions", "fleet.regions"),
-            "one region cannot be cut from another; a partition needs two",
+            "a partition needs at least two regions, there is one",
         )
--- a/oatcart/scale/configuration_file.py
+++ b/oatcart/scale/configuration_file.py
@@ -1,4 +1,4 @@
-"""Reads and checks `deploy/scale.yaml`; every problem names file, line and field, all at once."""
+"""Reads and checks `deploy/scale.yaml`; all problems are reported together, each with its line and field."""
 
 import re
 from collections.abc import Callable, Mapping
@@ -26,13 +26,13 @@
 from oatcart.yaml_files import duration, integer, load, size, table
 
 MIN_SIZES = 5
-"""Sizes that a dimension needs: four to fit a slope to, and the largest to prove the fit on."""
+"""The least number of sizes of a dimension: four to fit a slope, and the largest to prove the fit."""
 
 
 def read(path: str | Path) -> Settings:
-    """The settings of a file; keys that it leaves out have their defaults.
+    """Returns the settings of a file; missing keys have their default values.
 
-    Raises InvalidConfigurationError with all problems of the file, a line each, in the order of its lines.
+    Raises InvalidConfigurationError with all problems of the file, one per line, in the order of its lines.
     """
     document, where = load(path)
     if document is None:
@@ -46,7 +46,7 @@
 
 
 class _Section(NamedTuple):
-    """A map of the file: what makes its defaults, and the parser of each key."""
+    """A map of the file: the function that creates its defaults, and the parser of each key."""
 
     default: Callable[[], Any]
     parsers: Mapping[str, Callable[[object], object] | None]
@@ -112,8 +112,8 @@
 class _Reader:
     """Reads one document and collects its problems.
 
-    `where` names a line of the file, counted from 0. `unreadable` are the fields (`section.key`) that have
-    a problem of their own, so that their defaults stand in the settings.
+    `where` formats a line number, counted from 0, with the file. `unreadable` are the fields (`section.key`)
+    that have a problem of their own, so that the settings contain their defaults.
     """
 
     def __init__(self, document: object, where: Callable[[int], str]) -> None:
@@ -123,7 +123,7 @@
         self.unreadable: set[str] = set()
 
     def settings(self) -> Settings:
-        """The settings; raises InvalidConfigurationError with all problems."""
+        """Returns the settings; raises InvalidConfigurationError with all problems."""
         parsed = table(self.document, _TOP_PARSERS, "", self.where, self.problems, 0)
         for name, section in _SECTIONS.items():
             if name in parsed:
@@ -146,7 +146,7 @@
     def _sizes(self, path: str, content: object, line: int) -> dict[str, tuple[int, ...]]:
         parsed = table(content, dict.fromkeys(DIMENSIONS), f"{path}.", self.where, self.problems, line)
         if isinstance(content, CommentedMap) and not content:
-            self._report(line, f"{path} names no dimension")
+            self._report(line, f"{path}: expected at least one dimension")
         return {
             dimension: self._sizes_of_dimension(f"{path}.{dimension}", listed, content.lc.key(dimension)[0])
             for dimension, listed in parsed.items()
@@ -154,7 +154,7 @@
 
     def _sizes_of_dimension(self, path: str, listed: object, line: int) -> tuple[int, ...]:
         if not isinstance(listed, CommentedSeq):
-            self._report(line, f"{path} is no list of sizes")
+            self._report(line, f"{path}: expected a list of sizes")
             return ()
         sizes: list[int] = []
         for position, value in enumerate(listed):
@@ -168,19 +168,19 @@
         return tuple(sizes)
 
     def _add_size(self, sizes: list[int], value: object, path: str, line: int) -> None:
-        """Appends one size; one that can be parsed but does not grow is reported and appended."""
+        """Appends one size; a size that is not above the previous one is reported and appended too."""
         try:
             sizes.append(_COUNT(value))
         except ValueError as error:
             self._report(line, f"{path}: {error}")
             return
         if len(sizes) > 1 and sizes[-1] <= sizes[-2]:
-            self._report(line, f"{path}: {value} is not above {sizes[-2]}; sizes must grow")
+            self._report(line, f"{path}: {value} is not above {sizes[-2]}; sizes must ascend")
 
     def _check_combinations(self, settings: Settings) -> None:
-        """Reports each impossible combination at the first of its fields that stands in the file.
+        """Reports each impossible combination at the first of its fields that is in the file.
 
-        None is reported of which a field is unreadable: its default says nothing of the file.
+        Combinations with an unreadable field are not reported, as its default is not from the file.
         """
         for combination in impossible_combinations(settings):
             fields = combination.fields
@@ -189,7 +189,7 @@
                 self._report(self._line(reported) or 0, f"{reported}: {combination.problem}")
 
     def _line(self, field: str) -> int | None:
-        """The line of a field (`section.key`); None where it does not stand in the file."""
+        """Returns the line of a field (`section.key`); None if the file does not contain it."""
         section, _, key = field.partition(".")
         content = self.document.get(section) if isinstance(self.document, CommentedMap) else None
         return content.lc.key(key)[0] if isinstance(content, CommentedMap) and key in content else None
@@ -199,6 +199,6 @@
 
 
 def _line_of(problem: str) -> int:
-    """The line that a problem names; 0 where it names none."""
+    """Returns the line number in a problem's text; 0 if there is none."""
     found = re.search(r":(\d+): ", problem)
     return int(found[1]) if found else 0
--- a/oatcart/scale/configuration_values.py
+++ b/oatcart/scale/configuration_values.py
@@ -1,4 +1,4 @@
-"""Parsers of the values in `deploy/scale.yaml` that no other file has; each raises ValueError."""
+"""Parsers of values that only `deploy/scale.yaml` has; each raises ValueError for an invalid value."""
 
 import re
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 
 def traffic(value: object) -> float:
-    """Parses traffic with its unit; returns bytes/s.
+    """Parses a traffic rate with its unit; returns bytes/s.
 
     >>> traffic("4KiB/s")
     4096.0
@@ -31,11 +31,11 @@
             raise ValueError
         return float(size(text.strip()))
     except ValueError:
-        raise ValueError(f"{value} is no traffic; write it as 4KiB/s or 1MiB/s") from None
+        raise ValueError(f"{value} is not a traffic rate; write it as 4KiB/s or 1MiB/s") from None
 
 
 def number(minimum: float, maximum: float) -> Callable[[object], float]:
-    """A parser of numbers without a unit between two bounds, both included."""
+    """Returns a parser that accepts numbers without a unit from `minimum` to `maximum`, both included."""
 
     def parse(value: object) -> float:
         is_number = isinstance(value, int | float) and not isinstance(value, bool)
--- a/oatcart/scale/controller_settings.py
+++ b/oatcart/scale/controller_settings.py
@@ -1,8 +1,8 @@
-"""The settings that the controllers of a measured fleet are started with.
+"""The settings with which the controllers of a measured fleet are started.
 
-How the counts of `deploy/scale.yaml` are read: a *route* is a request class (`grades`), of which a controller
-has at most 16; a *tenant* has no state in a controller, so tenants stand in its settings as objects that it
-reads at its start and keeps; a *service* is a field of an entry that a controller ignores.
+The meaning of the counts in `deploy/scale.yaml`: a *route* is a request class (`grades`), of which a
+controller has at most 16. A *tenant* has no state in a controller; tenants are objects in its settings, which
+it reads at its start and keeps. A *service* is a field of an endpoint entry that a controller ignores.
 """
 
 from collections.abc import Collection
@@ -10,24 +10,26 @@
 from oatcart.scale.endpoint_entries import MILLISECONDS
 
 MAX_ROUTES = 16  # request classes of a controller: they are bits of one integer
-WARM_UP_S = 10.0  # from an endpoint's start until it has its whole capacity
+WARM_UP_S = 10.0  # from the start of an endpoint until it has its full capacity
 
 
 def route_names(routes: int) -> tuple[str, ...]:
-    """The names of so many request classes."""
+    """Returns the names of `routes` request classes."""
     return tuple(f"route-{number:02}" for number in range(routes))
 
 
 def controller_settings(
     zones: Collection[str], routes: int, proxies: int, tenants: int = 0, warm_up_s: float = WARM_UP_S
 ) -> dict:
-    """The settings of a controller with so many request classes, proxies and tenants.
+    """Returns the settings of a controller with the given numbers of request classes, proxies and tenants.
 
-    Health checks are off, as the endpoints of a measured fleet do not listen. Raises ValueError for more
-    routes than a controller can have.
+    Health checks are disabled, as the endpoints of a measured fleet do not listen. Raises ValueError unless
+    `routes` is from 1 to the most that a controller can have.
     """
     if not 1 <= routes <= MAX_ROUTES:
-        raise ValueError(f"{routes} routes are not 1 to {MAX_ROUTES}, the request classes of one controller")
+        raise ValueError(
+            f"routes: got {routes}, expected 1 to {MAX_ROUTES}, the request classes of one controller"
+        )
     settings = {
         "membershipMode": "subscribe",
         "quantum": 2.0,
@@ -45,7 +47,7 @@
 
 
 def _request_class(name: str) -> dict:
-    """A request class with a latency objective of 0.5 s."""
+    """Returns a request class with a latency objective of 0.5 s."""
     return {"name": name, "worth": 1.0, "aim": 500.0, "deadline": 1200.0, "idempotency": "idempotent"}
 
 
@@ -60,9 +62,10 @@
 
 
 def _specifics(routes: int, proxies: int) -> dict:
-    """The update channel and the proxies; every second request class stays in its proxy's zone.
+    """Returns the settings of the update channel and the proxies.
 
-    So proxies have more than one routing table.
+    Every second request class uses only endpoints in its proxy's zone, so that proxies have more than one
+    routing table.
     """
     return {
         "proxyCount": proxies,
--- a/oatcart/scale/figures.py
+++ b/oatcart/scale/figures.py
@@ -1,4 +1,4 @@
-"""Plays a trial and turns its counters into measurements, one for each role."""
+"""Runs trials and computes a measurement of each role from their counters."""
 
 import time
 from collections.abc import Iterable, Mapping, Sequence
@@ -20,13 +20,14 @@
 
 HOLLOW_ROLE, REAL_ROLE = "hollow_conductor", "conductor"
 DISCOVERY_ROLE, CONTROL_ROLE = "discovery", "control"
-MAX_LAG_S = TICK_S  # beside a controller's own longest stretch: later, a process has no time for all of them
+# Beyond the longest step of one controller: with more lag, a process has no time for all its controllers.
+MAX_LAG_S = TICK_S
 MICROSECONDS = 1e6
-MAX_DELAY_US, DELAY_SIGNIFICANT_DIGITS = 120_000_000, 3  # of the histogram of delays
+MAX_DELAY_US, DELAY_SIGNIFICANT_DIGITS = 120_000_000, 3  # range and precision of the histogram of delays
 
 
 class DelaySummary(NamedTuple):
-    """Seconds from changes to controllers that have them."""
+    """Seconds from a change of the endpoint list until a controller has applied it, over several changes."""
 
     median_s: float
     p99_s: float
@@ -34,9 +35,9 @@
 
 
 class Observation(NamedTuple):
-    """What a trial has shown: readings before and after the measured span, and how late changes came.
+    """Readings before and after the measured span of a trial, and the delays of changes.
 
-    `delays` has, by controller, the seconds from each change until it had it.
+    `delays` are, by controller, the seconds from each change until the controller had applied it.
     """
 
     before: Reading
@@ -50,19 +51,19 @@
 
 
 class TrialSpecification(NamedTuple):
-    """A trial that is played beside others; `role_names` renames its roles."""
+    """A trial to run at the same time as others; `role_names` replaces names of its roles."""
 
     settings: TrialSettings
-    kind: type[Trial] = Trial
+    trial_class: type[Trial] = Trial
     role_names: Mapping[str, str] = MappingProxyType({})
 
-    def named(self, measurement: Measurement) -> Measurement:
-        """The measurement with the name that its role has in this trial."""
+    def with_role_name(self, measurement: Measurement) -> Measurement:
+        """Returns the measurement with the name that its role has in this trial."""
         return replace(measurement, role=self.role_names.get(measurement.role, measurement.role))
 
 
 class Traffic(NamedTuple):
-    """Bytes and messages a second, the mean over some controllers, as they see them."""
+    """Bytes and messages per second that a controller received and sent, the mean over some controllers."""
 
     bytes_in_s: float
     bytes_out_s: float
@@ -71,23 +72,24 @@
 
 
 def play(
-    settings: TrialSettings, dimension: str, size: float, kind: type[Trial] = Trial
+    settings: TrialSettings, dimension: str, size: float, trial_class: type[Trial] = Trial
 ) -> list[Measurement]:
-    """The measurements of one trial; raises SizeLimitError, NotReadyError, ChildError."""
-    with running(settings, kind) as trial:
+    """Runs one trial and returns its measurements; raises SizeLimitError, NotReadyError or ChildError."""
+    with running(settings, trial_class) as trial:
         trial.start()
         trial.join_peers()
         time.sleep(settings.settle_s)
         (observed,) = observe([trial], settings)
-        return measured(trial, observed, dimension, size)
+        return measure_roles(trial, observed, dimension, size)
 
 
 def play_beside(
     specifications: Sequence[TrialSpecification], dimension: str, size: float
 ) -> list[Measurement]:
-    """The measurements of several trials in the same span of time; all last as long as the first is to.
+    """Runs several trials at the same time and returns their measurements; the times are those of the first.
 
-    A trial that does not fit is left out and said so. Raises ChildError.
+    A trial that exceeds a limit or is not ready is left out, with a measurement that gives the reason.
+    Raises ChildError.
     """
     found: list[Measurement] = []
     made: list[tuple[TrialSpecification, Trial]] = []
@@ -95,40 +97,51 @@
     with ExitStack() as processes:
         for one in specifications:
             try:
-                made.append((one, processes.enter_context(running(one.settings, one.kind))))
+                made.append((one, processes.enter_context(running(one.settings, one.trial_class))))
             except SizeLimitError as error:
-                found += left_out(one, dimension, size, str(error))
-        for one, trial in made:  # all processes are on their way by now
+                found += left_out_measurements(one, dimension, size, str(error))
+        for one, trial in made:  # by now all processes have been launched
             try:
                 trial.start()
                 trial.join_peers()
                 started.append((one, trial))
             except (SizeLimitError, NotReadyError) as error:
-                found += left_out(one, dimension, size, str(error))
+                found += left_out_measurements(one, dimension, size, str(error))
         first = specifications[0].settings
         if started:
             time.sleep(first.settle_s)
         try:
             observations = observe([trial for _, trial in started], first)
         except SizeLimitError as error:
-            return found + [gone for one, _ in started for gone in left_out(one, dimension, size, str(error))]
+            return found + [
+                measurement
+                for one, _ in started
+                for measurement in left_out_measurements(one, dimension, size, str(error))
+            ]
         for (one, trial), observed in zip(started, observations, strict=True):
             try:
-                found += [one.named(role) for role in measured(trial, observed, dimension, size)]
+                found += [
+                    one.with_role_name(role) for role in measure_roles(trial, observed, dimension, size)
+                ]
             except NotReadyError as error:
-                found += left_out(one, dimension, size, str(error))
+                found += left_out_measurements(one, dimension, size, str(error))
     return found
 
 
-def left_out(one: TrialSpecification, dimension: str, size: float, why: str) -> list[Measurement]:
-    """The roles of controllers of a trial that did not fit."""
+def left_out_measurements(
+    one: TrialSpecification, dimension: str, size: float, reason: str
+) -> list[Measurement]:
+    """Returns measurements without figures for the controller roles of a trial that was left out."""
     settings = one.settings
     roles = [role for role, count in ((REAL_ROLE, settings.real), (HOLLOW_ROLE, settings.hollow)) if count]
-    return [one.named(Measurement(dimension, size, role, left_out=why)) for role in roles]
+    return [one.with_role_name(Measurement(dimension, size, role, left_out=reason)) for role in roles]
 
 
 def observe(trials: Sequence[Trial], settings: TrialSettings) -> list[Observation]:
-    """A quiet span, then a span of changes; or one span in which changes are made. Raises SizeLimitError."""
+    """Reads all counters before and after the measured span, and makes the changes.
+
+    The changes are made after the span, or within it with `measure_under_changes`. Raises SizeLimitError.
+    """
     if not trials:
         return []
     before = [trial.read() for trial in trials]
@@ -142,14 +155,14 @@
     return [Observation(*one) for one in zip(before, after, strict=True)]
 
 
-def measured(trial: Trial, observed: Observation, dimension: str, size: float) -> list[Measurement]:
-    """The measurement of each role that the trial had; a role that did not fit is left out and said so.
+def measure_roles(trial: Trial, observed: Observation, dimension: str, size: float) -> list[Measurement]:
+    """Returns the measurement of each role in the trial; a role over a limit has only the reason for that.
 
-    Raises NotReadyError where a change never came to some controller.
+    Raises NotReadyError if a controller did not apply a change in time.
     """
     delays = trial.wait_for_changes()
     if trial.hollows and fell_behind(trial.hollows.figures()):
-        delays |= dict.fromkeys(trial.hollow_names, [])  # they would be the process's, not a controller's
+        delays |= dict.fromkeys(trial.hollow_names, [])  # the process caused them, not its controllers
     observed = observed._replace(delays=delays)
     readers = {DISCOVERY_ROLE: discovery_measurement}
     if trial.real:
@@ -168,50 +181,50 @@
 
 
 def fell_behind(reading: HollowReading) -> bool:
-    """Whether the process of hollow controllers had no time for all of them since the reading before."""
+    """Whether the process of hollow controllers lacked time for all of them since the previous reading."""
     return reading.late_s > MAX_LAG_S + max(one.longest_s for one in reading.controllers)
 
 
 def hollow_measurement(trial: Trial, observed: Observation, dimension: str, size: float) -> Measurement:
-    """The mean hollow controller; raises SizeLimitError where their process was late."""
+    """Returns the mean of the hollow controllers; raises SizeLimitError if their process fell behind."""
     before, after = observed.before.hollow, observed.after.hollow
     if fell_behind(after):
         raise SizeLimitError(
-            f"the process of {trial.settings.hollow} hollow conductors was {after.late_s:.2f} s late"
+            f"the process of {trial.settings.hollow} hollow controllers was {after.late_s:.2f} s late"
         )
-    spent = [
+    core_s = [
         now.core_s - then.core_s for then, now in zip(before.controllers, after.controllers, strict=True)
     ]
-    empty = Measurement(
+    measurement = Measurement(
         dimension,
         size,
         HOLLOW_ROLE,
-        core_share=fmean(spent) / observed.span_s,
+        core_share=fmean(core_s) / observed.span_s,
         longest_round_s=max(one.longest_s for one in after.controllers),
         resident_mb=(after.usage.resident_mb - trial.hollow_before_mb) / trial.settings.hollow,
     )
-    return with_common_quantities(empty, trial.hollow_names, trial.ready, observed)
+    return with_common_quantities(measurement, trial.hollow_names, trial.ready, observed)
 
 
 def real_measurement(trial: Trial, observed: Observation, dimension: str, size: float) -> Measurement:
-    """The mean real controller; its longest round cannot be read from outside."""
-    spent = [
+    """Returns the mean of the real controllers; their longest round cannot be read from outside."""
+    core_s = [
         now.core_s - then.core_s for then, now in zip(observed.before.real, observed.after.real, strict=True)
     ]
-    empty = Measurement(
+    measurement = Measurement(
         dimension,
         size,
         REAL_ROLE,
-        core_share=fmean(spent) / observed.span_s,
+        core_share=fmean(core_s) / observed.span_s,
         resident_mb=fmean(one.resident_mb for one in observed.after.real),
     )
-    return with_common_quantities(empty, trial.real_names, trial.ready, observed)
+    return with_common_quantities(measurement, trial.real_names, trial.ready, observed)
 
 
 def with_common_quantities(
     measurement: Measurement, names: Sequence[str], ready: dict[str, Ready], observed: Observation
 ) -> Measurement:
-    """Adds what is read alike for hollow and real controllers: traffic, delays, readiness."""
+    """Adds the quantities that hollow and real controllers have in common: traffic, delays, time to ready."""
     traffic = mean_traffic(observed, names)
     summary = summarize_delays([delay for name in names for delay in observed.delays[name]])
     starts = [ready[name] for name in names]
@@ -228,7 +241,7 @@
 
 
 def discovery_measurement(trial: Trial, observed: Observation, dimension: str, size: float) -> Measurement:
-    """The stand-in discovery: its process, and its traffic with all clients together."""
+    """Returns the costs of the stand-in discovery: its process, and its traffic with all clients."""
     before, after = observed.before.discovery, observed.after.discovery
     sums = total_traffic(before.clients, after.clients)
     return Measurement(
@@ -245,20 +258,20 @@
 
 
 def control_measurement(trial: Trial, observed: Observation, dimension: str, size: float) -> Measurement:
-    """The control role: its process, and its traffic with discovery and all controllers together."""
+    """Returns the costs of the control role: its process, and its traffic with discovery and controllers."""
     before, after = observed.before, observed.after
     served = total_traffic(before.clients, after.clients)
-    followed = total_traffic(before.discovery.clients, after.discovery.clients)
+    watched = total_traffic(before.discovery.clients, after.discovery.clients)
     return Measurement(
         dimension,
         size,
         CONTROL_ROLE,
         core_share=(after.control.core_s - before.control.core_s) / observed.span_s,
         resident_mb=after.control.resident_mb,
-        bytes_in_s=(served.bytes_out + followed.bytes_in) / observed.span_s,
-        bytes_out_s=(served.bytes_in + followed.bytes_out) / observed.span_s,
-        messages_in_s=(served.messages_out + followed.messages_in) / observed.span_s,
-        messages_out_s=(served.messages_in + followed.messages_out) / observed.span_s,
+        bytes_in_s=(served.bytes_out + watched.bytes_in) / observed.span_s,
+        bytes_out_s=(served.bytes_in + watched.bytes_out) / observed.span_s,
+        messages_in_s=(served.messages_out + watched.messages_in) / observed.span_s,
+        messages_out_s=(served.messages_in + watched.messages_out) / observed.span_s,
         ready_s=trial.control_ready.after_s,
         ready_core_s=trial.control_ready.core_s,
         ready_bytes=trial.control_ready.bytes_received,
@@ -266,7 +279,7 @@
 
 
 def total_traffic(before: Mapping[str, ClientFigures], after: Mapping[str, ClientFigures]) -> ClientFigures:
-    """The traffic of all clients together between two readings, as they see it."""
+    """Returns the traffic of all clients between two readings; `in` and `out` are from the clients' side."""
     return ClientFigures(
         *(
             sum(getattr(after[name], field) - getattr(before[name], field) for name in after)
@@ -276,7 +289,7 @@
 
 
 def mean_traffic(observed: Observation, names: Iterable[str]) -> Traffic:
-    """The mean control traffic of some controllers in the measured span."""
+    """Returns the mean traffic of some controllers with discovery in the measured span."""
     before, after = observed.before.clients, observed.after.clients
     means = {
         field: fmean(getattr(after[name], field) - getattr(before[name], field) for name in names)
@@ -287,7 +300,7 @@
 
 
 def summarize_delays(delays: Sequence[float]) -> DelaySummary | None:
-    """Median, 99th percentile and maximum of some delays; None of none."""
+    """Returns median, 99th percentile and maximum of some delays; None if there are none."""
     if not delays:
         return None
     histogram = HdrHistogram(1, MAX_DELAY_US, DELAY_SIGNIFICANT_DIGITS)
--- a/oatcart/scale/interrupts.py
+++ b/oatcart/scale/interrupts.py
@@ -1,7 +1,8 @@
-"""Interrupts that cannot get lost: one is raised where it comes, and noted to be raised again.
+"""Signal handling that cannot lose an interrupt: a signal raises Interrupted at once, and is recorded.
 
-Python ignores what a signal's handler raises within a hook that runs after a fork, such as that of `logging`;
-a signal that comes while a process is started would be lost there.
+Python ignores exceptions that a signal handler raises within a hook that runs after a fork, such as that of
+`logging`. A signal that arrives while a process is started would be lost there, so the recorded signal can be
+raised again later.
 """
 
 import signal
@@ -14,37 +15,40 @@
 
 
 class InterruptRecord:
-    """The signal that came, if any."""
+    """Records the last signal received, if any."""
 
     def __init__(self) -> None:
         self.number: int | None = None
 
     def handle(self, number: int, frame: object) -> None:
-        """A handler of signals; raises Interrupted."""
+        """Handles a signal: records it and raises Interrupted."""
         self.number = number
         self.check()
 
     def check(self) -> None:
-        """Raises Interrupted if a signal has come."""
+        """Raises Interrupted if a signal has been received."""
         if self.number is not None:
             raise Interrupted(f"signal {self.number}")
 
     def sleep(self, seconds: float) -> None:
-        """Sleeps, unless a signal has come."""
+        """Sleeps; raises Interrupted instead if a signal has been received."""
         self.check()
         time.sleep(seconds)
 
 
 @contextmanager
 def recorded_interrupts() -> Iterator[InterruptRecord]:
-    """Within the block SIGINT and SIGTERM are noted and raise Interrupted; signals are the main thread's."""
-    note = InterruptRecord()
+    """Records SIGINT and SIGTERM and raises Interrupted for them within the block.
+
+    Does nothing outside the main thread, as only that can handle signals.
+    """
+    record = InterruptRecord()
     if threading.current_thread() is not threading.main_thread():
-        yield note
+        yield record
         return
-    before = {number: signal.signal(number, note.handle) for number in (signal.SIGINT, signal.SIGTERM)}
+    before = {number: signal.signal(number, record.handle) for number in (signal.SIGINT, signal.SIGTERM)}
     try:
-        yield note
+        yield record
     finally:
         for number, handler in before.items():
             signal.signal(number, handler)
--- a/oatcart/scale/measurement.py
+++ b/oatcart/scale/measurement.py
@@ -1,4 +1,4 @@
-"""What one run at one size of one dimension yields, for one role; and how it is kept as JSON."""
+"""Measurements of one role at one size of one dimension, and their JSON format."""
 
 import json
 import math
@@ -8,15 +8,15 @@
 from typing import NamedTuple
 
 DIMENSIONS = ("conductors", "nodes", "services", "routes", "tenants", "proxies", "changes")
-"""The dimensions of a fleet that are grown one at a time."""
+"""The dimensions of a fleet; a run changes the size of one at a time."""
 
 
 class MeasurementError(ValueError):
-    """Kept measurements that cannot be read back."""
+    """A measurement is invalid, or a file of measurements cannot be read."""
 
 
 class Quantity(NamedTuple):
-    """How a quantity of :class:`Measurement` is titled in tables and plots."""
+    """A quantity of :class:`Measurement`, with its title and unit in tables and plots."""
 
     field: str
     title: str
@@ -29,7 +29,7 @@
 
 
 QUANTITIES = (
-    Quantity("core_share", "Quiet share of a core", "core"),
+    Quantity("core_share", "Share of a core", "core"),
     Quantity("longest_round_s", "Longest round", "s"),
     Quantity("resident_mb", "Resident memory", "MB"),
     Quantity("bytes_in_s", "Bytes received", "B/s"),
@@ -52,9 +52,11 @@
 class Measurement:
     """The costs of one role at one size; a quantity that was not measured is None.
 
-    ``dimension`` is one of :data:`DIMENSIONS` and ``size`` how large it was; ``role`` names the process
-    measured (``conductor``, ``hollow_conductor``, ``discovery``, ``control``). A size that does not fit on
-    the machine is kept too: ``left_out`` then says why, and all quantities are None.
+    ``dimension`` is one of :data:`DIMENSIONS`, ``size`` is its size, and ``role`` is the process measured
+    (``conductor``, ``hollow_conductor``, ``discovery``, ``control``). For a size that exceeds a limit of the
+    machine or the protocol, ``left_out`` is the reason and all quantities are None.
+
+    Raises MeasurementError for an invalid field.
     """
 
     dimension: str
@@ -77,17 +79,19 @@
 
     def __post_init__(self) -> None:
         if self.dimension not in DIMENSIONS:
-            raise MeasurementError(f"dimension {self.dimension!r} is none of {', '.join(DIMENSIONS)}")
+            raise MeasurementError(f"dimension: {self.dimension!r} is not one of {', '.join(DIMENSIONS)}")
         if not _is_number(self.size) or self.size <= 0:
-            raise MeasurementError(f"size {self.size!r} is not a finite number above 0")
+            raise MeasurementError(f"size: {self.size!r} is not a finite number above 0")
         if not isinstance(self.role, str) or not self.role:
-            raise MeasurementError(f"role {self.role!r} is not a name")
+            raise MeasurementError(f"role: expected a non-empty text, got {self.role!r}")
         for quantity in QUANTITIES:
             value = getattr(self, quantity.field)
             if value is not None and (not _is_number(value) or value < 0):
-                raise MeasurementError(f"{quantity.field} {value!r} is not a finite number of at least 0")
+                raise MeasurementError(f"{quantity.field}: {value!r} is not a finite number of at least 0")
         if self.left_out is not None and (not isinstance(self.left_out, str) or not self.left_out):
-            raise MeasurementError(f"left_out {self.left_out!r} does not say why")
+            raise MeasurementError(
+                f"left_out: expected a non-empty text with the reason, got {self.left_out!r}"
+            )
 
 
 FIELD_NAMES = tuple(field.name for field in fields(Measurement))
@@ -95,12 +99,12 @@
 
 
 def to_json(measurements: Iterable[Measurement]) -> str:
-    """The measurements as a JSON array of objects, each with every field."""
+    """Returns the measurements as a JSON array of objects, each with every field."""
     return json.dumps([asdict(measurement) for measurement in measurements], indent=1)
 
 
 def from_json(text: str) -> list[Measurement]:
-    """The measurements of :func:`to_json`; raises MeasurementError that names the item and the field."""
+    """Parses the output of :func:`to_json`; raises MeasurementError that names the item and the field."""
     try:
         items = json.loads(text)
     except json.JSONDecodeError as error:
@@ -111,12 +115,12 @@
 
 
 def write_json(path: str | Path, measurements: Iterable[Measurement]) -> None:
-    """Keeps the measurements in a file."""
+    """Writes the measurements to a file."""
     Path(path).write_text(to_json(measurements) + "\n", encoding="utf-8")
 
 
 def read_json(path: str | Path) -> list[Measurement]:
-    """The measurements kept in a file; raises MeasurementError or OSError."""
+    """Reads the measurements of a file; raises MeasurementError or OSError."""
     try:
         return from_json(Path(path).read_text(encoding="utf-8"))
     except MeasurementError as error:
@@ -133,8 +137,8 @@
     unknown = [name for name in item if name not in FIELD_NAMES]
     missing = [name for name in REQUIRED_FIELDS if name not in item]
     if unknown or missing:
-        told = [f"{name} is not known" for name in unknown] + [f"{name} is missing" for name in missing]
-        raise MeasurementError(f"item {number}: {', '.join(told)}")
+        problems = [f"{name} is not known" for name in unknown] + [f"{name} is missing" for name in missing]
+        raise MeasurementError(f"item {number}: {', '.join(problems)}")
     try:
         return Measurement(**item)
     except MeasurementError as error:
--- a/oatcart/scale/metering.py
+++ b/oatcart/scale/metering.py
@@ -1,4 +1,4 @@
-"""Processor time of single controllers that share one event loop in one process."""
+"""Measures the processor time of each controller where several share an event loop in one process."""
 
 import time
 
@@ -6,9 +6,10 @@
 
 
 class Meter:
-    """A context manager that counts the processor time of the calling thread; it may be nested.
+    """A reentrant context manager that measures the processor time of the calling thread.
 
-    `core_s`: processor seconds in all. `longest_s`: the most between one outermost entry and its exit.
+    `core_s` is the total in processor seconds; `longest_s` is the longest time from an outermost entry to its
+    exit.
     """
 
     __slots__ = ("_began", "_depth", "core_s", "longest_s")
@@ -31,7 +32,7 @@
 
 
 def metered(coroutine: Coroutine, meter: Meter) -> Coroutine:
-    """The same task, with each of its steps under the meter."""
+    """Wraps a task so that the meter counts each of its steps."""
     ready = None
     try:
         while True:
@@ -46,20 +47,20 @@
 
 
 class MeteredLoop:
-    """A controller's own interface to a shared loop: its tasks are metered, and no connection limit binds."""
+    """A controller's interface to a shared loop: meters its tasks and sets no connection limit."""
 
     def __init__(self, shared: Loop, meter: Meter) -> None:
         self._shared, self._meter = shared, meter
         self.clock, self.call_at, self.unregister = shared.clock, shared.call_at, shared.unregister
         self.cancel, self.expire = shared.cancel, shared.expire
-        self.registered: dict[int, int] = {}  # read by the log alone
+        self.registered: dict[int, int] = {}  # read only by the log
         self.connections, self.connection_limit = 0, float("inf")
 
     @property
     def now(self) -> float:
-        """The shared loop's time of this turn, in seconds."""
+        """The time of the shared loop's current turn, in seconds."""
         return self._shared.now
 
     def spawn(self, coroutine: Coroutine) -> Task:
-        """Starts a task under the meter."""
+        """Starts a task whose processor time is metered."""
         return self._shared.spawn(metered(coroutine, self._meter))
--- a/oatcart/scale/module_rounds.py
+++ b/oatcart/scale/module_rounds.py
@@ -1,9 +1,9 @@
-"""What rounds cost by themselves: the decision module, its tables and the codec, with no socket.
+"""Measures the cost of rounds alone: the decision module, its routing tables and the codec, without sockets.
 
-For lists that exceed the protocol's 1 MiB, which controllers on sockets refuse. Time is virtual: the module
-is handed ticks of its fleet's time as fast as it takes them, so a fleet that would need more than a core
-can be measured. The process (`python -m oatcart.scale.module_rounds`) takes one command as in
-`children.py`.
+This works for lists over the protocol's limit of 1 MiB, which controllers with sockets reject. Time is
+virtual: the ticks of the fleet's time follow each other as fast as the module processes them, so a fleet that
+would need more than one core can be measured. The process (`python -m oatcart.scale.module_rounds`) takes one
+command, in the format of `children.py`.
 """
 
 import os
@@ -28,14 +28,14 @@
 
 
 class EncodingCommandWriter(RoutingTables):
-    """An order writer that encodes every message and hands its bytes to the hollow proxies."""
+    """A command writer that encodes every update and passes its bytes to the hollow proxies."""
 
     def __init__(self, codec: Codec, peers: ControllerPeers) -> None:
         super().__init__(len(codec.request_class_names))
         self.codec, self.peers = codec, peers
 
     def send_updates(self) -> None:
-        """Tells the round's orders, each distinct message encoded once."""
+        """Sends the round's updates; each distinct update is encoded once."""
         encoded: dict[tuple, bytes] = {}
         for proxy, parts in self.updates():
             if parts not in encoded:
@@ -52,14 +52,18 @@
         """Does nothing: the list does not change."""
 
     def schedule_round(self, after: float) -> None:
-        """Does nothing: a round follows at every tick."""
+        """Does nothing: there is a round at every tick."""
 
     def log(self, text: str) -> None:
-        """Discards a line of the log."""
+        """Discards the log line."""
 
 
 class ModuleFigures(NamedTuple):
-    """Processor seconds for each second of the fleet's time, the longest round, and what the start took."""
+    """The costs of the decision module in virtual time.
+
+    `core_share` is in processor seconds per second of the fleet's time, `longest_s` is the longest round, and
+    `ready_core_s` is the processor time for reading the list and the first round, both in processor seconds.
+    """
 
     core_share: float
     longest_s: float
@@ -68,51 +72,55 @@
     list_bytes: int
 
 
-def rounds(
-    settings: Mapping, entries: list[dict], peers: PeerSettings, settle_s: float, quiet_s: float, seed: int
+def run_rounds(
+    settings: Mapping, entries: list[dict], peers: PeerSettings, settle_s: float, measure_s: float, seed: int
 ) -> ModuleFigures:
-    """Reads a whole list, lets all proxies join, settles, measures quiet rounds; virtual seconds."""
+    """Runs rounds in virtual time and returns their costs.
+
+    Reads a complete list, lets all proxies join, runs rounds for `settle_s` and then measures rounds for
+    `measure_s` (virtual seconds); the list does not change.
+    """
     body = orjson.dumps({"revision": 1, "complete": True, "members": entries})
     before_mb = resident_megabytes(os.getpid())
     hollow_peers = ControllerPeers(peers)
     codec = Codec(peers.routes, settings["zones"], settings["specifics"]["proxyCount"])
-    orders = EncodingCommandWriter(codec, hollow_peers)
+    writer = EncodingCommandWriter(codec, hollow_peers)
     module = Controller(read_socket_controller_settings(settings), seed)
 
-    def one_round(now: float, messages: list[PeerMessage], first: list[Event]) -> float:
+    def run_round(now: float, messages: list[PeerMessage], first_events: list[Event]) -> float:
         began = time.process_time()
-        arrivals = [*first, *(codec.decode_message(memoryview(message.line)) for message in messages)]
-        for arrival in arrivals:
-            if isinstance(arrival, ProxyJoined):
-                orders.add_proxy(arrival.proxy, arrival.unconfigured)
-        module.round(now, arrivals, orders)
-        orders.send_updates()
+        events = [*first_events, *(codec.decode_message(memoryview(message.line)) for message in messages)]
+        for event in events:
+            if isinstance(event, ProxyJoined):
+                writer.add_proxy(event.proxy, event.unconfigured)
+        module.round(now, events, writer)
+        writer.send_updates()
         return time.process_time() - began
 
     began = time.process_time()
     endpoint_list = codec.decode_endpoint_list(parse_object(memoryview(body)))
     ready_core_s = time.process_time() - began
     received = EndpointListReceived(endpoint_list.complete, endpoint_list.entries)
-    ready_core_s += one_round(START_S, hollow_peers.joins(), [received])
-    ticks, settling = round((settle_s + quiet_s) / TICK_S), round(settle_s / TICK_S)
-    took = [one_round(START_S + TICK_S * tick, hollow_peers.tick(), []) for tick in range(1, ticks + 1)][
-        settling:
+    ready_core_s += run_round(START_S, hollow_peers.joins(), [received])
+    ticks, settling_ticks = round((settle_s + measure_s) / TICK_S), round(settle_s / TICK_S)
+    durations = [run_round(START_S + TICK_S * tick, hollow_peers.tick(), []) for tick in range(1, ticks + 1)][
+        settling_ticks:
     ]
     resident_mb = resident_megabytes(os.getpid()) - before_mb
-    return ModuleFigures(sum(took) / quiet_s, max(took), resident_mb, ready_core_s, len(body))
+    return ModuleFigures(sum(durations) / measure_s, max(durations), resident_mb, ready_core_s, len(body))
 
 
 def measure(
     settings: dict, entries: list[dict], peers: dict, settle_s: float, quiet_s: float, seed: int
 ) -> dict:
-    """The command of the process."""
-    return rounds(settings, entries, peer_settings(peers), settle_s, quiet_s, seed)._asdict()
+    """Runs the process's `measure` command; the measured rounds last `quiet_s` virtual seconds."""
+    return run_rounds(settings, entries, peer_settings(peers), settle_s, quiet_s, seed)._asdict()
 
 
 def module_figures(
-    settings: Mapping, entries: list[dict], peers: PeerSettings, settle_s: float, quiet_s: float, seed: int
+    settings: Mapping, entries: list[dict], peers: PeerSettings, settle_s: float, measure_s: float, seed: int
 ) -> ModuleFigures:
-    """`rounds` in a process of its own, so that its memory is its own; raises ChildError."""
+    """Calls `run_rounds` in a process of its own, so that other memory is not counted; raises ChildError."""
     with Child("oatcart.scale.module_rounds") as child:
         return ModuleFigures(
             **child.ask(
@@ -121,14 +129,14 @@
                 entries=entries,
                 peers=asdict(peers),
                 settle_s=settle_s,
-                quiet_s=quiet_s,
+                quiet_s=measure_s,
                 seed=seed,
             )
         )
 
 
 def main() -> None:
-    """Answers commands until the input ends."""
+    """Answers commands until the end of the input."""
     ignore_interrupts()
     reader = CommandReader({"measure": measure})
     while reader.read():
--- a/oatcart/scale/plots.py
+++ b/oatcart/scale/plots.py
@@ -1,4 +1,4 @@
-"""One PNG for each slope: measured costs, the fit, the size left out, and the budget. Needs matplotlib."""
+"""Draws a PNG for each slope: measured costs, the fits and the budget. Needs matplotlib."""
 
 from collections.abc import Iterable
 from pathlib import Path
@@ -16,14 +16,14 @@
 from oatcart.scale.slopes import QuantitySlope
 
 CURVE_POINTS = 200
-"""Sizes at which a fitted curve is drawn."""
+"""Number of sizes at which a fitted curve is drawn."""
 
 INCHES = (8.0, 5.0)
 DOTS_PER_INCH = 100
 
 
 def draw_slopes(slopes: Iterable[QuantitySlope], folder: str | Path, budgets: Budgets) -> list[Path]:
-    """Draws each slope into the folder, which is made where it is missing; hands back the files."""
+    """Draws each slope into the folder, which is created if missing; returns the paths of the files."""
     folder = Path(folder)
     folder.mkdir(parents=True, exist_ok=True)
     return [draw_slope(slope, folder, budgets) for slope in slopes]
@@ -62,7 +62,7 @@
     if slope.slope is not None:
         axes.plot(sizes, [slope.slope.predict(size) for size in sizes], "-", label=slope.slope.form.value)
     if slope.proof is not None:
-        label = f"without the largest: off by {slope.proof.off:.0%}"
+        label = f"fit without the largest size: relative error {slope.proof.relative_error:.0%}"
         axes.plot(sizes, [slope.proof.slope.predict(size) for size in sizes], "--", label=label)
 
 
--- a/oatcart/scale/real.py
+++ b/oatcart/scale/real.py
@@ -1,8 +1,8 @@
 """Real controllers: processes of `python -m oatcart`, started as `run` in deploy/balancer.toml starts them.
 
-Each is given a configuration file of its own and ends by SIGTERM. It counts as started once it has answered
-`pong`. Its processor time and memory are read from /proc; its bytes and messages are counted at the stand-
-ins.
+Each controller has its own configuration file and is ended with SIGTERM. It counts as started once it has
+answered `pong`. Its processor time and memory are read from /proc; its bytes and messages are counted by the
+stand-ins for discovery and the peers.
 """
 
 import json
@@ -23,18 +23,18 @@
 CONTROLLER_COMMAND = sys.executable, "-m", "oatcart"  # what `run` of deploy/balancer.toml executes
 CONFIG_VARIABLE = "EDGE_CONFIG"
 DESCRIPTOR_LIMIT = 256  # a controller's `limits.sockets`
-READY_WITHIN_S = 30.0  # from a start to the pong; the slowest reads a configuration of tens of megabytes
+READY_WITHIN_S = 30.0  # from start to pong; reading tens of megabytes of configuration takes longest
 POLL_INTERVAL_S = 0.005
 PONG_WITHIN_S = 5.0
 _LISTENING_LINE = re.compile(rf"listens at {re.escape(LOOPBACK)}:(\d+)")
 
 
 class NotReadyError(OatcartError):
-    """A controller ended, or did not answer `pong`, within the time allowed."""
+    """A process ended early, or did not reach an expected state within the time limit."""
 
 
 def write_configuration(path: Path, name: str, settings: Mapping, discovery_port: int, seed: int) -> None:
-    """A controller's configuration file; the controller chooses its port."""
+    """Writes a controller's configuration file; its port 0 lets the system choose one."""
     path.write_text(
         json.dumps(
             {
@@ -50,7 +50,7 @@
 
 
 class RealController(ChildProcess):
-    """One controller process; `port` and `ready_after_s` are known once `wait_ready` has returned."""
+    """One controller process; `port` and `ready_after_s` are set once `wait_ready` has returned."""
 
     def __init__(self, configuration: Path) -> None:
         super().__init__(CONTROLLER_COMMAND, {CONFIG_VARIABLE: str(configuration)})
@@ -62,7 +62,9 @@
         until = self.started_at + READY_WITHIN_S
         while not (listening := _LISTENING_LINE.search(self.error_text())):
             if not self.running or time.monotonic() > until:
-                raise NotReadyError(f"exit code {self.process.poll()}: {self.error_text()}")
+                raise NotReadyError(
+                    f"controller not ready: exit code {self.process.poll()}: {self.error_text()}"
+                )
             time.sleep(POLL_INTERVAL_S)
         self.port = int(listening[1])
         self._ping()
@@ -74,21 +76,24 @@
                 connection.sendall(b'{"msg":"ping"}\n')
                 readable, _, _ = select.select([connection], [], [], PONG_WITHIN_S)
                 if not readable or b"pong" not in connection.recv(64):
-                    raise NotReadyError("no pong")
+                    raise NotReadyError("controller did not answer pong")
         except OSError as error:
-            raise NotReadyError(f"no pong: {error}") from None
+            raise NotReadyError(f"controller did not answer pong: {error}") from None
 
 
 @contextmanager
 def real_controllers(
     settings: Mapping, ports: Sequence[int], seeds: Sequence[int]
 ) -> Iterator[list[RealController]]:
-    """A controller for each of discovery's ports, all answering; all are ended when the block is left."""
+    """Starts a controller for each port of discovery; ends all of them when the block is left.
+
+    Waits until each answers `pong`; raises NotReadyError.
+    """
     with TemporaryDirectory() as directory, ExitStack() as running:
         controllers = []
-        for place, (port, seed) in enumerate(zip(ports, seeds, strict=True)):
-            path = Path(directory, f"conductor-{place}.json")
-            write_configuration(path, f"conductor-{place}", settings, port, seed)
+        for index, (port, seed) in enumerate(zip(ports, seeds, strict=True)):
+            path = Path(directory, f"conductor-{index}.json")
+            write_configuration(path, f"conductor-{index}", settings, port, seed)
             controllers.append(running.enter_context(RealController(path)))
         for controller in controllers:
             controller.wait_ready()
--- a/oatcart/scale/report.py
+++ b/oatcart/scale/report.py
@@ -1,4 +1,4 @@
-"""Measurements and slopes for people: one table a dimension as text, and everything as JSON."""
+"""Reports of measurements and slopes: tables for each dimension as text, and everything as JSON."""
 
 import json
 import math
@@ -10,22 +10,22 @@
 from oatcart.scale.slopes import MAX_PROVED_ERROR, QuantitySlope, Slope
 
 NOT_MEASURED = "-"
-"""What stands in a table where a quantity was not measured."""
+"""Table cell for a quantity that was not measured."""
 
 OVER_BUDGET = "!"
-"""What follows a figure of a controller that is over its budget."""
+"""Suffix of a controller's figure that exceeds its budget."""
 
 BUDGETED_ROLES = ("conductor", "hollow_conductor")
-"""The roles that the operators' budgets are for."""
+"""The roles to which the operators' budgets apply."""
 
 SIGNIFICANT_DIGITS = 3
 
 MEGABYTE = 1e6
-"""Bytes in the MB of `resident_mb`."""
+"""Bytes in one MB of `resident_mb`."""
 
 
 def budget_of(quantity: str, budgets: Budgets) -> float | None:
-    """The budget for a quantity of a controller, in the quantity's unit; None where there is none."""
+    """Returns the budget for a quantity of a controller, in the quantity's unit; None if it has no budget."""
     return {
         "core_share": budgets.core_share,
         "resident_mb": budgets.memory / MEGABYTE,
@@ -38,25 +38,28 @@
 def text_report(
     measurements: Sequence[Measurement], slopes: Iterable[QuantitySlope], budgets: Budgets
 ) -> str:
-    """A table of sizes and one of slopes for each dimension, in the order measured."""
+    """Returns a table of costs and a table of slopes for each dimension, in the order measured."""
     slopes = list(slopes)
-    parts = []
+    tables = []
     for dimension in dict.fromkeys(measurement.dimension for measurement in measurements):
         of_dimension = [one for one in measurements if one.dimension == dimension]
-        parts.append(dimension_table(dimension, of_dimension, budgets))
-        parts.append(slope_table([one for one in slopes if one.dimension == dimension]))
-    if not parts:
+        tables.append(dimension_table(dimension, of_dimension, budgets))
+        tables.append(slope_table([one for one in slopes if one.dimension == dimension]))
+    if not tables:
         return "Nothing was measured."
-    return "\n\n".join(part for part in parts if part)
+    return "\n\n".join(table for table in tables if table)
 
 
 def dimension_table(dimension: str, measurements: Sequence[Measurement], budgets: Budgets) -> str:
-    """A row for each role and quantity measured, a column for each size; sizes left out say why below."""
-    done = [measurement for measurement in measurements if measurement.left_out is None]
+    """Returns a row for each measured role and quantity, with a column for each size.
+
+    Below are the sizes that were left out, with the reason.
+    """
+    present = [measurement for measurement in measurements if measurement.left_out is None]
     sizes = sorted({measurement.size for measurement in measurements})
     rows = [["role", dimension, *(number_text(size, whole=True) for size in sizes)]]
-    for role in dict.fromkeys(measurement.role for measurement in done):
-        of_role = [measurement for measurement in done if measurement.role == role]
+    for role in dict.fromkeys(measurement.role for measurement in present):
+        of_role = [measurement for measurement in present if measurement.role == role]
         for quantity in QUANTITIES:
             if _is_measured(quantity, of_role):
                 costs = [_costs_at(size, of_role, quantity, budgets) for size in sizes]
@@ -70,7 +73,7 @@
 
 
 def slope_table(slopes: Sequence[QuantitySlope]) -> str:
-    """The chosen form of each cost, its coefficients and the proof on the largest size."""
+    """Returns a row for each slope: its form, its coefficients and the proof on the largest size."""
     if not slopes:
         return ""
     rows = [["role", "quantity", "form", "a", "b", "residual", "foretold", "measured", "off", "proved"]]
@@ -79,7 +82,7 @@
 
 
 def json_report(measurements: Sequence[Measurement], slopes: Iterable[QuantitySlope]) -> str:
-    """One JSON object: `measurements` as in measurement.py, and `slopes`."""
+    """Returns a JSON object with `measurements`, as in measurement.py, and `slopes`."""
     document = {
         "measurements": [asdict(measurement) for measurement in measurements],
         "slopes": [_slope_object(slope) for slope in slopes],
@@ -88,7 +91,9 @@
 
 
 def number_text(value: float, whole: bool = False) -> str:
-    """A number with three significant digits, and thousands apart.
+    """Formats a number with three significant digits and with separators between thousands.
+
+    `whole` keeps all digits of a whole number.
 
     >>> number_text(27000, whole=True), number_text(0.043211), number_text(4096.0), number_text(0.0)
     ('27,000', '0.0432', '4,100', '0')
@@ -104,7 +109,7 @@
 
 
 def align(rows: Sequence[Sequence[str]]) -> str:
-    """Columns padded to their widest cell: the first two to the left, figures to the right."""
+    """Returns rows with padded columns: the first two aligned left, the others aligned right."""
     widths = [max(len(row[column]) for row in rows) for column in range(len(rows[0]))]
     lines = []
     for row in rows:
@@ -121,7 +126,7 @@
 
 
 def _costs_at(size: float, measurements: Iterable[Measurement], quantity: Quantity, budgets: Budgets) -> str:
-    """The cost at a size; several if it was measured several times."""
+    """Returns the costs at a size; there are several if it was measured several times."""
     costs = [_cost(one, quantity, budgets) for one in measurements if one.size == size]
     return " / ".join(costs) or NOT_MEASURED
 
@@ -134,11 +139,11 @@
     return number_text(value) + (OVER_BUDGET if budget is not None and value > budget else "")
 
 
-def _slope_row(found: QuantitySlope) -> list[str]:
-    start = [found.role, found.quantity.label]
-    slope, proof = found.slope, found.proof
+def _slope_row(one: QuantitySlope) -> list[str]:
+    labels = [one.role, one.quantity.label]
+    slope, proof = one.slope, one.proof
     if slope is None:
-        return [*start, *[NOT_MEASURED] * 7, found.missing or "no"]
+        return [*labels, *[NOT_MEASURED] * 7, one.missing or "no"]
     figures = [
         slope.form.value,
         _coefficient_text(slope.constant),
@@ -146,13 +151,13 @@
         number_text(slope.residual),
     ]
     if proof is None:
-        return [*start, *figures, *[NOT_MEASURED] * 3, found.missing or "no"]
+        return [*labels, *figures, *[NOT_MEASURED] * 3, one.missing or "no"]
     return [
-        *start,
+        *labels,
         *figures,
         number_text(proof.predicted),
         number_text(proof.measured),
-        f"{proof.off:.0%}",
+        f"{proof.relative_error:.0%}",
         "yes" if proof.is_proved else f"NOT PROVED (over {MAX_PROVED_ERROR:.0%})",
     ]
 
@@ -162,24 +167,24 @@
     return f"{number_text(value)} ± {number_text(standard_error)}"
 
 
-def _slope_object(found: QuantitySlope) -> dict[str, object]:
-    proof = found.proof
+def _slope_object(one: QuantitySlope) -> dict[str, object]:
+    proof = one.proof
     return {
-        "dimension": found.dimension,
-        "role": found.role,
-        "quantity": found.quantity.field,
-        "unit": found.quantity.unit,
-        "fit": _fit_object(found.slope),
+        "dimension": one.dimension,
+        "role": one.role,
+        "quantity": one.quantity.field,
+        "unit": one.quantity.unit,
+        "fit": _fit_object(one.slope),
         "proof": proof
         and {
             "fit": _fit_object(proof.slope),
             "size": proof.size,
             "measured": proof.measured,
             "predicted": proof.predicted,
-            "off": proof.off,
+            "off": proof.relative_error,
             "proved": proof.is_proved,
         },
-        "missing": found.missing,
+        "missing": one.missing,
     }
 
 
--- a/oatcart/scale/runs.py
+++ b/oatcart/scale/runs.py
@@ -1,25 +1,28 @@
-"""Measures what each role costs at every size of each dimension, with one small function a dimension.
-
-How each dimension is grown, all others staying as they are:
-
-* `conductors`: hollow ones, all in one process, and a few real ones beside them, with a small list.
-* `nodes`: one list of all endpoints, which controllers follow without the control role. Where it exceeds the
-  protocol's 1 MiB real and hollow controllers refuse it and are left out; the decision module alone, with no
-  socket, is measured at every size of a full run as the role `module`, in a quick one only where others are
-  left out.
-* `services`: so many services with the same endpoints, as one list of all services, and as one list a
-  service, where each controller follows one service (roles that end in `_of_service`). Controllers follow one
-  list, so one that calls several services has no way to do so with a list a service.
-* `routes`: request classes of a controller, of which there are at most 16; larger sizes are left out.
-* `tenants`: entries in a controller's settings, read at its start and kept; it has no other state of them.
-* `proxies`: proxies of one controller, each with its usage reports and its stream.
-* `changes`: changes of the list, told as changes a day, measured while they are made.
-
-Controllers and endpoints are also grown behind the control role, where each controller follows a bounded
+"""Measures what each role costs at every size of each dimension; each dimension has one method of `Runs`.
+
+What a dimension varies, while all others keep their values:
+
+* `conductors`: the number of hollow controllers, all in one process, with a few real controllers beside them;
+  the endpoint list is small.
+* `nodes`: the number of endpoints in one list, which controllers watch without the control role. If the list
+  exceeds the protocol's 1 MiB, real and hollow controllers reject it and are left out. The decision module
+  alone, without sockets, is measured as the role `module`: at every size of a full run, and at those sizes of
+  a quick run where another role is left out.
+* `services`: the number of services with the same endpoints in total. They are measured as one list of all
+  services, and as one list for each service, where each controller watches one service (roles that end in
+  `_of_service`). A controller watches a single list, so with a list for each service it could not call
+  several services.
+* `routes`: the request classes of a controller, of which there are at most 16; larger sizes are left out.
+* `tenants`: the tenants in a controller's settings, which are read at its start and kept; it has no other
+  state of tenants.
+* `proxies`: the proxies of one controller, each with its usage reports and its stream.
+* `changes`: the changes of the list, given as changes a day; costs are measured while changes are made.
+
+Controllers and endpoints are also measured with the control role, where each controller watches a bounded
 view: the roles `viewed_conductor`, `viewed_hollow_conductor`, `control` and `discovery_of_control`.
 
-A controller fetches the whole list every 20 s. A full run measures for a multiple of that, whatever the file
-tells; a quick run does not: its bytes and processor time leave these fetches out.
+A controller fetches the complete list every 20 s. A full run measures for a multiple of that, even if the
+file sets another time. A quick run does not, so its bytes and processor time do not include these fetches.
 """
 
 from collections.abc import Callable, Collection, Mapping
@@ -54,31 +57,29 @@
     CONTROL_ROLE: CONTROL_ROLE,
     DISCOVERY_ROLE: "discovery_of_control",
 }
-ROUTES_MEASURED = 1, 2, 4, 8, 12, 16  # request classes, beside what the file asks for
-BASE_ENDPOINTS = 200  # where endpoints are not what grows
-CONTROLLERS_ENDPOINTS = 50  # a list small enough for many controllers in one process
-VIEWS_ENDPOINTS = 2_000  # behind the control role: more than the bound of a view
-HOLLOW_WITH_VIEWS, HOLLOW_WITH_VIEWS_QUICK = (
-    24,
-    6,
-)  # hollow controllers behind the control role where endpoints grow
-SERVICES_ENDPOINTS = 2_000  # enough for two endpoints in each of 720 services, few enough for one list
-DEFAULT_HOLLOW, DEFAULT_REAL = 4, 2  # controllers where they are not what grows
-HOLLOW_WITH_LARGE_LIST, REAL_WITH_LARGE_LIST = 1, 1  # each may take up a good part of a core
-MAX_REAL, MAX_REAL_QUICK = 8, 2  # in the dimension of controllers
-CHANGES_PER_S, CHANGES_PER_S_QUICK = 10.0, 40.0  # where changes are not what grows
-MAX_MODULE_SPAN_S = 4.0  # virtual; at 27,000 endpoints a second of it takes more than one of a core
+ROUTES_MEASURED = 1, 2, 4, 8, 12, 16  # request classes, in addition to the sizes in the file
+BASE_ENDPOINTS = 200  # in dimensions that do not vary the endpoints
+CONTROLLERS_ENDPOINTS = 50  # few enough for many controllers in one process
+VIEWS_ENDPOINTS = 2_000  # with the control role; more than a view may contain
+# Hollow controllers with views, in the dimension `nodes`.
+HOLLOW_WITH_VIEWS, HOLLOW_WITH_VIEWS_QUICK = 24, 6
+SERVICES_ENDPOINTS = 2_000  # at least two for each of 720 services, but few enough for one list
+DEFAULT_HOLLOW, DEFAULT_REAL = 4, 2  # controllers, in dimensions that do not vary them
+HOLLOW_WITH_LARGE_LIST, REAL_WITH_LARGE_LIST = 1, 1  # controllers; each may need a large part of a core
+MAX_REAL, MAX_REAL_QUICK = 8, 2  # in the dimension `conductors`
+CHANGES_PER_S, CHANGES_PER_S_QUICK = 10.0, 40.0  # in dimensions that do not vary the changes
+MAX_MODULE_SPAN_S = 4.0  # virtual; with 27,000 endpoints one second of it takes more than one core second
 
 Progress = Callable[[str], None]
 
 
-def viewed(trial: TrialSettings) -> TrialSpecification:
-    """A trial behind the control role, whose roles have names of their own."""
+def with_views(trial: TrialSettings) -> TrialSpecification:
+    """Returns a trial with the control role, in which the roles have different names."""
     return TrialSpecification(trial, ViewTrial, VIEWED_ROLES)
 
 
 def round_up_to_fetch_period(span_s: float) -> float:
-    """The span, made longer until it holds a whole number of the list's periodic fetches.
+    """Rounds a time span up to a multiple of the period at which controllers fetch the list.
 
     >>> round_up_to_fetch_period(15.0), round_up_to_fetch_period(40.0)
     (20.0, 40.0)
@@ -87,7 +88,7 @@
 
 
 class Runs:
-    """One run of some dimensions at the sizes and times of a file."""
+    """One run, with the sizes and times of a settings file; each dimension has the method of its name."""
 
     def __init__(self, settings: Settings, quick: bool, progress: Progress) -> None:
         self.settings, self.quick, self.progress = settings, quick, progress
@@ -107,17 +108,17 @@
         )
 
     def conductors(self, size: int) -> list[Measurement]:
-        """So many hollow controllers, with a few real ones beside them."""
+        """Measures `size` hollow controllers, with a few real ones beside them."""
         real = min(size, MAX_REAL_QUICK if self.quick else MAX_REAL)
         fleet = self.settings.fleet.scaled_to(CONTROLLERS_ENDPOINTS)
         trial = replace(self.base, fleet=fleet, hollow=size, real=real)
-        behind = replace(trial, fleet=self._fleet_with(VIEWS_ENDPOINTS, size))
-        if self.quick:  # what grows with controllers is the control role
-            return play_beside([viewed(behind)], "conductors", size)
-        return play_beside([TrialSpecification(trial), viewed(behind)], "conductors", size)
+        trial_with_views = replace(trial, fleet=self._fleet_with(VIEWS_ENDPOINTS, size))
+        if self.quick:  # more controllers raise the costs of the control role only
+            return play_beside([with_views(trial_with_views)], "conductors", size)
+        return play_beside([TrialSpecification(trial), with_views(trial_with_views)], "conductors", size)
 
     def nodes(self, size: int) -> list[Measurement]:
-        """One list of so many endpoints; controllers with views of it and the module alone beside it."""
+        """Measures one list of `size` endpoints, views of that list, and the decision module alone."""
         trial = replace(
             self.base,
             fleet=self.settings.fleet.scaled_to(size),
@@ -125,14 +126,14 @@
             real=REAL_WITH_LARGE_LIST,
         )
         hollow = HOLLOW_WITH_VIEWS_QUICK if self.quick else HOLLOW_WITH_VIEWS
-        behind = replace(trial, fleet=self._fleet_with(size, hollow), hollow=hollow)
-        found = play_beside([TrialSpecification(trial), viewed(behind)], "nodes", size)
+        trial_with_views = replace(trial, fleet=self._fleet_with(size, hollow), hollow=hollow)
+        found = play_beside([TrialSpecification(trial), with_views(trial_with_views)], "nodes", size)
         if self.quick and not any(one.left_out for one in found):
-            return found  # the module has been measured in its controllers
+            return found  # its controllers show the module's costs
         return [*found, self._module(size, trial)]
 
     def services(self, size: int) -> list[Measurement]:
-        """So many services in one list, and in a list each."""
+        """Measures `size` services in one list, and with one list for each service."""
         fleet = replace(
             self.settings.fleet.scaled_to(SERVICES_ENDPOINTS),
             services=size,
@@ -144,39 +145,39 @@
         return play_beside([one_list, lists], "services", size)
 
     def routes(self, size: int) -> list[Measurement]:
-        """A controller with so many request classes."""
+        """Measures controllers with `size` request classes."""
         if size > MAX_ROUTES:
-            text = f"a conductor of today has at most {MAX_ROUTES} request classes"
-            return [Measurement("routes", size, role, left_out=text) for role in (REAL_ROLE, HOLLOW_ROLE)]
+            reason = f"a controller has at most {MAX_ROUTES} request classes"
+            return [Measurement("routes", size, role, left_out=reason) for role in (REAL_ROLE, HOLLOW_ROLE)]
         return self._play("routes", size, replace(self.base, routes=size))
 
     def tenants(self, size: int) -> list[Measurement]:
-        """Real controllers with so many tenants in their settings."""
+        """Measures real controllers with `size` tenants in their settings."""
         return self._play("tenants", size, replace(self.base, hollow=0, tenants=size))
 
     def proxies(self, size: int) -> list[Measurement]:
-        """Controllers with so many proxies each."""
+        """Measures controllers with `size` proxies each."""
         return self._play("proxies", size, replace(self.base, proxies=size))
 
     def changes(self, size: int) -> list[Measurement]:
-        """So many changes a day, for the whole measured span."""
-        per_s = size / DAY_S
+        """Measures `size` changes a day, made throughout the measured span."""
+        changes_per_s = size / DAY_S
         trial = replace(
             self.base,
-            changes=max(1, round(per_s * self.run.measure_for)),
-            changes_per_s=per_s,
+            changes=max(1, round(changes_per_s * self.run.measure_for)),
+            changes_per_s=changes_per_s,
             measure_under_changes=True,
         )
         return self._play("changes", size, trial)
 
-    def _fleet_with(self, endpoints: int, conductors: int) -> FleetSettings:
-        return replace(self.settings.fleet.scaled_to(endpoints), conductors=conductors)
+    def _fleet_with(self, endpoints: int, controllers: int) -> FleetSettings:
+        return replace(self.settings.fleet.scaled_to(endpoints), conductors=controllers)
 
     def _play(self, dimension: str, size: float, trial: TrialSettings) -> list[Measurement]:
         return play_beside([TrialSpecification(trial)], dimension, size)
 
     def _module(self, size: int, trial: TrialSettings) -> Measurement:
-        """The decision module alone, in virtual time."""
+        """Measures the decision module alone, in virtual time."""
         plan = plan_fleet(trial.fleet, trial.seed)
         zones = list(plan.zone_regions)
         peers = PeerSettings(
@@ -209,32 +210,34 @@
 def measure(
     settings: Settings, quick: bool, dimensions: Collection[str] | None, progress: Progress
 ) -> list[Measurement]:
-    """The measurements of some dimensions, by default of all that the file has sizes for.
+    """Measures some dimensions; None stands for all dimensions that have sizes in the file.
 
-    `quick` chooses the file's quick sizes and times. `progress` is told a line before and after each size.
-    All processes are ended before this returns or raises, also on SIGINT and SIGTERM. Raises ChildError.
+    `quick` selects the sizes and times under `quick` in the file. `progress` is called with a line before
+    each size and with a line for each measurement. All processes are ended before this returns or raises,
+    also on SIGINT and SIGTERM. Raises ChildError.
     """
     runs = Runs(settings, quick, progress)
     measurements: list[Measurement] = []
     with recorded_interrupts() as interrupts:
         for dimension, sizes in sizes_of(runs.run, dimensions).items():
-            grown = getattr(runs, dimension)
+            measure_size = getattr(runs, dimension)
             for size in sizes:
                 interrupts.check()
                 progress(f"{dimension} {size:,}")
-                found = grown(size)
-                interrupts.check()  # it may have been hidden by an error of a process that ended over it
+                found = measure_size(size)
+                # The signal may also have ended a process, whose error then replaced the interrupt.
+                interrupts.check()
                 measurements += found
                 for one in found:
-                    progress(f"  {line(one)}")
+                    progress(f"  {summary_line(one)}")
     return measurements
 
 
 def sizes_of(run: RunSettings, dimensions: Collection[str] | None) -> Mapping[str, list[int]]:
-    """The sizes of each dimension asked for; routes also at sizes that a controller of today can have."""
+    """Returns the sizes of each dimension; for routes also sizes that a controller can have."""
     sizes = {
-        dimension: list(told)
-        for dimension, told in run.sizes.items()
+        dimension: list(listed)
+        for dimension, listed in run.sizes.items()
         if dimensions is None or dimension in dimensions
     }
     if "routes" in sizes:
@@ -242,11 +245,11 @@
     return sizes
 
 
-def line(one: Measurement) -> str:
-    """A measurement's main figures in a line."""
+def summary_line(one: Measurement) -> str:
+    """Returns a line with the main figures of a measurement."""
     if one.left_out:
         return f"{one.role}: left out: {one.left_out.splitlines()[0]}"
-    told = [f"{one.role}:"]
+    parts = [f"{one.role}:"]
     for title, value in (
         ("core", one.core_share),
         ("MB", one.resident_mb),
@@ -255,5 +258,5 @@
         ("ready s", one.ready_s),
     ):
         if value is not None:
-            told.append(f"{title} {value:.4g}")
-    return " ".join(told)
+            parts.append(f"{title} {value:.4g}")
+    return " ".join(parts)
--- a/oatcart/scale/slopes.py
+++ b/oatcart/scale/slopes.py
@@ -1,8 +1,9 @@
-"""How a cost grows with a size: forms fitted by least squares, one chosen, and proved on a size left out.
+"""Fits how a cost grows with a size, chooses the best form, and proves the fit on a held-out size.
 
-A form is a constant plus one growing term. The choice is by the leave-one-out residual (PRESS, the root mean
-square of each point's distance from the fit to the others), with a preference for the simpler form: one that
-is less simple must be better by a stated factor. The proof fits all sizes but the largest and predicts that.
+A form is a constant plus one growing term, fitted by least squares. The choice is by the leave-one-out
+residual (PRESS, the root mean square of each point's distance from the fit to the other points). Simpler
+forms are preferred: a less simple form must be better by a given factor. The proof fits all sizes but the
+largest, predicts the cost at the largest size, and compares this with the measured cost.
 """
 
 import math
@@ -18,26 +19,26 @@
 from oatcart.scale.measurement import QUANTITIES, Measurement, Quantity
 
 MIN_SIZES_TO_FIT = 4
-"""Different sizes that a fit needs."""
+"""The least number of different sizes for a fit."""
 
 MIN_SIZES_TO_PROVE = MIN_SIZES_TO_FIT + 1
-"""Different sizes that a proof needs: those of the fit and the largest, left out."""
+"""The least number of different sizes for a proof: those of the fit and the largest, which is held out."""
 
 MAX_PROVED_ERROR = 0.2
-"""The share of the measured cost that a prediction may be off and count as proved."""
+"""The largest relative error of a prediction with which a slope counts as proved."""
 
 ROUNDING_TOLERANCE = 1e-9
-"""A residual below this share of the largest cost is rounding, not misfit."""
+"""A residual below this share of the largest cost is due to rounding, not to a wrong form."""
 
 Floats = NDArray[numpy.float64]
 
 
 class TooFewSizesError(ValueError):
-    """Fewer different sizes were measured than a fit or a proof needs."""
+    """There are fewer different sizes than a fit or a proof needs."""
 
 
 class Point(NamedTuple):
-    """A cost at a size; `other` is the size of a second dimension, where two were grown."""
+    """A cost at a size; `other` is the size of a second dimension, if two dimensions vary."""
 
     size: float
     cost: float
@@ -45,7 +46,7 @@
 
 
 class Form(Enum):
-    """The growing term of a cost, beside its constant; the value is how it is written."""
+    """The formula of a cost: a constant and at most one growing term. The value is its text."""
 
     CONSTANT = "a"
     LINEAR = "a + b n"
@@ -55,9 +56,9 @@
 
 
 class _Term(NamedTuple):
-    """How a form's growing term is computed and by what factor the form must be better than a simpler one."""
+    """A form's growing term, and the factor by which the form must be better than a simpler one."""
 
-    growing: Callable[[Floats, Floats], Floats] | None
+    growing_term: Callable[[Floats, Floats], Floats] | None
     required_improvement: float
 
 
@@ -73,7 +74,7 @@
 
 
 class Coefficient(NamedTuple):
-    """A fitted coefficient and its standard error, in units of the cost (and of the growing term)."""
+    """A fitted coefficient and its standard error, in the unit of the cost (per unit of the growing term)."""
 
     value: float
     standard_error: float
@@ -81,7 +82,7 @@
 
 @dataclass(frozen=True)
 class Slope:
-    """A fitted form; residuals are root mean squares in units of the cost."""
+    """A fitted form; residuals are root mean squares in the unit of the cost."""
 
     form: Form
     constant: Coefficient
@@ -91,35 +92,38 @@
     sizes: tuple[float, ...]
 
     def predict(self, size: float, other: float = 1.0) -> float:
-        """The cost at a size, measured or not."""
-        growing = _TERMS[self.form].growing
-        if self.growth is None or growing is None:
+        """Returns the predicted cost at any size."""
+        growing_term = _TERMS[self.form].growing_term
+        if self.growth is None or growing_term is None:
             return self.constant.value
-        term = growing(numpy.array([float(size)]), numpy.array([float(other)]))[0]
+        term = growing_term(numpy.array([float(size)]), numpy.array([float(other)]))[0]
         return float(self.constant.value + self.growth.value * term)
 
 
 @dataclass(frozen=True)
 class Proof:
-    """A slope fitted to all but the largest size, and its prediction there; `off` is a share of the cost."""
+    """A slope fitted to all but the largest size, and its prediction for the largest size.
+
+    `relative_error` is the error of the prediction as a share of the measured cost.
+    """
 
     slope: Slope
     size: float
     measured: float
     predicted: float
-    off: float
+    relative_error: float
 
     @property
     def is_proved(self) -> bool:
-        """Whether the prediction is off by a fifth at most."""
-        return self.off <= MAX_PROVED_ERROR
+        """Whether the relative error of the prediction is at most a fifth."""
+        return self.relative_error <= MAX_PROVED_ERROR
 
 
 @dataclass(frozen=True)
 class QuantitySlope:
     """How one quantity of one role grows with one dimension.
 
-    `slope` is fitted to all sizes; `proof` to all but the largest. `missing` says why either is None.
+    `slope` is fitted to all sizes, `proof` to all but the largest. `missing` is the reason if either is None.
     """
 
     dimension: str
@@ -132,12 +136,15 @@
 
     @property
     def is_proved(self) -> bool:
-        """Whether there is a proof and it holds."""
+        """Whether the slope has a proof and the proof is within the allowed error."""
         return self.proof is not None and self.proof.is_proved
 
 
 def fit(points: Iterable[Point]) -> Slope:
-    """The form that fits best; raises TooFewSizesError, or ValueError for a point that is no number."""
+    """Returns the slope of the form that fits best.
+
+    Raises TooFewSizesError, or ValueError for a point that is not finite or whose size is not above 0.
+    """
     points = _checked(points)
     _require_sizes(points, MIN_SIZES_TO_FIT, "a fit")
     has_two_dimensions = len({point.other for point in points}) > 1
@@ -149,22 +156,22 @@
 
 
 def prove(points: Iterable[Point]) -> Proof:
-    """Fits all sizes but the largest and predicts it; several points of the largest count by their median.
+    """Fits all sizes but the largest, and compares the prediction for the largest size with its cost.
 
-    Raises TooFewSizesError.
+    Of several points at the largest size the median counts. Raises TooFewSizesError, and ValueError as `fit`.
     """
     points = _checked(points)
     _require_sizes(points, MIN_SIZES_TO_PROVE, "a proof")
     largest = max(point.size for point in points)
-    left_out = [point for point in points if point.size == largest]
+    held_out = [point for point in points if point.size == largest]
     slope = fit(point for point in points if point.size < largest)
-    measured = float(numpy.median([point.cost for point in left_out]))
-    predicted = float(numpy.median([slope.predict(point.size, point.other) for point in left_out]))
+    measured = float(numpy.median([point.cost for point in held_out]))
+    predicted = float(numpy.median([slope.predict(point.size, point.other) for point in held_out]))
     return Proof(slope, largest, measured, predicted, relative_error(measured, predicted))
 
 
 def relative_error(measured: float, predicted: float) -> float:
-    """How far a prediction is off, as a share of the measured cost; 1 where only the measured cost is 0.
+    """Returns the error of a prediction as a share of the measured cost; 1 if only the measured cost is 0.
 
     >>> relative_error(10.0, 12.0), relative_error(0.0, 0.0), relative_error(0.0, 3.0)
     (0.2, 0.0, 1.0)
@@ -175,7 +182,7 @@
 
 
 def points_of(measurements: Iterable[Measurement], dimension: str, role: str, quantity: str) -> list[Point]:
-    """The measured costs of one quantity, by size; sizes left out and quantities not measured are skipped."""
+    """Returns the measured costs of one quantity, sorted by size; others are skipped."""
     found = [
         Point(measurement.size, getattr(measurement, quantity))
         for measurement in measurements
@@ -188,7 +195,7 @@
 
 
 def analyse(measurements: Sequence[Measurement]) -> list[QuantitySlope]:
-    """The slope of each quantity that was measured at all, by dimension and role."""
+    """Returns the slope of each quantity that was measured, for each dimension and role."""
     pairs = dict.fromkeys((measurement.dimension, measurement.role) for measurement in measurements)
     slopes = []
     for dimension, role in pairs:
@@ -213,38 +220,38 @@
     listed = list(points)
     for point in listed:
         if not all(math.isfinite(value) for value in point) or point.size <= 0 or point.other <= 0:
-            raise ValueError(f"{point} is no cost at a size above 0")
+            raise ValueError(f"{point}: expected finite numbers and sizes above 0")
     return listed
 
 
-def _require_sizes(points: list[Point], fewest: int, what: str) -> None:
+def _require_sizes(points: list[Point], minimum: int, purpose: str) -> None:
     count = len({point.size for point in points})
-    if count < fewest:
-        raise TooFewSizesError(f"{count} sizes measured; {what} needs {fewest}")
+    if count < minimum:
+        raise TooFewSizesError(f"{count} sizes measured; {purpose} needs {minimum}")
 
 
 def _fit_form(form: Form, points: list[Point]) -> Slope:
-    """Least squares for one form. The growing term is scaled to 1 at its largest, for a stable solution."""
+    """Fits one form by least squares; the growing term is scaled to at most 1 for numerical stability."""
     costs = numpy.array([point.cost for point in points])
     columns = [numpy.ones(len(points))]
     scale = 1.0
-    growing = _TERMS[form].growing
-    if growing is not None:
+    growing_term = _TERMS[form].growing_term
+    if growing_term is not None:
         sizes = numpy.array([float(point.size) for point in points])
         others = numpy.array([float(point.other) for point in points])
-        term = growing(sizes, others)
+        term = growing_term(sizes, others)
         scale = float(numpy.max(numpy.abs(term))) or 1.0
         columns.append(term / scale)
     matrix = numpy.column_stack(columns)
     inverse = linalg.pinv(matrix)
     values = inverse @ costs
     residuals = costs - matrix @ values
-    freedom = len(points) - matrix.shape[1]
-    variance = float(residuals @ residuals) / freedom
+    degrees_of_freedom = len(points) - matrix.shape[1]
+    variance = float(residuals @ residuals) / degrees_of_freedom
     errors = numpy.sqrt(variance * numpy.einsum("ij,ij->i", inverse, inverse))
     coefficients = [
-        Coefficient(float(value / by), float(error / by))
-        for value, error, by in zip(values, errors, (1.0, scale), strict=False)
+        Coefficient(float(value / divisor), float(error / divisor))
+        for value, error, divisor in zip(values, errors, (1.0, scale), strict=False)
     ]
     return Slope(
         form=form,
@@ -257,7 +264,10 @@
 
 
 def _leave_out_residual(residuals: Floats, leverages: Floats) -> float:
-    """Each point's distance from the fit to the others is its residual over one less its leverage."""
+    """Returns the root mean square of each point's distance from the fit to the other points.
+
+    That distance is the point's residual divided by one minus its leverage.
+    """
     return _root_mean_square(residuals / numpy.maximum(1.0 - leverages, ROUNDING_TOLERANCE))
 
 
@@ -266,7 +276,7 @@
 
 
 def _choose(slopes: list[Slope], largest_cost: float) -> Slope:
-    """The simplest form that none of the others is better than by its factor."""
+    """Returns the slope of the simplest form, unless a less simple one is better by its required factor."""
     rounding = ROUNDING_TOLERANCE * largest_cost
     chosen = slopes[0]
     for slope in slopes[1:]:
--- a/tests/scale/test_scale_capacity.py
+++ b/tests/scale/test_scale_capacity.py
@@ -1,4 +1,4 @@
-"""What `python -m benchmarks.capacity` makes of its trials: nothing that was not measured gets a figure."""
+"""How `python -m benchmarks.capacity` computes its result; a figure that was not measured must be null."""
 
 import multiprocessing
 import time
@@ -26,8 +26,8 @@
         return self.outcome
 
 
-def whole_lists(last_change_s: float = 0.51) -> list[Measurement]:
-    """A controller whose costs grow straight with its endpoints, and discovery beside it."""
+def complete_lists(last_change_s: float = 0.51) -> list[Measurement]:
+    """Measurements of a controller whose costs grow linearly with the endpoints, and of discovery."""
     controllers = [
         Measurement(
             "nodes",
@@ -46,7 +46,7 @@
 
 
 def viewed() -> Measurement:
-    """A controller with a view, at the plan."""
+    """The measurement of a controller with a view, at the planned size."""
     return Measurement(
         "nodes",
         27_000,
@@ -58,8 +58,8 @@
     )
 
 
-def test_before_is_foretold_at_the_plan_and_with_is_measured():
-    found = result(Settings(), Outcome(whole_lists(), viewed(), None, True))
+def test_costs_before_views_are_predicted_and_costs_with_views_are_measured():
+    found = result(Settings(), Outcome(complete_lists(), viewed(), None, True))
     assert found["core_at_plan_before"] == pytest.approx(0.01 + 6e-5 * 27_000)
     assert found["core_per_node_before"] == pytest.approx(found["core_at_plan_before"] / 27_000)
     assert found["bytes_s_at_plan_before"] == pytest.approx(9.0 * 27_000 + 17.0)
@@ -71,8 +71,8 @@
     assert found["hollow_agrees"] is True
 
 
-def test_what_was_not_measured_is_null():
-    found = result(Settings(), Outcome(whole_lists(), viewed(), None, None))
+def test_figures_that_were_not_measured_are_null():
+    found = result(Settings(), Outcome(complete_lists(), viewed(), None, None))
     assert found["change_last_s"] is None
     assert found["ready_s"] is None
     assert found["control_core_at_plan"] is None
@@ -84,21 +84,21 @@
     assert {name for name, value in found.items() if value is not None} == {"not_proved"}
 
 
-def test_too_few_sizes_foretell_nothing():
-    found = result(Settings(), Outcome(whole_lists()[:3], viewed(), None, True))
+def test_too_few_sizes_give_no_prediction():
+    found = result(Settings(), Outcome(complete_lists()[:3], viewed(), None, True))
     assert found["core_at_plan_before"] is None
     assert found["predicted_off"] is None
     assert "core_share" in found["not_proved"]
 
 
-def test_a_slope_that_is_not_proved_is_listed_and_counted_apart():
-    straight = result(Settings(), Outcome(whole_lists(), viewed(), None, True))
-    assert straight["not_proved"] == []
-    assert straight["predicted_off"] == straight["predicted_off_all"] < 1e-6
-    bent = result(Settings(), Outcome(whole_lists(last_change_s=1.02), viewed(), None, True))
-    assert bent["not_proved"] == ["change_last_s"]
-    assert bent["predicted_off"] < 1e-6
-    assert bent["predicted_off_all"] == pytest.approx(0.5)
+def test_a_slope_that_is_not_proved_is_listed_and_counted_separately():
+    linear = result(Settings(), Outcome(complete_lists(), viewed(), None, True))
+    assert linear["not_proved"] == []
+    assert linear["predicted_off"] == linear["predicted_off_all"] < 1e-6
+    nonlinear = result(Settings(), Outcome(complete_lists(last_change_s=1.02), viewed(), None, True))
+    assert nonlinear["not_proved"] == ["change_last_s"]
+    assert nonlinear["predicted_off"] < 1e-6
+    assert nonlinear["predicted_off_all"] == pytest.approx(0.5)
 
 
 @pytest.mark.parametrize(
@@ -109,11 +109,11 @@
         (multiprocessing.TimeoutError(), None, "a trial: not measured: no result in time"),
     ],
 )
-def test_a_job_that_fails_or_is_late_is_told(capsys, outcome, expected, line):
+def test_a_job_that_fails_or_times_out_is_reported(capsys, outcome, expected, line):
     assert result_of("a trial", Job(outcome), time.monotonic()) == expected
     assert capsys.readouterr().err == f"{line}\n"
 
 
-def test_a_job_that_fails_for_a_fault_of_ours_is_not_hidden():
+def test_an_unexpected_error_of_a_job_is_not_hidden():
     with pytest.raises(KeyError):
         result_of("a trial", Job(KeyError("x")), time.monotonic())
--- a/tests/scale/test_scale_ports.py
+++ b/tests/scale/test_scale_ports.py
@@ -1,4 +1,4 @@
-"""Ports for listeners that are started a moment later."""
+"""Free ports for listeners that are started a moment later."""
 
 import socket
 
@@ -7,15 +7,15 @@
 from oatcart.scale import ports
 
 
-def test_they_are_distinct_and_below_the_range_of_outgoing_connections() -> None:
-    below = int(ports.OUTGOING_RANGE.read_text().split()[0])
+def test_free_ports_are_distinct_and_below_the_range_of_outgoing_connections() -> None:
+    outgoing_start = int(ports.OUTGOING_RANGE.read_text().split()[0])
     found = ports.free_ports(50)
     assert len(set(found)) == 50
-    assert all(ports.FIRST_PORT <= port < below for port in found)
+    assert all(ports.FIRST_PORT <= port < outgoing_start for port in found)
 
 
-def test_a_port_with_a_listener_is_not_given(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Failure: a listener of the first of two ports."""
+def test_a_port_with_a_listener_is_not_returned(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The first port drawn has a listener, so the second is returned."""
     first, second = ports.free_ports(2)
     monkeypatch.setattr(ports.SystemRandom, "randrange", lambda *_: next(drawn))
     drawn = iter([first, second])
@@ -23,7 +23,7 @@
         assert ports.free_ports(1) == [second]
 
 
-def test_too_many_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_more_ports_than_can_be_found_raise_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ports, "MAX_ATTEMPTS", 3)
-    with pytest.raises(OSError, match="no 50 free ports"):
+    with pytest.raises(OSError, match="could not find 50 free ports"):
         ports.free_ports(50)
--- a/tests/scale/test_scale_real.py
+++ b/tests/scale/test_scale_real.py
@@ -1,4 +1,4 @@
-"""Real controller processes: their start, their end, and what happens when one dies or cannot start."""
+"""Real controller processes: start, end, and the case that one dies or cannot start."""
 
 import os
 import signal
@@ -22,17 +22,17 @@
 
 
 def alive(pid: int) -> bool:
-    """Whether a process runs; one that has ended and waits to be collected does not."""
+    """Returns whether a process runs; a zombie does not."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] != "Z"
     except FileNotFoundError:
         return False
 
 
-def wait_until(met, what: str) -> None:
+def wait_until(condition, problem: str) -> None:
     until = time.monotonic() + ENDED_WITHIN_S
-    while not met():
-        assert time.monotonic() < until, what
+    while not condition():
+        assert time.monotonic() < until, problem
         time.sleep(0.02)
 
 
@@ -41,7 +41,7 @@
     assert run[:4] == ["trap", "''", "HUP;", "exec"] and run[5:] == list(CONTROLLER_COMMAND[1:])
 
 
-def test_controllers_answer_follow_the_list_and_end_with_the_block() -> None:
+def test_controllers_answer_watch_the_list_and_end_with_the_block() -> None:
     with Discovery() as discovery:
         discovery.change([ENTRY])
         ports = discovery.open(["one", "two"])
@@ -63,14 +63,14 @@
     assert pids and not any(map(alive, pids))
 
 
-def test_a_controller_that_cannot_use_its_configuration_is_not_ready(tmp_path: Path) -> None:
+def test_a_controller_with_an_invalid_configuration_is_not_ready(tmp_path: Path) -> None:
     path = tmp_path / "configuration.json"
     path.write_text("{}")
     with RealController(path) as controller, pytest.raises(NotReadyError, match="settings"):
         controller.wait_ready()
 
 
-def test_a_controller_that_died_shows_no_figures_and_ending_it_again_does_nothing() -> None:
+def test_a_controller_that_died_has_no_figures_and_ending_it_again_does_nothing() -> None:
     with Discovery() as discovery:
         discovery.change([ENTRY])
         with real_controllers(SETTINGS, list(discovery.open(["one"]).values()), [1]) as (controller,):
@@ -82,8 +82,8 @@
 
 
 def test_a_process_that_ignores_sigterm_is_killed() -> None:
-    stubborn = "import signal, time; signal.signal(signal.SIGTERM, signal.SIG_IGN); print(); time.sleep(60)"
-    with ChildProcess([sys.executable, "-u", "-c", stubborn], pipes=True) as process:
+    program = "import signal, time; signal.signal(signal.SIGTERM, signal.SIG_IGN); print(); time.sleep(60)"
+    with ChildProcess([sys.executable, "-u", "-c", program], pipes=True) as process:
         process.process.stdout.readline()
         pid = process.pid
     assert not alive(pid)
@@ -106,31 +106,31 @@
     wait_until(lambda: not any(map(alive, pids)), f"{pids} outlive their parent")
 
 
-def test_an_interrupt_in_a_child_is_left_to_its_parent() -> None:
+def test_a_child_ignores_an_interrupt_and_leaves_it_to_its_parent() -> None:
     with Child("oatcart.scale.discovery") as child:
         child.ask("figures")
         os.kill(child.pid, signal.SIGINT)
         assert child.ask("figures")["clients"] == {}
 
 
-def test_processor_time_is_that_of_all_threads_running_or_ended() -> None:
-    began = core_seconds(os.getpid())
+def test_processor_time_includes_running_and_ended_threads() -> None:
+    before = core_seconds(os.getpid())
     threads = [threading.Thread(target=sum, args=(range(6_000_000),)) for _ in range(2)]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    assert core_seconds(os.getpid()) - began > 0.1
+    assert core_seconds(os.getpid()) - before > 0.1
 
 
 def test_figures_of_this_process_can_be_read() -> None:
-    began = core_seconds(os.getpid())
+    before = core_seconds(os.getpid())
     sum(range(2_000_000))
-    assert core_seconds(os.getpid()) > began
+    assert core_seconds(os.getpid()) > before
     assert resident_megabytes(os.getpid()) > 5
 
 
 @pytest.mark.parametrize("routes", [0, MAX_ROUTES + 1])
-def test_a_controller_has_no_more_routes_than_request_classes(routes: int) -> None:
+def test_invalid_numbers_of_routes_are_rejected(routes: int) -> None:
     with pytest.raises(ValueError, match="routes"):
         controller_settings(["a"], routes, 2)
--- a/tests/scale/test_scale_report.py
+++ b/tests/scale/test_scale_report.py
@@ -1,4 +1,4 @@
-"""Measurements kept and read back; tables, JSON and plots of them; the command and its exit codes."""
+"""Measurement files; reports as tables, JSON and plots; the commands and their exit codes."""
 
 import json
 import subprocess
@@ -32,7 +32,7 @@
 
 
 def measured() -> list[Measurement]:
-    """A controller whose costs grow straight, one size left out, and a role of another dimension."""
+    """A controller whose costs grow linearly, a size that was left out, and a role of another dimension."""
     controller = [
         Measurement("nodes", size, "conductor", core_share=1e-4 + 2e-6 * size, resident_mb=30.0 + 0.01 * size)
         for size in SIZES
@@ -55,11 +55,11 @@
         max_size=5,
     )
 )
-def test_measurements_come_back_from_json_as_they_were(measurements):
+def test_measurements_are_unchanged_by_a_json_round_trip(measurements):
     assert from_json(to_json(measurements)) == measurements
 
 
-def test_measurements_come_back_from_a_file(tmp_path):
+def test_measurements_are_unchanged_by_a_file_round_trip(tmp_path):
     write_json(tmp_path / "m.json", measured())
     assert read_json(tmp_path / "m.json") == measured()
 
@@ -74,29 +74,35 @@
         ('[{"dimension": "nodes"}]', "item 0: size is missing, role is missing"),
         (
             '[{"dimension": "node", "size": 1, "role": "a"}]',
-            "item 0: dimension 'node' is none of conductors, ",
+            "item 0: dimension: 'node' is not one of conductors, ",
+        ),
+        (
+            '[{"dimension": "nodes", "size": 0, "role": "a"}]',
+            "item 0: size: 0 is not a finite number above 0",
+        ),
+        (
+            '[{"dimension": "nodes", "size": 1, "role": ""}]',
+            "item 0: role: expected a non-empty text, got ''",
         ),
-        ('[{"dimension": "nodes", "size": 0, "role": "a"}]', "item 0: size 0 is not a finite number above 0"),
-        ('[{"dimension": "nodes", "size": 1, "role": ""}]', "item 0: role '' is not a name"),
         (
             '[{"dimension": "nodes", "size": 1, "role": "a", "ready_s": NaN}]',
-            "item 0: ready_s nan is not a finite number of at least 0",
+            "item 0: ready_s: nan is not a finite number of at least 0",
         ),
         (
             '[{"dimension": "nodes", "size": 1, "role": "a", "left_out": ""}]',
-            "item 0: left_out '' does not say",
+            "item 0: left_out: expected a non-empty text with the reason, got ''",
         ),
     ],
 )
-def test_unreadable_measurements_are_refused_by_file_item_and_field(tmp_path, text, error):
+def test_invalid_measurements_are_reported_with_file_item_and_field(tmp_path, text, error):
     path = tmp_path / "m.json"
     path.write_text(text)
-    with pytest.raises(MeasurementError) as refused:
+    with pytest.raises(MeasurementError) as raised:
         read_json(path)
-    assert str(refused.value).startswith(f"{path}: {error}")
+    assert str(raised.value).startswith(f"{path}: {error}")
 
 
-def test_the_table_shows_what_was_measured_and_marks_what_is_over_budget():
+def test_the_table_shows_measured_costs_and_marks_those_over_budget():
     text = text_report(measured(), analyse(measured()), Budgets())
     tables = text.split("\n\n")
     assert len(tables) == 4
@@ -104,7 +110,7 @@
     assert tables[0].splitlines()[0].split() == [
         *("role", "nodes", "500", "1,500", "4,000", "9,000", "27,000", "50,000")
     ]
-    assert core.startswith("conductor  Quiet share of a core [core]  ")
+    assert core.startswith("conductor  Share of a core [core]  ")
     assert core.split()[-6:] == ["0.00110", "0.00310", "0.00810", "0.0181", "0.0541!", "-"]
     assert memory.split()[-6:] == ["35.0", "45.0", "70.0", "120", "300!", "-"]
     assert tables[0].splitlines()[3:] == ["left out: 50,000 nodes, conductor: needs 9 GiB of 8 GiB"]
@@ -123,23 +129,23 @@
     assert control.split()[-1] == "0.500"
 
 
-def test_the_slopes_tell_form_proof_and_what_is_missing():
+def test_the_slopes_show_form_proof_and_what_is_missing():
     _, endpoints, _, routes = text_report(measured(), analyse(measured()), Budgets()).split("\n\n")
-    (core,) = [line for line in endpoints.splitlines() if line.startswith("conductor  Quiet share")]
+    (core,) = [line for line in endpoints.splitlines() if line.startswith("conductor  Share of a core")]
     assert "a + b n " in core
     assert core.endswith("yes")
-    (control,) = [line for line in routes.splitlines() if line.startswith("control  Quiet share")]
+    (control,) = [line for line in routes.splitlines() if line.startswith("control  Share of a core")]
     assert control.endswith("1 sizes measured; a fit needs 4")
 
 
-def test_a_slope_that_fails_its_proof_is_said_so():
-    bent = [one if one.size < 27_000 else replace(one, core_share=0.5) for one in measured()]
-    slopes = text_report(bent, analyse(bent), Budgets()).split("\n\n")[1]
-    (core,) = [line for line in slopes.splitlines() if line.startswith("conductor  Quiet share")]
+def test_a_slope_that_fails_its_proof_is_marked():
+    nonlinear = [one if one.size < 27_000 else replace(one, core_share=0.5) for one in measured()]
+    slopes = text_report(nonlinear, analyse(nonlinear), Budgets()).split("\n\n")[1]
+    (core,) = [line for line in slopes.splitlines() if line.startswith("conductor  Share of a core")]
     assert core.endswith("89%  NOT PROVED (over 20%)")
 
 
-def test_nothing_measured_is_said_so():
+def test_the_report_states_that_nothing_was_measured():
     assert text_report([], [], Budgets()) == "Nothing was measured."
 
 
@@ -178,15 +184,15 @@
         assert path.read_bytes().startswith(b"\x89PNG")
 
 
-def test_a_run_prints_tables_and_keeps_json(tmp_path, monkeypatch, capsys):
-    asked = []
+def test_a_run_prints_tables_and_writes_json(tmp_path, monkeypatch, capsys):
+    calls = []
 
     class Runs:
         """Stands in for oatcart.scale.runs."""
 
         @staticmethod
         def measure(settings, quick, dimensions, progress):
-            asked.append((settings.seed, quick, dimensions))
+            calls.append((settings.seed, quick, dimensions))
             progress("nodes: 500")
             return measured()
 
@@ -194,7 +200,7 @@
     path = tmp_path / "out.json"
     arguments = ["run", str(ROOT / "deploy" / "scale.yaml"), "--quick", "--dimension", "nodes"]
     assert command.main([*arguments, "--json", str(path)]) == 0
-    assert asked == [(1, True, ["nodes"])]
+    assert calls == [(1, True, ["nodes"])]
     printed = capsys.readouterr()
     assert "27,000" in printed.out
     assert printed.err == "nodes: 500\n"
@@ -212,16 +218,16 @@
     monkeypatch.setitem(sys.modules, "oatcart.scale.runs", Runs)
     assert command.main(["run", str(ROOT / "deploy" / "scale.yaml"), "--quick"]) == 1
     printed = capsys.readouterr()
-    assert (printed.out, printed.err) == ("", "the run has failed: discovery has ended\n")
+    assert (printed.out, printed.err) == ("", "the run failed: discovery has ended\n")
 
 
-def test_a_place_for_json_that_is_not_there_is_told_before_the_run(tmp_path, capsys):
+def test_a_missing_folder_for_json_is_reported_before_the_run(tmp_path, capsys):
     path = tmp_path / "absent" / "out.json"
     assert command.main(["run", str(ROOT / "deploy" / "scale.yaml"), "--json", str(path)]) == 2
-    assert capsys.readouterr().err == f"{path}: there is no such folder\n"
+    assert capsys.readouterr().err == f"{path}: the folder does not exist\n"
 
 
-def test_an_unusable_file_ends_with_2_and_all_errors(tmp_path, capsys):
+def test_an_invalid_file_ends_with_2_and_all_errors(tmp_path, capsys):
     (tmp_path / "s.yaml").write_text("seed: x\nfleet:\n  zones: 3\n")
     assert command.main(["run", str(tmp_path / "s.yaml")]) == 2
     errors = capsys.readouterr().err.splitlines()
@@ -234,19 +240,19 @@
     assert "quick.sizes has no tenants; it has nodes" in capsys.readouterr().err
 
 
-def test_plan_summarises_the_fleet_and_its_day(tmp_path, capsys):
+def test_plan_prints_a_summary_of_the_fleet_and_its_day(tmp_path, capsys):
     (tmp_path / "s.yaml").write_text(
         "fleet:\n  nodes: 200\n  services: 20\n  zones: 4\n  regions: 2\n"
         "day:\n  failures: 3\n  restarts: 10\n  changes: 70\n"
     )
     assert command.main(["plan", str(tmp_path / "s.yaml")]) == 0
     printed = capsys.readouterr().out
-    assert "nodes: 200 in 20 services, 4 zones" in printed
+    assert "endpoints: 200 in 20 services, 4 zones" in printed
     assert "ConfigurationChanged: 70" in printed
     assert "NodeDraining: 10" in printed
 
 
-def test_a_day_without_room_ends_with_2(tmp_path, capsys):
+def test_a_day_that_does_not_fit_the_fleet_ends_with_2(tmp_path, capsys):
     (tmp_path / "s.yaml").write_text(
         "fleet:\n  nodes: 20\n  services: 6\n  zones: 2\n  regions: 2\n"
         "day:\n  failures: 0\n  restarts: 500\n  restart_for: 60m\n  rack_losses: 0\n"
@@ -255,7 +261,7 @@
     assert "day: 500 restarts find no room on 20 nodes" in capsys.readouterr().err
 
 
-def test_matplotlib_and_the_runs_are_loaded_only_when_asked_for():
+def test_matplotlib_and_runs_are_loaded_only_when_needed():
     code = (
         "import sys, oatcart.scale.__main__\n"
         "print([name for name in ('matplotlib', 'oatcart.scale.runs', 'oatcart.net') if name in sys.modules])"
--- a/tests/scale/test_scale_runs.py
+++ b/tests/scale/test_scale_runs.py
@@ -1,4 +1,4 @@
-"""Runs: what does not fit is left out and said so, an interrupt ends all children, small runs measure."""
+"""Small runs: measurements, sizes over a limit, and interrupts, which must end all child processes."""
 
 import os
 import signal
@@ -19,7 +19,7 @@
     DelaySummary,
     Observation,
     TrialSpecification,
-    measured,
+    measure_roles,
     play,
     play_beside,
     summarize_delays,
@@ -57,18 +57,18 @@
     assert found["hollow_conductor"].longest_round_s > 0
 
 
-def test_a_list_over_the_protocols_limit_is_left_out_and_the_module_is_measured(
+def test_a_list_over_the_protocols_limit_is_left_out_but_the_module_is_measured(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(trial_settings, "MAX_MESSAGE_BYTES", 1_000)
     found = by_role(measure(settings_with({"nodes": (50,)}), True, None, lambda line: None))
-    assert "list" in found["conductor"].left_out and "refused" in found["hollow_conductor"].left_out
+    assert "list" in found["conductor"].left_out and "rejected" in found["hollow_conductor"].left_out
     assert found["viewed_conductor"].left_out is None and found["control"].ready_core_s > 0
     assert found["module"].left_out is None and found["module"].core_share > 0
     assert found["module"].ready_bytes > 50 * 100
 
 
-def test_a_list_a_service_is_measured_beside_the_list_of_all() -> None:
+def test_one_list_per_service_is_measured_beside_one_list_of_all() -> None:
     found = by_role(measure(settings_with({"services": (200,)}), True, None, lambda line: None))
     assert found["hollow_conductor"].ready_bytes > 10 * found["hollow_conductor_of_service"].ready_bytes
     assert {"conductor", "conductor_of_service", "discovery", "discovery_of_service"} <= set(found)
@@ -80,55 +80,55 @@
     assert all("16 request classes" in one.left_out for one in found)
 
 
-def test_routes_are_also_measured_at_what_controllers_can_have() -> None:
+def test_routes_are_also_measured_at_sizes_that_controllers_can_have() -> None:
     run = RunSettings(sizes={"routes": (2_300, 4_600)})
     assert sizes_of(run, None) == {"routes": [1, 2, 4, 8, 12, 16, 2_300, 4_600]}
     assert sizes_of(run, ["nodes"]) == {}
 
 
 @pytest.mark.parametrize(
-    ("settings", "why"),
+    ("settings", "limit"),
     [
         (replace(SMALL, real=40), "processes"),
         (replace(SMALL, hollow=10_000_000), "descriptors"),
     ],
 )
-def test_what_is_over_a_limit_does_not_fit(settings: TrialSettings, why: str) -> None:
-    with pytest.raises(SizeLimitError, match=why):
+def test_a_trial_over_a_limit_is_rejected(settings: TrialSettings, limit: str) -> None:
+    with pytest.raises(SizeLimitError, match=limit):
         check_fits(settings, 1_000)
 
 
-def test_memory_over_the_limit_does_not_fit_and_ends_the_trial() -> None:
+def test_memory_over_the_limit_ends_the_trial() -> None:
     with pytest.raises(SizeLimitError, match="memory"):
         play(replace(SMALL, limits=LimitSettings(memory=20 << 20)), "nodes", 40)
 
 
-def test_hollow_controllers_in_a_full_process_are_left_out(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_hollow_controllers_in_an_overloaded_process_are_left_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("oatcart.scale.figures.MAX_LAG_S", -10.0)
     found = by_role(play(SMALL, "nodes", 40))
     assert "late" in found["hollow_conductor"].left_out and found["conductor"].left_out is None
 
 
-def test_delays_of_a_late_process_are_not_told(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_delays_of_a_process_that_fell_behind_are_not_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     with running(SMALL) as one:
         one.start()
         one.join_peers()
         before, after = one.read(), one.read()
-        found = by_role(measured(one, Observation(before, after), "nodes", 40))
+        found = by_role(measure_roles(one, Observation(before, after), "nodes", 40))
         assert found["hollow_conductor"].left_out is None
         make_changes([one], 2, 20.0)
-        monkeypatch.setattr(one.hollows, "figures", late(one.hollows.figures))
-        found = by_role(measured(one, Observation(before, after), "nodes", 40))
+        monkeypatch.setattr(one.hollows, "figures", lagging(one.hollows.figures))
+        found = by_role(measure_roles(one, Observation(before, after), "nodes", 40))
     assert found["hollow_conductor"].left_out is None and found["hollow_conductor"].change_last_s is None
     assert found["conductor"].change_last_s is not None
 
 
-def late(figures: Callable[[], HollowReading]) -> Callable[[], HollowReading]:
-    """The same readings, but a second late."""
+def lagging(figures: Callable[[], HollowReading]) -> Callable[[], HollowReading]:
+    """Returns a function with the same readings, but one second late."""
     return lambda: figures()._replace(late_s=1.0)
 
 
-def test_delays_are_summed_up() -> None:
+def test_delays_are_summarized() -> None:
     delays = summarize_delays([0.001 * number for number in range(1, 101)])
     assert delays.median_s == pytest.approx(0.050, rel=0.01) and delays.p99_s == pytest.approx(
         0.099, rel=0.01
@@ -163,7 +163,7 @@
     )
     with subprocess.Popen([sys.executable, "-c", program], stderr=subprocess.DEVNULL) as run:
         until = time.monotonic() + ENDED_WITHIN_S
-        while len(children_of(run.pid)) < 5:  # discovery, hollow ones, peers, two real ones
+        while len(children_of(run.pid)) < 5:  # discovery, hollow controllers, peers, two real controllers
             assert run.poll() is None and time.monotonic() < until, children_of(run.pid)
             time.sleep(0.05)
         children = children_of(run.pid)
@@ -173,7 +173,7 @@
 
 
 def test_an_interrupt_hidden_by_an_error_of_a_size_ends_the_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Failure: seen once as a run that was ended with SIGTERM in its last size and left with code 0."""
+    """A run that received SIGTERM during its last size once ended with exit code 0."""
 
     def hidden(self: runs.Runs, size: int) -> list[Measurement]:
         with suppress(Interrupted):
@@ -186,7 +186,7 @@
         measure(settings_with({"conductors": (3,)}), True, None, print)
 
 
-def test_sigterm_is_the_callers_again_after_a_run() -> None:
+def test_the_callers_sigterm_handler_is_restored_after_a_run() -> None:
     before = signal.getsignal(signal.SIGTERM)
     with pytest.raises(Interrupted), recorded_interrupts():
         os.kill(os.getpid(), signal.SIGTERM)
@@ -194,10 +194,10 @@
     assert signal.getsignal(signal.SIGTERM) is before
 
 
-def test_a_change_that_never_comes_leaves_its_trial_out_and_keeps_the_others(
+def test_a_change_that_never_arrives_leaves_out_only_its_trial(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    class Deaf(trial.Trial):
+    class DisconnectedTrial(trial.Trial):
         """A trial in which discovery is down while changes are made."""
 
         def make_change(self, entry: dict) -> None:
@@ -205,7 +205,11 @@
             super().make_change(entry)
 
     monkeypatch.setattr(trial, "LAST_CHANGE_WITHIN_S", 0.5)
-    deaf = TrialSpecification(replace(SMALL, hollow=1, real=0), Deaf, {"hollow_conductor": "deaf"})
-    found = by_role(play_beside([TrialSpecification(replace(SMALL, hollow=1, real=0)), deaf], "nodes", 40))
+    disconnected = TrialSpecification(
+        replace(SMALL, hollow=1, real=0), DisconnectedTrial, {"hollow_conductor": "disconnected"}
+    )
+    found = by_role(
+        play_beside([TrialSpecification(replace(SMALL, hollow=1, real=0)), disconnected], "nodes", 40)
+    )
     assert found["hollow_conductor"].left_out is None
-    assert "changes lack a conductor" in found["deaf"].left_out
+    assert "changes lack a conductor" in found["disconnected"].left_out
