--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -33,7 +33,7 @@
 from oatcart.scale.children import ChildError
 from oatcart.scale.configuration import RunSettings, Settings
 from oatcart.scale.configuration_file import read
-from oatcart.scale.figures import CONTROL_ROLE, REAL_ROLE, play
+from oatcart.scale.figures import CONTROL_ROLE, REAL_ROLE, run_trial
 from oatcart.scale.measurement import Measurement
 from oatcart.scale.real import NotReadyError
 from oatcart.scale.report import text_report
@@ -116,10 +116,10 @@
     workers = max(1, settings.limits.processes // PROCESSES_OF_JOB)
     with multiprocessing.get_context("spawn").Pool(workers) as pool:
         nodes = settings.fleet.nodes
-        viewed = pool.apply_async(play, (viewed_trial(settings, run), "nodes", nodes, ViewTrial))
+        viewed = pool.apply_async(run_trial, (viewed_trial(settings, run), "nodes", nodes, ViewTrial))
         agrees = pool.apply_async(hollow_agrees, (agreement_trial(settings, run),))
         complete_lists = {
-            size: pool.apply_async(play, (complete_list_trial(settings, run, size), "nodes", size))
+            size: pool.apply_async(run_trial, (complete_list_trial(settings, run, size), "nodes", size))
             for size in sorted(run.sizes["nodes"], reverse=True)
         }
         measured = {
--- a/oatcart/scale/agreement.py
+++ b/oatcart/scale/agreement.py
@@ -133,11 +133,11 @@
         yield within_tolerance(
             f"peers {field}", *(fmean(getattr(one, field) for one in some) for some in (hollow, real))
         )
-    held = trial.held_revisions()
+    revisions = trial.held_revisions()
     yield equal(
         "revision",
         *(
-            fmean(held[name][-1].revision for name in names)
+            fmean(revisions[name][-1].revision for name in names)
             for names in (trial.hollow_names, trial.real_names)
         ),
     )
@@ -215,24 +215,26 @@
     return ComparedFigure(name, differing, 0, differing == 0)
 
 
-def endpoints_in_tables(held: HeldTables) -> set[str]:
+def endpoints_in_tables(controller_tables: HeldTables) -> set[str]:
     """Returns all endpoints in the tables of a controller's proxies."""
-    return {endpoint for _, _, endpoint in table_entries(held)}
+    return {endpoint for _, _, endpoint in table_entries(controller_tables)}
 
 
-def table_entries(held: HeldTables) -> set[tuple[str, str, str]]:
+def table_entries(controller_tables: HeldTables) -> set[tuple[str, str, str]]:
     """Returns proxy, route and endpoint of each table entry that has a weight."""
     return {
         (proxy, route, endpoint)
-        for proxy, one in held.tables.items()
+        for proxy, one in controller_tables.tables.items()
         for route, table in one["weights"].items()
         for endpoint in table
     }
 
 
-def ejected_endpoints(held: HeldTables) -> set[tuple[str, str]]:
+def ejected_endpoints(controller_tables: HeldTables) -> set[tuple[str, str]]:
     """Returns proxy and endpoint of each endpoint that is ejected at a proxy."""
-    return {(proxy, endpoint) for proxy, one in held.tables.items() for endpoint in one["shut_out"]}
+    return {
+        (proxy, endpoint) for proxy, one in controller_tables.tables.items() for endpoint in one["shut_out"]
+    }
 
 
 def common_weight(one: Mapping[str, float], other: Mapping[str, float]) -> float:
--- a/oatcart/scale/figures.py
+++ b/oatcart/scale/figures.py
@@ -71,7 +71,7 @@
     messages_out_s: float
 
 
-def play(
+def run_trial(
     settings: TrialSettings, dimension: str, size: float, trial_class: type[Trial] = Trial
 ) -> list[Measurement]:
     """Runs one trial and returns its measurements; raises SizeLimitError, NotReadyError or ChildError."""
@@ -83,7 +83,7 @@
         return measure_roles(trial, observed, dimension, size)
 
 
-def play_beside(
+def run_trials(
     specifications: Sequence[TrialSpecification], dimension: str, size: float
 ) -> list[Measurement]:
     """Runs several trials at the same time and returns their measurements; the times are those of the first.
@@ -92,15 +92,15 @@
     Raises ChildError.
     """
     found: list[Measurement] = []
-    made: list[tuple[TrialSpecification, Trial]] = []
+    created: list[tuple[TrialSpecification, Trial]] = []
     started: list[tuple[TrialSpecification, Trial]] = []
     with ExitStack() as processes:
         for one in specifications:
             try:
-                made.append((one, processes.enter_context(running(one.settings, one.trial_class))))
+                created.append((one, processes.enter_context(running(one.settings, one.trial_class))))
             except SizeLimitError as error:
                 found += left_out_measurements(one, dimension, size, str(error))
-        for one, trial in made:  # by now all processes have been launched
+        for one, trial in created:  # by now all processes have been launched
             try:
                 trial.start()
                 trial.join_peers()
--- a/oatcart/scale/runs.py
+++ b/oatcart/scale/runs.py
@@ -39,7 +39,7 @@
     HOLLOW_ROLE,
     REAL_ROLE,
     TrialSpecification,
-    play_beside,
+    run_trials,
 )
 from oatcart.scale.fleet import plan_fleet
 from oatcart.scale.interrupts import recorded_interrupts
@@ -114,8 +114,8 @@
         trial = replace(self.base, fleet=fleet, hollow=size, real=real)
         trial_with_views = replace(trial, fleet=self._fleet_with(VIEWS_ENDPOINTS, size))
         if self.quick:  # more controllers raise the costs of the control role only
-            return play_beside([with_views(trial_with_views)], "conductors", size)
-        return play_beside([TrialSpecification(trial), with_views(trial_with_views)], "conductors", size)
+            return run_trials([with_views(trial_with_views)], "conductors", size)
+        return run_trials([TrialSpecification(trial), with_views(trial_with_views)], "conductors", size)
 
     def nodes(self, size: int) -> list[Measurement]:
         """Measures one list of `size` endpoints, views of that list, and the decision module alone."""
@@ -127,7 +127,7 @@
         )
         hollow = HOLLOW_WITH_VIEWS_QUICK if self.quick else HOLLOW_WITH_VIEWS
         trial_with_views = replace(trial, fleet=self._fleet_with(size, hollow), hollow=hollow)
-        found = play_beside([TrialSpecification(trial), with_views(trial_with_views)], "nodes", size)
+        found = run_trials([TrialSpecification(trial), with_views(trial_with_views)], "nodes", size)
         if self.quick and not any(one.left_out for one in found):
             return found  # its controllers show the module's costs
         return [*found, self._module(size, trial)]
@@ -142,22 +142,22 @@
         trial = replace(self.base, fleet=fleet, real=REAL_WITH_LARGE_LIST)
         one_list = TrialSpecification(replace(trial, hollow=HOLLOW_WITH_LARGE_LIST))
         lists = TrialSpecification(replace(trial, lists_by_service=True), role_names=ROLES_OF_SERVICE)
-        return play_beside([one_list, lists], "services", size)
+        return run_trials([one_list, lists], "services", size)
 
     def routes(self, size: int) -> list[Measurement]:
         """Measures controllers with `size` request classes."""
         if size > MAX_ROUTES:
             reason = f"a controller has at most {MAX_ROUTES} request classes"
             return [Measurement("routes", size, role, left_out=reason) for role in (REAL_ROLE, HOLLOW_ROLE)]
-        return self._play("routes", size, replace(self.base, routes=size))
+        return self._run_trial("routes", size, replace(self.base, routes=size))
 
     def tenants(self, size: int) -> list[Measurement]:
         """Measures real controllers with `size` tenants in their settings."""
-        return self._play("tenants", size, replace(self.base, hollow=0, tenants=size))
+        return self._run_trial("tenants", size, replace(self.base, hollow=0, tenants=size))
 
     def proxies(self, size: int) -> list[Measurement]:
         """Measures controllers with `size` proxies each."""
-        return self._play("proxies", size, replace(self.base, proxies=size))
+        return self._run_trial("proxies", size, replace(self.base, proxies=size))
 
     def changes(self, size: int) -> list[Measurement]:
         """Measures `size` changes a day, made throughout the measured span."""
@@ -168,13 +168,13 @@
             changes_per_s=changes_per_s,
             measure_under_changes=True,
         )
-        return self._play("changes", size, trial)
+        return self._run_trial("changes", size, trial)
 
     def _fleet_with(self, endpoints: int, controllers: int) -> FleetSettings:
         return replace(self.settings.fleet.scaled_to(endpoints), conductors=controllers)
 
-    def _play(self, dimension: str, size: float, trial: TrialSettings) -> list[Measurement]:
-        return play_beside([TrialSpecification(trial)], dimension, size)
+    def _run_trial(self, dimension: str, size: float, trial: TrialSettings) -> list[Measurement]:
+        return run_trials([TrialSpecification(trial)], dimension, size)
 
     def _module(self, size: int, trial: TrialSettings) -> Measurement:
         """Measures the decision module alone, in virtual time."""
--- a/tests/scale/test_scale_runs.py
+++ b/tests/scale/test_scale_runs.py
@@ -20,8 +20,8 @@
     Observation,
     TrialSpecification,
     measure_roles,
-    play,
-    play_beside,
+    run_trial,
+    run_trials,
     summarize_delays,
 )
 from oatcart.scale.hollow import HollowReading
@@ -47,7 +47,7 @@
 
 
 def test_a_trial_measures_every_role() -> None:
-    found = by_role(play(SMALL, "nodes", 40))
+    found = by_role(run_trial(SMALL, "nodes", 40))
     assert set(found) == {"discovery", "conductor", "hollow_conductor"}
     assert all(one.left_out is None and one.core_share > 0 and one.resident_mb > 0 for one in found.values())
     for one in found["conductor"], found["hollow_conductor"]:
@@ -100,12 +100,12 @@
 
 def test_memory_over_the_limit_ends_the_trial() -> None:
     with pytest.raises(SizeLimitError, match="memory"):
-        play(replace(SMALL, limits=LimitSettings(memory=20 << 20)), "nodes", 40)
+        run_trial(replace(SMALL, limits=LimitSettings(memory=20 << 20)), "nodes", 40)
 
 
 def test_hollow_controllers_in_an_overloaded_process_are_left_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("oatcart.scale.figures.MAX_LAG_S", -10.0)
-    found = by_role(play(SMALL, "nodes", 40))
+    found = by_role(run_trial(SMALL, "nodes", 40))
     assert "late" in found["hollow_conductor"].left_out and found["conductor"].left_out is None
 
 
@@ -209,7 +209,7 @@
         replace(SMALL, hollow=1, real=0), DisconnectedTrial, {"hollow_conductor": "disconnected"}
     )
     found = by_role(
-        play_beside([TrialSpecification(replace(SMALL, hollow=1, real=0)), disconnected], "nodes", 40)
+        run_trials([TrialSpecification(replace(SMALL, hollow=1, real=0)), disconnected], "nodes", 40)
     )
     assert found["hollow_conductor"].left_out is None
     assert "changes lack a conductor" in found["disconnected"].left_out
--- a/tests/scale/test_scale_slopes.py
+++ b/tests/scale/test_scale_slopes.py
@@ -36,9 +36,9 @@
 
 @pytest.mark.parametrize("form", COSTS)
 def test_the_form_of_an_exact_cost_is_found_and_proved(form):
-    made = points(COSTS[form])
-    assert fit(made).form is form
-    proof = prove(made)
+    data = points(COSTS[form])
+    assert fit(data).form is form
+    proof = prove(data)
     assert proof.slope.form is form
     assert (proof.size, proof.is_proved) == (27_000, True)
     assert proof.predicted == pytest.approx(COSTS[form](27_000))
@@ -48,14 +48,14 @@
 def test_with_one_percent_noise_predictions_are_within_five_percent(form):
     noise = random.Random(1)
     for _ in range(50):
-        made = points(lambda size: COSTS[form](size) * noise.gauss(1.0, 0.01))
-        assert prove(made).relative_error < 0.05
+        data = points(lambda size: COSTS[form](size) * noise.gauss(1.0, 0.01))
+        assert prove(data).relative_error < 0.05
 
 
 def test_true_coefficients_are_within_four_standard_errors():
     noise = random.Random(2)
-    made = [Point(size, 1.0 + 0.01 * size + noise.gauss(0.0, 2.0)) for size in range(500, 27_000, 100)]
-    slope = fit(made)
+    data = [Point(size, 1.0 + 0.01 * size + noise.gauss(0.0, 2.0)) for size in range(500, 27_000, 100)]
+    slope = fit(data)
     assert slope.form is Form.LINEAR
     assert slope.growth is not None
     assert abs(slope.growth.value - 0.01) < 4 * slope.growth.standard_error < 0.001
@@ -75,12 +75,12 @@
 
 
 def test_the_leave_out_residual_equals_refitting_without_each_point():
-    made = [Point(1, 1.0), Point(2, 3.5), Point(3, 4.0), Point(4, 9.0), Point(5, 8.0), Point(6, 12.0)]
-    slope = fit(made)
+    data = [Point(1, 1.0), Point(2, 3.5), Point(3, 4.0), Point(4, 9.0), Point(5, 8.0), Point(6, 12.0)]
+    slope = fit(data)
     assert slope.form is Form.LINEAR
     errors = []
-    for point in made:
-        others = [one for one in made if one != point]
+    for point in data:
+        others = [one for one in data if one != point]
         mean_size = sum(one.size for one in others) / 5
         mean_cost = sum(one.cost for one in others) / 5
         growth = sum((one.size - mean_size) * (one.cost - mean_cost) for one in others) / sum(
@@ -91,20 +91,20 @@
 
 
 def test_the_product_form_of_two_dimensions_is_found():
-    made = [Point(size, 2.0 + 0.1 * size * other, other) for size in SIZES for other in (1, 2, 5)]
-    slope = fit(made)
+    data = [Point(size, 2.0 + 0.1 * size * other, other) for size in SIZES for other in (1, 2, 5)]
+    slope = fit(data)
     assert slope.form is Form.PRODUCT
     assert slope.predict(100, 3) == pytest.approx(32.0)
 
 
 def test_a_second_dimension_without_influence_gets_no_term():
-    made = [Point(size, 2.0 + 0.1 * size, other) for size in SIZES for other in (1, 2, 5)]
-    assert fit(made).form is Form.LINEAR
+    data = [Point(size, 2.0 + 0.1 * size, other) for size in SIZES for other in (1, 2, 5)]
+    assert fit(data).form is Form.LINEAR
 
 
 def test_a_cost_with_another_growth_at_the_largest_size_is_not_proved():
-    made = [*points(COSTS[Form.LINEAR], SIZES[:-1]), Point(27_000, 400.0)]
-    proof = prove(made)
+    data = [*points(COSTS[Form.LINEAR], SIZES[:-1]), Point(27_000, 400.0)]
+    proof = prove(data)
     assert proof.measured == 400.0
     assert proof.relative_error == pytest.approx(129.0 / 400.0)
     assert not proof.is_proved
@@ -112,8 +112,8 @@
 
 @pytest.mark.parametrize(("largest", "is_proved"), [(226.0, True), (225.0, False)])
 def test_a_relative_error_of_a_fifth_is_the_largest_that_is_proved(largest, is_proved):
-    made = [*points(COSTS[Form.LINEAR], SIZES[:-1]), Point(27_000, largest)]  # predicted: 271
-    assert prove(made).is_proved is is_proved
+    data = [*points(COSTS[Form.LINEAR], SIZES[:-1]), Point(27_000, largest)]  # predicted: 271
+    assert prove(data).is_proved is is_proved
 
 
 def test_the_largest_size_is_not_used_for_the_fit_of_its_proof():
@@ -123,8 +123,8 @@
 
 
 def test_the_median_of_repeats_of_the_largest_size_is_used():
-    made = [*points(COSTS[Form.LINEAR]), Point(27_000, 1e9), Point(27_000, 270.0)]
-    assert prove(made).measured == pytest.approx(271.0)
+    data = [*points(COSTS[Form.LINEAR]), Point(27_000, 1e9), Point(27_000, 270.0)]
+    assert prove(data).measured == pytest.approx(271.0)
 
 
 def test_costs_of_zero_are_constant_and_proved():
@@ -134,8 +134,8 @@
 
 
 def test_a_cost_predicted_where_zero_is_measured_has_a_relative_error_of_one():
-    made = [*points(COSTS[Form.LINEAR], SIZES[:-1]), Point(27_000, 0.0)]
-    assert (prove(made).relative_error, prove(made).is_proved) == (1.0, False)
+    data = [*points(COSTS[Form.LINEAR], SIZES[:-1]), Point(27_000, 0.0)]
+    assert (prove(data).relative_error, prove(data).is_proved) == (1.0, False)
 
 
 @pytest.mark.parametrize("count", [0, 1, 3])
@@ -145,10 +145,10 @@
 
 
 def test_too_few_sizes_for_a_proof_are_rejected_and_repeats_do_not_count():
-    made = points(COSTS[Form.LINEAR], SIZES[:4]) * 3
-    assert fit(made).form is Form.LINEAR
+    data = points(COSTS[Form.LINEAR], SIZES[:4]) * 3
+    assert fit(data).form is Form.LINEAR
     with pytest.raises(TooFewSizesError, match="4 sizes measured; a proof needs 5"):
-        prove(made)
+        prove(data)
 
 
 @pytest.mark.parametrize("invalid", [Point(0, 1.0), Point(-1, 1.0), Point(5, math.nan), Point(math.inf, 1.0)])
@@ -168,10 +168,10 @@
 )
 def test_the_unit_of_a_cost_changes_neither_form_nor_relative_error(costs, factor):
     """The factors are powers of two, which cause no rounding, so that ties between forms remain ties."""
-    made = [Point(size, cost) for size, cost in zip(SIZES, costs, strict=True)]
-    scaled = [Point(point.size, point.cost * factor) for point in made]
-    assert fit(made).form is fit(scaled).form
-    assert prove(made).relative_error == prove(scaled).relative_error
+    data = [Point(size, cost) for size, cost in zip(SIZES, costs, strict=True)]
+    scaled = [Point(point.size, point.cost * factor) for point in data]
+    assert fit(data).form is fit(scaled).form
+    assert prove(data).relative_error == prove(scaled).relative_error
 
 
 @given(st.floats(0.0, 1e9), st.floats(0.0, 1e9))
--- a/tests/scale/test_scale_views.py
+++ b/tests/scale/test_scale_views.py
@@ -8,7 +8,7 @@
 
 from oatcart.scale.children import ChildError
 from oatcart.scale.configuration import FleetSettings, ViewSettings
-from oatcart.scale.figures import play
+from oatcart.scale.figures import run_trial
 from oatcart.scale.fleet import plan_fleet
 from oatcart.scale.ports import free_ports
 from oatcart.scale.real import NotReadyError
@@ -41,7 +41,7 @@
 
 
 def test_every_role_behind_the_control_role_is_measured() -> None:
-    found = {one.role: one for one in play(SMALL, "nodes", ENDPOINTS, ViewTrial)}
+    found = {one.role: one for one in run_trial(SMALL, "nodes", ENDPOINTS, ViewTrial)}
     assert set(found) == {"discovery", "conductor", "hollow_conductor", "control"}
     assert all(one.left_out is None and one.core_share >= 0 for one in found.values())
     assert found["conductor"].core_share > 0 and found["hollow_conductor"].core_share > 0
