--- a/oatcart/trace/timeline.py
+++ b/oatcart/trace/timeline.py
@@ -1,4 +1,4 @@
-"""Lists the events of one request, idempotency key or endpoint, a line each."""
+"""Lists the events of one request, idempotency key or endpoint, one per line."""
 
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
@@ -11,14 +11,14 @@
 
 
 class Subject(NamedTuple):
-    """Whose events are listed; empty fields name nobody."""
+    """What to list the events of; empty fields match nothing."""
 
     key: bytes = b""  # an idempotency key
     request: tuple[str, int] | None = None  # proxy and number
     endpoint: str = ""
 
     def includes(self, fields: dict) -> bool:
-        """Whether a request or attempt of these fields is the subject's."""
+        """Return whether a request or attempt with these fields matches the subject."""
         return bool(
             self.key
             and fields["key"] == self.key
@@ -30,7 +30,7 @@
 
 
 def timeline(records: Iterable[Record], subject: Subject) -> list[str]:
-    """The lines of a subject. Two attempts are two lines, and two requests with one key are two requests."""
+    """Return the lines of a subject, one per request and attempt, also for requests that share a key."""
     lines: list[str] = []
     names: dict[int, str] = {}  # by endpoint
     states = EndpointStates()
@@ -40,34 +40,34 @@
             names[fields["number"]] = fields["name"]
         elif kind in (RecordKind.REQUEST, RecordKind.ATTEMPT):
             if subject.includes(fields):
-                what = _attempt(fields) if kind == RecordKind.ATTEMPT else _request(fields)
-                lines.append(f"{_time(fields)} {what}{_witnesses(fields)}")
+                text = _format_attempt(fields) if kind == RecordKind.ATTEMPT else _format_request(fields)
+                lines.append(f"{_format_time(fields)} {text}{_format_witnesses(fields)}")
         elif kind == RecordKind.ROUND and subject.endpoint:
-            who = f"{_time(fields)} {fields.get('instance', 'round')} {fields['number']}"
-            for what in _decisions_about(subject.endpoint, record, names, states):
-                lines.append(f"{who}: {what}{_witnesses(fields)}")
-        if fields.get("certain") == 0 and lines and lines[-1].startswith(_time(fields)):
+            source = f"{_format_time(fields)} {fields.get('instance', 'round')} {fields['number']}"
+            for text in _decisions_about(subject.endpoint, record, names, states):
+                lines.append(f"{source}: {text}{_format_witnesses(fields)}")
+        if fields.get("certain") == 0 and lines and lines[-1].startswith(_format_time(fields)):
             lines[-1] += UNCERTAIN
     return lines
 
 
-def _time(fields: dict) -> str:
+def _format_time(fields: dict) -> str:
     bound = f" ±{fields['bound']:.6f}" if "bound" in fields else ""
     return f"{fields['at']:.6f}{bound}"
 
 
-def _witnesses(fields: dict) -> str:
+def _format_witnesses(fields: dict) -> str:
     return f" seen by {', '.join(fields['witnesses'])}" if fields.get("witnesses") else ""
 
 
-def _attempt(fields: dict) -> str:
+def _format_attempt(fields: dict) -> str:
     return (
         f"{fields['proxy']}:{fields['id']} {fields['kind']} try {fields['number']} at {fields['node']} "
         f"ended {fields['ending']} after {fields['took'] * 1000:.3f} ms"
     )
 
 
-def _request(fields: dict) -> str:
+def _format_request(fields: dict) -> str:
     return (
         f"{fields['proxy']}:{fields['id']} {fields['kind']} {fields['outcome']} "
         f"by {fields['node'] or 'no node'}, {fields['tries']} tries, {fields['took'] * 1000:.3f} ms"
@@ -77,9 +77,9 @@
 def _decisions_about(
     endpoint: str, round_record: Record, names: dict[int, str], states: EndpointStates
 ) -> Iterator[str]:
-    """The decisions of a round about one endpoint."""
-    taken = decisions(round_record, states)
-    for command, (_, reason) in zip(round_record.fields["orders"], taken, strict=True):
+    """Return the text of each decision of a round about one endpoint."""
+    round_decisions = decisions(round_record, states)
+    for command, (_, reason) in zip(round_record.fields["orders"], round_decisions, strict=True):
         match command:
             case (CommandName.SET_WEIGHT, table, number, weight) if names.get(number) == endpoint:
                 yield f"{endpoint} weight {weight:g} in table {table} ({reason})"
