--- a/oatcart/scale/agreement.py
+++ b/oatcart/scale/agreement.py
@@ -70,7 +70,7 @@
 def compare(settings: TrialSettings, failing_count: int = 1) -> Agreement:
     """Runs one trial with equally many hollow and real controllers and `failing_count` failing endpoints.
 
-    Raises ValueError if the numbers of hollow and real controllers differ.
+    Raises ValueError unless both numbers are equal and above 0.
     """
     if not settings.hollow == settings.real > 0:
         raise ValueError(
--- a/oatcart/scale/runs.py
+++ b/oatcart/scale/runs.py
@@ -129,7 +129,7 @@
         trial_with_views = replace(trial, fleet=self._fleet_with(size, hollow), hollow=hollow)
         found = run_trials([TrialSpecification(trial), with_views(trial_with_views)], "nodes", size)
         if self.quick and not any(one.left_out for one in found):
-            return found  # its controllers show the module's costs
+            return found  # the costs of its controllers include those of the module
         return [*found, self._module(size, trial)]
 
     def services(self, size: int) -> list[Measurement]:
