--- a/oatcart/scale/day_loads.py
+++ b/oatcart/scale/day_loads.py
@@ -7,7 +7,7 @@
 
 from oatcart.scale.day_schedule import ChangeKind
 from oatcart.scale.day_trial import DayPlayer, Sample
-from oatcart.scale.figures import CONTROL_ROLE, HOLLOW_ROLE, REAL_ROLE, summed
+from oatcart.scale.figures import CONTROL_ROLE, HOLLOW_ROLE, REAL_ROLE, total_traffic
 from oatcart.scale.trial import POLL_INTERVAL_S, Reading
 
 
@@ -91,7 +91,7 @@
 def controller_rates(then: Sample, now: Sample, names: Sequence[str], core_s: float) -> Rates:
     """Returns the mean load of the named controllers, which took `core_s` core seconds in all."""
     shared = (now.at - then.at) * len(names)
-    traffic = summed(*({name: one.clients[name] for name in names} for one in (then, now)))
+    traffic = total_traffic(*({name: one.clients[name] for name in names} for one in (then, now)))
     return Rates(
         core_s / shared,
         traffic.bytes_in / shared,
@@ -104,7 +104,7 @@
 def control_rates(then: Sample, now: Sample) -> Rates:
     """Returns the load of the control role, whose traffic is that with discovery and all controllers."""
     span_s = now.at - then.at
-    served, watched = summed(then.clients, now.clients), summed(then.source, now.source)
+    served, watched = total_traffic(then.clients, now.clients), total_traffic(then.source, now.source)
     return Rates(
         (now.control_core_s - then.control_core_s) / span_s,
         (served.bytes_out + watched.bytes_in) / span_s,
