--- a/oatcart/scale/day_report.py
+++ b/oatcart/scale/day_report.py
@@ -6,7 +6,7 @@
 from oatcart.scale.day import DayResult
 from oatcart.scale.day_deliveries import DeliveryStats
 from oatcart.scale.day_loads import Rates
-from oatcart.scale.figures import summarised
+from oatcart.scale.figures import summarize_delays
 from oatcart.scale.report import NOT_MEASURED, OVER_BUDGET, align, number_text
 
 COMPLAINTS_SHOWN = 20
@@ -86,7 +86,7 @@
             one.cut_off,
             len(one.missed),
         )
-        pairs, last = summarised(one.delays), summarised(one.last_delays)
+        pairs, last = summarize_delays(one.delays), summarize_delays(one.last_delays)
         times = [NOT_MEASURED] * 4
         if pairs and last:
             times = [number_text(figure) for figure in (*last, pairs.median_s)]
@@ -157,7 +157,7 @@
 
 
 def _kind_object(one: DeliveryStats) -> dict[str, object]:
-    delays, last = summarised(one.delays), summarised(one.last_delays)
+    delays, last = summarize_delays(one.delays), summarize_delays(one.last_delays)
     return {
         "revisions": one.revisions,
         "nodes": one.endpoints,
--- a/tests/scale/test_scale_day.py
+++ b/tests/scale/test_scale_day.py
@@ -36,7 +36,7 @@
 )
 from oatcart.scale.fleet import plan_fleet
 from oatcart.scale.hollow import ControllerTables
-from oatcart.scale.interrupts import noted_interrupts
+from oatcart.scale.interrupts import recorded_interrupts
 from oatcart.views.records import Controller
 
 ENDPOINTS = 60
@@ -364,7 +364,7 @@
 
 
 def test_an_interrupt_that_was_suppressed_is_raised_again() -> None:
-    with pytest.raises(Interrupted), noted_interrupts() as interrupts:
+    with pytest.raises(Interrupted), recorded_interrupts() as interrupts:
         with suppress(Interrupted):
             os.kill(os.getpid(), signal.SIGINT)
             time.sleep(1.0)
@@ -378,7 +378,7 @@
     file = tmp_path / "scale.yaml"
     file.write_text("day: {zone_losses: 20}\n")  # the quick fleet has fewer zones
     assert main(["day", str(file), "--quick", "--json", str(tmp_path / "no" / "x.json")]) == 2
-    assert "no such folder" in capsys.readouterr().err
+    assert "the folder does not exist" in capsys.readouterr().err
     assert main(["day", str(file), "--quick"]) == 2
     assert "zone loss" in capsys.readouterr().err
 
