--- a/oatcart/model.py
+++ b/oatcart/model.py
@@ -111,9 +111,8 @@
     warm_up: WarmUpLimits
     report_period: float  # s between two load reports from a collector
     admission_mode: AdmissionMode
-    cross_zone_price: (
-        float  # from 0 to 1: part of the value of all requests that is lost if each crosses zones
-    )
+    # from 0 to 1: part of the value of all requests that is lost if each crosses zones
+    cross_zone_price: float
     health_checks_allowed: bool
     drain_deadline: float = inf  # s from an endpoint's listing as DRAINING to the last request sent to it
     expected_proxies: float = 0.0  # number of proxies that usually join this controller
--- a/oatcart/proxy/admission.py
+++ b/oatcart/proxy/admission.py
@@ -18,9 +18,8 @@
 class Rejection(NamedTuple):
     """Answer to a request that is not admitted."""
 
-    status: (
-        HTTPStatus  # 503 where a share is admitted, as that is a sign of load; 429 where a rate is exceeded
-    )
+    # 503 where a share is admitted, as that is a sign of load; 429 where a rate is exceeded
+    status: HTTPStatus
     retry_after: int  # whole seconds, as in the header
 
 
