--- a/tests/net/test_socket_wire_bytes.py
+++ b/tests/net/test_socket_wire_bytes.py
@@ -3,7 +3,7 @@
 from contextlib import suppress
 
 import pytest
-import scenario_harness as sockets
+import scenario_harness as scenarios
 
 from oatcart.events import (
     EndpointEntry,
@@ -20,13 +20,13 @@
 from oatcart.net.codec import Codec
 from oatcart.routing_tables import UpdatePart
 
-LIST = (
+KNOWN_LIST = (
     'known_list revision=41 complete=true members=[["s-1f","a","SERVING",0],["s-2e","a","SERVING",0],'
     '["s-3d","b","SERVING",0]]'
 )
 
 
-class Stage(sockets.ScenarioHarness):
+class RecordingHarness(scenarios.ScenarioHarness):
     """The stage of the socket scenarios, which also keeps the events that the decisions get."""
 
     def __init__(self, settings):
@@ -35,9 +35,9 @@
 
     def decide(self, now, events, commands):
         """Keeps the events."""
-        kept = list(events)
-        self.events += kept
-        super().decide(now, kept, commands)
+        recorded = list(events)
+        self.events += recorded
+        super().decide(now, recorded, commands)
 
     def events_after(self, send, data):
         """Sends bytes and returns the events that follow."""
@@ -48,60 +48,60 @@
 
 
 @pytest.fixture
-def stage():
+def harness():
     """A stage with three endpoints known."""
-    one = Stage({})
-    one.play(LIST)
-    yield one
-    one.close()
+    new_harness = RecordingHarness({})
+    new_harness.play(KNOWN_LIST)
+    yield new_harness
+    new_harness.close()
 
 
-def sent_to(stage, end, size):
+def sent_to(harness, connection, size):
     """Returns the bytes that the controller sent to a connection, at least `size` of them."""
     found = bytearray()
 
     def read():
         with suppress(BlockingIOError):
-            found.extend(stage.connections[end].recv(65536))
+            found.extend(harness.connections[connection].recv(65536))
         return len(found) >= size
 
-    stage.wait_until(read, f"{size} bytes to {end}, {bytes(found)}")
-    stage.settle()
+    harness.wait_until(read, f"{size} bytes to {connection}, {bytes(found)}")
+    harness.settle()
     read()
     return bytes(found)
 
 
-def request_head(stage, command):
+def request_head(harness, command):
     """Returns the bytes of the request that a command makes at discovery or at an endpoint."""
-    stage.play(f"command {command}")
+    harness.play(f"command {command}")
     found = bytearray()
 
     def read():
-        if not stage.requests:
+        if not harness.requests:
             try:
-                stage.requests.append(stage.discovery_server.accept()[0])
-                stage.requests[0].setblocking(False)
+                harness.requests.append(harness.discovery_server.accept()[0])
+                harness.requests[0].setblocking(False)
             except BlockingIOError:
                 return False
         with suppress(BlockingIOError):
-            found.extend(stage.requests[0].recv(65536))
+            found.extend(harness.requests[0].recv(65536))
         return found.endswith(b"\r\n\r\n")
 
-    stage.wait_until(read, command)
+    harness.wait_until(read, command)
     return bytes(found)
 
 
-def answer(stage, head, body):
+def respond(harness, head, body):
     """Answers the open call."""
-    stage.requests[0].sendall(head + b"Content-Length: %d\r\n\r\n" % len(body) + body)
+    harness.requests[0].sendall(head + b"Content-Length: %d\r\n\r\n" % len(body) + body)
 
 
-def join(stage, end, standing):
-    stage.play(f"connect {end}")
-    stage.connections[end].sendall(
-        b'{"msg":"joined","sidecar":5,"az":"b","share":6.5,"standing":%s}\n' % standing
+def join(harness, connection, unconfigured):
+    harness.play(f"connect {connection}")
+    harness.connections[connection].sendall(
+        b'{"msg":"joined","sidecar":5,"az":"b","share":6.5,"standing":%s}\n' % unconfigured
     )
-    stage.settle()
+    harness.settle()
 
 
 def test_an_update_has_all_its_fields_in_this_order():
@@ -127,9 +127,9 @@
     )
 
 
-def test_updates_on_a_stream_are_these_bytes(stage):
+def test_updates_on_a_stream_are_these_bytes(harness):
     """A proxy that was configured before gets two tables, then changes of each kind."""
-    join(stage, "p", b"false")
+    join(harness, "p", b"false")
     for command in (
         "set_weight 0 0 20.5",
         "set_weight 0 1 30",
@@ -141,7 +141,7 @@
         "assign_table 1 5 2",
         "request_ack 65535 false",
     ):
-        stage.play(f"command {command}")
+        harness.play(f"command {command}")
     expected = (
         b'{"msg":"update","routes":["lookup"],"full":true,"endpoints":[["s-1f",20.5],["s-2e",30]],'
         b'"eject":["s-2e"],"restore":["s-1f","s-3d"],"continued":true}\n'
@@ -149,7 +149,7 @@
         b'{"msg":"update","routes":["order"],"full":true,"endpoints":[["s-3d",100]],"continued":true}\n'
         b'{"msg":"update","routes":["order"],"admit":1000000.0,"policy":1,"nonce_out":65535}\n'
     )
-    assert sent_to(stage, "p", len(expected)) == expected
+    assert sent_to(harness, "p", len(expected)) == expected
     for command in (
         "set_weight 0 0 0",
         "set_ejected 1 false",
@@ -157,62 +157,65 @@
         "set_admission 65535 3 0.125 0",
         "request_ack 0 true",
     ):
-        stage.play(f"command {command}")
+        harness.play(f"command {command}")
     expected = (
         b'{"msg":"update","routes":["lookup"],"endpoints":[["s-1f",0]],"eject":["s-3d"],"restore":["s-2e"],'
         b'"continued":true}\n'
         b'{"msg":"update","routes":["lookup"],"admit":0.125,"policy":3,"continued":true}\n'
         b'{"msg":"update","routes":["order"],"admit":0.125,"policy":1,"nonce_out":0}\n'
     )
-    assert sent_to(stage, "p", len(expected)) == expected
+    assert sent_to(harness, "p", len(expected)) == expected
 
 
-def test_a_ping_is_answered_with_these_bytes(stage):
-    join(stage, "p", b"true")
-    stage.connections["p"].sendall(b'{"msg":"ping"}\n')
-    assert sent_to(stage, "p", 15) == b'{"msg":"pong"}\n'
+def test_a_ping_is_answered_with_these_bytes(harness):
+    join(harness, "p", b"true")
+    harness.connections["p"].sendall(b'{"msg":"ping"}\n')
+    assert sent_to(harness, "p", 15) == b'{"msg":"pong"}\n'
 
 
-def test_a_watch_is_requested_with_these_bytes(stage):
+def test_a_watch_is_requested_with_these_bytes(harness):
     """First without a wait, then with the time that news may take."""
-    host = "{}:{}".format(*stage.discovery_server.getsockname()).encode()
+    host = "{}:{}".format(*harness.discovery_server.getsockname()).encode()
     head = b"GET /v1/servers?since=41&timeout_ms=%d HTTP/1.1\r\nHost: %s\r\n\r\n"
-    assert request_head(stage, "watch_endpoints true") == head % (0, host)
-    answer(stage, b"HTTP/1.1 200 OK\r\n", b'{"revision":41,"complete":false,"members":[]}')
-    assert request_head(stage, "log x") == head % (5000, host)
+    assert request_head(harness, "watch_endpoints true") == head % (0, host)
+    respond(harness, b"HTTP/1.1 200 OK\r\n", b'{"revision":41,"complete":false,"members":[]}')
+    assert request_head(harness, "log x") == head % (5000, host)
 
 
-def test_the_complete_list_is_requested_with_these_bytes(stage):
-    host = "{}:{}".format(*stage.discovery_server.getsockname()).encode()
-    assert request_head(stage, "fetch_endpoints") == b"GET /v1/servers HTTP/1.1\r\nHost: %s\r\n\r\n" % host
+def test_the_complete_list_is_requested_with_these_bytes(harness):
+    host = "{}:{}".format(*harness.discovery_server.getsockname()).encode()
+    assert request_head(harness, "fetch_endpoints") == b"GET /v1/servers HTTP/1.1\r\nHost: %s\r\n\r\n" % host
 
 
 @pytest.mark.parametrize(("reports", "path"), [(1, b"/load"), (0, b"/healthz")])
 def test_a_health_check_is_requested_with_these_bytes(reports, path):
-    one = Stage({"load_reports": reports})
+    new_harness = RecordingHarness({"load_reports": reports})
     try:
-        one.play(LIST)
-        host = "{}:{}".format(*one.discovery_server.getsockname()).encode()
-        assert request_head(one, "check_health 1") == b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (path, host)
+        new_harness.play(KNOWN_LIST)
+        host = "{}:{}".format(*new_harness.discovery_server.getsockname()).encode()
+        assert request_head(new_harness, "check_health 1") == b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (
+            path,
+            host,
+        )
     finally:
-        one.close()
+        new_harness.close()
 
 
-def test_the_messages_of_a_proxy_are_received_with_all_fields(stage):
-    stage.play("connect p")
-    send = stage.connections["p"].sendall
+def test_the_messages_of_a_proxy_are_received_with_all_fields(harness):
+    harness.play("connect p")
+    send = harness.connections["p"].sendall
     joined = b'{"msg":"joined","sidecar":5,"az":"b","share":6.5,"standing":true}\n'
-    assert stage.events_after(send, joined) == [ProxyJoined(5, 1, 6.5, True)]
-    stage.play("command request_ack 700 true")
-    assert sent_to(stage, "p", 1) == b'{"msg":"update","nonce_out":700}\n'
+    assert harness.events_after(send, joined) == [ProxyJoined(5, 1, 6.5, True)]
+    harness.play("command request_ack 700 true")
+    assert sent_to(harness, "p", 1) == b'{"msg":"update","nonce_out":700}\n'
     applied = b'{"msg":"applied","sidecar":5,"version":700,"lag_ms":250.5}\n'
-    assert stage.events_after(send, applied) == [UpdateAcknowledged(5, 700, 0.2505)]
+    assert harness.events_after(send, applied) == [UpdateAcknowledged(5, 700, 0.2505)]
     usage = b'{"msg":"usage","sidecar":5,"kind":"order","n":40,"bad":3,"window":1500}\n'
-    assert stage.events_after(send, usage) == [ProxyLoadReported(5, 1, 40, 3, 1.5)]
-    stage.events = []
-    stage.play("close p")
-    stage.wait_until(lambda: stage.events, "the end of the stream")
-    assert stage.events == [ProxyLeft(5)]
+    assert harness.events_after(send, usage) == [ProxyLoadReported(5, 1, 40, 3, 1.5)]
+    harness.events = []
+    harness.play("close p")
+    harness.wait_until(lambda: harness.events, "the end of the stream")
+    assert harness.events == [ProxyLeft(5)]
 
 
 @pytest.mark.parametrize(
@@ -220,22 +223,22 @@
     [b'{"concurrent":7,"load_share":0.5,"depth":2}', b'{"inflight":7,"util":0.5,"queue":2,"lag":9}'],
     ids=["names of the settings", "names of the protocol"],
 )
-def test_the_messages_of_a_collector_are_received_with_all_fields(stage, report):
-    stage.play("connect c")
-    send = stage.connections["c"].sendall
+def test_the_messages_of_a_collector_are_received_with_all_fields(harness, report):
+    harness.play("connect c")
+    send = harness.connections["c"].sendall
     send(b'{"msg":"collector","az":"b"}\n')
     heard = b'{"msg":"heard","host":"s-3d","az":"b","window":2000.0,"avg":125,"bad":4,"n":20,"report":%s}\n'
     load = LoadReport(in_flight=7, utilization=0.5, queued=2)
-    assert stage.events_after(send, heard % report) == [EndpointLoadReported(2, 1, 2.0, 0.125, 4, 20, load)]
+    assert harness.events_after(send, heard % report) == [EndpointLoadReported(2, 1, 2.0, 0.125, 4, 20, load)]
     usage = b'{"msg":"usage","sidecar":63,"kind":"lookup","n":4,"bad":0,"window":1000}\n'
-    assert stage.events_after(send, usage) == [ProxyLoadReported(63, 0, 4, 0, 1.0)]
+    assert harness.events_after(send, usage) == [ProxyLoadReported(63, 0, 4, 0, 1.0)]
     send(b'{"msg":"ping"}\n')
-    assert sent_to(stage, "c", 15) == b'{"msg":"pong"}\n'
+    assert sent_to(harness, "c", 15) == b'{"msg":"pong"}\n'
 
 
-def test_a_list_of_endpoints_is_received_with_all_fields(stage):
+def test_a_list_of_endpoints_is_received_with_all_fields(harness):
     """An endpoint in each state; of the last only the fields that may not be missing."""
-    request_head(stage, "watch_endpoints true")
+    request_head(harness, "watch_endpoints true")
     members = (
         b'{"id":"s-1f","host_port":"127.0.0.1:7001","locality":"a","phase":"DRAINING","size":2.5,'
         b'"up_since_ms":0},'
@@ -254,10 +257,12 @@
             complete,
             members,
         )
-        found = stage.events_after(lambda data: answer(stage, b"HTTP/1.1 200 OK\r\n", data), body)
+        found = harness.events_after(lambda data: respond(harness, b"HTTP/1.1 200 OK\r\n", data), body)
         assert found == [EndpointListReceived(complete == b"true", entries)]
-        stage.settle()
-    found = stage.events_after(lambda data: answer(stage, b"HTTP/1.1 503 Service Unavailable\r\n", data), b"")
+        harness.settle()
+    found = harness.events_after(
+        lambda data: respond(harness, b"HTTP/1.1 503 Service Unavailable\r\n", data), b""
+    )
     assert found == [EndpointListFailed()]
 
 
@@ -273,7 +278,7 @@
         (b"503 X", b"", HealthCheckOutcome.FAILED, LoadReport(None, None, None)),
     ],
 )
-def test_a_health_check_is_received_with_all_fields(stage, head, body, outcome, load):
-    request_head(stage, "check_health 1")
-    found = stage.events_after(lambda data: answer(stage, b"HTTP/1.1 %s\r\n" % head, data), body)
+def test_a_health_check_is_received_with_all_fields(harness, head, body, outcome, load):
+    request_head(harness, "check_health 1")
+    found = harness.events_after(lambda data: respond(harness, b"HTTP/1.1 %s\r\n" % head, data), body)
     assert found == [HealthCheckCompleted(1, outcome, 0.0, load)]
