--- a/tests/simhost/test_same_updates.py
+++ b/tests/simhost/test_same_updates.py
@@ -25,40 +25,40 @@
     """Plays a scenario against a new adapter process, which must end well."""
     with wire.Adapter(hash_seed) as adapter:
         found = Fleet(scenario).play(adapter)
-        code, complaints = adapter.close()
-    assert (code, complaints) == (0, b"")
+        exit_code, error_output = adapter.close()
+    assert (exit_code, error_output) == (0, b"")
     return found
 
 
-def first_difference(found, known):
+def difference_message(found, recorded):
     """Between which replies the answers part."""
-    pairs = zip(found["checkpoints"], known["checkpoints"], strict=False)
-    alike = next((at for at, (new, old) in enumerate(pairs) if new != old), len(known["checkpoints"]))
-    return f"the replies differ first between number {alike * CHECKPOINT} and {(alike + 1) * CHECKPOINT}"
+    pairs = zip(found["checkpoints"], recorded["checkpoints"], strict=False)
+    equal = next((at for at, (new, old) in enumerate(pairs) if new != old), len(recorded["checkpoints"]))
+    return f"the replies differ first between number {equal * CHECKPOINT} and {(equal + 1) * CHECKPOINT}"
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=NAMES)
-def test_updates_are_those_of_before(scenario):
-    known = json.loads(DIGESTS.read_text())[scenario.name]
+def test_replies_match_the_recorded_digests(scenario):
+    recorded = json.loads(DIGESTS.read_text())[scenario.name]
     hash_seed = HASH_SEEDS[SCENARIOS.index(scenario) % len(HASH_SEEDS)]
     found = digest_of(scenario, hash_seed)
-    assert found == known, f"{scenario.name}: {first_difference(found, known)}"
+    assert found == recorded, f"{scenario.name}: {difference_message(found, recorded)}"
 
 
-def test_every_scenario_has_its_digest_and_they_differ():
-    known = json.loads(DIGESTS.read_text())
-    assert list(known) == NAMES
-    assert len({one["sha256"] for one in known.values()}) == len(SCENARIOS)
-    assert sum(one["replies"] for one in known.values()) >= 20000
+def test_every_scenario_has_a_digest_of_its_own():
+    recorded = json.loads(DIGESTS.read_text())
+    assert list(recorded) == NAMES
+    assert len({one["sha256"] for one in recorded.values()}) == len(SCENARIOS)
+    assert sum(one["replies"] for one in recorded.values()) >= 20000
 
 
-def test_a_controller_that_cannot_start_is_told_on_the_wire():
+def test_a_controller_that_cannot_start_is_reported_as_a_fault():
     """The text names the field that is missing; other instances go on."""
-    spoilt = settings(Scenario("spoilt", 1), 1)
-    del spoilt["specifics"]["pushRate"]
-    good = json.dumps(settings(Scenario("good", 1), 0)).encode()
+    invalid = settings(Scenario("invalid", 1), 1)
+    del invalid["specifics"]["pushRate"]
+    valid = json.dumps(settings(Scenario("valid", 1), 0)).encode()
     with wire.Adapter() as adapter:
-        events = [wire.provision(0, 7, good), wire.provision(1, 7, json.dumps(spoilt).encode())]
+        events = [wire.provision(0, 7, valid), wire.provision(1, 7, json.dumps(invalid).encode())]
         reply = adapter.answer(wire.batch(5.0, events))
         assert adapter.close() == (0, b"")
     found = list(wire.actions(reply[8:]))
@@ -71,14 +71,14 @@
 @pytest.mark.parametrize(
     "frame",
     [b"\0", wire.batch(5.0, [b"\xff"]), wire.batch(5.0, [wire.fired(0, 1)])[:-1], b"\0\0\0\x04abcd"],
-    ids=["cut length", "unknown code", "cut record", "no room for a header"],
+    ids=["truncated length", "unknown code", "truncated record", "shorter than a header"],
 )
 def test_a_malformed_frame_ends_the_adapter_with_exit_code_2(frame):
     with wire.Adapter() as adapter:
         adapter.process.stdin.write(frame)
-        code, complaints = adapter.close()
-    assert code == 2
-    assert complaints.startswith(b"oatcart.simhost: ") and complaints.count(b"\n") == 1
+        exit_code, error_output = adapter.close()
+    assert exit_code == 2
+    assert error_output.startswith(b"oatcart.simhost: ") and error_output.count(b"\n") == 1
 
 
 if __name__ == "__main__":
