--- a/tests/net/test_socket_wire_bytes.py
+++ b/tests/net/test_socket_wire_bytes.py
@@ -1,4 +1,4 @@
-"""The bytes of each message on sockets, in both directions and with all fields set, as they are today."""
+"""The exact bytes of each message on sockets, in both directions and with all fields set."""
 
 from contextlib import suppress
 
@@ -27,14 +27,14 @@
 
 
 class RecordingHarness(scenarios.ScenarioHarness):
-    """The stage of the socket scenarios, which also keeps the events that the decisions get."""
+    """The harness of the socket scenarios, which also records the events passed to the decisions."""
 
     def __init__(self, settings):
         self.events = []
         super().__init__(settings)
 
     def decide(self, now, events, commands):
-        """Keeps the events."""
+        """Records the events, then runs the scripted decisions."""
         recorded = list(events)
         self.events += recorded
         super().decide(now, recorded, commands)
@@ -49,7 +49,7 @@
 
 @pytest.fixture
 def harness():
-    """A stage with three endpoints known."""
+    """Yields a harness whose endpoint list has three endpoints."""
     new_harness = RecordingHarness({})
     new_harness.play(KNOWN_LIST)
     yield new_harness
@@ -72,7 +72,7 @@
 
 
 def request_head(harness, command):
-    """Returns the bytes of the request that a command makes at discovery or at an endpoint."""
+    """Plays a command and returns the bytes of the HTTP request to discovery or an endpoint that follows."""
     harness.play(f"command {command}")
     found = bytearray()
 
@@ -92,7 +92,7 @@
 
 
 def respond(harness, head, body):
-    """Answers the open call."""
+    """Sends a response to the open request."""
     harness.requests[0].sendall(head + b"Content-Length: %d\r\n\r\n" % len(body) + body)
 
 
@@ -128,7 +128,7 @@
 
 
 def test_updates_on_a_stream_are_these_bytes(harness):
-    """A proxy that was configured before gets two tables, then changes of each kind."""
+    """A proxy that was configured before gets two routing tables, then a change of each field."""
     join(harness, "p", b"false")
     for command in (
         "set_weight 0 0 20.5",
@@ -174,7 +174,7 @@
 
 
 def test_a_watch_is_requested_with_these_bytes(harness):
-    """First without a wait, then with the time that news may take."""
+    """The first watch does not wait for changes; the next one waits at most the configured time."""
     host = "{}:{}".format(*harness.discovery_server.getsockname()).encode()
     head = b"GET /v1/servers?since=41&timeout_ms=%d HTTP/1.1\r\nHost: %s\r\n\r\n"
     assert request_head(harness, "watch_endpoints true") == head % (0, host)
@@ -237,7 +237,7 @@
 
 
 def test_a_list_of_endpoints_is_received_with_all_fields(harness):
-    """An endpoint in each state; of the last only the fields that may not be missing."""
+    """The list has an endpoint in each state; the last one has only the required fields."""
     request_head(harness, "watch_endpoints true")
     members = (
         b'{"id":"s-1f","host_port":"127.0.0.1:7001","locality":"a","phase":"DRAINING","size":2.5,'
--- a/tests/simhost/test_same_updates.py
+++ b/tests/simhost/test_same_updates.py
@@ -1,8 +1,9 @@
-"""What the adapter answers to made input is, byte for byte, what it answered before issue 38.
+"""The adapter's replies to generated input are byte for byte those from before issue 38.
 
-The digests in update_digests.json were taken on 440aa9e, before anything was renamed or split, with Python
-3.11 (from 3.12 on `sum` adds floats in another way). A change that means to alter what the decisions send
-renews them in its own commit, which says why: `python tests/simhost/test_same_updates.py` prints the file.
+The digests in update_digests.json were recorded at commit 440aa9e, before any rename or split, with Python
+3.11 (from 3.12 on, `sum` of floats has other results). A change that is meant to alter the decisions'
+commands replaces them in its own commit, which says why; `python tests/simhost/test_same_updates.py`
+prints the new file.
 """
 
 import json
@@ -22,7 +23,7 @@
 
 
 def digest_of(scenario, hash_seed):
-    """Plays a scenario against a new adapter process, which must end well."""
+    """Plays a scenario against a new adapter process, which must exit with code 0; returns the digest."""
     with wire.Adapter(hash_seed) as adapter:
         found = Fleet(scenario).play(adapter)
         exit_code, error_output = adapter.close()
@@ -31,10 +32,10 @@
 
 
 def difference_message(found, recorded):
-    """Between which replies the answers part."""
+    """Returns a message with the numbers of the replies between which the first difference is."""
     pairs = zip(found["checkpoints"], recorded["checkpoints"], strict=False)
     equal = next((at for at, (new, old) in enumerate(pairs) if new != old), len(recorded["checkpoints"]))
-    return f"the replies differ first between number {equal * CHECKPOINT} and {(equal + 1) * CHECKPOINT}"
+    return f"the first difference is between replies {equal * CHECKPOINT} and {(equal + 1) * CHECKPOINT}"
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=NAMES)
@@ -53,7 +54,7 @@
 
 
 def test_a_controller_that_cannot_start_is_reported_as_a_fault():
-    """The text names the field that is missing; other instances go on."""
+    """The message names the missing field; other instances continue."""
     invalid = settings(Scenario("invalid", 1), 1)
     del invalid["specifics"]["pushRate"]
     valid = json.dumps(settings(Scenario("valid", 1), 0)).encode()
