--- a/oatcart/scale/day_trial.py
+++ b/oatcart/scale/day_trial.py
@@ -1,13 +1,14 @@
 """The processes that a day is played on, and the player that makes its changes.
 
-The stand-ins are those of a trial behind the control role; the relay records all that controllers are sent.
-As a second way controllers follow the whole list, through the same relay and without a control role.
-
-Two regions cut from each other, with one discovery and one control role: the control role is taken to be in
-the one region, and the controllers of the other get no answers from it until the regions are joined. They
-keep their last list and go on. Which of the two regions it is: the one with more controllers. The control
-role itself reaches discovery all the time, so that the list goes on changing. Before a cut and after it the
-day waits until all controllers have their views, so that what moved meanwhile can be counted exactly.
+The processes are those of a trial behind the control role; the relay records all states that controllers are
+sent. In a second variant controllers watch the complete list, through the same relay and without a control
+role.
+
+A partition between two regions is played with one discovery and one control role: the control role counts
+as part of the region with fewer controllers, and the controllers of the other region get no answers from it
+until the partition ends. They keep their last list and go on. The control role still reaches discovery, so
+that the list goes on changing. Before and after a partition the day waits until all controllers have their
+views, so that the endpoints that moved meanwhile can be counted exactly.
 """
 
 import time
@@ -19,28 +20,32 @@
 
 import orjson
 
-from oatcart.scale.day_deliveries import Cut
+from oatcart.scale.day_deliveries import Disconnection
 from oatcart.scale.day_relay import DayRelay
-from oatcart.scale.day_schedule import Change, ListedEndpoints, Step, is_cut, kind_of
+from oatcart.scale.day_schedule import Change, ListedEndpoints, Step, is_partition_event, kind_of
 from oatcart.scale.day_views import UNBOUNDED, ExpectedViews
 from oatcart.scale.discovery import ClientFigures
 from oatcart.scale.fault_plan import Event, RegionsCut
 from oatcart.scale.fleet import FleetPlan
-from oatcart.scale.hollow import HeldTables
+from oatcart.scale.hollow import ControllerTables
 from oatcart.scale.real import NotReadyError
-from oatcart.scale.trial import LOOK_EVERY_S, Trial
+from oatcart.scale.trial import POLL_INTERVAL_S, Trial
 from oatcart.scale.trial_settings import TrialSettings
 from oatcart.scale.view_trial import ViewTrial
 from oatcart.views.configuration import Configuration
 from oatcart.views.configuration_file import read as read_views
 from oatcart.views.records import Controller
 
-SAMPLE_EVERY_S = 1.0
-SETTLED_WITHIN_S = 15.0  # until all controllers have their views, when no changes are made
+SAMPLE_INTERVAL_S = 1.0
+SETTLE_TIMEOUT_S = 15.0  # until all controllers have their views, while no change is made
 
 
 class Sample(NamedTuple):
-    """Counters at a moment (monotonic seconds); processor seconds of processes, traffic of controllers."""
+    """All counters at a moment (monotonic seconds).
+
+    `*_core_s`: processor seconds of the processes; `clients`: the traffic of each controller; `source`: that
+    of each client of discovery.
+    """
 
     at: float
     control_core_s: float
@@ -51,18 +56,18 @@
 
 
 class Healing(NamedTuple):
-    """A cut between regions as it was played.
+    """A partition between two regions as it was played; `region`: the one whose controllers were cut off.
 
-    `caught_up_s`: real seconds from the joining until the last controller had its view; None: never.
-    `bytes_received` by all controllers that were cut off until then. `moved`: endpoints that came to or left
-    their views, `had_to_move`: those that the changes made meanwhile account for, `moved_needlessly` all
-    others.
+    `changes`: changes made meanwhile. `caught_up_s`: real seconds from the end of the partition until the
+    last controller had its view; None: never. `bytes_received`: by all controllers that were cut off, until
+    then. `moved`: endpoints that were added to or removed from their views; `had_to_move`: those that the
+    changes account for; `moved_needlessly`: all others.
     """
 
     first: str
     second: str
     region: str
-    cut: Cut
+    disconnection: Disconnection
     changes: int
     caught_up_s: float | None
     bytes_received: int
@@ -71,12 +76,15 @@
     moved_needlessly: int
 
 
-class CutBegun(NamedTuple):
-    """A cut that has not ended: by controller the endpoints sent and expected, and its traffic."""
+class OngoingPartition(NamedTuple):
+    """A partition that has not ended, with the state at its start.
+
+    `sent`, `expected`: the endpoints of each controller that is cut off; `traffic`: that of each controller.
+    """
 
-    cut: Cut
+    disconnection: Disconnection
     region: str
-    told: dict[str, frozenset[str]]
+    sent: dict[str, frozenset[str]]
     expected: dict[str, frozenset[str]]
     traffic: dict[str, ClientFigures]
     changes: int
@@ -87,7 +95,7 @@
 
     def __init__(self, settings: TrialSettings, plan: FleetPlan, processes: ExitStack) -> None:
         super().__init__(settings, plan, processes)
-        self.relay.end()  # that of a trial, which notes less
+        self.relay.end()  # a trial's relay records less
         self.relay: DayRelay = processes.enter_context(DayRelay())
         self.listed = ListedEndpoints(plan)
         self.first_entries = self.listed.entries()
@@ -95,200 +103,210 @@
         self.views_file: dict = {}
 
     def control_configuration(self, source_port: int, main_port: int, served: dict[str, int]) -> dict:
-        """The control role's file, which is kept to work out the expected views."""
+        """Returns the control role's configuration and keeps it, to compute the expected views from it."""
         self.views_file = super().control_configuration(source_port, main_port, served)
         return self.views_file
 
     def start(self) -> None:
-        """Starts the trial and works out the views that controllers have at first."""
+        """Starts the trial and computes the views that controllers have at first."""
         super().start()
         self.expected = self.expected_views()
 
     def expected_views(self) -> ExpectedViews:
-        """The views by the control role's own file."""
-        told = views_configuration(self.views_file)
-        viewers = [controller.record for controller in told.controllers]
-        return ExpectedViews(viewers, told.limits, told.seed, self.first_entries)
+        """Returns the expected views by the configuration of the control role."""
+        configuration = views_configuration(self.views_file)
+        records = [controller.record for controller in configuration.controllers]
+        return ExpectedViews(records, configuration.limits, configuration.seed, self.first_entries)
 
     def sample(self) -> Sample:
-        """All counters of which each second is told."""
+        """Returns the counters that are sampled every second."""
         return Sample(
             time.monotonic(),
             self.control.core_seconds() if self.control else 0.0,
-            self.hollows.core_seconds() if self.hollows else 0.0,
+            self.hollow_controllers.core_seconds() if self.hollow_controllers else 0.0,
             [one.core_seconds() for one in self.real],
             self.relay.clients(),
             self.discovery.figures().clients,
         )
 
     def controllers_of(self, region: str) -> frozenset[str]:
-        """The controllers that run in a region."""
+        """Returns the controllers that run in a region."""
         return frozenset(name for name in self.names if self.planned(name).region == region)
 
-    def told_as_expected(self, names: Sequence[str]) -> list[str]:
-        """Those of the controllers that were told exactly the list that they ought to have, and asked on."""
-        told = self.relay.views()
-        if told.pending:
+    def with_expected_views(self, names: Sequence[str]) -> list[str]:
+        """Returns those of the controllers that were sent exactly their expected list.
+
+        None of them as long as the relay has unacknowledged states.
+        """
+        received = self.relay.views()
+        if received.pending:
             return []
-        return [name for name in names if told.views[name] == self.expected.states(name)]
+        return [name for name in names if received.views[name] == self.expected.states(name)]
 
-    def held_tables(self) -> dict[str, HeldTables]:
-        """Of each controller what its proxies hold and, of a hollow one, which endpoints it knows."""
-        hollow = self.hollows.orders() if self.hollows else []
-        real = self.peers.orders() if self.peers else []
+    def controller_tables(self) -> dict[str, ControllerTables]:
+        """Returns for each controller what its proxies hold and, if hollow, which endpoints it knows."""
+        hollow = self.hollow_controllers.tables() if self.hollow_controllers else []
+        real = self.peers.tables() if self.peers else []
         return dict(zip(self.names, [*hollow, *real], strict=True))
 
 
-class WholeListTrial(DayTrial):
-    """A day of controllers that follow the whole list, at discovery."""
+class CompleteListTrial(DayTrial):
+    """A day of controllers that watch the complete list, at discovery."""
 
     def check_fits(self) -> None:
-        """As for a trial without the control role."""
+        """Checks the same limits as a trial without the control role."""
         Trial.check_fits(self)
 
     def open_ports(self) -> dict[str, int]:
-        """Ports of the relay in front of discovery's."""
+        """Returns the relay's port for each controller, in front of that of discovery."""
         return self.relay.open(Trial.open_ports(self))
 
     def _wait_ready(self) -> None:
         Trial._wait_ready(self)
 
     def control_usage(self) -> None:
-        """None, as there is no control role."""
+        """Returns None, as there is no control role."""
         return None
 
     def expected_views(self) -> ExpectedViews:
-        """Every controller's view is the whole list."""
-        viewers = [
+        """Returns the expected views: for every controller the complete list."""
+        records = [
             Controller(name, self.planned(name).region, self.planned(name).zone, ()) for name in self.names
         ]
-        return ExpectedViews(viewers, UNBOUNDED, self.settings.seed, self.first_entries)
+        return ExpectedViews(records, UNBOUNDED, self.settings.seed, self.first_entries)
 
 
-def views_configuration(told: dict) -> Configuration:
-    """What the control role reads in its file."""
+def views_configuration(settings: dict) -> Configuration:
+    """Returns the configuration that the control role reads from a file with these settings."""
     with TemporaryDirectory() as directory:
         path = Path(directory, "views.yaml")
-        path.write_bytes(orjson.dumps(told))
+        path.write_bytes(orjson.dumps(settings))
         return read_views(path)
 
 
 class DayPlayer:
-    """Plays the steps of a day at a trial that has started. `sleep` is a test's to replace."""
+    """Plays the steps of a day at a trial that has started; tests may replace `sleep`."""
 
     def __init__(self, trial: DayTrial, sleep: Callable[[float], None] = time.sleep) -> None:
         self.trial, self._sleep = trial, sleep
         self.changes: list[Change] = []
         self.samples: list[Sample] = []
         self.healings: list[Healing] = []
-        self.late_s = 0.0  # the most by which a step was made late
-        self.paused_s = 0.0  # that the day waited for controllers, before and after cuts
-        self._first = self._next_sample = 0.0
-        self._cut: CutBegun | None = None
+        self.late_s = 0.0  # the longest by which a step was played later than scheduled
+        self.paused_s = 0.0  # time for which the day waited for controllers, around partitions
+        self._day_began = self._next_sample = 0.0
+        self._partition: OngoingPartition | None = None
 
     def play(self, steps: Sequence[Step], length_s: float) -> None:
-        """Makes all changes in their time and lasts at least as long as the day. Raises ChildError."""
-        self._first = self._next_sample = time.monotonic()
+        """Makes all changes at their times and returns at `length_s` or later; raises ChildError."""
+        self._day_began = self._next_sample = time.monotonic()
         for step in steps:
             self._wait_until(step.at_s)
-            self.late_s = max(self.late_s, time.monotonic() - self._first - step.at_s)
-            if is_cut(step.events[0]):
+            self.late_s = max(self.late_s, time.monotonic() - self._day_began - step.at_s)
+            if is_partition_event(step.events[0]):
                 for event in step.events:
-                    self._cut_or_join(event)
+                    self._start_or_end_partition(event)
                     if isinstance(event, RegionsCut):
-                        # a cut that was made late must not be shorter for it
-                        self._first = max(self._first, time.monotonic() - step.at_s)
+                        # a partition that starts late must last as long as planned
+                        self._day_began = max(self._day_began, time.monotonic() - step.at_s)
             else:
                 self.make(step.events)
         self._wait_until(length_s)
         self.samples.append(self.trial.sample())
 
     def make(self, events: Sequence[Event]) -> None:
-        """Makes one revision of the list."""
+        """Makes one revision of the list from the events of a step."""
         entries = self.trial.listed.change(tuple(events), time.time())
         if entries:
             self.changes.append(Change(time.monotonic(), kind_of(events[0]), tuple(entries)))
             self.trial.discovery.change(entries)
 
     def wait_settled(self, names: Sequence[str]) -> float | None:
-        """Seconds until these controllers have their views, while no change is made; None: not all have."""
+        """Waits until these controllers have their views and returns the seconds; None after the timeout.
+
+        No change may be made meanwhile.
+        """
         started = time.monotonic()
-        self.trial.expected.take(self.changes)
-        while time.monotonic() < started + SETTLED_WITHIN_S:
-            if len(self.trial.told_as_expected(names)) == len(names):
+        self.trial.expected.apply(self.changes)
+        while time.monotonic() < started + SETTLE_TIMEOUT_S:
+            if len(self.trial.with_expected_views(names)) == len(names):
                 return time.monotonic() - started
             self._sample_if_due()
-            self._sleep(LOOK_EVERY_S)
+            self._sleep(POLL_INTERVAL_S)
         return None
 
     def _wait_until(self, at_s: float) -> None:
-        """Sleeps until seconds from the day's start, without its pauses; takes the samples due meanwhile."""
-        while (now := time.monotonic()) < self._first + at_s:
+        """Sleeps until a time of the day's clock, which stops during pauses; takes samples when due."""
+        while (now := time.monotonic()) < self._day_began + at_s:
             if not self._sample_if_due():
-                self._sleep(max(0.0, min(self._first + at_s, self._next_sample) - now))
+                self._sleep(max(0.0, min(self._day_began + at_s, self._next_sample) - now))
         self._sample_if_due()
 
     def _sample_if_due(self) -> bool:
         if time.monotonic() < self._next_sample:
             return False
         self.samples.append(self.trial.sample())
-        self._next_sample = self.samples[-1].at + SAMPLE_EVERY_S
+        self._next_sample = self.samples[-1].at + SAMPLE_INTERVAL_S
         return True
 
-    def _cut_or_join(self, event: Event) -> None:
-        """Cuts two regions from each other or joins them; the day's clock stands meanwhile."""
+    def _start_or_end_partition(self, event: Event) -> None:
+        """Starts or ends a partition between two regions; the day's clock stops meanwhile."""
         began = time.monotonic()
         if isinstance(event, RegionsCut):
-            self._cut_off(event)
-        elif self._cut:
-            self._join(event)
+            self._start_partition(event)
+        elif self._partition:
+            self._end_partition(event)
         took = time.monotonic() - began
-        self._first += took
+        self._day_began += took
         self.paused_s += took
 
-    def _cut_off(self, event: RegionsCut) -> None:
-        if self._cut:
-            raise NotReadyError("two cuts at once are not played")
+    def _start_partition(self, event: RegionsCut) -> None:
+        if self._partition:
+            raise NotReadyError("two partitions at once are not supported")
         trial = self.trial
         region = max(event.second, event.first, key=lambda name: len(trial.controllers_of(name)))
         names = trial.controllers_of(region)
         self.wait_settled(trial.names)
-        told, cut = trial.relay.views().views, Cut(names, time.monotonic(), float("inf"))
+        sent, disconnection = trial.relay.views().views, Disconnection(names, time.monotonic(), float("inf"))
         trial.relay.cut(names)
-        self._cut = CutBegun(
-            cut,
+        self._partition = OngoingPartition(
+            disconnection,
             region,
-            {name: frozenset(told[name]) for name in names},
+            {name: frozenset(sent[name]) for name in names},
             {name: trial.expected.view(name) for name in names},
             trial.relay.clients(),
             len(self.changes),
         )
 
-    def _join(self, event: Event) -> None:
-        trial, begun = self.trial, self._cut
-        self._cut = None
-        cut = begun.cut._replace(until=time.monotonic())
-        trial.relay.join(cut.controllers)
-        caught_up_s = self.wait_settled(sorted(cut.controllers))
-        told, traffic = trial.relay.views().views, trial.relay.clients()
+    def _end_partition(self, event: Event) -> None:
+        trial, begun = self.trial, self._partition
+        self._partition = None
+        disconnection = begun.disconnection._replace(until=time.monotonic())
+        trial.relay.join(disconnection.controllers)
+        caught_up_s = self.wait_settled(sorted(disconnection.controllers))
+        sent, traffic = trial.relay.views().views, trial.relay.clients()
         moved = {
-            (name, endpoint) for name in cut.controllers for endpoint in begun.told[name] ^ told[name].keys()
+            (name, endpoint)
+            for name in disconnection.controllers
+            for endpoint in begun.sent[name] ^ sent[name].keys()
         }
         had_to_move = {
             (name, endpoint)
-            for name in cut.controllers
+            for name in disconnection.controllers
             for endpoint in begun.expected[name] ^ trial.expected.view(name)
         }
-        received = [traffic[name].bytes_in - begun.traffic[name].bytes_in for name in cut.controllers]
+        bytes_received = [
+            traffic[name].bytes_in - begun.traffic[name].bytes_in for name in disconnection.controllers
+        ]
         self.healings.append(
             Healing(
                 event.first,
                 event.second,
                 begun.region,
-                cut,
+                disconnection,
                 len(self.changes) - begun.changes,
                 caught_up_s,
-                sum(received),
+                sum(bytes_received),
                 len(moved),
                 len(had_to_move),
                 len(moved - had_to_move),
