--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -95,8 +95,8 @@
     def weights(self, count: int, weight: int) -> None:
         table = self.one.front.maps[0][0]
         self.mark += 1
-        self.orders += [("line", table, place, weight) for place in range(count)] + [
-            ("ask_ack", self.mark, False)
+        self.orders += [("set_weight", table, place, weight) for place in range(count)] + [
+            ("request_ack", self.mark, False)
         ]
         self.one.rounds.is_due = True
 
