--- a/benchmarks/nested.py
+++ b/benchmarks/nested.py
@@ -14,7 +14,7 @@
 import time
 from pathlib import Path
 
-PINGS, WARMED, TURNS = 4000, 500, 3
+PINGS, WARM_UP_PINGS, TURNS = 4000, 500, 3
 WAYS = {"plain": ["oatcart"], "nested": ["oatcart.xds", "xds.yaml"]}
 CONFIG = {
     "name": "n0",
@@ -33,48 +33,53 @@
 }
 
 
-def pings(way: str, folder: Path) -> list[float]:
-    words = [str(folder / word) if word.endswith(".yaml") else word for word in WAYS[way]]
+def measure_pings(way: str, folder: Path) -> list[float]:
+    arguments = [str(folder / word) if word.endswith(".yaml") else word for word in WAYS[way]]
     with subprocess.Popen(
-        [sys.executable, "-m", *words],
+        [sys.executable, "-m", *arguments],
         stderr=subprocess.PIPE,
         text=True,
         env=os.environ | {"EDGE_CONFIG": str(folder / "cfg")},
     ) as process:
         port = int(process.stderr.readline().split(" listens at ")[1].split(",")[0].rpartition(":")[2])
         times = []
-        with socket.create_connection(("127.0.0.1", port)) as end, end.makefile("rb") as lines:
-            end.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            end.sendall(b'{"msg":"joined","sidecar":1,"az":"a","share":1,"standing":true}\n')
+        with socket.create_connection(("127.0.0.1", port)) as connection, connection.makefile("rb") as lines:
+            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            connection.sendall(b'{"msg":"joined","sidecar":1,"az":"a","share":1,"standing":true}\n')
             for _ in range(PINGS):
-                began = time.perf_counter()
-                end.sendall(b'{"msg":"ping"}\n')
+                started = time.perf_counter()
+                connection.sendall(b'{"msg":"ping"}\n')
                 while b"pong" not in lines.readline():
                     pass
-                times.append(time.perf_counter() - began)
+                times.append(time.perf_counter() - started)
         process.kill()
-    return times[WARMED:]
+    return times[WARM_UP_PINGS:]
 
 
 def main() -> int:
-    found = {way: [] for way in WAYS}
+    durations = {way: [] for way in WAYS}
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         (folder / "cfg").write_text(json.dumps(CONFIG))
         (folder / "xds.yaml").write_text("listen: 127.0.0.1:0\n")
         for _ in range(TURNS):
-            for way, times in found.items():
-                times += pings(way, folder)
-    told = {
+            for way, times in durations.items():
+                times += measure_pings(way, folder)
+    percentiles = {
         way: {
             "p50_us": round(statistics.median(times) * 1e6, 1),
             "p99_us": round(statistics.quantiles(times, n=100)[98] * 1e6, 1),
         }
-        for way, times in found.items()
+        for way, times in durations.items()
     }
-    for way, one in told.items():
-        print(f"{way:8} p50 {one['p50_us']:8.1f} us   p99 {one['p99_us']:8.1f} us")
-    print(json.dumps(told | {"p50_ratio": round(told["nested"]["p50_us"] / told["plain"]["p50_us"], 3)}))
+    for way, figures in percentiles.items():
+        print(f"{way:8} p50 {figures['p50_us']:8.1f} us   p99 {figures['p99_us']:8.1f} us")
+    print(
+        json.dumps(
+            percentiles
+            | {"p50_ratio": round(percentiles["nested"]["p50_us"] / percentiles["plain"]["p50_us"], 3)}
+        )
+    )
     return 0
 
 
--- a/oatcart/xds/__main__.py
+++ b/oatcart/xds/__main__.py
@@ -17,40 +17,40 @@
 from oatcart.net.configuration import read_configuration
 from oatcart.xds.configuration import capacity_warning
 from oatcart.xds.configuration import read as read_xds
-from oatcart.xds.serve import UNUSABLE, run
+from oatcart.xds.serve import EXIT_INVALID_CONFIGURATION, run
 
 
-def main(words: list[str] | None = None) -> int:
+def main(arguments: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(prog="oatcart.xds", description=__doc__)
     parser.add_argument("file", help="the front's settings, YAML")
     parser.add_argument("--check", action="store_true", help="read and check the files, start nothing")
     parser.add_argument("--trace", metavar="FILE", help="write traces, as this file says, YAML")
-    told = parser.parse_args(words)
+    options = parser.parse_args(arguments)
     try:
-        xds = read_xds(told.file)
+        xds = read_xds(options.file)
         cfg = read_configuration()
-        if told.trace:
+        if options.trace:
             from oatcart.trace import configuration as tracing
             from oatcart.trace import controller_tracing
 
-            where = tracing.read(told.trace)
+            trace_settings = tracing.read(options.trace)
     except InvalidConfigurationError as error:
         print(error, file=sys.stderr)
-        return UNUSABLE
-    if told.check:
+        return EXIT_INVALID_CONFIGURATION
+    if options.check:
         if warning := capacity_warning(xds):
-            print(f"{told.file}: {warning}", file=sys.stderr)
-        print(f"{told.file} can be used")
+            print(f"{options.file}: {warning}", file=sys.stderr)
+        print(f"{options.file} can be used")
         return 0
-    if not told.trace:
+    if not options.trace:
         return asyncio.run(run(cfg, xds))
 
-    def made(writer: controller_tracing.Writer) -> None:
+    def on_writer(writer: controller_tracing.Writer) -> None:
         writer.start()
         controller_tracing.flush_on_termination(writer)
 
     return asyncio.run(
-        run(cfg, xds, lambda make: controller_tracing.trace_controller(make, cfg, where, made))
+        run(cfg, xds, lambda make: controller_tracing.trace_controller(make, cfg, trace_settings, on_writer))
     )
 
 
--- a/oatcart/xds/client_state.py
+++ b/oatcart/xds/client_state.py
@@ -7,11 +7,11 @@
 
 from oatcart.xds.subscription import Subscription
 
-MARKS_OWED = 8  # marks of one client that are not acknowledged; the module waits for none so long
+PENDING_ACKS_MAX = 8  # marks of one client that are not acknowledged; the module waits for none so long
 REJECTIONS_KEPT = 8  # of a client, for the operator
 
 
-class Node(NamedTuple):
+class ClientIdentity(NamedTuple):
     """Who a client says it is."""
 
     id: str
@@ -19,17 +19,17 @@
     shape: str
 
 
-class Ask(NamedTuple):
+class ClientRequest(NamedTuple):
     """A discovery request of either protocol. `names`: all names, or those newly subscribed. `version`: of
     the last state-of-the-world response of this type that the client accepted, on whichever stream."""
 
     type: str
     names: tuple[str, ...]
     unsubscribe: tuple[str, ...] = ()
-    brought: Mapping[str, str] = {}
+    initial_versions: Mapping[str, str] = {}
     nonce: str = ""
-    refusal: str | None = None
-    node: Node | None = None
+    error_message: str | None = None
+    identity: ClientIdentity | None = None
     version: str = ""
 
 
@@ -41,11 +41,11 @@
 
     key: int
     delta: bool
-    only: str | None  # the one type it is for; None: all of them on one stream
+    only_type: str | None  # the one type it is for; None: all of them on one stream
     client: "Client | None" = None
     subscriptions: dict[str, Subscription] = field(default_factory=dict)
-    room: bool = True  # the transport takes another push
-    primed: bool = False  # it was sent endpoints
+    writable: bool = True  # the transport takes another push
+    endpoints_sent: bool = False  # it was sent endpoints
     returning: bool = False
     admitted: bool = False  # its first pushes were paid in advance
     prepaid: int = 0  # of them, those that are not sent yet
@@ -53,12 +53,12 @@
 
 
 @dataclass(eq=False, slots=True)
-class Owed:
+class PendingAcknowledgement:
     """A mark that a client has yet to acknowledge: by stream and type, the seqs that are to be held."""
 
-    mark: int
-    at: float
-    needs: dict[tuple[Stream, str], dict[str, int]]
+    nonce: int
+    sent_at: float
+    required: dict[tuple[Stream, str], dict[str, int]]
 
 
 @dataclass(eq=False, slots=True)
@@ -69,11 +69,11 @@
     proxy: int
     zone: int
     shape: str
-    rates: list[float]  # reqs a second by kind, as its load reports have it
+    request_rates: list[float]  # reqs a second by kind, as its load reports have it
     streams: list[Stream] = field(default_factory=list)  # oldest first
     joined: bool = False
-    bound: bool = False
-    told: int | None = None  # a mark of this round
-    owed: deque = field(default_factory=lambda: deque(maxlen=MARKS_OWED))
+    assigned: bool = False
+    round_nonce: int | None = None  # a mark of this round
+    pending_acks: deque = field(default_factory=lambda: deque(maxlen=PENDING_ACKS_MAX))
     rejections: deque = field(default_factory=lambda: deque(maxlen=REJECTIONS_KEPT))
     acked_at: float | None = None
--- a/oatcart/xds/configuration.py
+++ b/oatcart/xds/configuration.py
@@ -36,8 +36,14 @@
     source: Source | None = None
 
 
-SOURCE = {"address": address, "cluster": name, "hold": duration, "dial_most": duration, "with_roll": boolean}
-FIELDS = {
+SOURCE_PARSERS = {
+    "address": address,
+    "cluster": name,
+    "hold": duration,
+    "dial_most": duration,
+    "with_roll": boolean,
+}
+PARSERS = {
     "listen": address,
     "home_zone": name,
     "clients": integer(1, 100_000),
@@ -52,22 +58,22 @@
 
 def read(path: str | Path) -> Xds:
     """The file's settings; raises InvalidConfigurationError with all that is wrong in it."""
-    wrong: list[str] = []
-    told, where = load(path)
-    if told is None:
+    problems: list[str] = []
+    content, where = load(path)
+    if content is None:
         return Xds()
-    found = table(told, FIELDS, "", where, wrong, 0)
-    if "source" in found:
-        line = told.lc.key("source")[0]
-        source = table(found["source"], SOURCE, "source.", where, wrong, line)
-        asked = found["source"] if isinstance(found["source"], CommentedMap) else {}
-        wrong += [
-            f"{where(line)}: source.{key} is missing" for key in ("address", "cluster") if key not in asked
+    settings = table(content, PARSERS, "", where, problems, 0)
+    if "source" in settings:
+        line = content.lc.key("source")[0]
+        source = table(settings["source"], SOURCE_PARSERS, "source.", where, problems, line)
+        given = settings["source"] if isinstance(settings["source"], CommentedMap) else {}
+        problems += [
+            f"{where(line)}: source.{key} is missing" for key in ("address", "cluster") if key not in given
         ]
-        found["source"] = Source(**source) if not wrong else None
-    if wrong:
-        raise InvalidConfigurationError("\n".join(wrong))
-    return Xds(**found)
+        settings["source"] = Source(**source) if not problems else None
+    if problems:
+        raise InvalidConfigurationError("\n".join(problems))
+    return Xds(**settings)
 
 
 def capacity_warning(xds: Xds) -> str:
@@ -76,10 +82,10 @@
     >>> capacity_warning(Xds()), capacity_warning(Xds(clients=17, pushes=8.0))
     ('', 'pushes: 8 a second reach 16 clients within the drain deadline of 2 s, and clients is 17')
     """
-    reached = int(xds.pushes * URGENT_DEBT)
-    if xds.clients <= reached:
+    reachable = int(xds.pushes * URGENT_DEBT)
+    if xds.clients <= reachable:
         return ""
     return (
-        f"pushes: {xds.pushes:g} a second reach {reached} clients within the drain deadline of "
+        f"pushes: {xds.pushes:g} a second reach {reachable} clients within the drain deadline of "
         f"{URGENT_DEBT:g} s, and clients is {xds.clients}"
     )
--- a/oatcart/xds/decode.py
+++ b/oatcart/xds/decode.py
@@ -8,35 +8,35 @@
 from google.protobuf.message import DecodeError
 
 from oatcart.xds import client_load_reports, view
-from oatcart.xds.client_state import Ask, Node
-from oatcart.xds.encode import TYPES
+from oatcart.xds.client_state import ClientIdentity, ClientRequest
+from oatcart.xds.encode import TYPE_URLS
 from oatcart.xds.limits import RequestRejectedError
 
-KINDS = {url: kind for kind, url in TYPES.items()}
-GRPC = "gRPC"  # begins the user agent of gRPC's own clients
+RESOURCE_TYPES = {url: resource_type for resource_type, url in TYPE_URLS.items()}
+GRPC_USER_AGENT = "gRPC"  # begins the user agent of gRPC's own clients
 # node.metadata: how it wants them
 SHAPE_KEY, SHAPES = "oatcart.endpoints", {view.WHOLE, view.EACH, view.SPREAD}
-WORDS_MOST = 1000  # letters of a client's refusal that are kept
+ERROR_LENGTH_MAX = 1000  # letters of a client's refusal that are kept
 
 
-def kind_of(url: str) -> str:
+def resource_type_of(url: str) -> str:
     """A type by its URL; raises RequestRejectedError."""
-    if url in KINDS:
-        return KINDS[url]
+    if url in RESOURCE_TYPES:
+        return RESOURCE_TYPES[url]
     if "/" not in url or len(url) > 300:
         raise RequestRejectedError("INVALID_ARGUMENT", f"type_url: {url[:80]!r} is no type's URL")
     raise RequestRejectedError(
-        "UNIMPLEMENTED", f"type_url: {url} is not served; served are {', '.join(sorted(KINDS))}"
+        "UNIMPLEMENTED", f"type_url: {url} is not served; served are {', '.join(sorted(RESOURCE_TYPES))}"
     )
 
 
-def node_of(node: base_pb2.Node) -> Node | None:
+def identity_of(node: base_pb2.Node) -> ClientIdentity | None:
     """Who asks. Its shape is what its metadata name, else gRPC's own clients get theirs, all others whole
     ones.
     """
     if not node.id and not node.HasField("locality"):
         return None
-    shape = view.SPREAD if node.user_agent_name.startswith(GRPC) else view.WHOLE
+    shape = view.SPREAD if node.user_agent_name.startswith(GRPC_USER_AGENT) else view.WHOLE
     if SHAPE_KEY in node.metadata.fields:
         shape = node.metadata.fields[SHAPE_KEY].string_value
         if shape not in SHAPES:
@@ -44,10 +44,10 @@
                 "INVALID_ARGUMENT",
                 f"node.metadata: {SHAPE_KEY} {shape[:80]!r} is none of {', '.join(sorted(SHAPES))}",
             )
-    return Node(node.id, node.locality.zone, shape)
+    return ClientIdentity(node.id, node.locality.zone, shape)
 
 
-def request(delta: bool, data: bytes, only: str | None = None) -> Ask:
+def decode_request(delta: bool, data: bytes, only_type: str | None = None) -> ClientRequest:
     """A discovery request of either protocol; on a stream for one type the type may be left out."""
     try:
         message = (
@@ -55,50 +55,51 @@
         ).FromString(data)
     except DecodeError:
         raise RequestRejectedError("INVALID_ARGUMENT", "a request that cannot be read") from None
-    kind = kind_of(message.type_url) if message.type_url or only is None else only
-    refusal = None
+    resource_type = resource_type_of(message.type_url) if message.type_url or only_type is None else only_type
+    error_message = None
     if message.HasField("error_detail"):
-        refusal = (
-            message.error_detail.message[:WORDS_MOST] or f"status {message.error_detail.code}, without words"
+        error_message = (
+            message.error_detail.message[:ERROR_LENGTH_MAX]
+            or f"status {message.error_detail.code}, without words"
         )
-    node = node_of(message.node)
+    identity = identity_of(message.node)
     if delta:
-        return Ask(
-            kind,
+        return ClientRequest(
+            resource_type,
             tuple(message.resource_names_subscribe),
             tuple(message.resource_names_unsubscribe),
             dict(message.initial_resource_versions),
             message.response_nonce,
-            refusal,
-            node,
+            error_message,
+            identity,
         )
-    return Ask(
-        kind,
+    return ClientRequest(
+        resource_type,
         tuple(message.resource_names),
         nonce=message.response_nonce,
-        refusal=refusal,
-        node=node,
+        error_message=error_message,
+        identity=identity,
         version=message.version_info,
     )
 
 
-def _seconds(span: object) -> float:
-    return span.seconds + span.nanos / 1e9
+def _seconds(duration: object) -> float:
+    return duration.seconds + duration.nanos / 1e9
 
 
 def _metrics(stats: object) -> dict[str, tuple[int, float]]:
-    found = {
-        one.metric_name: (one.num_requests_finished_with_metric, one.total_metric_value)
-        for one in stats.load_metric_stats
+    metrics = {
+        metric.metric_name: (metric.num_requests_finished_with_metric, metric.total_metric_value)
+        for metric in stats.load_metric_stats
     }
     for name in ("cpu_utilization",):
         if name in stats.DESCRIPTOR.fields_by_name and stats.HasField(name):
-            one = getattr(stats, name)
-            found.setdefault(name, (one.num_requests_finished_with_metric, one.total_metric_value))
-    return found
+            metric = getattr(stats, name)
+            metrics.setdefault(name, (metric.num_requests_finished_with_metric, metric.total_metric_value))
+    return metrics
 
 
-def _tally(stats: object) -> client_load_reports.RequestCounts:
+def _request_counts(stats: object) -> client_load_reports.RequestCounts:
     return client_load_reports.RequestCounts(
         stats.total_successful_requests,
         stats.total_error_requests,
@@ -108,29 +109,31 @@
     )
 
 
-def report(data: bytes) -> tuple[Node | None, list[client_load_reports.ClusterLoadReport]]:
+def decode_load_report(
+    data: bytes,
+) -> tuple[ClientIdentity | None, list[client_load_reports.ClusterLoadReport]]:
     """A load report: who sends it, and per cluster what it met at each node and what it turned away."""
     try:
         message = lrs_pb2.LoadStatsRequest.FromString(data)
     except DecodeError:
         raise RequestRejectedError("INVALID_ARGUMENT", "a load report that cannot be read") from None
-    found = []
+    reports = []
     for cluster in message.cluster_stats:
-        met, whole = [], []
-        for one in cluster.upstream_locality_stats:
-            for at in one.upstream_endpoint_stats:
-                where = at.address.socket_address
-                met.append(((where.address, where.port_value), _tally(at)))
-            if one.locality.sub_zone and not one.upstream_endpoint_stats:
-                met.append((one.locality.sub_zone, _tally(one)))
-            whole.append(_tally(one))
-        found.append(
+        endpoints, localities = [], []
+        for locality_stats in cluster.upstream_locality_stats:
+            for endpoint_stats in locality_stats.upstream_endpoint_stats:
+                address = endpoint_stats.address.socket_address
+                endpoints.append(((address.address, address.port_value), _request_counts(endpoint_stats)))
+            if locality_stats.locality.sub_zone and not locality_stats.upstream_endpoint_stats:
+                endpoints.append((locality_stats.locality.sub_zone, _request_counts(locality_stats)))
+            localities.append(_request_counts(locality_stats))
+        reports.append(
             client_load_reports.ClusterLoadReport(
                 cluster.cluster_name,
                 _seconds(cluster.load_report_interval),
-                met,
-                whole,
+                endpoints,
+                localities,
                 cluster.total_dropped_requests,
             )
         )
-    return node_of(message.node), found
+    return identity_of(message.node), reports
--- a/oatcart/xds/encode.py
+++ b/oatcart/xds/encode.py
@@ -25,18 +25,20 @@
 from oatcart.xds.push import Push
 from oatcart.xds.resource_types import CLUSTER, ENDPOINTS, LISTENER, MEMBER, ROUTE
 
-TYPES = {
+TYPE_URLS = {
     CLUSTER: "type.googleapis.com/envoy.config.cluster.v3.Cluster",
     ENDPOINTS: "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
     MEMBER: "type.googleapis.com/envoy.config.endpoint.v3.LbEndpoint",
     LISTENER: "type.googleapis.com/envoy.config.listener.v3.Listener",
     ROUTE: "type.googleapis.com/envoy.config.route.v3.RouteConfiguration",
 }
-KEPT_MOST = 8192  # encoded resources; beyond it the one not used for longest is encoded again when asked for
+CACHED_PARTS_MAX = (
+    8192  # encoded resources; beyond it the one not used for longest is encoded again when asked for
+)
 UNLIMITED = 2**32 - 1  # what Envoy takes for no limit
-CONNECT_WITHIN = 1  # s until a client takes a node for unreached; a report says so, and the module judges
-ALWAYS_ENOUGH = 10_000  # percent: a zone keeps its whole weight while one of its nodes is healthy
-DROPPED_BY = "oatcart-admission"  # the category of drops, as load reports name it
+CONNECT_TIMEOUT = 1  # s until a client takes a node for unreached; a report says so, and the module judges
+OVERPROVISIONING_PERCENT = 10_000  # percent: a zone keeps its whole weight while one of its nodes is healthy
+DROP_CATEGORY = "oatcart-admission"  # the category of drops, as load reports name it
 ADS = config_source_pb2.ConfigSource(
     ads=config_source_pb2.AggregatedConfigSource(), resource_api_version=config_source_pb2.V3
 )
@@ -61,23 +63,23 @@
     cluster = cluster_pb2.Cluster(
         name=body.kind,
         type=cluster_pb2.Cluster.EDS,
-        connect_timeout=duration_pb2.Duration(seconds=CONNECT_WITHIN),
+        connect_timeout=duration_pb2.Duration(seconds=CONNECT_TIMEOUT),
         eds_cluster_config=cluster_pb2.Cluster.EdsClusterConfig(eds_config=ADS),
         lrs_server=config_source_pb2.ConfigSource(self=config_source_pb2.SelfConfigSource()),
         circuit_breakers=circuit_breaker_pb2.CircuitBreakers(thresholds=[limits]),
     )
     if body.shape == view.SPREAD:
-        rr = extension_pb2.TypedExtensionConfig(
+        round_robin_config = extension_pb2.TypedExtensionConfig(
             name="round_robin", typed_config=_packed(round_robin_pb2.RoundRobin())
         )
-        child = cluster_pb2.LoadBalancingPolicy(
-            policies=[cluster_pb2.LoadBalancingPolicy.Policy(typed_extension_config=rr)]
+        endpoint_policy = cluster_pb2.LoadBalancingPolicy(
+            policies=[cluster_pb2.LoadBalancingPolicy.Policy(typed_extension_config=round_robin_config)]
         )
-        wrr = extension_pb2.TypedExtensionConfig(
+        wrr_locality_config = extension_pb2.TypedExtensionConfig(
             name="wrr_locality",
-            typed_config=_packed(wrr_locality_pb2.WrrLocality(endpoint_picking_policy=child)),
+            typed_config=_packed(wrr_locality_pb2.WrrLocality(endpoint_picking_policy=endpoint_policy)),
         )
-        cluster.load_balancing_policy.policies.add().typed_extension_config.CopyFrom(wrr)
+        cluster.load_balancing_policy.policies.add().typed_extension_config.CopyFrom(wrr_locality_config)
         return cluster
     cluster.lb_policy = cluster_pb2.Cluster.LEAST_REQUEST
     cluster.least_request_lb_config.choice_count.value = 2
@@ -88,49 +90,52 @@
     return cluster
 
 
-def _lb_endpoint(one: view.Endpoint, weighted: bool) -> endpoint_components_pb2.LbEndpoint:
-    at = address_pb2.Address(socket_address=address_pb2.SocketAddress(address=one.host, port_value=one.port))
-    made = endpoint_components_pb2.LbEndpoint(
-        endpoint=endpoint_components_pb2.Endpoint(address=at, hostname=one.name),
-        health_status=health_check_pb2.HealthStatus.Value(one.health),
+def _lb_endpoint(endpoint: view.Endpoint, weighted: bool) -> endpoint_components_pb2.LbEndpoint:
+    address = address_pb2.Address(
+        socket_address=address_pb2.SocketAddress(address=endpoint.host, port_value=endpoint.port)
+    )
+    lb_endpoint = endpoint_components_pb2.LbEndpoint(
+        endpoint=endpoint_components_pb2.Endpoint(address=address, hostname=endpoint.name),
+        health_status=health_check_pb2.HealthStatus.Value(endpoint.health),
     )
     if weighted:
-        made.load_balancing_weight.value = one.weight
-    return made
+        lb_endpoint.load_balancing_weight.value = endpoint.weight
+    return lb_endpoint
 
 
 def _assignment(body: view.Assignment) -> Message:
-    made = endpoint_pb2.ClusterLoadAssignment(cluster_name=body.kind)
-    made.policy.overprovisioning_factor.value = ALWAYS_ENOUGH
+    assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=body.kind)
+    assignment.policy.overprovisioning_factor.value = OVERPROVISIONING_PERCENT
     if body.drop:
-        made.policy.drop_overloads.add(
-            category=DROPPED_BY,
+        assignment.policy.drop_overloads.add(
+            category=DROP_CATEGORY,
             drop_percentage=percent_pb2.FractionalPercent(
                 numerator=body.drop, denominator=percent_pb2.FractionalPercent.MILLION
             ),
         )
     if body.shape == view.EACH:
-        for zone, begins in body.collections:
-            part = made.endpoints.add(locality=base_pb2.Locality(zone=zone))
-            part.leds_cluster_locality_config.leds_collection_name = begins + "*"
-            part.leds_cluster_locality_config.leds_config.CopyFrom(ADS)
+        for zone, prefix in body.collections:
+            locality = assignment.endpoints.add(locality=base_pb2.Locality(zone=zone))
+            locality.leds_cluster_locality_config.leds_collection_name = prefix + "*"
+            locality.leds_cluster_locality_config.leds_config.CopyFrom(ADS)
     elif body.shape == view.SPREAD:
-        for one in body.endpoints:
-            part = made.endpoints.add(
-                locality=base_pb2.Locality(zone=one.zone, sub_zone=one.name),
-                lb_endpoints=[_lb_endpoint(one, False)],
+        for endpoint in body.endpoints:
+            locality = assignment.endpoints.add(
+                locality=base_pb2.Locality(zone=endpoint.zone, sub_zone=endpoint.name),
+                lb_endpoints=[_lb_endpoint(endpoint, False)],
             )
-            part.load_balancing_weight.value = one.weight  # a locality without one gets nothing
+            locality.load_balancing_weight.value = endpoint.weight  # a locality without one gets nothing
     else:
-        for zone in sorted({one.zone for one in body.endpoints}):
-            here = [one for one in body.endpoints if one.zone == zone]
-            part = made.endpoints.add(
-                locality=base_pb2.Locality(zone=zone), lb_endpoints=[_lb_endpoint(one, True) for one in here]
+        for zone in sorted({endpoint.zone for endpoint in body.endpoints}):
+            zone_endpoints = [endpoint for endpoint in body.endpoints if endpoint.zone == zone]
+            locality = assignment.endpoints.add(
+                locality=base_pb2.Locality(zone=zone),
+                lb_endpoints=[_lb_endpoint(endpoint, True) for endpoint in zone_endpoints],
             )
-            part.load_balancing_weight.value = max(
-                1, sum(one.weight for one in here if one.health == view.HEALTHY)
+            locality.load_balancing_weight.value = max(
+                1, sum(endpoint.weight for endpoint in zone_endpoints if endpoint.health == view.HEALTHY)
             )
-    return made
+    return assignment
 
 
 def _listener(body: view.Listener) -> Message:
@@ -144,17 +149,17 @@
 
 
 def _route(body: view.Route) -> Message:
-    made = route_pb2.RouteConfiguration(name=body.kind)
-    host = made.virtual_hosts.add(name=body.kind, domains=["*"])
+    route_config = route_pb2.RouteConfiguration(name=body.kind)
+    virtual_host = route_config.virtual_hosts.add(name=body.kind, domains=["*"])
     action = route_components_pb2.RouteAction(cluster=body.kind)
     if body.retries:
         action.retry_policy.retry_on = body.after
         action.retry_policy.num_retries.value = body.retries
-    host.routes.add(match=route_components_pb2.RouteMatch(prefix=""), route=action)
-    return made
+    virtual_host.routes.add(match=route_components_pb2.RouteMatch(prefix=""), route=action)
+    return route_config
 
 
-_MAKERS = {
+_BODY_ENCODERS = {
     view.Cluster: _cluster,
     view.Assignment: _assignment,
     view.Listener: _listener,
@@ -166,46 +171,47 @@
 class Encoder:
     """Resources by type and version, each encoded once; `made` counts how many were."""
 
-    def __init__(self, most: int = KEPT_MOST) -> None:
-        self.most, self.made = most, 0
+    def __init__(self, max_parts: int = CACHED_PARTS_MAX) -> None:
+        self.max_parts, self.encoded_count = max_parts, 0
         # by protocol, name and version: a response's part
-        self.packed: OrderedDict[tuple, bytes] = OrderedDict()
+        self.parts: OrderedDict[tuple, bytes] = OrderedDict()
 
-    def _part(self, delta: bool, kind: str, name: str, version: str, body: object) -> bytes:
-        key = delta, kind, name, version
-        part = self.packed.get(key)
+    def _part(self, delta: bool, resource_type: str, name: str, version: str, body: object) -> bytes:
+        key = delta, resource_type, name, version
+        part = self.parts.get(key)
         if part is None:
-            self.made += 1
-            packed = _packed(_MAKERS[type(body)](body))
+            self.encoded_count += 1
+            packed_body = _packed(_BODY_ENCODERS[type(body)](body))
             if delta:
-                one = discovery_pb2.Resource(name=name, version=version, resource=packed)
-                part = discovery_pb2.DeltaDiscoveryResponse(resources=[one]).SerializeToString(
+                resource = discovery_pb2.Resource(name=name, version=version, resource=packed_body)
+                part = discovery_pb2.DeltaDiscoveryResponse(resources=[resource]).SerializeToString(
                     deterministic=True
                 )
             else:
-                part = discovery_pb2.DiscoveryResponse(resources=[packed]).SerializeToString(
+                part = discovery_pb2.DiscoveryResponse(resources=[packed_body]).SerializeToString(
                     deterministic=True
                 )
-            self.packed[key] = part
-            while len(self.packed) > self.most:
-                self.packed.popitem(last=False)
+            self.parts[key] = part
+            while len(self.parts) > self.max_parts:
+                self.parts.popitem(last=False)
         else:
-            self.packed.move_to_end(key)
+            self.parts.move_to_end(key)
         return part
 
-    def push(self, delta: bool, kind: str, push: Push) -> bytes:
+    def push(self, delta: bool, resource_type: str, push: Push) -> bytes:
         """A discovery response of either protocol, serialized."""
         if delta:
             head = discovery_pb2.DeltaDiscoveryResponse(
-                type_url=TYPES[kind],
+                type_url=TYPE_URLS[resource_type],
                 nonce=push.nonce,
                 system_version_info=push.version,
                 removed_resources=push.removed,
             ).SerializeToString()
         else:
             head = discovery_pb2.DiscoveryResponse(
-                type_url=TYPES[kind], nonce=push.nonce, version_info=push.version
+                type_url=TYPE_URLS[resource_type], nonce=push.nonce, version_info=push.version
             ).SerializeToString()
         return head + b"".join(
-            self._part(delta, kind, name, content.version, content.body) for name, content in push.items
+            self._part(delta, resource_type, name, content.version, content.body)
+            for name, content in push.items
         )
--- a/oatcart/xds/follow.py
+++ b/oatcart/xds/follow.py
@@ -15,120 +15,133 @@
 from oatcart.net.codec import MAX_ID_LENGTH, Codec, parse_address
 from oatcart.net.stream import Address
 from oatcart.xds.backoff import Backoff
-from oatcart.xds.encode import TYPES
+from oatcart.xds.encode import TYPE_URLS
 from oatcart.xds.resource_types import ENDPOINTS
 from oatcart.xds.verified_endpoints import ReportedEndpoint, VerifiedEndpoints
 
-ADS = "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources"
-ANSWER_MOST = 16 * 1024 * 1024  # bytes of an answer: a hundred thousand endpoints
-NODES_MOST = 100_000  # in one answer
-HEALTH = health_check_pb2.HealthStatus
-STATES = {
-    HEALTH.UNKNOWN: EndpointState.READY,
-    HEALTH.HEALTHY: EndpointState.READY,
-    HEALTH.DEGRADED: EndpointState.READY,
-    HEALTH.DRAINING: EndpointState.DRAINING,
+STREAM_METHOD = "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources"
+RESPONSE_BYTES_MAX = 16 * 1024 * 1024  # bytes of an answer: a hundred thousand endpoints
+ENDPOINTS_MAX = 100_000  # in one answer
+HealthStatus = health_check_pb2.HealthStatus
+STATE_OF_HEALTH = {
+    HealthStatus.UNKNOWN: EndpointState.READY,
+    HealthStatus.HEALTHY: EndpointState.READY,
+    HealthStatus.DEGRADED: EndpointState.READY,
+    HealthStatus.DRAINING: EndpointState.DRAINING,
 }  # all others are left out, like nodes that are missing
-KEY = "oatcart"  # of an endpoint's metadata, where `started` may stand, s of Unix time
+METADATA_KEY = "oatcart"  # of an endpoint's metadata, where `started` may stand, s of Unix time
 
 
-class Unfit(ValueError):
+class InvalidResponseError(ValueError):
     """An answer that cannot be used; names the field."""
 
 
-def endpoints(
+def parse_endpoints(
     message: endpoint_pb2.ClusterLoadAssignment, zones: dict[str, int]
 ) -> dict[str, tuple[ReportedEndpoint, Address]]:
     """The endpoints of an assignment by name; raises Unfit."""
-    found: dict[str, tuple[ReportedEndpoint, Address]] = {}
-    taken: dict[Address, str] = {}
-    for at, part in enumerate(message.endpoints):
-        where = f"endpoints[{at}]"
-        if part.locality.zone not in zones:
-            raise Unfit(f"{where}.locality.zone: {part.locality.zone[:80]!r} is none of {', '.join(zones)}")
-        for place, one in enumerate(part.lb_endpoints):
-            field, socket = f"{where}.lb_endpoints[{place}]", one.endpoint.address.socket_address
+    parsed: dict[str, tuple[ReportedEndpoint, Address]] = {}
+    name_at: dict[Address, str] = {}
+    for locality_index, locality in enumerate(message.endpoints):
+        path = f"endpoints[{locality_index}]"
+        if locality.locality.zone not in zones:
+            raise InvalidResponseError(
+                f"{path}.locality.zone: {locality.locality.zone[:80]!r} is none of {', '.join(zones)}"
+            )
+        for endpoint_index, lb_endpoint in enumerate(locality.lb_endpoints):
+            path_of_endpoint, socket = (
+                f"{path}.lb_endpoints[{endpoint_index}]",
+                lb_endpoint.endpoint.address.socket_address,
+            )
             try:
-                known = parse_address(f"{socket.address}:{socket.port_value}")
-                if not known[1]:
+                address = parse_address(f"{socket.address}:{socket.port_value}")
+                if not address[1]:
                     raise ValueError
             except ValueError:
-                raise Unfit(
-                    f"{field}.endpoint.address: {socket.address[:80]}:{socket.port_value} is no numeric "
+                raise InvalidResponseError(
+                    f"{path_of_endpoint}.endpoint.address: {socket.address[:80]}:{socket.port_value} is no numeric "
                     "address and port"
                 ) from None
-            name = one.endpoint.hostname or "{}:{}".format(*known)
+            name = lb_endpoint.endpoint.hostname or "{}:{}".format(*address)
             if len(name) > MAX_ID_LENGTH or not name.isprintable():
-                raise Unfit(f"{field}.endpoint.hostname: {name[:80]!r} is no name")
-            if name in found or known in taken:
-                raise Unfit(f"{field}: {name} at {known[0]}:{known[1]} stands there twice")
-            taken[known] = name
-            if one.health_status in STATES:
-                found[name] = (
+                raise InvalidResponseError(f"{path_of_endpoint}.endpoint.hostname: {name[:80]!r} is no name")
+            if name in parsed or address in name_at:
+                raise InvalidResponseError(
+                    f"{path_of_endpoint}: {name} at {address[0]}:{address[1]} stands there twice"
+                )
+            name_at[address] = name
+            if lb_endpoint.health_status in STATE_OF_HEALTH:
+                parsed[name] = (
                     ReportedEndpoint(
-                        zones[part.locality.zone],
-                        STATES[one.health_status],
-                        one.load_balancing_weight.value or 1.0,
-                        _started(one, field),
+                        zones[locality.locality.zone],
+                        STATE_OF_HEALTH[lb_endpoint.health_status],
+                        lb_endpoint.load_balancing_weight.value or 1.0,
+                        _started(lb_endpoint, path_of_endpoint),
                     ),
-                    known,
+                    address,
                 )
-            if len(taken) > NODES_MOST:
-                raise Unfit(f"endpoints: more than {NODES_MOST}")
-    return found
+            if len(name_at) > ENDPOINTS_MAX:
+                raise InvalidResponseError(f"endpoints: more than {ENDPOINTS_MAX}")
+    return parsed
 
 
-def _started(one: object, field: str) -> float | None:
-    told = one.metadata.filter_metadata
-    if KEY not in told or "started" not in told[KEY].fields:
+def _started(lb_endpoint: object, field: str) -> float | None:
+    metadata = lb_endpoint.metadata.filter_metadata
+    if METADATA_KEY not in metadata or "started" not in metadata[METADATA_KEY].fields:
         return None
-    value = told[KEY].fields["started"].number_value
+    value = metadata[METADATA_KEY].fields["started"].number_value
     if not isfinite(value) or not 0 <= value <= MAX_AMOUNT:
-        raise Unfit(f"{field}.metadata: {KEY}.started {value}")
+        raise InvalidResponseError(f"{field}.metadata: {METADATA_KEY}.started {value}")
     return value
 
 
-class Follower:
+class ManagementServerClient:
     """`take` gets the whole list, as entries, when it has changed; `addresses` is the conductor's own."""
 
     def __init__(
         self,
         server: str,
         cluster: str,
-        node: str,
+        node_id: str,
         codec: Codec,
         addresses: dict[int, Address],
         verified: VerifiedEndpoints,
         backoff: Backoff,
         clock: Callable[[], float],
-        unix: Callable[[], float],
-        take: Callable[[list[tuple]], None],
-        say: Callable[[str, str], None],
+        unix_time: Callable[[], float],
+        on_endpoints: Callable[[list[tuple]], None],
+        log: Callable[[str, str], None],
     ) -> None:
-        self.server, self.cluster, self.node, self.codec, self.addresses = (
+        self.server, self.cluster, self.node_id, self.codec, self.addresses = (
             server,
             cluster,
-            node,
+            node_id,
             codec,
             addresses,
         )
-        self.verified, self.backoff, self.clock, self.unix, self.take = verified, backoff, clock, unix, take
-        self.say = say
-        self.at: dict[str, Address] = {}
+        self.verified, self.backoff, self.clock, self.unix_time, self.on_endpoints = (
+            verified,
+            backoff,
+            clock,
+            unix_time,
+            on_endpoints,
+        )
+        self.log = log
+        self.address_of: dict[str, Address] = {}
         self.task: asyncio.Task | None = None
 
     def start(self) -> None:
-        self.task = asyncio.ensure_future(self._life())
+        self.task = asyncio.ensure_future(self._run())
 
     async def stop(self) -> None:
         if self.task is not None:
             self.task.cancel()
             await asyncio.gather(self.task, return_exceptions=True)
 
-    async def _life(self) -> None:
+    async def _run(self) -> None:
         """Stream after stream, each until it ends or a doubt asks for another."""
         options = [
-            ("grpc.max_receive_message_length", ANSWER_MOST),
+            ("grpc.max_receive_message_length", RESPONSE_BYTES_MAX),
             ("grpc.keepalive_time_ms", 10_000),
             ("grpc.keepalive_timeout_ms", 5_000),
             ("grpc.initial_reconnect_backoff_ms", 100),
@@ -137,29 +150,31 @@
         async with grpc.aio.insecure_channel(self.server, options=options) as channel:
             while True:
                 try:
-                    await self._stream(channel)
+                    await self._run_stream(channel)
                 except grpc.aio.AioRpcError as error:
                     wait = self.backoff.next()
-                    self.say(
+                    self.log(
                         "source",
                         f"{self.server}: {error.code().name}: {(error.details() or '')[:200]}; "
                         f"the last list stands, next dial in {wait:.2f} s",
                     )
                     await asyncio.sleep(wait)
 
-    async def _stream(self, channel: grpc.aio.Channel) -> None:
-        call, version, fresh = channel.stream_stream(ADS)(), "", True
+    async def _run_stream(self, channel: grpc.aio.Channel) -> None:
+        call, version, first_on_stream = channel.stream_stream(STREAM_METHOD)(), "", True
         request = discovery_pb2.DiscoveryRequest(
-            node=base_pb2.Node(id=self.node, user_agent_name="oatcart"),
-            type_url=TYPES[ENDPOINTS],
+            node=base_pb2.Node(id=self.node_id, user_agent_name="oatcart"),
+            type_url=TYPE_URLS[ENDPOINTS],
             resource_names=[self.cluster],
         )
         try:
             await call.write(request.SerializeToString())
             while True:
-                again = self.verified.recheck_at() - self.clock()
+                recheck_in = self.verified.recheck_at() - self.clock()
                 try:
-                    async with asyncio.timeout(max(0.0, again) if again < inf and not fresh else None):
+                    async with asyncio.timeout(
+                        max(0.0, recheck_in) if recheck_in < inf and not first_on_stream else None
+                    ):
                         data = await call.read()
                 except TimeoutError:
                     return  # what is in doubt is asked anew, on a fresh stream
@@ -168,47 +183,52 @@
                         await asyncio.sleep(self.backoff.next())  # it was told to go, politely
                     return
                 request = discovery_pb2.DiscoveryRequest(
-                    type_url=TYPES[ENDPOINTS], resource_names=[self.cluster]
+                    type_url=TYPE_URLS[ENDPOINTS], resource_names=[self.cluster]
                 )
                 try:
                     response = discovery_pb2.DiscoveryResponse.FromString(data)
                     request.response_nonce = response.nonce
-                    self._answer(response, fresh)
-                    version, fresh = response.version_info, False
+                    self._handle_response(response, first_on_stream)
+                    version, first_on_stream = response.version_info, False
                     self.backoff.answered()
-                except (Unfit, DecodeError) as error:
+                except (InvalidResponseError, DecodeError) as error:
                     request.error_detail.code = grpc.StatusCode.INVALID_ARGUMENT.value[0]
                     request.error_detail.message = str(error) or "an answer that cannot be read"
-                    self.say("source", f"{self.server}: refused: {error}; the last list stands")
+                    self.log("source", f"{self.server}: refused: {error}; the last list stands")
                 request.version_info = version
                 await call.write(request.SerializeToString())
         finally:
             call.cancel()
 
-    def _answer(self, response: discovery_pb2.DiscoveryResponse, fresh: bool) -> None:
-        if response.type_url != TYPES[ENDPOINTS]:
-            raise Unfit(f"type_url: {response.type_url[:80]!r} was not asked for")
-        for one in response.resources:
+    def _handle_response(self, response: discovery_pb2.DiscoveryResponse, first_on_stream: bool) -> None:
+        if response.type_url != TYPE_URLS[ENDPOINTS]:
+            raise InvalidResponseError(f"type_url: {response.type_url[:80]!r} was not asked for")
+        for resource in response.resources:
             message = endpoint_pb2.ClusterLoadAssignment()
-            if not one.Unpack(message):
-                raise Unfit(f"resources: {one.type_url[:80]!r} is no ClusterLoadAssignment")
+            if not resource.Unpack(message):
+                raise InvalidResponseError(
+                    f"resources: {resource.type_url[:80]!r} is no ClusterLoadAssignment"
+                )
             if message.cluster_name == self.cluster:
-                found = endpoints(message, self.codec.zones)
+                received = parse_endpoints(message, self.codec.zones)
                 break
         else:
             return  # an answer without what was asked for says nothing of it
-        doubt = self.verified.receive(
-            self.clock(), self.unix(), {name: told for name, (told, _) in found.items()}, fresh
+        suspicion = self.verified.receive(
+            self.clock(),
+            self.unix_time(),
+            {name: endpoint for name, (endpoint, _) in received.items()},
+            first_on_stream,
         )
-        if doubt:
-            self.say("source", f"{self.server}: doubted: {doubt}; they stay, it is asked anew")
-        self.at = {name: at for name, at in self.at.items() if name in self.verified.endpoints} | {
-            name: at for name, (_, at) in found.items()
-        }
-        by_address = {at: place for place, at in self.addresses.items()}
-        places = {
-            name: by_address.get(at) if at in by_address else self.codec.number_of(name)
-            for name, at in self.at.items()
+        if suspicion:
+            self.log("source", f"{self.server}: doubted: {suspicion}; they stay, it is asked anew")
+        self.address_of = {
+            name: address for name, address in self.address_of.items() if name in self.verified.endpoints
+        } | {name: address for name, (_, address) in received.items()}
+        by_address = {address: number for number, address in self.addresses.items()}
+        numbers = {
+            name: by_address.get(address) if address in by_address else self.codec.number_of(name)
+            for name, address in self.address_of.items()
         }
-        self.addresses |= {places[name]: at for name, at in self.at.items()}
-        self.take(self.verified.entries(places.__getitem__))
+        self.addresses |= {numbers[name]: address for name, address in self.address_of.items()}
+        self.on_endpoints(self.verified.entries(numbers.__getitem__))
--- a/oatcart/xds/front.py
+++ b/oatcart/xds/front.py
@@ -17,7 +17,7 @@
 from oatcart.routing_tables import RoutingTables, UpdatePart
 from oatcart.xds import view
 from oatcart.xds.client_load_reports import ClusterLoadReport, LoadReportReader
-from oatcart.xds.client_state import Ask, Client, Node, Owed, Stream
+from oatcart.xds.client_state import Client, ClientIdentity, ClientRequest, PendingAcknowledgement, Stream
 from oatcart.xds.limits import (
     ClientLimits,
     PushBudget,
@@ -34,14 +34,14 @@
 from oatcart.xds.table_publication import TablePublication
 
 
-class Host(Protocol):
+class ProxyRegistry(Protocol):
     """Where clients come and go as proxies, and what the module is told."""
 
     def add_proxy(self, proxy: int, unconfigured: bool) -> None: ...
 
     def remove_proxy(self, proxy: int) -> None: ...
 
-    def add_event(self, arrival: tuple) -> None: ...
+    def add_event(self, event: tuple) -> None: ...
 
 
 class Front:
@@ -49,308 +49,334 @@
 
     def __init__(
         self,
-        host: Host,
-        kinds: Sequence[tuple[str, RequestClass]],
+        registry: ProxyRegistry,
+        request_classes: Sequence[tuple[str, RequestClass]],
         zones: Sequence[str],
-        first: int,
-        life: str,
+        first_proxy: int,
+        incarnation: str,
         limits: ClientLimits,
         budget: PushBudget,
         by_rate: bool,
-        home: str = "",
-        say: Callable[[str, str], None] = lambda kind, text: None,
+        home_zone: str = "",
+        log: Callable[[str, str], None] = lambda kind, text: None,
     ) -> None:
-        self.host, self.kinds, self.zones = host, list(kinds), {name: at for at, name in enumerate(zones)}
-        self.zone_names, self.first, self.life = list(zones), first, life
-        self.limits, self.budget, self.by_rate, self.home, self.say = limits, budget, by_rate, home, say
-        self.returns = ReturnAdmission(budget)
-        self.tables = TablePublication(self.kinds, self.zone_names, by_rate)
-        self.pushes = PushDispatch(budget, self.cache_for, lambda kind, text: self.say(kind, text))
+        self.registry, self.request_classes, self.zones = (
+            registry,
+            list(request_classes),
+            {name: number for number, name in enumerate(zones)},
+        )
+        self.zone_names, self.first_proxy, self.incarnation = list(zones), first_proxy, incarnation
+        self.limits, self.budget, self.by_rate, self.home_zone, self.log = (
+            limits,
+            budget,
+            by_rate,
+            home_zone,
+            log,
+        )
+        self.return_admission = ReturnAdmission(budget)
+        self.publication = TablePublication(self.request_classes, self.zone_names, by_rate)
+        self.push_dispatch = PushDispatch(budget, self.cache_for, lambda kind, text: self.log(kind, text))
         self.clients: dict[str, Client] = {}
         self.by_proxy: dict[int, Client] = {}
-        self.free: list[int] = []
-        self.known: OrderedDict[str, None] = OrderedDict()  # ids of clients that have left, newest last
-        self.keys = count(1)
+        self.free_proxies: list[int] = []
+        self.departed_ids: OrderedDict[str, None] = (
+            OrderedDict()
+        )  # ids of clients that have left, newest last
+        self.stream_keys = count(1)
 
     @property
     def caches(self) -> dict[tuple, ResourceCache]:
         """The resource caches, by type, zone and shape as far as they differ by them."""
-        return self.tables.caches
+        return self.publication.caches
 
     @property
-    def maps(self) -> dict[int, tuple[int, ...]]:
+    def tables_by_zone(self) -> dict[int, tuple[int, ...]]:
         """The table of each request kind, by zone."""
-        return self.tables.maps
+        return self.publication.tables_by_zone
 
     @property
-    def shown(self) -> dict[int, tuple[view.Endpoint, ...]]:
+    def published_endpoints(self) -> dict[int, tuple[view.Endpoint, ...]]:
         """The endpoints of each table as last published."""
-        return self.tables.shown
+        return self.publication.published
 
     @property
-    def dirty(self) -> dict[Stream, None]:
+    def pending_streams(self) -> dict[Stream, None]:
         """The streams on which there may be something to send."""
-        return self.pushes.dirty
+        return self.push_dispatch.pending
 
     @property
-    def more(self) -> bool:
+    def has_more(self) -> bool:
         """Whether the last dispatch was one slice of a long work."""
-        return self.pushes.more
+        return self.push_dispatch.has_more
 
     @property
-    def again_in(self) -> float | None:
+    def next_dispatch_in(self) -> float | None:
         """The time until the budget has a push for who waits, s; None if nobody does."""
-        return self.pushes.again_in
+        return self.push_dispatch.next_dispatch_in
 
     @property
     def push_metrics(self) -> PushMetrics:
         """What the push budget was spent on."""
-        return self.pushes.push_metrics
+        return self.push_dispatch.push_metrics
 
-    def cache_for(self, client: Client, kind: str) -> ResourceCache:
+    def cache_for(self, client: Client, resource_type: str) -> ResourceCache:
         """What a client may see of a type."""
-        return self.tables.cache_for(client, kind)
+        return self.publication.cache_for(client, resource_type)
 
     # -- streams and what comes on them
 
-    def open(self, delta: bool, only: str | None = None) -> Stream:
-        return Stream(next(self.keys), delta, only)
+    def open_stream(self, delta: bool, only_type: str | None = None) -> Stream:
+        return Stream(next(self.stream_keys), delta, only_type)
 
-    def ask(self, now: float, stream: Stream, ask: Ask) -> list[Stream]:
+    def handle_request(self, now: float, stream: Stream, request: ClientRequest) -> list[Stream]:
         """Take a request; returns the streams that are closed for this one.
 
         Raises RequestRejectedError, which ends the stream.
         """
-        if stream.only is not None and ask.type != stream.only:
-            raise RequestRejectedError("INVALID_ARGUMENT", f"this stream is for {stream.only} alone")
-        check_names((*ask.names, *ask.unsubscribe, *ask.brought))
-        ended = self._admit(now, stream, ask)
-        subscription = stream.subscriptions.get(ask.type) or self._new_subscription(stream, ask)
+        if stream.only_type is not None and request.type != stream.only_type:
+            raise RequestRejectedError("INVALID_ARGUMENT", f"this stream is for {stream.only_type} alone")
+        check_names((*request.names, *request.unsubscribe, *request.initial_versions))
+        ended = self._admit(now, stream, request)
+        subscription = stream.subscriptions.get(request.type) or self._new_subscription(stream, request)
         self.limits.check_name_count(
             sum(len(one.subscribed) for one in stream.subscriptions.values())
-            + len(ask.names)
+            + len(request.names)
             - (len(subscription.subscribed) if not stream.delta else 0)
         )
-        stream.subscriptions[ask.type] = subscription
+        stream.subscriptions[request.type] = subscription
         stream.returning = stream.returning or subscription.returning
         if stream.delta:
-            said = subscription.request_changes(
-                ask.names, ask.unsubscribe, ask.brought, ask.nonce, ask.refusal
+            answer = subscription.request_changes(
+                request.names,
+                request.unsubscribe,
+                request.initial_versions,
+                request.nonce,
+                request.error_message,
             )
         else:
-            said = subscription.request_names(ask.names, ask.nonce, ask.refusal)
-        if isinstance(said, Rejection):
-            self._log_rejection(now, stream.client, ask.type, said)
-        if ask.type in BY_TABLE:
+            answer = subscription.request_names(request.names, request.nonce, request.error_message)
+        if isinstance(answer, Rejection):
+            self._log_rejection(now, stream.client, request.type, answer)
+        if request.type in BY_TABLE:
             self._join(stream.client)
-        if ask.nonce and said is not False:
+        if request.nonce and answer is not False:
             stream.client.acked_at = now
-            self._settle(now, stream.client)
-        self.pushes.add(stream)
+            self._report_acknowledged(now, stream.client)
+        self.push_dispatch.add(stream)
         return ended
 
-    def _new_subscription(self, stream: Stream, ask: Ask) -> Subscription:
+    def _new_subscription(self, stream: Stream, request: ClientRequest) -> Subscription:
         """The subscription that the first request of a type on a stream begins."""
-        of_whole_type = ask.type in WHOLE_TYPES
+        of_whole_type = request.type in WHOLE_TYPES
         subscription = Subscription(
             delta=stream.delta,
             sends_all=of_whole_type and not stream.delta,
-            nonce_prefix=f"{self.life}.{stream.key}.{ask.type[0]}",
+            nonce_prefix=f"{self.incarnation}.{stream.key}.{request.type[0]}",
             wildcard_allowed=of_whole_type,
-            carries_endpoints=ask.type in CARRIES_ENDPOINTS,
-            returning=bool(ask.brought or ask.version),
+            carries_endpoints=request.type in CARRIES_ENDPOINTS,
+            returning=bool(request.initial_versions or request.version),
         )
         if subscription.carries_endpoints:
-            subscription.initial_push_version = ask.version
+            subscription.initial_push_version = request.version
         return subscription
 
-    def _admit(self, now: float, stream: Stream, ask: Ask) -> list[Stream]:
+    def _admit(self, now: float, stream: Stream, request: ClientRequest) -> list[Stream]:
         if stream.client is not None:
-            self._prepay(now, stream, ask, stream.client.shape)
+            self._prepay(now, stream, request, stream.client.shape)
             return []
-        node = ask.node
-        if node is None or not node.id or not node.id.isprintable():
+        identity = request.identity
+        if identity is None or not identity.id or not identity.id.isprintable():
             raise RequestRejectedError(
                 "INVALID_ARGUMENT", "node.id: the first request of a stream has to say who asks"
             )
-        check_names([node.id])
-        zone = node.zone or self.home
+        check_names([identity.id])
+        zone = identity.zone or self.home_zone
         if zone not in self.zones:
             raise RequestRejectedError(
                 "INVALID_ARGUMENT",
                 f"node.locality.zone: {zone[:80]!r} is none of {', '.join(self.zone_names)}",
             )
-        client = self.clients.get(node.id)
+        client = self.clients.get(identity.id)
         if client is None:
             self.limits.check_new_client(
-                len(self.clients), sum(not one.bound for one in self.clients.values())
+                len(self.clients), sum(not one.assigned for one in self.clients.values())
             )
-        elif (client.zone, client.shape) != (self.zones[zone], node.shape):
+        elif (client.zone, client.shape) != (self.zones[zone], identity.shape):
             raise RequestRejectedError(
                 "FAILED_PRECONDITION",
-                f"{node.id[:80]!r} is joined from {self.zone_names[client.zone]} "
+                f"{identity.id[:80]!r} is joined from {self.zone_names[client.zone]} "
                 f"as {client.shape}: an id is one client's",
             )
-        self._prepay(now, stream, ask, node.shape)
+        self._prepay(now, stream, request, identity.shape)
         if client is None:
-            client = self._add_client(node, self.zones[zone])
-            stream.returning = node.id in self.known
+            client = self._add_client(identity, self.zones[zone])
+            stream.returning = identity.id in self.departed_ids
         stream.client = client
         client.streams.append(stream)
         return self.limits.superseded(client.streams)
 
-    def _add_client(self, node: Node, zone: int) -> Client:
-        proxy = self.free.pop() if self.free else self.first + len(self.clients)
-        client = Client(node.id, proxy, zone, node.shape, [0.0] * len(self.kinds))
-        self.clients[node.id] = self.by_proxy[proxy] = client
+    def _add_client(self, identity: ClientIdentity, zone: int) -> Client:
+        proxy = self.free_proxies.pop() if self.free_proxies else self.first_proxy + len(self.clients)
+        client = Client(identity.id, proxy, zone, identity.shape, [0.0] * len(self.request_classes))
+        self.clients[identity.id] = self.by_proxy[proxy] = client
         return client
 
-    def _prepay(self, now: float, stream: Stream, ask: Ask, shape: str) -> None:
+    def _prepay(self, now: float, stream: Stream, request: ClientRequest, shape: str) -> None:
         """Pay in advance what a returning client has to be sent before it misses no withdrawal.
 
         Raises RequestRejectedError if more return than can be sent that in time.
         """
-        is_first = ask.type in FIRST_PUSHES and ask.type not in stream.subscriptions
-        if stream.admitted or not is_first or not (ask.brought or ask.version):
+        is_first = request.type in FIRST_PUSHES and request.type not in stream.subscriptions
+        if stream.admitted or not is_first or not (request.initial_versions or request.version):
             return
         self.budget.advance(now)
         pushes = len(FIRST_PUSHES) if shape == view.EACH else len(FIRST_PUSHES) - 1
-        self.returns.admit(now, pushes)
+        self.return_admission.admit(now, pushes)
         stream.admitted, stream.prepaid = True, pushes
 
     def _join(self, client: Client) -> None:
         if not client.joined:
             client.joined = True
-            self.host.add_proxy(client.proxy, True)
-            self.host.add_event(ProxyJoined(client.proxy, client.zone, 0.0, True))
+            self.registry.add_proxy(client.proxy, True)
+            self.registry.add_event(ProxyJoined(client.proxy, client.zone, 0.0, True))
 
-    def close(self, now: float, stream: Stream) -> None:
+    def close_stream(self, now: float, stream: Stream) -> None:
         """A stream is over; with its last one a client has left."""
-        self.dirty.pop(stream, None)
-        self.pushes.refund(stream)
+        self.pending_streams.pop(stream, None)
+        self.push_dispatch.refund(stream)
         client, stream.client = stream.client, None
         if client is None or stream not in client.streams:
             return
         client.streams.remove(stream)
         if client.streams:
-            self._settle(now, client)
+            self._report_acknowledged(now, client)
             return
         del self.clients[client.id], self.by_proxy[client.proxy]
-        self.free.append(client.proxy)
-        self.known[client.id] = None
-        self.known.move_to_end(client.id)
-        while len(self.known) > self.limits.clients:
-            self.known.popitem(last=False)
+        self.free_proxies.append(client.proxy)
+        self.departed_ids[client.id] = None
+        self.departed_ids.move_to_end(client.id)
+        while len(self.departed_ids) > self.limits.clients:
+            self.departed_ids.popitem(last=False)
         if client.joined:
-            self.host.remove_proxy(client.proxy)
-            self.host.add_event(ProxyLeft(client.proxy))
+            self.registry.remove_proxy(client.proxy)
+            self.registry.add_event(ProxyLeft(client.proxy))
 
-    def written(self, stream: Stream) -> None:
+    def on_written(self, stream: Stream) -> None:
         """The transport has taken all that it was handed."""
-        stream.room = True
+        stream.writable = True
         if stream.client is not None:
-            self.pushes.add(stream)
+            self.push_dispatch.add(stream)
 
-    def _log_rejection(self, now: float, client: Client, kind: str, rejection: Rejection) -> None:
-        client.rejections.append((now, kind, rejection))
+    def _log_rejection(self, now: float, client: Client, resource_type: str, rejection: Rejection) -> None:
+        client.rejections.append((now, resource_type, rejection))
         names = ", ".join(rejection.rejected) or "(unnamed)"
-        tried = (
+        retried = (
             f"; tried again alone: {', '.join(rejection.retried_alone)}" if rejection.retried_alone else ""
         )
-        self.say(
+        self.log(
             "refused",
-            f"{client.id} refuses {kind} {names}: {rejection.message}{tried}",
+            f"{client.id} refuses {resource_type} {names}: {rejection.message}{retried}",
         )
 
-    def report(
+    def handle_load_report(
         self,
-        node: str,
+        client_id: str,
         reader: LoadReportReader,
         reports: Iterable[ClusterLoadReport],
-        place: Callable[[object], int | None],
-        odd: Callable[[str], None],
+        endpoint_number: Callable[[object], int | None],
+        log_invalid: Callable[[str], None],
     ) -> None:
         """A load report of a client; of one that is not joined it says nothing, as nobody knows its zone."""
-        client = self.clients.get(node)
+        client = self.clients.get(client_id)
         if client is None or not client.joined:
             return
-        kinds = {name: at for at, (name, _) in enumerate(self.kinds)}
-        for told in reader.read(reports, client.proxy, client.zone, kinds, place, odd):
-            if isinstance(told, ProxyLoadReported):
-                _, kind, came, _, over = told
-                client.rates[kind] += (came / over - client.rates[kind]) / 2
-            self.host.add_event(told)
+        class_numbers = {name: number for number, (name, _) in enumerate(self.request_classes)}
+        for event in reader.read(
+            reports, client.proxy, client.zone, class_numbers, endpoint_number, log_invalid
+        ):
+            if isinstance(event, ProxyLoadReported):
+                _, request_class, arrived, _, interval = event
+                client.request_rates[request_class] += (
+                    arrived / interval - client.request_rates[request_class]
+                ) / 2
+            self.registry.add_event(event)
 
     # -- what the module decided
 
-    def told(self, proxy: int, parts: tuple[UpdatePart, ...]) -> None:
+    def note_update(self, proxy: int, parts: tuple[UpdatePart, ...]) -> None:
         """A proxy of ours is concerned by this round's orders; what they are is read off the tables."""
         client = self.by_proxy.get(proxy)
         if client is not None and parts and parts[-1].nonce is not None:
-            client.told = parts[-1].nonce
+            client.round_nonce = parts[-1].nonce
 
     def publish(
         self,
         now: float,
         tables: RoutingTables,
-        roster: view.Roster,
-        named: Callable[[int], tuple[str, str, int] | None],
+        listed_endpoints: view.ListedEndpoints,
+        endpoint_address: Callable[[int], tuple[str, str, int] | None],
     ) -> None:
         """After a round: the tables as they stand become resources, marks are noted. `named`: a node's name,
         host and port, None where it has no address yet."""
         clients = list(self.clients.values())
-        for client in self.tables.bind(clients, tables):
-            self.pushes.add(*client.streams)
-        if self.tables.publish(now, tables, roster, named, clients):
+        for client in self.publication.assign_clients(clients, tables):
+            self.push_dispatch.add(*client.streams)
+        if self.publication.publish(now, tables, listed_endpoints, endpoint_address, clients):
             for client in clients:
-                self.pushes.add(*client.streams)
+                self.push_dispatch.add(*client.streams)
         for client in self.clients.values():
-            if client.told is not None:
-                self._owe(now, client)
+            if client.round_nonce is not None:
+                self._await_acknowledgement(now, client)
 
     # -- marks
 
-    def _owe(self, now: float, client: Client) -> None:
-        mark, client.told = client.told, None
-        needs = {
-            (stream, kind): due
+    def _await_acknowledgement(self, now: float, client: Client) -> None:
+        nonce, client.round_nonce = client.round_nonce, None
+        required = {
+            (stream, resource_type): unacknowledged
             for stream in client.streams
-            for kind, subscription in stream.subscriptions.items()
-            if kind in BY_TABLE and (due := subscription.unacknowledged(self.cache_for(client, kind)))
+            for resource_type, subscription in stream.subscriptions.items()
+            if resource_type in BY_TABLE
+            and (unacknowledged := subscription.unacknowledged(self.cache_for(client, resource_type)))
         }
-        client.owed.append(Owed(mark, now, needs))
-        self._settle(now, client)
+        client.pending_acks.append(PendingAcknowledgement(nonce, now, required))
+        self._report_acknowledged(now, client)
 
-    def _settle(self, now: float, client: Client) -> None:
+    def _report_acknowledged(self, now: float, client: Client) -> None:
         """Tell the module of the newest mark that all streams now hold."""
-        done = None
-        for owed in list(client.owed):
-            for (stream, kind), need in list(owed.needs.items()):
-                subscription = stream.subscriptions.get(kind)
+        acknowledged = None
+        for pending in list(client.pending_acks):
+            for (stream, resource_type), sequences in list(pending.required.items()):
+                subscription = stream.subscriptions.get(resource_type)
                 if stream.client is not client or subscription is None:
-                    del owed.needs[stream, kind]
+                    del pending.required[stream, resource_type]
                     continue
                 for name in [
                     name
-                    for name, seq in need.items()
-                    if subscription.acknowledged.get(name, -1) >= seq or not subscription.is_wanted(name)
+                    for name, sequence in sequences.items()
+                    if subscription.acknowledged.get(name, -1) >= sequence or not subscription.is_wanted(name)
                 ]:
-                    del need[name]
-                if not need:
-                    del owed.needs[stream, kind]
-            if not owed.needs:
-                done = owed
-                client.owed.remove(owed)
-        if done is not None:
-            while client.owed and (done.mark - client.owed[0].mark) % NONCE_COUNT < NONCE_COUNT // 2:
-                client.owed.popleft()  # what came later is held, so what came before is
-            self.host.add_event(UpdateAcknowledged(client.proxy, done.mark, now - done.at))
+                    del sequences[name]
+                if not sequences:
+                    del pending.required[stream, resource_type]
+            if not pending.required:
+                acknowledged = pending
+                client.pending_acks.remove(pending)
+        if acknowledged is not None:
+            while (
+                client.pending_acks
+                and (acknowledged.nonce - client.pending_acks[0].nonce) % NONCE_COUNT < NONCE_COUNT // 2
+            ):
+                client.pending_acks.popleft()  # what came later is held, so what came before is
+            self.registry.add_event(
+                UpdateAcknowledged(client.proxy, acknowledged.nonce, now - acknowledged.sent_at)
+            )
 
     # -- what goes out
 
     def dispatch(self, now: float) -> list[tuple[Stream, list[tuple[str, Push]]]]:
         """What to send now, by stream; see `PushDispatch`."""
-        return self.pushes.dispatch(now)
+        return self.push_dispatch.dispatch(now)
 
     # -- for operators
 
@@ -358,24 +384,27 @@
         """Each client as an operator would ask for it."""
         return [
             {
-                "id": one.id,
-                "proxy": one.proxy,
-                "zone": self.zone_names[one.zone],
-                "shape": one.shape,
-                "streams": len(one.streams),
-                "bound": one.bound,
-                "acked_s_ago": None if one.acked_at is None else round(now - one.acked_at, 3),
+                "id": client.id,
+                "proxy": client.proxy,
+                "zone": self.zone_names[client.zone],
+                "shape": client.shape,
+                "streams": len(client.streams),
+                "bound": client.assigned,
+                "acked_s_ago": None if client.acked_at is None else round(now - client.acked_at, 3),
                 "in_flight": sum(
                     len(subscription.in_flight)
-                    for stream in one.streams
+                    for stream in client.streams
                     for subscription in stream.subscriptions.values()
                 ),
-                "refused": [f"{kind}: {rejection.message}" for _, kind, rejection in one.rejections],
+                "refused": [
+                    f"{resource_type}: {rejection.message}"
+                    for _, resource_type, rejection in client.rejections
+                ],
             }
-            for one in self.clients.values()
+            for client in self.clients.values()
         ]
 
 
-def new_life(unix: float, seed: int) -> str:
+def new_incarnation(unix: float, seed: int) -> str:
     """What begins the nonces of a life: another in each, also where two begin in the same second."""
     return digest(unix, seed)[:8]
--- a/oatcart/xds/nested.py
+++ b/oatcart/xds/nested.py
@@ -11,11 +11,11 @@
 from oatcart.net.rounds import Rounds
 
 
-class Nested:
+class NestedLoop:
     def __init__(self, loop: Loop, rounds: Rounds) -> None:
         self.inner, self.rounds = loop, rounds
         self.timer: asyncio.TimerHandle | None = None
-        self.kicked = self.stopped = False
+        self.wake_scheduled = self.stopped = False
 
     def start(self) -> None:
         self.outer = asyncio.get_running_loop()
@@ -28,14 +28,14 @@
         if self.timer is not None:
             self.timer.cancel()
 
-    def kick(self) -> None:
+    def wake(self) -> None:
         """Something has come in from outside the inner loop: it has a turn soon, once."""
-        if not self.kicked:
-            self.kicked = True
+        if not self.wake_scheduled:
+            self.wake_scheduled = True
             self.outer.call_soon(self.turn)
 
     def turn(self) -> None:
-        self.kicked = False
+        self.wake_scheduled = False
         if self.stopped:
             return
         self.inner.turn(0.0)
--- a/oatcart/xds/push_metrics.py
+++ b/oatcart/xds/push_metrics.py
@@ -20,7 +20,8 @@
     def __str__(self) -> str:
         """One log line's text."""
         sent = ", ".join(
-            f"{priority} {kind} {count}" for (priority, kind), count in sorted(self.sent.items())
+            f"{priority} {resource_type} {count}"
+            for (priority, resource_type), count in sorted(self.sent.items())
         )
         return (
             f"withdrawals to {self.kept_back} streams wait for the push budget, the first for "
@@ -36,9 +37,9 @@
         self.sent: Counter[tuple[str, str]] = Counter()
         self.waiting_since: list[float] = []  # s; of the streams that the last dispatch kept back
 
-    def count(self, priority: PushPriority, kind: str) -> None:
+    def count(self, priority: PushPriority, resource_type: str) -> None:
         """A push of a type was sent."""
-        self.sent[priority.name.lower(), kind] += 1
+        self.sent[priority.name.lower(), resource_type] += 1
 
     def status(self, now: float, budget: PushBudget) -> PushStatus:
         """What stands now. `now`: s."""
--- a/oatcart/xds/rounds.py
+++ b/oatcart/xds/rounds.py
@@ -7,7 +7,7 @@
 from oatcart.routing_tables import UpdatePart
 from oatcart.xds.endpoint_list_merge import EndpointListMerge, ListSource
 from oatcart.xds.front import Front
-from oatcart.xds.view import Roster
+from oatcart.xds.view import ListedEndpoints
 
 
 class XdsRounds(Rounds):
@@ -15,84 +15,86 @@
 
     def __init__(self, *args: object) -> None:
         super().__init__(*args)
-        self.roster, self.gone, self.touched = Roster(), [], False
+        self.listed_endpoints, self.forgotten_endpoints, self.tables_changed = ListedEndpoints(), [], False
         self.front: Front | None = None
-        self.merge: EndpointListMerge | None = None  # with a management server's list, where there is one
-        self.follows_roll = True
-        self.published: Callable[[], None] = lambda: None
-
-    def serve(self, front: Front, published: Callable[[], None]) -> None:
-        self.front, self.published = front, published
-
-    def add_event(self, arrival: Event) -> None:
-        if isinstance(arrival, EndpointListReceived):
-            if self.merge is not None:
-                arrival = EndpointListReceived(False, self.merge.update(ListSource.DISCOVERY, *arrival))
-            self._listed(arrival)
+        self.list_merge: EndpointListMerge | None = (
+            None  # with a management server's list, where there is one
+        )
+        self.uses_discovery = True
+        self.on_published: Callable[[], None] = lambda: None
+
+    def attach_front(self, front: Front, on_published: Callable[[], None]) -> None:
+        self.front, self.on_published = front, on_published
+
+    def add_event(self, event: Event) -> None:
+        if isinstance(event, EndpointListReceived):
+            if self.list_merge is not None:
+                event = EndpointListReceived(False, self.list_merge.update(ListSource.DISCOVERY, *event))
+            self._add_list(event)
         else:
-            super().add_event(arrival)
+            super().add_event(event)
 
-    def listed_elsewhere(self, entries: list[tuple]) -> None:
+    def add_management_list(self, entries: list[tuple]) -> None:
         """The whole list of a management server."""
-        self._listed(
-            EndpointListReceived(False, self.merge.update(ListSource.MANAGEMENT_SERVER, True, entries))
+        self._add_list(
+            EndpointListReceived(False, self.list_merge.update(ListSource.MANAGEMENT_SERVER, True, entries))
         )
 
-    def _listed(self, arrival: EndpointListReceived) -> None:
-        self.roster.take(*arrival)
-        self.touched = True
-        super().add_event(arrival)
+    def _add_list(self, event: EndpointListReceived) -> None:
+        self.listed_endpoints.update(*event)
+        self.tables_changed = True
+        super().add_event(event)
 
-    def watch_endpoints(self, on: bool) -> None:
-        if self.follows_roll:
-            super().watch_endpoints(on)
+    def watch_endpoints(self, enabled: bool) -> None:
+        if self.uses_discovery:
+            super().watch_endpoints(enabled)
 
     def fetch_endpoints(self) -> None:
-        if self.follows_roll:
+        if self.uses_discovery:
             super().fetch_endpoints()
 
-    def set_weight(self, table: int, node: int, weight: float) -> None:
-        self.touched = True
-        super().set_weight(table, node, weight)
+    def set_weight(self, table: int, endpoint: int, weight: float) -> None:
+        self.tables_changed = True
+        super().set_weight(table, endpoint, weight)
 
     def clear_table(self, table: int) -> None:
-        self.touched = True
+        self.tables_changed = True
         super().clear_table(table)
 
-    def assign_table(self, table: int, proxy: int, kinds: int) -> None:
-        self.touched = True
-        super().assign_table(table, proxy, kinds)
+    def assign_table(self, table: int, proxy: int, classes: int) -> None:
+        self.tables_changed = True
+        super().assign_table(table, proxy, classes)
 
-    def set_ejected(self, node: int, out: bool) -> None:
-        self.touched = True
-        super().set_ejected(node, out)
+    def set_ejected(self, endpoint: int, ejected: bool) -> None:
+        self.tables_changed = True
+        super().set_ejected(endpoint, ejected)
 
-    def set_admission(self, table: int, kinds: int, quota: float, tries: int) -> None:
-        self.touched = True
-        super().set_admission(table, kinds, quota, tries)
+    def set_admission(self, table: int, classes: int, quota: float, retry_policy: int) -> None:
+        self.tables_changed = True
+        super().set_admission(table, classes, quota, retry_policy)
 
-    def forget_endpoint(self, node: int) -> None:
-        self.gone.append(node)
-        super().forget_endpoint(node)
+    def forget_endpoint(self, endpoint: int) -> None:
+        self.forgotten_endpoints.append(endpoint)
+        super().forget_endpoint(endpoint)
 
-    def named(self, place: int) -> tuple[str, str, int] | None:
-        at = self.watcher.addresses.get(place)
-        return (self.codec.endpoint_ids[place], *at) if at else None
+    def endpoint_address(self, endpoint: int) -> tuple[str, str, int] | None:
+        address = self.watcher.addresses.get(endpoint)
+        return (self.codec.endpoint_ids[endpoint], *address) if address else None
 
     def _send_update(self, proxy: int, parts: tuple[UpdatePart, ...], encoded: dict[tuple, bytes]) -> None:
         if self.front is not None and proxy in self.front.by_proxy:
-            self.front.told(proxy, parts)
+            self.front.note_update(proxy, parts)
         else:
             super()._send_update(proxy, parts, encoded)
 
     def _send_updates(self) -> None:
         super()._send_updates()
-        if self.front is not None and self.touched:
-            self.touched = False
-            self.front.publish(self.loop.now, self, self.roster, self.named)
-            self.published()
-        for node in self.gone:
-            self.roster.drop(node)
-            if self.merge is not None:
-                self.merge.forget(node)
-        self.gone = []
+        if self.front is not None and self.tables_changed:
+            self.tables_changed = False
+            self.front.publish(self.loop.now, self, self.listed_endpoints, self.endpoint_address)
+            self.on_published()
+        for endpoint in self.forgotten_endpoints:
+            self.listed_endpoints.forget(endpoint)
+            if self.list_merge is not None:
+                self.list_merge.forget(endpoint)
+        self.forgotten_endpoints = []
--- a/oatcart/xds/serve.py
+++ b/oatcart/xds/serve.py
@@ -17,18 +17,18 @@
 from oatcart.xds.configuration import Xds, capacity_warning
 from oatcart.xds.encode import Encoder
 from oatcart.xds.endpoint_list_merge import EndpointListMerge
-from oatcart.xds.follow import Follower
-from oatcart.xds.front import Front, new_life
+from oatcart.xds.follow import ManagementServerClient
+from oatcart.xds.front import Front, new_incarnation
 from oatcart.xds.limits import ClientLimits, PushBudget
-from oatcart.xds.nested import Nested
+from oatcart.xds.nested import NestedLoop
 from oatcart.xds.rounds import XdsRounds
 from oatcart.xds.server import Server
 from oatcart.xds.verified_endpoints import ReportedEndpoint, VerifiedEndpoints
 
-UNUSABLE = 2  # exit code where a configuration cannot be used
+EXIT_INVALID_CONFIGURATION = 2  # exit code where a configuration cannot be used
 
 
-class Conductor:
+class XdsController:
     """A whole conductor in this process; `cfg` is what `EDGE_CONFIG` names, read; `woken` is readable
     once it is to be read again."""
 
@@ -36,11 +36,11 @@
         self,
         cfg: dict,
         xds: Xds,
-        woken: socket.socket,
-        traced: Callable[[Callable], Callable] = lambda make: make,
+        reload_socket: socket.socket,
+        with_tracing: Callable[[Callable], Callable] = lambda make: make,
     ) -> None:
         self.xds = xds
-        self.loop, self.rounds, self.acceptor = assemble(cfg, woken, traced(self._rounds))
+        self.loop, self.rounds, self.acceptor = assemble(cfg, reload_socket, with_tracing(self._make_rounds))
         records, codec = read_controller_settings(cfg["settings"]), self.rounds.codec
         zones = sorted(codec.zones, key=codec.zones.get)
         self.front = Front(
@@ -48,14 +48,14 @@
             list(zip(codec.request_class_names, records.request_classes, strict=True)),
             zones,
             codec.proxy_count,
-            new_life(time.time_ns(), int(cfg["seed"], 16)),
+            new_incarnation(time.time_ns(), int(cfg["seed"], 16)),
             ClientLimits(xds.clients, xds.streams, xds.names, xds.pushes),
             PushBudget(xds.pushes),
             records.admission_mode == AdmissionMode.RATE,
             xds.home_zone,
             self.rounds.logger.write,
         )
-        self.nested = Nested(self.loop, self.rounds)
+        self.nested_loop = NestedLoop(self.loop, self.rounds)
         self.encoder = Encoder()
         self.server = Server(
             self.front,
@@ -64,23 +64,23 @@
             xds.unread_for,
             xds.report_every,
             xds.clients * xds.streams,
-            self.place,
+            self.endpoint_number,
             self.rounds.logger.write,
-            self.nested.kick,
+            self.nested_loop.wake,
         )
 
-        self.follower = None
+        self.management_client = None
         if xds.source is not None:
             verified = VerifiedEndpoints(xds.source.hold)
             if not xds.source.with_roll:  # the list known at the start is what that server is held against
-                known = self.rounds.merge.discovery_to_management()
+                known = self.rounds.list_merge.discovery_to_management()
                 verified.restore(
                     {
-                        codec.endpoint_ids[at]: ReportedEndpoint(zone, state, nominal, started)
-                        for at, zone, started, state, nominal in known
+                        codec.endpoint_ids[number]: ReportedEndpoint(zone, state, nominal, started)
+                        for number, zone, started, state, nominal in known
                     }
                 )
-            self.follower = Follower(
+            self.management_client = ManagementServerClient(
                 xds.source.address,
                 xds.source.cluster,
                 cfg.get("name", ""),
@@ -90,59 +90,62 @@
                 Backoff(xds.source.dial_most, Random(int(cfg["seed"], 16)).uniform),
                 self.loop.clock,
                 time.time,
-                self._listed,
+                self._on_management_list,
                 self.rounds.logger.write,
             )
 
-    def _rounds(self, *args: object) -> XdsRounds:
+    def _make_rounds(self, *args: object) -> XdsRounds:
         rounds = XdsRounds(*args)
         if self.xds.source is not None:
-            rounds.merge, rounds.follows_roll = EndpointListMerge(), self.xds.source.with_roll
+            rounds.list_merge, rounds.uses_discovery = EndpointListMerge(), self.xds.source.with_roll
         return rounds
 
-    def _listed(self, entries: list[tuple]) -> None:
-        self.rounds.listed_elsewhere(entries)
-        self.nested.kick()
+    def _on_management_list(self, entries: list[tuple]) -> None:
+        self.rounds.add_management_list(entries)
+        self.nested_loop.wake()
 
-    def place(self, at: object) -> int | None:
+    def endpoint_number(self, address: object) -> int | None:
         """A node's number by its name or by its host and port."""
-        if isinstance(at, str):
-            return self.rounds.codec.endpoint_numbers.get(at)
-        return next((place for place, known in self.rounds.watcher.addresses.items() if known == at), None)
+        if isinstance(address, str):
+            return self.rounds.codec.endpoint_numbers.get(address)
+        return next(
+            (number for number, listed in self.rounds.watcher.addresses.items() if listed == address),
+            None,
+        )
 
     async def start(self) -> int:
         """Serve; hands back the port of the xDS front."""
         self.port = await self.server.start(self.xds.listen)
-        self.rounds.serve(self.front, self.server.soon)
+        self.rounds.attach_front(self.front, self.server.schedule_dispatch)
         self.rounds.logger.write("start", f"xDS at port {self.port}")
         if warning := capacity_warning(self.xds):
             self.rounds.logger.write("config", warning)
-        self.nested.start()
-        if self.follower is not None:
-            self.follower.start()
+        self.nested_loop.start()
+        if self.management_client is not None:
+            self.management_client.start()
         return self.port
 
     async def stop(self) -> None:
-        if self.follower is not None:
-            await self.follower.stop()
+        if self.management_client is not None:
+            await self.management_client.stop()
         await self.server.stop()
-        self.nested.stop()
+        self.nested_loop.stop()
         self.acceptor.listener.close()
-        close(self.loop)
+        close_loop(self.loop)
 
 
-def close(loop: Loop) -> None:
+def close_loop(loop: Loop) -> None:
     """Close what the epoll loop's tasks hold."""
     for task in set(loop.waiting.values()):
         loop.cancel(task)
     loop.epoll.close()
 
 
-async def run(cfg: dict, xds: Xds, traced: Callable[[Callable], Callable] = lambda make: make) -> int:
+async def run(cfg: dict, xds: Xds, with_tracing: Callable[[Callable], Callable] = lambda make: make) -> int:
     """`traced` may put a tap between the module and its rounds."""
     try:
-        await Conductor(cfg, xds, reload_signal(), traced).start()
+        await XdsController(cfg, xds, reload_signal(), with_tracing).start()
     except (InvalidConfigurationError, RuntimeError) as error:
         print(f"config: {error}", file=sys.stderr)
-        return UNUSABLE
+        return EXIT_INVALID_CONFIGURATION
     return await asyncio.get_running_loop().create_future()  # a signal ends the process
--- a/oatcart/xds/standin/__main__.py
+++ b/oatcart/xds/standin/__main__.py
@@ -12,48 +12,54 @@
 from oatcart.xds.view import EACH, SPREAD, WHOLE
 
 
-def lines(client: Client) -> list[str]:
+def view_lines(client: Client) -> list[str]:
     """What it holds, a line a kind: drops, then each node's weight, with its health where that is not
     healthy.
     """
-    out = []
-    for kind, (_, message) in sorted(client.held[ENDPOINTS].items()):
-        drops = sum(one.drop_percentage.numerator for one in message.policy.drop_overloads) / 10_000
-        nodes = [
+    lines = []
+    for request_class, (_, message) in sorted(client.resources[ENDPOINTS].items()):
+        dropped_percent = sum(one.drop_percentage.numerator for one in message.policy.drop_overloads) / 10_000
+        endpoints = [
             f"{name} {weight}" + ("" if health == "HEALTHY" else f" {health.lower()}")
-            for name, (weight, health) in sorted(client.endpoints(kind).items())
+            for name, (weight, health) in sorted(client.endpoints(request_class).items())
         ]
-        out.append(f"{kind}: {f'{drops:g}% turned away; ' if drops else ''}{', '.join(nodes) or 'no node'}")
-    return out
+        lines.append(
+            f"{request_class}: {f'{dropped_percent:g}% turned away; ' if dropped_percent else ''}{', '.join(endpoints) or 'no node'}"
+        )
+    return lines
 
 
-async def watch(told: argparse.Namespace) -> int:
-    client = Client(told.address, told.id, told.zone, told.delta or told.shape == EACH, told.shape)
+async def watch(options: argparse.Namespace) -> int:
+    client = Client(
+        options.address, options.id, options.zone, options.delta or options.shape == EACH, options.shape
+    )
     began = time.monotonic()
     client.connect()
-    client.ask(CLUSTER)
-    asked, shown = False, []
+    client.request(CLUSTER)
+    requested, shown = False, []
     while client.status is None:
-        client.news.clear()
-        kinds = told.kinds or sorted(client.held[CLUSTER])
-        if kinds and not asked:
-            client.ask(ENDPOINTS, kinds)
-            client.ask(ROUTE, kinds)
-            asked = True
-        if missing := [one for one in client.collections() if one not in client.names[MEMBER]]:
-            client.ask(MEMBER, missing)
-        whole = not client.collections() or client.held[MEMBER]  # else its endpoints are still to come
-        if whole and (now := lines(client)) != shown:
+        client.changed.clear()
+        request_classes = options.kinds or sorted(client.resources[CLUSTER])
+        if request_classes and not requested:
+            client.request(ENDPOINTS, request_classes)
+            client.request(ROUTE, request_classes)
+            requested = True
+        if missing := [name for name in client.collections() if name not in client.subscribed[MEMBER]]:
+            client.request(MEMBER, missing)
+        complete = (
+            not client.collections() or client.resources[MEMBER]
+        )  # else its endpoints are still to come
+        if complete and (now := view_lines(client)) != shown:
             shown = now
             print(
-                f"{time.monotonic() - began:8.2f} s  {client.bytes} bytes so far",
+                f"{time.monotonic() - began:8.2f} s  {client.received_bytes} bytes so far",
                 *shown,
                 sep="\n    ",
                 flush=True,
             )
-            if told.once:
+            if options.once:
                 break
-        await client.news.wait()
+        await client.changed.wait()
     if client.status is not None:
         print(f"the stream ended: {client.status[0]}: {client.status[1]}", file=sys.stderr)
     await client.close()
--- a/oatcart/xds/standin/channel.py
+++ b/oatcart/xds/standin/channel.py
@@ -13,7 +13,7 @@
 
 from oatcart.xds.standin.nodes import METHOD, SERVICE
 
-CALL_WITHIN = 20.0  # s
+CALL_TIMEOUT = 20.0  # s
 
 
 def bootstrap(address: str, id: str, zone: str) -> str:
@@ -32,24 +32,26 @@
     )
 
 
-def calls(channel: grpc.Channel, count: int, key: str) -> dict:
-    run, found = channel.unary_unary(f"/{SERVICE}/{METHOD}"), Counter()
-    for at in range(count):
+def make_calls(channel: grpc.Channel, count: int, key: str) -> dict:
+    call, results = channel.unary_unary(f"/{SERVICE}/{METHOD}"), Counter()
+    for number in range(count):
         try:
-            found[run((key or str(at)).encode(), timeout=CALL_WITHIN, wait_for_ready=not key).decode()] += 1
+            results[
+                call((key or str(number)).encode(), timeout=CALL_TIMEOUT, wait_for_ready=not key).decode()
+            ] += 1
         except grpc.RpcError as error:
-            found[f"!{error.code().name}"] += 1
-    return found
+            results[f"!{error.code().name}"] += 1
+    return results
 
 
 def main(address: str, id: str, zone: str) -> None:
     os.environ["GRPC_XDS_BOOTSTRAP_CONFIG"] = bootstrap(address, id, zone)
     channels: dict[str, grpc.Channel] = {}
     for line in sys.stdin:
-        _, kind, count, *key = line.split()
-        if kind not in channels:
-            channels[kind] = grpc.insecure_channel(f"xds:///{kind}")
-        print(json.dumps(calls(channels[kind], int(count), "".join(key))), flush=True)
+        _, request_class, count, *key = line.split()
+        if request_class not in channels:
+            channels[request_class] = grpc.insecure_channel(f"xds:///{request_class}")
+        print(json.dumps(make_calls(channels[request_class], int(count), "".join(key))), flush=True)
 
 
 if __name__ == "__main__":
--- a/oatcart/xds/standin/client.py
+++ b/oatcart/xds/standin/client.py
@@ -8,16 +8,18 @@
 from envoy.config.endpoint.v3 import endpoint_components_pb2, endpoint_pb2
 from envoy.service.discovery.v3 import discovery_pb2
 
-from oatcart.xds.encode import TYPES
+from oatcart.xds.encode import TYPE_URLS
 from oatcart.xds.resource_types import CLUSTER, ENDPOINTS, LISTENER, MEMBER, ROUTE
 
-KINDS = {url: kind for kind, url in TYPES.items()}
+RESOURCE_TYPES = {url: kind for kind, url in TYPE_URLS.items()}
 ADS = "/envoy.service.discovery.v3.AggregatedDiscoveryService/"
 ENDPOINT_SERVICE = "/envoy.service.endpoint.v3.EndpointDiscoveryService/"
 
 
-def seen(lb: endpoint_components_pb2.LbEndpoint) -> tuple[int, str]:
-    return lb.load_balancing_weight.value, health_check_pb2.HealthStatus.Name(lb.health_status)
+def weight_and_health(lb_endpoint: endpoint_components_pb2.LbEndpoint) -> tuple[int, str]:
+    return lb_endpoint.load_balancing_weight.value, health_check_pb2.HealthStatus.Name(
+        lb_endpoint.health_status
+    )
 
 
 class Client:
@@ -31,89 +33,91 @@
         zone: str = "",
         delta: bool = False,
         shape: str = "",
-        refuses: Callable = lambda kind, message: "",
+        reject_reason: Callable = lambda resource_type, message: "",
         channel: grpc.aio.Channel | None = None,
     ) -> None:
-        self.id, self.delta, self.refuses = id, delta, refuses
+        self.id, self.delta, self.reject_reason = id, delta, reject_reason
         self.node = base_pb2.Node(id=id, locality=base_pb2.Locality(zone=zone), user_agent_name="standin")
         if shape:
             self.node.metadata["oatcart.endpoints"] = shape
-        self.own = channel is None
+        self.owns_channel = channel is None
         self.channel = channel or grpc.aio.insecure_channel(
             address, options=[("grpc.use_local_subchannel_pool", 1), ("grpc.http2.bdp_probe", 0)]
         )
-        self.reads, self.answers = asyncio.Event(), asyncio.Event()
-        self.reads.set()
-        self.answers.set()
-        self.held: dict[str, dict[str, tuple[str, object]]] = {kind: {} for kind in TYPES}  # version, message
-        self.names: dict[str, dict[str, None]] = {kind: {} for kind in TYPES}
-        self.versions: dict[str, str] = {}
-        self.got: list[tuple[str, list[str], list[str], str]] = []  # type, names, removed, nonce
-        self.bytes = 0
+        self.reading, self.answering = asyncio.Event(), asyncio.Event()
+        self.reading.set()
+        self.answering.set()
+        self.resources: dict[str, dict[str, tuple[str, object]]] = {
+            resource_type: {} for resource_type in TYPE_URLS
+        }  # version, message
+        self.subscribed: dict[str, dict[str, None]] = {resource_type: {} for resource_type in TYPE_URLS}
+        self.push_versions: dict[str, str] = {}
+        self.received: list[tuple[str, list[str], list[str], str]] = []  # type, names, removed, nonce
+        self.received_bytes = 0
         self.status: tuple[str, str, dict] | None = None
-        self.news = asyncio.Event()
-        self.out: asyncio.Queue = asyncio.Queue()
+        self.changed = asyncio.Event()
+        self.outgoing: asyncio.Queue = asyncio.Queue()
         self.tasks: list[asyncio.Task] = []
 
-    def connect(self, only: str | None = None) -> None:
+    def connect(self, only_type: str | None = None) -> None:
         """A new stream; what is held goes along with the first requests on it."""
         method = ADS + ("DeltaAggregatedResources" if self.delta else "StreamAggregatedResources")
-        if only == ENDPOINTS:
+        if only_type == ENDPOINTS:
             method = ENDPOINT_SERVICE + ("DeltaEndpoints" if self.delta else "StreamEndpoints")
-        self.out, self.nonces, self.fresh, self.status = asyncio.Queue(), {}, set(), None
-        out = self.out
+        self.outgoing, self.nonces, self.requested_types, self.status = asyncio.Queue(), {}, set(), None
+        outgoing = self.outgoing
         self.call = self.channel.stream_stream(method)(wait_for_ready=True)
-        self.tasks = [asyncio.ensure_future(self._write(out)), asyncio.ensure_future(self._read())]
+        self.tasks = [asyncio.ensure_future(self._write(outgoing)), asyncio.ensure_future(self._read())]
 
-    async def _write(self, out: asyncio.Queue) -> None:
+    async def _write(self, outgoing: asyncio.Queue) -> None:
         try:
-            while (message := await out.get()) is not None:
+            while (message := await outgoing.get()) is not None:
                 await self.call.write(message.SerializeToString())
         except (grpc.aio.AioRpcError, asyncio.InvalidStateError):
             pass
 
-    def ask(
+    def request(
         self,
-        kind: str,
+        resource_type: str,
         names: list[str] = (),
         unsubscribe: list[str] = (),
         nonce: str | None = None,
-        refusal: str = "",
+        error_message: str = "",
     ) -> None:
         """Subscribe to names; without any, to all. On a first request the versions held go along."""
-        node, first = None if self.fresh else self.node, kind not in self.fresh
-        self.fresh.add(kind)
+        node, first = None if self.requested_types else self.node, resource_type not in self.requested_types
+        self.requested_types.add(resource_type)
         for name in unsubscribe:
-            self.names[kind].pop(name, None)
-            self.held[kind].pop(name, None)
-        self.names[kind] |= dict.fromkeys(names)
+            self.subscribed[resource_type].pop(name, None)
+            self.resources[resource_type].pop(name, None)
+        self.subscribed[resource_type] |= dict.fromkeys(names)
         if self.delta:
             message = discovery_pb2.DeltaDiscoveryRequest(
                 node=node,
-                type_url=TYPES[kind],
+                type_url=TYPE_URLS[resource_type],
                 resource_names_unsubscribe=unsubscribe,
-                resource_names_subscribe=self.names[kind] if first else names,
+                resource_names_subscribe=self.subscribed[resource_type] if first else names,
                 response_nonce=nonce or "",
             )
             if first:
                 message.initial_resource_versions.update(
-                    {name: version for name, (version, _) in self.held[kind].items()}
+                    {name: version for name, (version, _) in self.resources[resource_type].items()}
                 )
         else:
             message = discovery_pb2.DiscoveryRequest(
                 node=node,
-                type_url=TYPES[kind],
-                resource_names=self.names[kind],
-                version_info=self.versions.get(kind, ""),
-                response_nonce=self.nonces.get(kind, "") if nonce is None else nonce,
+                type_url=TYPE_URLS[resource_type],
+                resource_names=self.subscribed[resource_type],
+                version_info=self.push_versions.get(resource_type, ""),
+                response_nonce=self.nonces.get(resource_type, "") if nonce is None else nonce,
             )
-        if refusal:
-            message.error_detail.code, message.error_detail.message = 3, refusal
-        self.out.put_nowait(message)
+        if error_message:
+            message.error_detail.code, message.error_detail.message = 3, error_message
+        self.outgoing.put_nowait(message)
 
-    def say(self, message: object) -> None:
+    def send_raw(self, message: object) -> None:
         """Any message, as it stands."""
-        self.out.put_nowait(message)
+        self.outgoing.put_nowait(message)
 
     async def _read(self) -> None:
         make = (
@@ -121,12 +125,12 @@
         ).FromString
         try:
             while True:
-                await self.reads.wait()
+                await self.reading.wait()
                 data = await self.call.read()
                 if data is grpc.aio.EOF:
                     break
-                self.bytes += len(data)
-                await self._take(make(data))
+                self.received_bytes += len(data)
+                await self._handle_response(make(data))
         except grpc.aio.AioRpcError:
             pass
         except asyncio.CancelledError:
@@ -136,105 +140,124 @@
             await self.call.details() or "",
             dict(await self.call.trailing_metadata() or ()),
         )
-        self.news.set()
+        self.changed.set()
 
-    async def _take(self, response: object) -> None:
-        kind = KINDS[response.type_url]
-        new = {}
-        for one in response.resources:
-            packed = one.resource if self.delta else one
-            message = MESSAGES[kind]()
+    async def _handle_response(self, response: object) -> None:
+        resource_type = RESOURCE_TYPES[response.type_url]
+        new_resources = {}
+        for resource in response.resources:
+            packed = resource.resource if self.delta else resource
+            message = MESSAGE_CLASSES[resource_type]()
             packed.Unpack(message)
-            named = message.cluster_name if kind == ENDPOINTS else "" if kind == MEMBER else message.name
-            new[one.name if self.delta else named] = (
-                one.version if self.delta else response.version_info,
+            message_name = (
+                message.cluster_name
+                if resource_type == ENDPOINTS
+                else ""
+                if resource_type == MEMBER
+                else message.name
+            )
+            new_resources[resource.name if self.delta else message_name] = (
+                resource.version if self.delta else response.version_info,
                 message,
             )
         removed = list(response.removed_resources) if self.delta else []
-        words = "; ".join(filter(None, (self.refuses(kind, message) for _, message in new.values())))
-        if not words:
-            self.held[kind] = new if not self.delta and kind in (CLUSTER, LISTENER) else self.held[kind] | new
+        error_message = "; ".join(
+            filter(
+                None, (self.reject_reason(resource_type, message) for _, message in new_resources.values())
+            )
+        )
+        if not error_message:
+            self.resources[resource_type] = (
+                new_resources
+                if not self.delta and resource_type in (CLUSTER, LISTENER)
+                else self.resources[resource_type] | new_resources
+            )
             for name in removed:
-                self.held[kind].pop(name, None)
-            self.versions[kind] = "" if self.delta else response.version_info
-        self.nonces[kind] = response.nonce
-        self.got.append((kind, list(new), removed, response.nonce))
-        self.news.set()
-        if self.answers.is_set():
-            self.answer(kind, response.nonce, words)
+                self.resources[resource_type].pop(name, None)
+            self.push_versions[resource_type] = "" if self.delta else response.version_info
+        self.nonces[resource_type] = response.nonce
+        self.received.append((resource_type, list(new_resources), removed, response.nonce))
+        self.changed.set()
+        if self.answering.is_set():
+            self.answer(resource_type, response.nonce, error_message)
         else:
-            self.tasks.append(asyncio.ensure_future(self._late(kind, response.nonce, words)))
+            self.tasks.append(
+                asyncio.ensure_future(self._answer_later(resource_type, response.nonce, error_message))
+            )
 
-    async def _late(self, kind: str, nonce: str, words: str) -> None:
-        await self.answers.wait()
-        self.answer(kind, nonce, words)
+    async def _answer_later(self, resource_type: str, nonce: str, error_message: str) -> None:
+        await self.answering.wait()
+        self.answer(resource_type, nonce, error_message)
 
-    def answer(self, kind: str, nonce: str, words: str = "") -> None:
-        self.ask(kind, nonce=nonce, refusal=words)
+    def answer(self, resource_type: str, nonce: str, error_message: str = "") -> None:
+        self.request(resource_type, nonce=nonce, error_message=error_message)
 
-    def endpoints(self, kind: str) -> dict[str, tuple[int, str]]:
+    def endpoints(self, request_class: str) -> dict[str, tuple[int, str]]:
         """Its view of a request kind: weight and health by node, whatever the shape it gets them in."""
-        if kind not in self.held[ENDPOINTS]:
+        if request_class not in self.resources[ENDPOINTS]:
             return {}
         found = {}
-        for part in self.held[ENDPOINTS][kind][1].endpoints:
-            begins = part.leds_cluster_locality_config.leds_collection_name[:-1]
-            for lb in part.lb_endpoints:
-                weight = part.load_balancing_weight.value if part.locality.sub_zone else 0
-                found[lb.endpoint.hostname] = (weight or seen(lb)[0], seen(lb)[1])
+        for locality in self.resources[ENDPOINTS][request_class][1].endpoints:
+            prefix = locality.leds_cluster_locality_config.leds_collection_name[:-1]
+            for lb_endpoint in locality.lb_endpoints:
+                weight = locality.load_balancing_weight.value if locality.locality.sub_zone else 0
+                found[lb_endpoint.endpoint.hostname] = (
+                    weight or weight_and_health(lb_endpoint)[0],
+                    weight_and_health(lb_endpoint)[1],
+                )
             found |= {
-                message.endpoint.hostname: seen(message)
-                for name, (_, message) in self.held[MEMBER].items()
-                if begins and name.startswith(begins)
+                message.endpoint.hostname: weight_and_health(message)
+                for name, (_, message) in self.resources[MEMBER].items()
+                if prefix and name.startswith(prefix)
             }
         return found
 
-    def count(self) -> int:
+    def endpoint_count(self) -> int:
         """How many endpoints it holds of all kinds, at least."""
-        return len(self.held[MEMBER]) or sum(
-            len(part.lb_endpoints)
-            for _, message in self.held[ENDPOINTS].values()
-            for part in message.endpoints
+        return len(self.resources[MEMBER]) or sum(
+            len(locality.lb_endpoints)
+            for _, message in self.resources[ENDPOINTS].values()
+            for locality in message.endpoints
         )
 
-    def endpoint(self, kind: str, name: str) -> tuple[int, str]:
+    def endpoint(self, request_class: str, name: str) -> tuple[int, str]:
         """Weight and health of one node as `endpoints` has them, found without looking at all others."""
-        if kind in self.held[ENDPOINTS]:
-            for part in self.held[ENDPOINTS][kind][1].endpoints:
-                begins = part.leds_cluster_locality_config.leds_collection_name[:-1]
-                if begins and begins + name in self.held[MEMBER]:
-                    return seen(self.held[MEMBER][begins + name][1])
-                for lb in part.lb_endpoints:
-                    if lb.endpoint.hostname == name:
-                        weight = part.load_balancing_weight.value if part.locality.sub_zone else 0
-                        return weight or seen(lb)[0], seen(lb)[1]
+        if request_class in self.resources[ENDPOINTS]:
+            for locality in self.resources[ENDPOINTS][request_class][1].endpoints:
+                prefix = locality.leds_cluster_locality_config.leds_collection_name[:-1]
+                if prefix and prefix + name in self.resources[MEMBER]:
+                    return weight_and_health(self.resources[MEMBER][prefix + name][1])
+                for lb_endpoint in locality.lb_endpoints:
+                    if lb_endpoint.endpoint.hostname == name:
+                        weight = locality.load_balancing_weight.value if locality.locality.sub_zone else 0
+                        return weight or weight_and_health(lb_endpoint)[0], weight_and_health(lb_endpoint)[1]
         return 0, ""
 
     def collections(self) -> list[str]:
         return sorted(
             {
-                part.leds_cluster_locality_config.leds_collection_name
-                for _, message in self.held[ENDPOINTS].values()
-                for part in message.endpoints
+                locality.leds_cluster_locality_config.leds_collection_name
+                for _, message in self.resources[ENDPOINTS].values()
+                for locality in message.endpoints
             }
             - {""}
         )
 
-    async def until(self, met: Callable[[], object], within: float = 10.0) -> object:
+    async def wait_until(self, condition: Callable[[], object], timeout: float = 10.0) -> object:
         """Wait until something about its view holds; an error that shows what came if it does not in time."""
-        async with asyncio.timeout(within):
+        async with asyncio.timeout(timeout):
             try:
-                while not (found := met()):
-                    self.news.clear()
-                    await self.news.wait()
+                while not (found := condition()):
+                    self.changed.clear()
+                    await self.changed.wait()
                 return found
             except asyncio.CancelledError:
-                holds = str({name: self.endpoints(name) for name in self.held[ENDPOINTS]})[:1000]
+                holds = str({name: self.endpoints(name) for name in self.resources[ENDPOINTS]})[:1000]
                 raise AssertionError(
-                    f"{self.id}: got {str(self.got[-5:])[:500]}, status {self.status}, holds {holds}"
+                    f"{self.id}: got {str(self.received[-5:])[:500]}, status {self.status}, holds {holds}"
                 ) from None
 
-    async def drop(self) -> None:
+    async def disconnect(self) -> None:
         """The stream is cut; what it holds stays."""
         self.call.cancel()
         for task in self.tasks:
@@ -242,12 +265,12 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     async def close(self) -> None:
-        await self.drop()
-        if self.own:
+        await self.disconnect()
+        if self.owns_channel:
             await self.channel.close()
 
 
-def _messages() -> dict:
+def _message_classes() -> dict:
     from envoy.config.cluster.v3 import cluster_pb2
     from envoy.config.listener.v3 import listener_pb2
     from envoy.config.route.v3 import route_pb2
@@ -261,4 +284,4 @@
     }
 
 
-MESSAGES = _messages()
+MESSAGE_CLASSES = _message_classes()
--- a/oatcart/xds/standin/management.py
+++ b/oatcart/xds/standin/management.py
@@ -7,28 +7,29 @@
 from envoy.config.endpoint.v3 import endpoint_pb2
 from envoy.service.discovery.v3 import discovery_pb2
 
-from oatcart.xds.encode import TYPES
+from oatcart.xds.encode import TYPE_URLS
 from oatcart.xds.resource_types import ENDPOINTS
 
 SERVICE = "envoy.service.discovery.v3.AggregatedDiscoveryService"
 
 
-class Management:
+class ScriptedManagementServer:
     """`says` sends a list to all streams; a new stream gets the last one unless `silent`."""
 
     def __init__(self, cluster: str) -> None:
-        self.cluster, self.silent, self.count = cluster, False, 0
-        self.now: list[tuple] | None = None  # nothing to tell yet
-        self.streams: list[asyncio.Queue] = []  # what is to be written; None ends the stream
-        self.opened, self.refused = 0, []
-        self.news = asyncio.Event()
+        self.cluster, self.silent, self.response_count = cluster, False, 0
+        self.endpoints: list[tuple] | None = None  # nothing to tell yet
+        self.outgoing_queues: list[asyncio.Queue] = []  # what is to be written; None ends the stream
+        self.opened_streams, self.rejections = 0, []
+        self.changed = asyncio.Event()
 
     async def start(self, port: int = 0) -> int:
         self.server = grpc.aio.server(options=[("grpc.so_reuseport", 0)])
         self.server.add_generic_rpc_handlers(
             (
                 grpc.method_handlers_generic_handler(
-                    SERVICE, {"StreamAggregatedResources": grpc.stream_stream_rpc_method_handler(self._life)}
+                    SERVICE,
+                    {"StreamAggregatedResources": grpc.stream_stream_rpc_method_handler(self._serve_stream)},
                 ),
             )
         )
@@ -37,55 +38,60 @@
         return self.port
 
     async def stop(self) -> None:
-        self.cut()
+        self.close_streams()
         await self.server.stop(0.1)
 
-    def message(self) -> bytes:
-        made = endpoint_pb2.ClusterLoadAssignment(cluster_name=self.cluster)
-        for name, host, port, zone, health, weight in self.now or ():
-            one = made.endpoints.add().lb_endpoints.add()
-            made.endpoints[-1].locality.zone = zone
-            one.endpoint.hostname, one.health_status = name, health_check_pb2.HealthStatus.Value(health)
-            one.endpoint.address.socket_address.address = host
-            one.endpoint.address.socket_address.port_value = port
-            one.load_balancing_weight.value = weight
-        self.count += 1
-        response = discovery_pb2.DiscoveryResponse(
-            type_url=TYPES[ENDPOINTS], nonce=str(self.count), version_info=str(self.count)
+    def response(self) -> bytes:
+        assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=self.cluster)
+        for name, host, port, zone, health, weight in self.endpoints or ():
+            lb_endpoint = assignment.endpoints.add().lb_endpoints.add()
+            assignment.endpoints[-1].locality.zone = zone
+            lb_endpoint.endpoint.hostname, lb_endpoint.health_status = (
+                name,
+                health_check_pb2.HealthStatus.Value(health),
+            )
+            lb_endpoint.endpoint.address.socket_address.address = host
+            lb_endpoint.endpoint.address.socket_address.port_value = port
+            lb_endpoint.load_balancing_weight.value = weight
+        self.response_count += 1
+        message = discovery_pb2.DiscoveryResponse(
+            type_url=TYPE_URLS[ENDPOINTS],
+            nonce=str(self.response_count),
+            version_info=str(self.response_count),
         )
-        response.resources.add().Pack(made)
-        return response.SerializeToString()
+        message.resources.add().Pack(assignment)
+        return message.SerializeToString()
 
-    def says(self, endpoints: list[tuple]) -> None:
+    def publish(self, endpoints: list[tuple]) -> None:
         """Endpoints as (name, host, port, zone, health, weight)."""
-        self.now = endpoints
-        for out in self.streams:
-            out.put_nowait(self.message())
+        self.endpoints = endpoints
+        for outgoing in self.outgoing_queues:
+            outgoing.put_nowait(self.response())
 
-    def cut(self) -> None:
+    def close_streams(self) -> None:
         """All streams end."""
-        for out in self.streams:
-            out.put_nowait(None)
+        for outgoing in self.outgoing_queues:
+            outgoing.put_nowait(None)
 
-    async def _life(self, requests: object, context: grpc.aio.ServicerContext) -> None:
-        self.opened += 1
-        out: asyncio.Queue = asyncio.Queue()
-        self.streams.append(out)
-        reader = asyncio.ensure_future(self._read(context, out))
-        if not self.silent and self.now is not None:
-            out.put_nowait(self.message())
+    async def _serve_stream(self, requests: object, context: grpc.aio.ServicerContext) -> None:
+        self.opened_streams += 1
+        outgoing: asyncio.Queue = asyncio.Queue()
+        self.outgoing_queues.append(outgoing)
+        reader = asyncio.ensure_future(self._read(context, outgoing))
+        if not self.silent and self.endpoints is not None:
+            outgoing.put_nowait(self.response())
         try:
-            while (message := await out.get()) is not None:
-                await context.write(message)
+            while (response := await outgoing.get()) is not None:
+                await context.write(response)
             context.set_code(grpc.StatusCode.UNAVAILABLE)
         finally:
             reader.cancel()
-            self.streams.remove(out)
+            self.outgoing_queues.remove(outgoing)
 
-    async def _read(self, context: grpc.aio.ServicerContext, out: asyncio.Queue) -> None:
+    async def _read(self, context: grpc.aio.ServicerContext, outgoing: asyncio.Queue) -> None:
         while (data := await context.read()) is not grpc.aio.EOF:
             request = discovery_pb2.DiscoveryRequest.FromString(data)
             if request.HasField("error_detail"):
-                self.refused.append(request.error_detail.message)
-            self.news.set()
-        out.put_nowait(None)
+                self.rejections.append(request.error_detail.message)
+            self.changed.set()
+        outgoing.put_nowait(None)
--- a/oatcart/xds/standin/nodes.py
+++ b/oatcart/xds/standin/nodes.py
@@ -7,11 +7,11 @@
 SERVICE, METHOD = "oatcart.standin.Node", "Run"
 
 
-class Node:
+class ScriptedEndpoint:
     """`fails`: answers UNAVAILABLE after the effect has taken place, as a node that dies in between would."""
 
     def __init__(self, name: str) -> None:
-        self.name, self.ran, self.effects, self.fails = name, 0, Counter(), False
+        self.name, self.call_count, self.calls_by_key, self.fails_after_effect = name, 0, Counter(), False
 
     async def start(self, port: int = 0) -> int:
         self.server = grpc.aio.server(options=[("grpc.so_reuseport", 0)])
@@ -27,9 +27,9 @@
         return self.port
 
     async def _run(self, request: bytes, context: grpc.aio.ServicerContext) -> bytes:
-        self.ran += 1
-        self.effects[request] += 1
-        if self.fails:
+        self.call_count += 1
+        self.calls_by_key[request] += 1
+        if self.fails_after_effect:
             await context.abort(grpc.StatusCode.UNAVAILABLE, "gone after the effect")
         return self.name.encode()
 
--- a/oatcart/xds/subscription.py
+++ b/oatcart/xds/subscription.py
@@ -18,7 +18,7 @@
 WILDCARD = "*"  # subscribes to all resources of a type
 COLLECTION_SUFFIX = "/*"  # ends a name that stands for all resources under it
 NOT_SENT = -1  # in place of a sequence number: nothing was sent
-TOLD_ABSENT = -2  # in place of a sequence number: the client was told that the resource doesn't exist
+SENT_ABSENT = -2  # in place of a sequence number: the client was told that the resource doesn't exist
 HOLDS_UNKNOWN = -3  # in place of a sequence number: the client brought a version that isn't the current one
 
 
@@ -179,7 +179,7 @@
     def _acknowledge(self, flight: PushInFlight) -> None:
         for name, sequence in flight.sequences.items():
             if name in self.sent:
-                if sequence == TOLD_ABSENT:
+                if sequence == SENT_ABSENT:
                     self.acknowledged.pop(name, None)
                 else:
                     self.acknowledged[name] = max(sequence, self.acknowledged.get(name, NOT_SENT))
@@ -315,7 +315,7 @@
     def _is_outdated(self, name: str, cache: ResourceCache) -> bool:
         resource, sent = cache.resources.get(name), self.sent.get(name)
         if resource is None:  # only the incremental protocol can say so, and pushes that hold all
-            return self.delta and sent != TOLD_ABSENT or self.sends_all and sent is not None
+            return self.delta and sent != SENT_ABSENT or self.sends_all and sent is not None
         content = self._next_content(name, cache)
         return sent != content.sequence and self.rejected.get(name) != content.version
 
@@ -405,7 +405,7 @@
     def _record(self, items: tuple, removed: tuple, urgent: bool, version: str, cache: ResourceCache) -> Push:
         self.push_count += 1
         self.last_nonce, self.response_due = f"{self.nonce_prefix}.{self.push_count}", False
-        sequences = {name: content.sequence for name, content in items} | dict.fromkeys(removed, TOLD_ABSENT)
+        sequences = {name: content.sequence for name, content in items} | dict.fromkeys(removed, SENT_ABSENT)
         self.in_flight.append(
             PushInFlight(
                 self.last_nonce, version, sequences, {name: content.version for name, content in items}
--- a/oatcart/xds/table_publication.py
+++ b/oatcart/xds/table_publication.py
@@ -17,134 +17,160 @@
     """The resource caches and what they were last made from. `by_rate`: admitted shares are rates."""
 
     def __init__(
-        self, kinds: Sequence[tuple[str, RequestClass]], zone_names: Sequence[str], by_rate: bool
+        self, request_classes: Sequence[tuple[str, RequestClass]], zone_names: Sequence[str], by_rate: bool
     ) -> None:
-        self.kinds, self.zone_names, self.by_rate = list(kinds), list(zone_names), by_rate
+        self.request_classes, self.zone_names, self.by_rate = list(request_classes), list(zone_names), by_rate
         self.caches: dict[tuple, ResourceCache] = {}
-        self.maps: dict[int, tuple[int, ...]] = {}  # by zone: the table of each kind
+        self.tables_by_zone: dict[int, tuple[int, ...]] = {}  # by zone: the table of each kind
         # by table: nodes that had a subscription at the last look, or are leaving
-        self.lined: dict[int, set[int]] = {}
-        self.shown: dict[int, tuple[view.Endpoint, ...]] = {}  # by table, as last published
+        self.listed_before: dict[int, set[int]] = {}
+        self.published: dict[int, tuple[view.Endpoint, ...]] = {}  # by table, as last published
         self.drops: dict[tuple[int, int], int] = {}  # by zone and kind
-        for kind, _ in self.kinds:
-            self._cache(LISTENER).put(0.0, kind, view.Listener(kind))
+        for name, _ in self.request_classes:
+            self._cache(LISTENER).put(0.0, name, view.Listener(name))
             for shape in view.WHOLE, view.EACH, view.SPREAD:
-                self._cache(CLUSTER, shape).put(0.0, kind, view.Cluster(kind, shape))
+                self._cache(CLUSTER, shape).put(0.0, name, view.Cluster(name, shape))
 
     def _cache(self, *key: object) -> ResourceCache:
         return self.caches.setdefault(key, ResourceCache())
 
-    def cache_for(self, client: Client, kind: str) -> ResourceCache:
+    def cache_for(self, client: Client, resource_type: str) -> ResourceCache:
         """What a client may see of a type."""
-        if kind == LISTENER:
+        if resource_type == LISTENER:
             return self._cache(LISTENER)
-        if kind == CLUSTER:
+        if resource_type == CLUSTER:
             return self._cache(CLUSTER, client.shape)
-        if not client.bound:
+        if not client.assigned:
             return EMPTY_CACHE
         return (
-            self._cache(kind, client.zone, client.shape)
-            if kind == ENDPOINTS
-            else self._cache(kind, client.zone)
+            self._cache(resource_type, client.zone, client.shape)
+            if resource_type == ENDPOINTS
+            else self._cache(resource_type, client.zone)
         )
 
-    def bind(self, clients: Iterable[Client], tables: RoutingTables) -> list[Client]:
+    def assign_clients(self, clients: Iterable[Client], tables: RoutingTables) -> list[Client]:
         """Bind the joined clients that have a table of each kind now; returns them."""
-        newly = []
+        newly_assigned = []
         for client in clients:
-            if client.joined and not client.bound and client.proxy in tables.proxies:
-                at = self._bound(tables.proxies[client.proxy].assignments)
-                if at is not None:
-                    self.maps[client.zone], client.bound = at, True
-                    newly.append(client)
-        return newly
+            if client.joined and not client.assigned and client.proxy in tables.proxies:
+                class_tables = self._tables_by_class(tables.proxies[client.proxy].assignments)
+                if class_tables is not None:
+                    self.tables_by_zone[client.zone], client.assigned = class_tables, True
+                    newly_assigned.append(client)
+        return newly_assigned
 
     def publish(
         self,
         now: float,
         tables: RoutingTables,
-        roster: view.Roster,
-        named: Callable[[int], tuple[str, str, int] | None],
+        listed_endpoints: view.ListedEndpoints,
+        endpoint_address: Callable[[int], tuple[str, str, int] | None],
         clients: Sequence[Client],
     ) -> bool:
         """Make resources of the tables as they stand; whether anything changed. `now`: s."""
-        found = {
-            at: self._endpoints(at, tables, roster, named) for at in sorted(set(sum(self.maps.values(), ())))
+        endpoints = {
+            table: self._endpoints(table, tables, listed_endpoints, endpoint_address)
+            for table in sorted(set(sum(self.tables_by_zone.values(), ())))
         }
-        news = False
-        for zone, tables_by_kind in self.maps.items():
-            news = self._put_zone(now, zone, tables_by_kind, tables, found, clients) or news
-        self.shown = found
-        return news
+        changed = False
+        for zone, class_tables in self.tables_by_zone.items():
+            changed = self._put_zone(now, zone, class_tables, tables, endpoints, clients) or changed
+        self.published = endpoints
+        return changed
 
-    def _bound(self, bound: Mapping[int, int]) -> tuple[int, ...] | None:
+    def _tables_by_class(self, assignments: Mapping[int, int]) -> tuple[int, ...] | None:
         """The table of each kind, once there is one for all."""
-        tables = tuple(
-            next((at for at, kinds in bound.items() if kinds >> kind & 1), -1)
-            for kind in range(len(self.kinds))
+        class_tables = tuple(
+            next((table for table, classes in assignments.items() if classes >> request_class & 1), -1)
+            for request_class in range(len(self.request_classes))
         )
-        return tables if -1 not in tables else None
+        return class_tables if -1 not in class_tables else None
 
     def _endpoints(
-        self, at: int, tables: RoutingTables, roster: view.Roster, named: Callable
+        self,
+        table: int,
+        tables: RoutingTables,
+        listed_endpoints: view.ListedEndpoints,
+        endpoint_address: Callable,
     ) -> tuple[view.Endpoint, ...]:
-        lines = tables.tables[at].weights
-        leaving = view.leaving(self.lined.get(at, ()), lines, roster)
-        self.lined[at] = leaving | lines.keys()
-        found = []
-        for place, (weight, health) in view.seen(lines, leaving, tables.ejected, roster).items():
-            if (known := named(place)) and place in roster.nodes:
-                found.append(view.Endpoint(*known, self.zone_names[roster.nodes[place].zone], weight, health))
-        return view.distinct(found)
+        weights = tables.tables[table].weights
+        draining = view.draining_endpoints(self.listed_before.get(table, ()), weights, listed_endpoints)
+        self.listed_before[table] = draining | weights.keys()
+        endpoints = []
+        for number, (weight, health) in view.client_view(
+            weights, draining, tables.ejected, listed_endpoints
+        ).items():
+            if (address := endpoint_address(number)) and number in listed_endpoints.endpoints:
+                endpoints.append(
+                    view.Endpoint(
+                        *address, self.zone_names[listed_endpoints.endpoints[number].zone], weight, health
+                    )
+                )
+        return view.with_distinct_addresses(endpoints)
 
     def _put_zone(
         self,
         now: float,
         zone: int,
-        at: tuple[int, ...],
+        class_tables: tuple[int, ...],
         tables: RoutingTables,
-        found: dict,
+        endpoints_by_table: dict,
         clients: Sequence[Client],
     ) -> bool:
-        news = False
-        for kind, (name, req) in enumerate(self.kinds):
-            level, tries = tables.admission_of(at[kind], kind) or (
+        changed = False
+        for number, (name, request_class) in enumerate(self.request_classes):
+            quota, retry_policy = tables.admission_of(class_tables[number], number) or (
                 inf if self.by_rate else 1.0,
                 RetryPolicy.IF_NOT_PROCESSED,
             )
-            drop = view.dropped(level, self.by_rate, _rate(clients, zone, kind))
-            before, self.drops[zone, kind] = self.drops.get((zone, kind), 0), drop
-            endpoints, first = found[at[kind]], self.kinds[at.index(at[kind])][0]
-            urgent = view.sinks(self.shown.get(at[kind], ()), endpoints) or drop > before
-            picks = view.picks(endpoints)
+            drop = view.drop_per_million(quota, self.by_rate, _mean_request_rate(clients, zone, number))
+            drop_before, self.drops[zone, number] = self.drops.get((zone, number), 0), drop
+            endpoints, first_class = (
+                endpoints_by_table[class_tables[number]],
+                self.request_classes[class_tables.index(class_tables[number])][0],
+            )
+            urgent = (
+                view.drops_sharply(self.published.get(class_tables[number], ()), endpoints)
+                or drop > drop_before
+            )
+            pickable = view.pickable(endpoints)
             for shape in view.WHOLE, view.SPREAD:
                 body = view.Assignment(name, shape, drop, endpoints)
-                news |= self._cache(ENDPOINTS, zone, shape).put(now, name, body, picks, urgent)
-            begins = tuple(
-                (one, view.collection(self.zone_names[zone], first, one)) for one in self.zone_names
+                changed |= self._cache(ENDPOINTS, zone, shape).put(now, name, body, pickable, urgent)
+            prefixes = tuple(
+                (endpoint_zone, view.collection_prefix(self.zone_names[zone], first_class, endpoint_zone))
+                for endpoint_zone in self.zone_names
             )
-            body = view.Assignment(name, view.EACH, drop, (), begins)
-            news |= self._cache(ENDPOINTS, zone, view.EACH).put(now, name, body, (), drop > before)
-            news |= self._cache(ROUTE, zone).put(now, name, view.route(name, req, tries))
-        return self._put_members(now, zone, at, found) or news
+            body = view.Assignment(name, view.EACH, drop, (), prefixes)
+            changed |= self._cache(ENDPOINTS, zone, view.EACH).put(now, name, body, (), drop > drop_before)
+            changed |= self._cache(ROUTE, zone).put(now, name, view.route(name, request_class, retry_policy))
+        return self._put_members(now, zone, class_tables, endpoints_by_table) or changed
 
-    def _put_members(self, now: float, zone: int, at: tuple[int, ...], found: dict) -> bool:
-        cache, news, names = self._cache(MEMBER, zone), False, set()
+    def _put_members(
+        self, now: float, zone: int, class_tables: tuple[int, ...], endpoints_by_table: dict
+    ) -> bool:
+        cache, changed, names = self._cache(MEMBER, zone), False, set()
         cache.ready = True
-        for table in dict.fromkeys(at):
-            first, before = (
-                self.kinds[at.index(table)][0],
-                {one.name: one for one in self.shown.get(table, ())},
+        for table in dict.fromkeys(class_tables):
+            first_class, published_before = (
+                self.request_classes[class_tables.index(table)][0],
+                {endpoint.name: endpoint for endpoint in self.published.get(table, ())},
             )
-            for one in found[table]:
-                name = view.collection(self.zone_names[zone], first, one.zone) + one.name
+            for endpoint in endpoints_by_table[table]:
+                name = (
+                    view.collection_prefix(self.zone_names[zone], first_class, endpoint.zone) + endpoint.name
+                )
                 names.add(name)
-                healthy = {one.name} if one.health == view.HEALTHY else ()
-                urgent = one.name in before and view.sinks([before[one.name]], [one])
-                news |= cache.put(now, name, view.Member(one), healthy, urgent)
-        return cache.retain_only(now, names) or news
-
-
-def _rate(clients: Iterable[Client], zone: int, kind: int) -> float:
-    rates = [client.rates[kind] for client in clients if client.zone == zone and client.bound]
-    return sum(rates) / len(rates) if rates else 0.0
+                healthy = {endpoint.name} if endpoint.health == view.HEALTHY else ()
+                urgent = endpoint.name in published_before and view.drops_sharply(
+                    [published_before[endpoint.name]], [endpoint]
+                )
+                changed |= cache.put(now, name, view.Member(endpoint), healthy, urgent)
+        return cache.retain_only(now, names) or changed
+
+
+def _mean_request_rate(clients: Iterable[Client], zone: int, request_class: int) -> float:
+    request_rates = [
+        client.request_rates[request_class] for client in clients if client.zone == zone and client.assigned
+    ]
+    return sum(request_rates) / len(request_rates) if request_rates else 0.0
--- a/tests/soak/xds_clients.py
+++ b/tests/soak/xds_clients.py
@@ -42,7 +42,7 @@
                     self.since = time.monotonic()
                 self._subscribe_members()
             self.since = None
-            await self.client.drop()
+            await self.client.disconnect()
             pushback = 0 if self.is_cut else self.client.status[2].get(PUSHBACK, 0)
             await asyncio.sleep(max(REDIAL_S, int(pushback) / 1000))
 
@@ -52,20 +52,20 @@
         self.is_cut = False
         self.client.connect()
         self.connections += 1
-        self.client.got.clear()
+        self.client.received.clear()
         self.incarnation = self.controller.incarnation
-        self.client.ask(CLUSTER)
-        self.client.ask(ENDPOINTS, CLASSES)
-        if self.client.names[MEMBER]:
-            self.client.ask(MEMBER, list(self.client.names[MEMBER]))
-        self.client.ask(ROUTE, CLASSES)
+        self.client.request(CLUSTER)
+        self.client.request(ENDPOINTS, CLASSES)
+        if self.client.subscribed[MEMBER]:
+            self.client.request(MEMBER, list(self.client.subscribed[MEMBER]))
+        self.client.request(ROUTE, CLASSES)
 
     def _subscribe_members(self) -> None:
         if self.shape != "each":
             return
-        wanted = [name for name in self.client.collections() if name not in self.client.names[MEMBER]]
+        wanted = [name for name in self.client.collections() if name not in self.client.subscribed[MEMBER]]
         if wanted:
-            self.client.ask(MEMBER, wanted)
+            self.client.request(MEMBER, wanted)
 
     def reconnect(self) -> None:
         """Cut the stream."""
@@ -78,7 +78,7 @@
 
     def check_routes(self) -> None:
         """Rule 2: a class that must not run twice is offered no retry."""
-        if (held := self.client.held[ROUTE].get("order")) is None:
+        if (held := self.client.resources[ROUTE].get("order")) is None:
             return
         for host in held[1].virtual_hosts:
             for route in host.routes:
--- a/tests/trace/test_trace_recorder.py
+++ b/tests/trace/test_trace_recorder.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-import table as xds_table
-from test_front import subscribed
+import xds_harness
+from test_front import subscribed_client
 from trace_helpers import read
 
 from oatcart.events import EndpointLoadReported, ProxyLoadReported
@@ -33,7 +33,7 @@
     Reports, a drain, an ejection and an event that the decisions raise over come to it.
     """
     writers = []
-    make_controller = xds_table.Conductor
+    make_controller = xds_harness.XdsController
 
     def make_traced(cfg, xds, woken):
         settings = TraceSettings(str(folder))
@@ -41,26 +41,26 @@
             cfg, xds, woken, lambda make: trace_controller(make, cfg, settings, writers.append)
         )
 
-    monkeypatch.setattr(xds_table, "Conductor", make_traced)
+    monkeypatch.setattr(xds_harness, "XdsController", make_traced)
 
     async def run():
-        async with xds_table.Table(xds_table.nodes(6)) as table:
-            client = await subscribed(table, "c", True, "whole")
-            places = table.one.rounds.codec.endpoint_numbers
-            table.one.rounds.add_event(ProxyLoadReported(8, "not a class", 1, 0, 1.0))
+        async with xds_harness.XdsHarness(xds_harness.endpoint_list(6)) as harness:
+            client = await subscribed_client(harness, "c", True, "whole")
+            numbers = harness.controller.rounds.codec.endpoint_numbers
+            harness.controller.rounds.add_event(ProxyLoadReported(8, "not a class", 1, 0, 1.0))
             for turn in range(8):
-                for name, place in places.items():
+                for name, number in numbers.items():
                     errors = 20 if name == "n2" else 0
                     load = LoadReport(None, 0.3, None)
-                    report = EndpointLoadReported(place, 0, 1.0, 0.05 + turn / 100, errors, 20, load)
-                    table.one.rounds.add_event(report)
-                table.one.nested.kick()
+                    report = EndpointLoadReported(number, 0, 1.0, 0.05 + turn / 100, errors, 20, load)
+                    harness.controller.rounds.add_event(report)
+                harness.controller.nested_loop.wake()
                 await asyncio.sleep(0.05)
-            await client.until(lambda: client.endpoints("lookup")["n2"][1] == "UNHEALTHY")
-            table.roll(n1=(9001, "b", "DRAINING", 0))
-            await client.until(lambda: client.endpoints("lookup")["n1"][1] == "DRAINING")
+            await client.wait_until(lambda: client.endpoints("lookup")["n2"][1] == "UNHEALTHY")
+            harness.update_list(n1=(9001, "b", "DRAINING", 0))
+            await client.wait_until(lambda: client.endpoints("lookup")["n1"][1] == "DRAINING")
 
-    xds_table.played(run())
+    xds_harness.run_async(run())
     writers[0].stop()
     return read(next(folder.iterdir()))
 
--- a/tests/xds/sim.py
+++ b/tests/xds/sim.py
@@ -27,216 +27,224 @@
 from oatcart.policy import Controller
 from oatcart.routing_tables import RoutingTables
 from oatcart.xds import view
-from oatcart.xds.client_state import Ask, Node
-from oatcart.xds.front import Front, new_life
+from oatcart.xds.client_state import ClientIdentity, ClientRequest
+from oatcart.xds.front import Front, new_incarnation
 from oatcart.xds.limits import ClientLimits, PushBudget, RequestRejectedError
 from oatcart.xds.resource_cache import WITHDRAWAL_RETENTION
 from oatcart.xds.resource_types import CLUSTER, ENDPOINTS, MEMBER, ROUTE
 
-KINDS = [
+REQUEST_CLASSES = [
     ("lookup", RequestClass(1.0, 0.5, Idempotency.IDEMPOTENT)),
     ("fee", RequestClass(3.0, 1.0, Idempotency.NOT_IDEMPOTENT)),
 ]
 ZONES = ["a", "b"]
-STEP = 0.25  # s of a turn
-GRACE = 2.0  # s within which a drain stands in every view that is read
-MESSAGES = 40  # a proxy takes in 10 s
-SIDECAR = 3  # the number of the one sidecar
+TURN_DURATION = 0.25  # s of a turn
+DRAIN_DEADLINE = 2.0  # s within which a drain stands in every view that is read
+MESSAGE_CAP = 40  # a proxy takes in 10 s
+PROXY = 3  # the number of the one sidecar
 
 
-class Host(RoutingTables):
+class SimulatedRounds(RoutingTables):
     """What the sockets' `Rounds` is, without sockets."""
 
-    def __init__(self, stage):
-        super().__init__(len(KINDS))
-        self.stage, self.came, self.touched = stage, [], True
+    def __init__(self, harness):
+        super().__init__(len(REQUEST_CLASSES))
+        self.harness, self.events, self.tables_changed = harness, [], True
 
-    def add_event(self, arrival):
-        self.came.append(arrival)
+    def add_event(self, event):
+        self.events.append(event)
 
-    def check_health(self, node):
-        self.came.append(HealthCheckCompleted(node, HealthCheckOutcome.PASSED, 0.01, LoadReport()))
+    def check_health(self, endpoint):
+        self.events.append(HealthCheckCompleted(endpoint, HealthCheckOutcome.PASSED, 0.01, LoadReport()))
 
-    def watch_endpoints(self, on):
+    def watch_endpoints(self, enabled):
         pass
 
     fetch_endpoints = schedule_round = log = watch_endpoints
 
 
 class Peer:
-    def __init__(self, stage, id, zone, delta, shape):
-        self.stage, self.id, self.zone, self.delta, self.shape = stage, id, zone, delta, shape
-        self.held = {kind: {} for kind in (CLUSTER, ENDPOINTS, MEMBER, ROUTE)}
-        self.names = {kind: {} for kind in self.held}
+    def __init__(self, harness, id, zone, delta, shape):
+        self.harness, self.id, self.zone, self.delta, self.shape = harness, id, zone, delta, shape
+        self.resources = {resource_type: {} for resource_type in (CLUSTER, ENDPOINTS, MEMBER, ROUTE)}
+        self.subscribed = {resource_type: {} for resource_type in self.resources}
         self.versions = {}  # by type: of the last push that was accepted, on whichever stream
         self.late = self.stalled = False
-        self.refused = False  # on this stream
-        self.refuses = None  # a node whose lists it does not want
-        self.stream, self.owed = None, {}
-        self.come_back_at = None  # it was turned away with a time to come back at
-        self.pushed = deque()
-        self.picked = set()  # kinds for which it had a node to pick
+        self.has_rejected = False  # on this stream
+        self.rejected_endpoint = None  # a node whose lists it does not want
+        self.stream, self.unseen_withdrawals = None, {}
+        self.retry_at = None  # it was turned away with a time to come back at
+        self.recent_pushes = deque()
+        self.had_endpoint = set()  # kinds for which it had a node to pick
 
     def connect(self):
         """A stream; on its first requests the versions held go along."""
-        self.stream = self.stage.front.open(self.delta)
-        self.stage.peers_by_stream[self.stream] = self
-        self.inbox, self.answers, self.nonces, self.owed = deque(), deque(), {}, {}
-        self.asked, self.refused, self.unanswered = set(), False, {}
-        for kind in self.held:
-            if kind != MEMBER or self.shape == view.EACH:
-                self.ask(kind, list(self.names[kind]))
-
-    def come(self):
+        self.stream = self.harness.front.open_stream(self.delta)
+        self.harness.peers_by_stream[self.stream] = self
+        self.inbox, self.answers, self.nonces, self.unseen_withdrawals = deque(), deque(), {}, {}
+        self.requested_types, self.has_rejected, self.unanswered = set(), False, {}
+        for resource_type in self.resources:
+            if resource_type != MEMBER or self.shape == view.EACH:
+                self.request(resource_type, list(self.subscribed[resource_type]))
+
+    def connect_if_admitted(self):
         """Connect, or come back when the front says so, as a client that follows Retry-After."""
-        self.come_back_at = None
-        self.since = self.stage.now
+        self.retry_at = None
+        self.connected_since = self.harness.now
         try:
             self.connect()
         except RequestRejectedError as rejected:
             assert rejected.code == "RESOURCE_EXHAUSTED" and rejected.retry_after > 0
-            self.drop()
-            self.come_back_at = self.stage.now + rejected.retry_after
+            self.disconnect()
+            self.retry_at = self.harness.now + rejected.retry_after
 
-    def ask(self, kind, names=(), unsubscribe=(), nonce="", refusal=None):
-        first = kind not in self.asked
-        self.asked.add(kind)
+    def request(self, resource_type, names=(), unsubscribe=(), nonce="", error_message=None):
+        first = resource_type not in self.requested_types
+        self.requested_types.add(resource_type)
         for name in unsubscribe:
-            self.names[kind].pop(name, None)
-            self.held[kind].pop(name, None)
-        self.names[kind] |= dict.fromkeys(names)
-        brought = (
-            {name: version for name, (version, _) in self.held[kind].items()} if first and self.delta else {}
+            self.subscribed[resource_type].pop(name, None)
+            self.resources[resource_type].pop(name, None)
+        self.subscribed[resource_type] |= dict.fromkeys(names)
+        initial_versions = (
+            {name: version for name, (version, _) in self.resources[resource_type].items()}
+            if first and self.delta
+            else {}
         )
-        told = names if self.delta else tuple(self.names[kind])
+        requested_names = names if self.delta else tuple(self.subscribed[resource_type])
         if not self.delta and not nonce:
-            nonce = self.nonces.get(kind, "")
-            self.answered_up_to(kind, nonce)  # names asked for bear the last nonce, which answers it
-        self.stage.front.ask(
-            self.stage.now,
+            nonce = self.nonces.get(resource_type, "")
+            self.answered_up_to(resource_type, nonce)  # names asked for bear the last nonce, which answers it
+        self.harness.front.handle_request(
+            self.harness.now,
             self.stream,
-            Ask(
-                kind,
-                tuple(told),
+            ClientRequest(
+                resource_type,
+                tuple(requested_names),
                 tuple(unsubscribe),
-                brought,
+                initial_versions,
                 nonce,
-                refusal,
-                Node(self.id, ZONES[self.zone], self.shape),
-                "" if self.delta else self.versions.get(kind, ""),
+                error_message,
+                ClientIdentity(self.id, ZONES[self.zone], self.shape),
+                "" if self.delta else self.versions.get(resource_type, ""),
             ),
         )
 
-    def answered_up_to(self, kind, nonce):
+    def answered_up_to(self, resource_type, nonce):
         """Answers come in order: that to a push answers those of its type that were sent before it."""
         if nonce in self.unanswered:
-            before = [one for one, (other, _) in self.unanswered.items() if other == kind]
+            before = [one for one, (other, _) in self.unanswered.items() if other == resource_type]
             for one in before[: before.index(nonce) + 1]:
                 del self.unanswered[one]
 
-    def drop(self):
-        self.come_back_at = None
+    def disconnect(self):
+        self.retry_at = None
         if self.stream is not None:
-            self.stage.front.close(self.stage.now, self.stream)
-            self.stage.peers_by_stream.pop(self.stream, None)
+            self.harness.front.close_stream(self.harness.now, self.stream)
+            self.harness.peers_by_stream.pop(self.stream, None)
             self.stream = None
 
     def turn(self):
         """Come back if it is time, read what has come, answer what is to be answered."""
-        if self.come_back_at is not None and self.stage.now >= self.come_back_at:
-            self.come()
+        if self.retry_at is not None and self.harness.now >= self.retry_at:
+            self.connect_if_admitted()
         while self.stream is not None and self.inbox and not self.stalled:
-            for kind, push in self.inbox.popleft():
-                self.take(kind, push)
-            self.stage.front.written(self.stream)
+            for resource_type, push in self.inbox.popleft():
+                self.receive(resource_type, push)
+            self.harness.front.on_written(self.stream)
         while self.stream is not None and self.answers and not self.late:
-            kind, nonce, refusal = self.answers.popleft()
+            resource_type, nonce, error_message = self.answers.popleft()
             self.unanswered.pop(nonce, None)
-            self.ask(kind, nonce=nonce, refusal=refusal)
+            self.request(resource_type, nonce=nonce, error_message=error_message)
 
-    def take(self, kind, push):
+    def receive(self, resource_type, push):
         new = {
             name: (content.version, content.body)
             for name, content in push.items
-            if kind in (CLUSTER, MEMBER) or name in self.names[kind]
+            if resource_type in (CLUSTER, MEMBER) or name in self.subscribed[resource_type]
         }  # else it has let go of it meanwhile
-        self.nonces[kind] = push.nonce
-        self.pushed.append((self.stage.now, kind))
-        refusal = None
-        if kind in (ENDPOINTS, MEMBER) and self.refuses and any(self.shows(body) for _, body in new.values()):
-            refusal, self.refused = f"no {self.refuses} here", True
-        elif kind == CLUSTER and not self.delta:
-            self.held[kind] = new
+        self.nonces[resource_type] = push.nonce
+        self.recent_pushes.append((self.harness.now, resource_type))
+        error_message = None
+        if (
+            resource_type in (ENDPOINTS, MEMBER)
+            and self.rejected_endpoint
+            and any(self.contains_rejected(body) for _, body in new.values())
+        ):
+            error_message, self.has_rejected = f"no {self.rejected_endpoint} here", True
+        elif resource_type == CLUSTER and not self.delta:
+            self.resources[resource_type] = new
         else:
-            self.held[kind] |= new
+            self.resources[resource_type] |= new
             for name in push.removed:
-                self.held[kind].pop(name, None)
-                self.owed.pop((kind, name), None)  # it saw it gone
+                self.resources[resource_type].pop(name, None)
+                self.unseen_withdrawals.pop((resource_type, name), None)  # it saw it gone
         for name, content in push.items:
-            self.check(kind, name, content)
-        if not refusal:
-            self.versions[kind] = push.version
-            assert all(name in self.held[CLUSTER] for name, _ in push.items if kind in (ENDPOINTS, ROUTE)), (
-                "what builds on a cluster came before it"
-            )
-        self.answers.append((kind, push.nonce, refusal))
-        self.unanswered[push.nonce] = kind, push.urgent
-        usual = [one for one, urgent in self.unanswered.values() if not urgent]
-        assert len(usual) == len(set(usual)), f"{self.id}: two usual pushes in flight"
-        if self.shape == view.EACH and kind == ENDPOINTS and not refusal:
+            self.check_withdrawals_seen(resource_type, name, content)
+        if not error_message:
+            self.versions[resource_type] = push.version
+            assert all(
+                name in self.resources[CLUSTER]
+                for name, _ in push.items
+                if resource_type in (ENDPOINTS, ROUTE)
+            ), "what builds on a cluster came before it"
+        self.answers.append((resource_type, push.nonce, error_message))
+        self.unanswered[push.nonce] = resource_type, push.urgent
+        not_urgent = [one for one, urgent in self.unanswered.values() if not urgent]
+        assert len(not_urgent) == len(set(not_urgent)), f"{self.id}: two usual pushes in flight"
+        if self.shape == view.EACH and resource_type == ENDPOINTS and not error_message:
             wanted = {
-                begins + "*": None
-                for _, body in self.held[ENDPOINTS].values()
-                for _, begins in body.collections
+                prefix + "*": None
+                for _, body in self.resources[ENDPOINTS].values()
+                for _, prefix in body.collections
             }
-            if wanted.keys() - self.names[MEMBER].keys():
-                self.ask(MEMBER, sorted(wanted))
+            if wanted.keys() - self.subscribed[MEMBER].keys():
+                self.request(MEMBER, sorted(wanted))
 
-    def shows(self, body):
-        return self.refuses in str(body)
+    def contains_rejected(self, body):
+        return self.rejected_endpoint in str(body)
 
-    def check(self, kind, name, content):
+    def check_withdrawals_seen(self, resource_type, name, content):
         """Nobody who went out is met again before it was seen to be out."""
-        for node, (seq, at) in list(self.owed.get((kind, name), {}).items()):
-            if content.sequence >= seq:
-                kept = self.stage.now - at <= WITHDRAWAL_RETENTION - 2 * STEP
-                assert node not in content.pickable or not kept, f"{self.id} never saw {node} out"
-                del self.owed[kind, name][node]
+        for endpoint, (sequence, at) in list(self.unseen_withdrawals.get((resource_type, name), {}).items()):
+            if content.sequence >= sequence:
+                retained = self.harness.now - at <= WITHDRAWAL_RETENTION - 2 * TURN_DURATION
+                assert endpoint not in content.pickable or not retained, f"{self.id} never saw {endpoint} out"
+                del self.unseen_withdrawals[resource_type, name][endpoint]
 
-    def view(self, kind):
+    def view(self, request_class):
         """Weight and health by node; None where it holds no list yet."""
-        if kind not in self.held[ENDPOINTS]:
+        if request_class not in self.resources[ENDPOINTS]:
             return None
-        body = self.held[ENDPOINTS][kind][1]
-        found = {one.name: (one.weight, one.health) for one in body.endpoints}
-        for _, begins in body.collections:
+        body = self.resources[ENDPOINTS][request_class][1]
+        found = {endpoint.name: (endpoint.weight, endpoint.health) for endpoint in body.endpoints}
+        for _, prefix in body.collections:
             found |= {
                 member.endpoint.name: (member.endpoint.weight, member.endpoint.health)
-                for name, (_, member) in self.held[MEMBER].items()
-                if name.startswith(begins)
+                for name, (_, member) in self.resources[MEMBER].items()
+                if name.startswith(prefix)
             }
         return found
 
 
-class Stage:
+class Harness:
     def __init__(self, pushes=1000.0):
-        self.now, self.life, self.pushes = 100.0, 0, pushes
-        self.list = {}  # node: (zone, started, state)
-        self.peers, self.said = {}, []
+        self.now, self.incarnation, self.pushes_per_second = 100.0, 0, pushes
+        self.endpoint_list = {}  # node: (zone, started, state)
+        self.peers, self.log_lines = {}, []
         self.peers_by_stream = {}
         self.drained = {}  # node: when the list said so
-        self.errs = None
-        self.begin()
+        self.failing = None
+        self.start_controller()
 
-    def begin(self):
+    def start_controller(self):
         """A conductor's life; nothing of a former one is known."""
-        self.life += 1
-        self.host = Host(self)
-        self.module = Controller(
+        self.incarnation += 1
+        self.rounds = SimulatedRounds(self)
+        self.controller = Controller(
             ControllerSettings(
-                request_classes=tuple(req for _, req in KINDS),
+                request_classes=tuple(request_class for _, request_class in REQUEST_CLASSES),
                 discovery=DiscoverySettings(),
-                channel=ChannelLimits(100_000, 4, 100_000, MESSAGES, 10.0),
+                channel=ChannelLimits(100_000, 4, 100_000, MESSAGE_CAP, 10.0),
                 warm_up=WarmUpLimits(8.0, 0.2, 4.0),
                 report_period=1.0,
                 admission_mode=AdmissionMode.SHARE,
@@ -246,86 +254,86 @@
             seed=1,
         )
         self.front = Front(
-            self.host,
-            KINDS,
+            self.rounds,
+            REQUEST_CLASSES,
             ZONES,
             8,
-            new_life(self.life, 1),
-            ClientLimits(50, 3, 100, self.pushes),
-            PushBudget(self.pushes),
+            new_incarnation(self.incarnation, 1),
+            ClientLimits(50, 3, 100, self.pushes_per_second),
+            PushBudget(self.pushes_per_second),
             False,
-            say=lambda kind, text: self.said.append(text),
+            log=lambda kind, text: self.log_lines.append(text),
         )
-        self.roster, self.picks = view.Roster(), {}
-        self.sidecar = {}
-        self.host.add_proxy(SIDECAR, True)
-        self.host.add_event(ProxyJoined(SIDECAR, 0, 10.0, True))
-        if self.list:
-            self.listed()
+        self.listed_endpoints, self.pickable = view.ListedEndpoints(), {}
+        self.proxy_tables = {}
+        self.rounds.add_proxy(PROXY, True)
+        self.rounds.add_event(ProxyJoined(PROXY, 0, 10.0, True))
+        if self.endpoint_list:
+            self.publish_list()
 
     def restart(self):
         self.peers_by_stream.clear()
         for peer in self.peers.values():
-            peer.stream = peer.come_back_at = None
-        self.begin()
+            peer.stream = peer.retry_at = None
+        self.start_controller()
 
-    def listed(self):
+    def publish_list(self):
         entries = [
-            EndpointEntry(place, zone, started, state, 1.0)
-            for place, (zone, started, state) in self.list.items()
+            EndpointEntry(number, zone, started, state, 1.0)
+            for number, (zone, started, state) in self.endpoint_list.items()
         ]
-        self.roster.take(True, entries)
-        self.host.touched = True
-        self.host.add_event(EndpointListReceived(True, entries))
+        self.listed_endpoints.update(True, entries)
+        self.rounds.tables_changed = True
+        self.rounds.add_event(EndpointListReceived(True, entries))
 
-    def name(self, place):
-        return f"n{place}", "127.0.0.1", 9000 + place
+    def endpoint_address(self, number):
+        return f"n{number}", "127.0.0.1", 9000 + number
 
     def turn(self):
         """A round, what it means to the sidecar and to the front, then every peer's turn."""
-        self.now += STEP
-        came, self.host.came = self.host.came, []
-        self.module.round(self.now, came, self.host)
-        for proxy, parts in self.host.updates():
-            if proxy == SIDECAR:
-                self.tell_sidecar(parts)
+        self.now += TURN_DURATION
+        events, self.rounds.events = self.rounds.events, []
+        self.controller.round(self.now, events, self.rounds)
+        for proxy, parts in self.rounds.updates():
+            if proxy == PROXY:
+                self.update_proxy(parts)
             else:
-                self.front.told(proxy, parts)
-        self.front.publish(self.now, self.host, self.roster, self.name)
-        self.note_outs()
+                self.front.note_update(proxy, parts)
+        self.front.publish(self.now, self.rounds, self.listed_endpoints, self.endpoint_address)
+        self.note_withdrawals()
         for _ in range(3):
             for stream, pushes in self.front.dispatch(self.now):
                 self.peers_by_stream[stream].inbox.append(pushes)
             for peer in self.peers.values():
                 peer.turn()
         for peer in self.peers.values():
-            self.rules(peer)
+            self.check_rules(peer)
 
-    def tell_sidecar(self, parts):
+    def update_proxy(self, parts):
         """The sidecar's tables as its protocol has them, by kind; it acknowledges at once."""
         for part in parts:
-            for kind in part.classes or range(len(KINDS)):
+            for request_class in part.classes or range(len(REQUEST_CLASSES)):
                 if part.complete:
-                    self.sidecar[kind] = {}
-                self.sidecar.setdefault(kind, {}).update(part.weights)
-            for node in part.ejected:
-                self.sidecar.setdefault("out", set()).add(node)
-            for node in part.restored:
-                self.sidecar.setdefault("out", set()).discard(node)
+                    self.proxy_tables[request_class] = {}
+                self.proxy_tables.setdefault(request_class, {}).update(part.weights)
+            for endpoint in part.ejected:
+                self.proxy_tables.setdefault("out", set()).add(endpoint)
+            for endpoint in part.restored:
+                self.proxy_tables.setdefault("out", set()).discard(endpoint)
             if part.nonce is not None:
-                self.host.add_event(UpdateAcknowledged(SIDECAR, part.nonce, 0.0))
+                self.rounds.add_event(UpdateAcknowledged(PROXY, part.nonce, 0.0))
 
-    def note_outs(self):
+    def note_withdrawals(self):
         """Each peer owes a look at whoever went out of a list that it was sent."""
         for key, cache in self.front.caches.items():
             if key[0] not in (ENDPOINTS, MEMBER):
                 continue
             for name, resource in cache.resources.items():
-                before, self.picks[key, name] = (
-                    self.picks.get((key, name), frozenset()),
+                previous, self.pickable[key, name] = (
+                    self.pickable.get((key, name), frozenset()),
                     resource.current.pickable,
                 )
-                for node in before - resource.current.pickable:
+                for endpoint in previous - resource.current.pickable:
                     for stream, peer in self.peers_by_stream.items():
                         subscription = stream.subscriptions.get(key[0])
                         if (
@@ -334,61 +342,81 @@
                             and self.front.cache_for(stream.client, key[0]) is cache
                             and subscription.sent.get(name, -1) >= 0
                         ):
-                            peer.owed.setdefault((key[0], name), {})[node] = (
+                            peer.unseen_withdrawals.setdefault((key[0], name), {})[endpoint] = (
                                 resource.current.sequence,
                                 self.now,
                             )
 
-    def rules(self, peer):
-        for kind, (name, _) in enumerate(KINDS):
-            found = peer.view(name)
-            if found is not None:  # rule 1: who had a node to pick keeps one while the sidecar has one
-                healthy = [node for node, (_, health) in found.items() if health == view.HEALTHY]
+    def check_rules(self, peer):
+        for request_class, (name, _) in enumerate(REQUEST_CLASSES):
+            seen = peer.view(name)
+            if seen is not None:  # rule 1: who had a node to pick keeps one while the sidecar has one
+                healthy = [endpoint for endpoint, (_, health) in seen.items() if health == view.HEALTHY]
                 if healthy:
-                    peer.picked.add(name)
+                    peer.had_endpoint.add(name)
                 elif (
-                    name in peer.picked and not peer.stalled and peer.stream is not None and not peer.refused
+                    name in peer.had_endpoint
+                    and not peer.stalled
+                    and peer.stream is not None
+                    and not peer.has_rejected
                 ):
-                    lines = {node for node, weight in self.sidecar.get(kind, {}).items() if weight > 0}
-                    assert not lines - self.sidecar.get("out", set()), f"{peer.id} has no node for {name}"
-        fee = peer.held[ROUTE].get("fee")
+                    weights = {
+                        endpoint
+                        for endpoint, weight in self.proxy_tables.get(request_class, {}).items()
+                        if weight > 0
+                    }
+                    assert not weights - self.proxy_tables.get("out", set()), (
+                        f"{peer.id} has no node for {name}"
+                    )
+        fee = peer.resources[ROUTE].get("fee")
         assert fee is None or fee[1].retries == 0  # rule 2
-        for node, at in self.drained.items():  # rule 3
+        for endpoint, at in self.drained.items():  # rule 3
             if (
-                self.now - at > GRACE
+                self.now - at > DRAIN_DEADLINE
                 and peer.stream is not None
                 and not peer.stalled
-                and not peer.refused
-                and self.now - getattr(peer, "since", 0.0) > GRACE
+                and not peer.has_rejected
+                and self.now - getattr(peer, "since", 0.0) > DRAIN_DEADLINE
             ):
-                for name, _ in KINDS:
-                    told = (peer.view(name) or {}).get(f"n{node}")
-                    assert told is None or told[1] != view.HEALTHY, f"{peer.id} still sends to n{node}"
-        while peer.pushed and peer.pushed[0][0] < self.now - 10.0:  # rule 5: the message cap, a type
-            peer.pushed.popleft()
-        counts = [kind for _, kind in peer.pushed]
-        assert all(counts.count(kind) <= MESSAGES for kind in set(counts)), counts
+                for name, _ in REQUEST_CLASSES:
+                    known = (peer.view(name) or {}).get(f"n{endpoint}")
+                    assert known is None or known[1] != view.HEALTHY, f"{peer.id} still sends to n{endpoint}"
+        while (
+            peer.recent_pushes and peer.recent_pushes[0][0] < self.now - 10.0
+        ):  # rule 5: the message cap, a type
+            peer.recent_pushes.popleft()
+        types = [request_class for _, request_class in peer.recent_pushes]
+        assert all(types.count(request_class) <= MESSAGE_CAP for request_class in set(types)), types
         if peer.stream is not None:
             for subscription in peer.stream.subscriptions.values():
                 assert len(subscription.in_flight) <= 8
 
-    def tables_agree(self):
+    def check_tables_agree(self):
         """The sidecar's tables and the conductor's are one."""
-        for kind in range(len(KINDS)):
-            at = next(at for at, kinds in self.host.proxies[SIDECAR].assignments.items() if kinds >> kind & 1)
+        for request_class in range(len(REQUEST_CLASSES)):
+            table = next(
+                table
+                for table, classes in self.rounds.proxies[PROXY].assignments.items()
+                if classes >> request_class & 1
+            )
             assert {
-                node: weight for node, weight in self.sidecar[kind].items() if weight > 0
-            } == self.host.tables[at].weights
+                endpoint: weight
+                for endpoint, weight in self.proxy_tables[request_class].items()
+                if weight > 0
+            } == self.rounds.tables[table].weights
 
-    def sidecar_view(self, kind):
+    def proxy_view(self, request_class):
         """The weights of the nodes that the sidecar may pick."""
-        out = self.sidecar.get("out", set())
+        ejected = self.proxy_tables.get("out", set())
         return {
-            f"n{node}": weight
-            for node, weight in self.sidecar[kind].items()
-            if weight > 0 and node not in out
+            f"n{endpoint}": weight
+            for endpoint, weight in self.proxy_tables[request_class].items()
+            if weight > 0 and endpoint not in ejected
         }
 
-    def view(self, zone, kind):
-        table = self.front.maps[zone][kind]
-        return {one.name: (one.weight, one.health) for one in self.front.shown[table]}
+    def view(self, zone, request_class):
+        table = self.front.tables_by_zone[zone][request_class]
+        return {
+            endpoint.name: (endpoint.weight, endpoint.health)
+            for endpoint in self.front.published_endpoints[table]
+        }
--- a/tests/xds/test_configuration.py
+++ b/tests/xds/test_configuration.py
@@ -8,18 +8,18 @@
 from pathlib import Path
 
 import pytest
-from table import Table, nodes, played
+from xds_harness import XdsHarness, endpoint_list, run_async
 
 from oatcart.xds.configuration import InvalidConfigurationError, Source, Xds, read
 
 ROOT = Path(__file__).parents[2]
 
 
-def test_the_file_that_is_shipped_holds_the_defaults():
+def test_the_shipped_file_holds_the_defaults():
     assert read(ROOT / "deploy" / "xds.yaml") == Xds()
 
 
-def test_what_is_set_is_read(tmp_path):
+def test_settings_are_read(tmp_path):
     (tmp_path / "x.yaml").write_text(
         "listen: 127.0.0.1:1\nunread_for: 250ms\nhome_zone: a\n"
         "source:\n  address: 127.0.0.1:2\n  cluster: s\n  hold: 1m\n  with_roll: true\n"
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, messages",
     [
         ("listen: here", ["x.yaml:1: listen: 'here' is not a numeric address and a port"]),
         ("clients: 10\nlisen: 127.0.0.1:1\n", ["x.yaml:2: lisen is not known; did you mean listen?"]),
@@ -56,21 +56,21 @@
         ("unread_for: 2h\n", ["x.yaml:1: unread_for: 2h has no unit"]),
     ],
 )
-def test_errors_name_file_line_and_field(tmp_path, text, said):
+def test_errors_name_file_line_and_field(tmp_path, text, messages):
     (tmp_path / "x.yaml").write_text(text)
-    with pytest.raises(InvalidConfigurationError) as wrong:
+    with pytest.raises(InvalidConfigurationError) as error:
         read(tmp_path / "x.yaml")
-    for one in said:
-        assert one in str(wrong.value), str(wrong.value)
+    for message in messages:
+        assert message in str(error.value), str(error.value)
 
 
-def test_a_file_that_is_not_there(tmp_path):
+def test_an_error_names_a_missing_file(tmp_path):
     with pytest.raises(InvalidConfigurationError, match="none.yaml"):
         read(tmp_path / "none.yaml")
 
 
-def test_the_platforms_conductor_imports_none_of_it():
-    found = subprocess.run(
+def test_the_controller_without_xds_imports_none_of_its_packages():
+    result = subprocess.run(
         [
             sys.executable,
             "-c",
@@ -82,28 +82,28 @@
         capture_output=True,
         text=True,
     )
-    assert found.stdout.strip() == "[]", found.stderr
+    assert result.stdout.strip() == "[]", result.stderr
 
 
-@pytest.mark.parametrize("pushes, said", [(8, "pushes: 8 a second reach 16 clients"), (500, "")])
-def test_the_check_says_what_the_pushes_cannot_serve(tmp_path, pushes, said):
+@pytest.mark.parametrize("pushes, message", [(8, "pushes: 8 a second reach 16 clients"), (500, "")])
+def test_the_check_warns_if_the_push_rate_is_too_low(tmp_path, pushes, message):
     # Guards against clients that are told of drains too late by a configuration that was accepted silently.
     (tmp_path / "x.yaml").write_text(f"clients: 1000\npushes: {pushes}\n")
-    found = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "oatcart.xds", str(tmp_path / "x.yaml"), "--check"],
         cwd=ROOT,
         env=os.environ | {"EDGE_CONFIG": "examples/config.json"},
         capture_output=True,
         text=True,
     )
-    assert found.returncode == 0 and "can be used" in found.stdout
-    assert said in found.stderr if said else not found.stderr
+    assert result.returncode == 0 and "can be used" in result.stdout
+    assert message in result.stderr if message else not result.stderr
 
 
-def test_the_start_says_what_the_pushes_cannot_serve():
-    async def story():
-        async with Table(nodes(2), clients=100, pushes=8) as table:
+def test_the_start_warns_if_the_push_rate_is_too_low():
+    async def scenario():
+        async with XdsHarness(endpoint_list(2), clients=100, pushes=8) as harness:
             wanted = "pushes: 8 a second reach 16 clients"
-            assert any(wanted in line for line in table.lines), table.lines
+            assert any(wanted in line for line in harness.log_lines), harness.log_lines
 
-    played(story())
+    run_async(scenario())
