--- a/benchmarks/nested.py
+++ b/benchmarks/nested.py
@@ -1,7 +1,7 @@
-"""What the epoll loop costs inside asyncio: `python -m benchmarks.nested` (some seconds).
+"""Measures the cost of the epoll loop inside asyncio: `python -m benchmarks.nested` (some seconds).
 
-A proxy joins a conductor and pings it, one ping at a time: the plain process against the one with the xDS
-front, in turns. Prints a table in microseconds; the last line is one JSON object.
+A proxy joins a controller and pings it, one ping at a time; the plain process and the one with the xDS front
+alternate. Prints a table in microseconds; the last line is one JSON object.
 """
 
 import json
@@ -34,6 +34,7 @@
 
 
 def measure_pings(way: str, folder: Path) -> list[float]:
+    """Return the round-trip times of pings after the warm-up, s."""
     arguments = [str(folder / word) if word.endswith(".yaml") else word for word in WAYS[way]]
     with subprocess.Popen(
         [sys.executable, "-m", *arguments],
@@ -57,6 +58,7 @@
 
 
 def main() -> int:
+    """Measure and print the figures; returns an exit code."""
     durations = {way: [] for way in WAYS}
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -1,9 +1,10 @@
-"""What the xDS front costs: `python -m benchmarks.xds` (figures on stand-ins; three minutes).
+"""Measures the cost of the xDS front: `python -m benchmarks.xds` (figures on stand-ins; three minutes).
 
-A conductor in a process of its own serves so many clients so many endpoints over loopback, in three ways: the
-state of the world (the baseline of this run), incremental with whole clusters, incremental with each endpoint
-a resource. For each: bytes and CPU of a whole start, one weight, one drain, a return of all clients, and a
-drain while all weights are being pushed. Prints a table; the last line is one JSON object.
+A controller in a process of its own serves clients over loopback in three ways: state of the world (the
+baseline of a run), incremental with complete clusters, and incremental with each endpoint as a resource. For
+each it measures bytes and CPU of the start of all clients, of one changed weight, of one drain and of the
+return of all clients, and the time of a drain while all weights are pushed. Prints a table; the last line is
+one JSON object.
 """
 
 import argparse
@@ -24,15 +25,16 @@
 from oatcart.xds.serve import XdsController
 from oatcart.xds.standin.client import Client
 
-REQUEST_CLASSES = ["lookup", "order"]  # both on one table, as in most fleets
+REQUEST_CLASSES = ["lookup", "order"]  # both use one routing table, as in most fleets
 WAYS = {"sotw": (False, "whole"), "delta": (True, "whole"), "each": (True, "each")}
-FIRST_NONCE = 40_000  # of the changes made here; the module's own begin at 0
-REPEATS = 5  # of each single change; what is shown is their mean, of times all
+FIRST_NONCE = 40_000  # of the changes made here; the controller's own nonces begin at 0
+REPEATS = 5  # of each change; shows the mean, and percentiles of all times
 ZONES = ["a", "b"]
 CLIENT_PROCESSES = 4  # processes that the clients are spread over
 
 
 def config(endpoints: int) -> dict:
+    """Return the controller's configuration with so many endpoints."""
     members = [
         {
             "id": f"server-{number:04}",
@@ -71,7 +73,7 @@
 
 
 class ControllerProcess:
-    """The conductor's process: commands on standard input, a line of JSON for each."""
+    """The controller's process: reads commands from standard input and answers each with a line of JSON."""
 
     def __init__(self, endpoints: int, clients: int) -> None:
         reload_receiver, self.reload_socket = socket.socketpair()
@@ -98,6 +100,7 @@
         self.controller.rounds.decide, self.controller.rounds.add_event = scripted, record_acknowledgement
 
     def weights(self, count: int, weight: int) -> None:
+        """Set the weight of the first `count` endpoints."""
         table = self.controller.front.tables_by_zone[0][0]
         self.nonce += 1
         self.commands += [("set_weight", table, endpoint, weight) for endpoint in range(count)] + [
@@ -106,6 +109,7 @@
         self.controller.rounds.is_due = True
 
     def drain(self, number: int) -> None:
+        """Set an endpoint draining in the endpoint list."""
         self.cfg["known"]["members"][number]["phase"] = "DRAINING"
         self.revision += 1
         self.controller.rounds.watcher.receive(
@@ -113,6 +117,7 @@
         )
 
     def report(self) -> dict:
+        """Return the usage and counts of the process so far."""
         usage = resource.getrusage(resource.RUSAGE_SELF)
         durations, self.ack_durations = self.ack_durations, []
         return {
@@ -127,6 +132,7 @@
         }
 
     async def run(self) -> None:
+        """Serve and carry out commands until standard input ends."""
         port = await self.controller.start()
         print(json.dumps({"port": port}), flush=True)
         reader = asyncio.StreamReader()
@@ -142,14 +148,17 @@
 
 
 class ClientProcess:
-    """Some of the clients, in a process of their own; the same manner of commands. Times are by the clock
-    that processes share, when each client's view held what was waited for."""
+    """A process with some of the clients; reads commands from standard input and answers each with JSON.
+
+    Answers are the times at which each client saw the change, by the clock that all processes share.
+    """
 
     def __init__(self, port: int, first: int, count: int, endpoints: int, way: str) -> None:
         self.endpoints, (self.delta, self.shape) = endpoints, WAYS[way]
         self.port, self.numbers = port, range(first, first + count)
 
     async def all(self, condition) -> list[float]:
+        """Wait for a condition at each client; returns the times."""
         times = []
 
         async def wait_for(client: Client) -> None:
@@ -160,6 +169,8 @@
         return times
 
     async def start(self) -> list[float]:
+        """Subscribe all clients and wait for all endpoints."""
+
         async def subscribe(client: Client) -> None:
             client.connect()
             client.request(CLUSTER)
@@ -172,6 +183,7 @@
         return await self.all(lambda client: client.endpoint_count() >= expected)
 
     async def back(self) -> list[float]:
+        """Disconnect and reconnect all clients."""
         await asyncio.gather(*(client.disconnect() for client in self.clients))
         for client in self.clients:
             client.connect()
@@ -182,12 +194,15 @@
         return []
 
     async def weight(self, name: str, weight: str) -> list[float]:
+        """Wait until all clients see a weight."""
         return await self.all(lambda client: client.endpoint(REQUEST_CLASSES[-1], name)[0] == int(weight))
 
     async def drained(self, name: str) -> list[float]:
+        """Wait until all clients see an endpoint draining."""
         return await self.all(lambda client: client.endpoint(REQUEST_CLASSES[-1], name)[1] == "DRAINING")
 
     async def views(self) -> list[str]:
+        """Return the distinct views of the clients."""
         return sorted(
             {
                 str([sorted(client.endpoints(request_class).items()) for request_class in REQUEST_CLASSES])
@@ -196,6 +211,7 @@
         )
 
     async def run(self) -> None:
+        """Carry out commands until standard input ends."""
         self.clients = [
             Client(f"127.0.0.1:{self.port}", f"client-{number}", ZONES[0], self.delta, self.shape)
             for number in self.numbers
@@ -210,6 +226,7 @@
 
 
 async def start_process(*arguments: object) -> asyncio.subprocess.Process:
+    """Start this module in a process with pipes."""
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -224,11 +241,11 @@
 
 
 class Bench:
-    """A conductor and its clients, in processes of their own."""
+    """A controller and its clients, in processes of their own."""
 
     def __init__(self, clients: int, endpoints: int, way: str) -> None:
         self.client_count, self.endpoints, self.way = clients, endpoints, way
-        self.ack_durations: list[float] = []  # s from a mark's order to its acknowledgement, all clients
+        self.ack_durations: list[float] = []  # s from the request of an acknowledgement to its receipt
 
     async def __aenter__(self) -> "Bench":
         self.controller = await start_process("--serve", self.endpoints, "--clients", self.client_count)
@@ -248,34 +265,41 @@
             await process.wait()
 
     async def command(self, *words: object) -> dict:
+        """Send a command to the controller; returns its report."""
         self.controller.stdin.write((" ".join(map(str, words)) + "\n").encode())
         report = json.loads(await self.controller.stdout.readline())
         self.ack_durations += report["took"]
         return report
 
     def command_clients(self, *words: object) -> None:
+        """Send a command to all client processes."""
         for process in self.client_processes:
             process.stdin.write((" ".join(map(str, words)) + "\n").encode())
 
     async def client_answers(self) -> list:
+        """Return the answers of all client processes."""
         return sum([json.loads(await process.stdout.readline()) for process in self.client_processes], [])
 
     async def start(self) -> float:
+        """Start all clients; returns the time until all have their endpoints, s."""
         began = time.monotonic()
         self.command_clients("start")
         return max(await self.client_answers()) - began
 
     async def weight(self, name: str, weight: int) -> float:
+        """Change one weight; returns the time until all clients see it, s."""
         self.command_clients("weight", name, weight)
         began = (await self.command("weights", 1, weight))["now"]
         return max(await self.client_answers()) - began
 
     async def drain(self, number: int) -> list[float]:
+        """Drain one endpoint; returns the times until the clients see it, s."""
         self.command_clients("drained", f"server-{number:04}")
         began = (await self.command("drain", number))["now"]
         return [received_at - began for received_at in await self.client_answers()]
 
     async def back(self) -> float:
+        """Reconnect all clients; returns the time until all have tables, s."""
         self.command_clients("back")
         await self.client_answers()
         began = time.monotonic()
@@ -284,7 +308,7 @@
         return time.monotonic() - began
 
     async def settle(self) -> dict:
-        """Until nothing more is sent."""
+        """Wait until nothing more is sent and all clients are connected; returns the controller's report."""
         before = await self.command("told")
         while True:
             await asyncio.sleep(0.4)
@@ -294,7 +318,7 @@
             before = now
 
     async def cost(self, change: Awaitable) -> tuple[dict, object]:
-        """What a change costs the conductor: bytes, CPU less what it uses at rest, encoded resources."""
+        """Return the result of a change and its cost: bytes, pushes, encoded resources and CPU above idle."""
         first = await self.settle()
         second = await self.settle()
         idle_rate = (second["cpu"] - first["cpu"]) / (second["now"] - first["now"])
@@ -305,16 +329,19 @@
         return costs, result
 
     async def equal(self) -> bool:
+        """Whether the views of all clients are equal."""
         self.command_clients("views")
         return len(set(await self.client_answers())) == 1
 
 
 def mean(costs: list[tuple[dict, float]]) -> dict:
+    """Return the mean of costs and times."""
     means = {name: sum(cost[name] for cost, _ in costs) / len(costs) for name in costs[0][0]}
     return means | {"s": sum(took for _, took in costs) / len(costs)}
 
 
 async def measure(clients: int, endpoints: int, way: str, acks: HdrHistogram, drains: HdrHistogram) -> dict:
+    """Measure all changes in one way; records acknowledgement and drain times in us."""
     results = {}
     async with Bench(clients, endpoints, way) as bench:
         before = await bench.command("told")
@@ -355,6 +382,7 @@
 
 
 async def run(clients: int, endpoints: int) -> int:
+    """Measure all ways and print the figures; returns 1 if the views differ."""
     results, acks, drains = {}, {}, {}
     for way in WAYS:
         acks[way], drains[way] = HdrHistogram(1, 60_000_000, 3), HdrHistogram(1, 60_000_000, 3)
@@ -434,6 +462,7 @@
 
 
 def main() -> int:
+    """Run the command line; returns an exit code."""
     parser = argparse.ArgumentParser(prog="benchmarks.xds", description=__doc__)
     parser.add_argument("--clients", type=int, default=200)
     parser.add_argument("--endpoints", type=int, default=500)
--- a/oatcart/xds/__init__.py
+++ b/oatcart/xds/__init__.py
@@ -1,1 +1,1 @@
-"""Clusters and endpoints in xDS v3, offered to clients and taken from a management server: docs/xds.md."""
+"""xDS v3: serves clusters and endpoints to clients, reads endpoints from a management server: docs/xds.md."""
--- a/oatcart/xds/__main__.py
+++ b/oatcart/xds/__main__.py
@@ -1,6 +1,4 @@
-"""`python -m oatcart.xds deploy/xds.yaml`: a conductor, configured as ever by `EDGE_CONFIG`, with the xDS
-front.
-"""
+"""`python -m oatcart.xds deploy/xds.yaml`: a controller, configured by `EDGE_CONFIG`, with the xDS front."""
 
 import os
 import signal
@@ -21,10 +19,11 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
+    """Run the controller; returns an exit code."""
     parser = argparse.ArgumentParser(prog="oatcart.xds", description=__doc__)
-    parser.add_argument("file", help="the front's settings, YAML")
-    parser.add_argument("--check", action="store_true", help="read and check the files, start nothing")
-    parser.add_argument("--trace", metavar="FILE", help="write traces, as this file says, YAML")
+    parser.add_argument("file", help="settings of the xDS front, YAML")
+    parser.add_argument("--check", action="store_true", help="check the files and exit")
+    parser.add_argument("--trace", metavar="FILE", help="write traces by the settings in this file, YAML")
     options = parser.parse_args(arguments)
     try:
         xds = read_xds(options.file)
--- a/oatcart/xds/client_load_reports.py
+++ b/oatcart/xds/client_load_reports.py
@@ -76,9 +76,9 @@
         events = []
         for report in reports:
             if report.cluster not in request_classes:
-                log_invalid(f"a report for cluster {report.cluster[:QUOTED_LENGTH]!r}, which nobody has")
+                log_invalid(f"load report: no cluster is named {report.cluster[:QUOTED_LENGTH]!r}")
             elif not 0.0 < report.interval <= MAX_INTERVAL:
-                log_invalid(f"a report for {report.cluster} over {report.interval} s")
+                log_invalid(f"load report for {report.cluster}: invalid interval of {report.interval} s")
             else:
                 request_class = request_classes[report.cluster]
                 events += self._endpoint_events(report, zone, request_class, number_of, log_invalid)
@@ -95,10 +95,10 @@
     ) -> list[EndpointLoadReported]:
         events = []
         for address, counts in report.endpoints:
-            subject = f"a report for {report.cluster} at {str(address)[:QUOTED_LENGTH]!r}"
+            subject = f"load report for {report.cluster} at {str(address)[:QUOTED_LENGTH]!r}"
             endpoint = number_of(address)
             if endpoint is None:
-                log_invalid(f"{subject}, which is not listed")
+                log_invalid(f"{subject}: the endpoint is not listed")
                 continue
             problem = self._problem((request_class, address), counts)
             if problem:
@@ -146,7 +146,7 @@
     all_valid = len(valid) == len(report.localities)
     if 0 <= report.dropped <= MAX_COUNT and all_valid and arrived <= MAX_COUNT:
         return [ProxyLoadReported(proxy, request_class, arrived, failed, report.interval)]
-    log_invalid(f"a report for {report.cluster}: {arrived} requests arrived, {report.dropped} dropped")
+    log_invalid(f"load report for {report.cluster}: {arrived} requests arrived, {report.dropped} dropped")
     return []
 
 
@@ -178,6 +178,6 @@
 
 
 def utilization(counts: RequestCounts) -> float | None:
-    """The share of an endpoint's cores in use; None where the client does not say."""
+    """The share of an endpoint's cores in use; None where the client does not report it."""
     count, total = counts.metrics.get(UTILIZATION_METRIC, (0, 0.0))
     return min(MAX_LOAD, total / count) if count else None
--- a/oatcart/xds/client_state.py
+++ b/oatcart/xds/client_state.py
@@ -7,12 +7,12 @@
 
 from oatcart.xds.subscription import Subscription
 
-PENDING_ACKS_MAX = 8  # marks of one client that are not acknowledged; the module waits for none so long
+PENDING_ACKS_MAX = 8  # unacknowledged nonces kept of a client; the controller waits for none that is older
 REJECTIONS_KEPT = 8  # of a client, for the operator
 
 
 class ClientIdentity(NamedTuple):
-    """Who a client says it is."""
+    """The identity of a client, from the node identifier of its request."""
 
     id: str
     zone: str
@@ -20,8 +20,12 @@
 
 
 class ClientRequest(NamedTuple):
-    """A discovery request of either protocol. `names`: all names, or those newly subscribed. `version`: of
-    the last state-of-the-world response of this type that the client accepted, on whichever stream."""
+    """A discovery request of either protocol.
+
+    `names`: all names (state of the world) or the newly subscribed ones (incremental). `initial_versions`: by
+    name, of resources from an earlier stream. `version`: of the last state-of-the-world response of this type
+    that the client accepted, on any stream.
+    """
 
     type: str
     names: tuple[str, ...]
@@ -41,20 +45,23 @@
 
     key: int
     delta: bool
-    only_type: str | None  # the one type it is for; None: all of them on one stream
+    only_type: str | None  # resource type of a stream for one type; None: all types
     client: "Client | None" = None
     subscriptions: dict[str, Subscription] = field(default_factory=dict)
     writable: bool = True  # the transport takes another push
-    endpoints_sent: bool = False  # it was sent endpoints
+    endpoints_sent: bool = False  # in a push on this stream
     returning: bool = False
-    admitted: bool = False  # its first pushes were paid in advance
-    prepaid: int = 0  # of them, those that are not sent yet
-    urgent_since: float | None = None  # s; since when the budget has kept back what may not wait
+    admitted: bool = False  # its first pushes were paid in advance; see `ReturnAdmission`
+    prepaid: int = 0  # pushes that were paid in advance and are not sent yet
+    urgent_since: float | None = None  # s; since when the budget has delayed an urgent push
 
 
 @dataclass(eq=False, slots=True)
 class PendingAcknowledgement:
-    """A mark that a client has yet to acknowledge: by stream and type, the seqs that are to be held."""
+    """A nonce that a client has yet to acknowledge.
+
+    `sent_at`: s; `required`: by stream and type, the sequence numbers to be acknowledged by resource name.
+    """
 
     nonce: int
     sent_at: float
@@ -63,17 +70,17 @@
 
 @dataclass(eq=False, slots=True)
 class Client:
-    """A client by its node's id. `proxy`: its number among the proxies of the decisions."""
+    """A client, identified by its node id. `proxy`: its number among the proxies of the controller."""
 
     id: str
     proxy: int
     zone: int
     shape: str
-    request_rates: list[float]  # reqs a second by kind, as its load reports have it
+    request_rates: list[float]  # requests/s by request class, from its load reports
     streams: list[Stream] = field(default_factory=list)  # oldest first
     joined: bool = False
-    assigned: bool = False
-    round_nonce: int | None = None  # a mark of this round
+    assigned: bool = False  # it has a routing table for each request class
+    round_nonce: int | None = None  # to be acknowledged for this round
     pending_acks: deque = field(default_factory=lambda: deque(maxlen=PENDING_ACKS_MAX))
     rejections: deque = field(default_factory=lambda: deque(maxlen=REJECTIONS_KEPT))
     acked_at: float | None = None
--- a/oatcart/xds/configuration.py
+++ b/oatcart/xds/configuration.py
@@ -1,4 +1,4 @@
-"""`deploy/xds.yaml`: what an operator sets of the xDS front, checked. All keys have defaults."""
+"""Reads and checks the settings of the xDS front, as in `deploy/xds.yaml`. All keys have defaults."""
 
 from pathlib import Path
 from typing import NamedTuple
@@ -13,7 +13,7 @@
 
 
 class Source(NamedTuple):
-    """A management server that nodes are taken from; times in seconds."""
+    """A management server of endpoints. `hold`: retention time, s; `dial_most`: longest backoff, s."""
 
     address: str
     cluster: str
@@ -23,7 +23,7 @@
 
 
 class Xds(NamedTuple):
-    """What the front is started with; times in seconds, pushes a second."""
+    """Settings of the xDS front. `unread_for`, `report_every`: s; `pushes`: pushes/s."""
 
     listen: str = "127.0.0.1:18000"
     home_zone: str = ""
@@ -57,7 +57,7 @@
 
 
 def read(path: str | Path) -> Xds:
-    """The file's settings; raises InvalidConfigurationError with all that is wrong in it."""
+    """Returns the settings of a file; raises InvalidConfigurationError that lists all problems in it."""
     problems: list[str] = []
     content, where = load(path)
     if content is None:
@@ -77,7 +77,7 @@
 
 
 def capacity_warning(xds: Xds) -> str:
-    """What the front cannot keep as it is configured; empty if there is nothing.
+    """Returns a warning if drains cannot reach all clients in time at this push rate, else an empty string.
 
     >>> capacity_warning(Xds()), capacity_warning(Xds(clients=17, pushes=8.0))
     ('', 'pushes: 8 a second reach 16 clients within the drain deadline of 2 s, and clients is 17')
--- a/oatcart/xds/decode.py
+++ b/oatcart/xds/decode.py
@@ -1,5 +1,6 @@
-"""Requests of clients and their load reports as plain tuples; what cannot be read is refused with the field's
-name.
+"""Decodes discovery requests and load reports of clients into plain records.
+
+An invalid message raises RequestRejectedError, which names the field.
 """
 
 from envoy.config.core.v3 import base_pb2
@@ -13,26 +14,30 @@
 from oatcart.xds.limits import RequestRejectedError
 
 RESOURCE_TYPES = {url: resource_type for resource_type, url in TYPE_URLS.items()}
-GRPC_USER_AGENT = "gRPC"  # begins the user agent of gRPC's own clients
-# node.metadata: how it wants them
+GRPC_USER_AGENT = "gRPC"  # start of the user agent of gRPC's own clients
+# key in node.metadata by which a client chooses how endpoints are delivered
 SHAPE_KEY, SHAPES = "oatcart.endpoints", {view.WHOLE, view.EACH, view.SPREAD}
-ERROR_LENGTH_MAX = 1000  # letters of a client's refusal that are kept
+ERROR_LENGTH_MAX = 1000  # characters kept of a client's error message
 
 
 def resource_type_of(url: str) -> str:
-    """A type by its URL; raises RequestRejectedError."""
+    """Returns the resource type of a type URL; raises RequestRejectedError."""
     if url in RESOURCE_TYPES:
         return RESOURCE_TYPES[url]
     if "/" not in url or len(url) > 300:
-        raise RequestRejectedError("INVALID_ARGUMENT", f"type_url: {url[:80]!r} is no type's URL")
+        raise RequestRejectedError(
+            "INVALID_ARGUMENT", f"type_url: expected the URL of a type, got {url[:80]!r}"
+        )
     raise RequestRejectedError(
-        "UNIMPLEMENTED", f"type_url: {url} is not served; served are {', '.join(sorted(RESOURCE_TYPES))}"
+        "UNIMPLEMENTED",
+        f"type_url: {url} is not supported; supported are {', '.join(sorted(RESOURCE_TYPES))}",
     )
 
 
 def identity_of(node: base_pb2.Node) -> ClientIdentity | None:
-    """Who asks. Its shape is what its metadata name, else gRPC's own clients get theirs, all others whole
-    ones.
+    """Returns the identity of a client; None if the message has none.
+
+    The shape is the one named in the metadata, else `SPREAD` for gRPC's own clients and `WHOLE` for others.
     """
     if not node.id and not node.HasField("locality"):
         return None
@@ -42,25 +47,29 @@
         if shape not in SHAPES:
             raise RequestRejectedError(
                 "INVALID_ARGUMENT",
-                f"node.metadata: {SHAPE_KEY} {shape[:80]!r} is none of {', '.join(sorted(SHAPES))}",
+                f"node.metadata: {SHAPE_KEY}: got {shape[:80]!r}, "
+                f"expected one of {', '.join(sorted(SHAPES))}",
             )
     return ClientIdentity(node.id, node.locality.zone, shape)
 
 
 def decode_request(delta: bool, data: bytes, only_type: str | None = None) -> ClientRequest:
-    """A discovery request of either protocol; on a stream for one type the type may be left out."""
+    """Decodes a discovery request of either protocol; raises RequestRejectedError.
+
+    `only_type`: the type of a stream for one type, whose requests may leave it out.
+    """
     try:
         message = (
             discovery_pb2.DeltaDiscoveryRequest if delta else discovery_pb2.DiscoveryRequest
         ).FromString(data)
     except DecodeError:
-        raise RequestRejectedError("INVALID_ARGUMENT", "a request that cannot be read") from None
+        raise RequestRejectedError("INVALID_ARGUMENT", "request: malformed DiscoveryRequest") from None
     resource_type = resource_type_of(message.type_url) if message.type_url or only_type is None else only_type
     error_message = None
     if message.HasField("error_detail"):
         error_message = (
             message.error_detail.message[:ERROR_LENGTH_MAX]
-            or f"status {message.error_detail.code}, without words"
+            or f"status {message.error_detail.code} without a message"
         )
     identity = identity_of(message.node)
     if delta:
@@ -112,11 +121,11 @@
 def decode_load_report(
     data: bytes,
 ) -> tuple[ClientIdentity | None, list[client_load_reports.ClusterLoadReport]]:
-    """A load report: who sends it, and per cluster what it met at each node and what it turned away."""
+    """Decodes a load report into the sender and its counts by cluster; raises RequestRejectedError."""
     try:
         message = lrs_pb2.LoadStatsRequest.FromString(data)
     except DecodeError:
-        raise RequestRejectedError("INVALID_ARGUMENT", "a load report that cannot be read") from None
+        raise RequestRejectedError("INVALID_ARGUMENT", "load report: malformed LoadStatsRequest") from None
     reports = []
     for cluster in message.cluster_stats:
         endpoints, localities = [], []
--- a/oatcart/xds/encode.py
+++ b/oatcart/xds/encode.py
@@ -1,8 +1,8 @@
-"""Bodies of resources as Envoy's v3 messages, and pushes as discovery responses.
+"""Encodes resources as Envoy's v3 messages, and pushes as discovery responses.
 
-A resource is encoded once, whoever gets it: a serialized message is the concatenation of its parts, so a
-response is its own few fields followed by a ready-made part for each resource (protobuf, encoding: "last one
-wins" and repeated fields).
+A resource is encoded once for all clients: serialized protobuf messages may be concatenated, so a response is
+its own few fields followed by a cached part for each resource (protobuf, encoding: "last one wins" and
+repeated fields).
 """
 
 from collections import OrderedDict
@@ -32,13 +32,11 @@
     LISTENER: "type.googleapis.com/envoy.config.listener.v3.Listener",
     ROUTE: "type.googleapis.com/envoy.config.route.v3.RouteConfiguration",
 }
-CACHED_PARTS_MAX = (
-    8192  # encoded resources; beyond it the one not used for longest is encoded again when asked for
-)
-UNLIMITED = 2**32 - 1  # what Envoy takes for no limit
-CONNECT_TIMEOUT = 1  # s until a client takes a node for unreached; a report says so, and the module judges
-OVERPROVISIONING_PERCENT = 10_000  # percent: a zone keeps its whole weight while one of its nodes is healthy
-DROP_CATEGORY = "oatcart-admission"  # the category of drops, as load reports name it
+CACHED_PARTS_MAX = 8192  # encoded resources; the least recently used is dropped first
+UNLIMITED = 2**32 - 1  # Envoy's value for no limit
+CONNECT_TIMEOUT = 1  # s until a client reports an endpoint as unreachable; the controller ejects it
+OVERPROVISIONING_PERCENT = 10_000  # a zone keeps its full weight while one of its endpoints is healthy
+DROP_CATEGORY = "oatcart-admission"  # category of dropped requests in load reports
 ADS = config_source_pb2.ConfigSource(
     ads=config_source_pb2.AggregatedConfigSource(), resource_api_version=config_source_pb2.V3
 )
@@ -51,9 +49,10 @@
 
 
 def _cluster(body: view.Cluster) -> Message:
-    """The client judges nothing itself: no outlier detection, no limits, no panic, no zones of its own, and a
-    node's health is what the endpoints say. Of two drawn the one with less of its own work outstanding is
-    picked, where the client can do that; gRPC's own draws a locality by weight, and each node is one."""
+    """The client decides nothing itself: outlier detection, limits, panic threshold and zone-aware routing
+    are off, and the health of an endpoint is that of its resource. Envoy draws two endpoints and picks the
+    one with fewer requests in flight. gRPC's own client draws a locality by weight, and each endpoint is one.
+    """
     limits = circuit_breaker_pb2.CircuitBreakers.Thresholds(
         **{
             name: wrappers_pb2.UInt32Value(value=UNLIMITED)
@@ -86,7 +85,7 @@
     common = cluster.common_lb_config
     common.healthy_panic_threshold.value = 0.0
     common.zone_aware_lb_config.routing_enabled.value = 0.0
-    common.update_merge_window.SetInParent()  # 0: an update is taken when it comes
+    common.update_merge_window.SetInParent()  # 0: updates take effect at once
     return cluster
 
 
@@ -124,7 +123,7 @@
                 locality=base_pb2.Locality(zone=endpoint.zone, sub_zone=endpoint.name),
                 lb_endpoints=[_lb_endpoint(endpoint, False)],
             )
-            locality.load_balancing_weight.value = endpoint.weight  # a locality without one gets nothing
+            locality.load_balancing_weight.value = endpoint.weight  # gRPC ignores a locality without a weight
     else:
         for zone in sorted({endpoint.zone for endpoint in body.endpoints}):
             zone_endpoints = [endpoint for endpoint in body.endpoints if endpoint.zone == zone]
@@ -169,11 +168,11 @@
 
 
 class Encoder:
-    """Resources by type and version, each encoded once; `made` counts how many were."""
+    """Encodes each version of a resource once. `encoded_count`: resources encoded so far."""
 
     def __init__(self, max_parts: int = CACHED_PARTS_MAX) -> None:
         self.max_parts, self.encoded_count = max_parts, 0
-        # by protocol, name and version: a response's part
+        # by protocol, type, name and version: the part of a response
         self.parts: OrderedDict[tuple, bytes] = OrderedDict()
 
     def _part(self, delta: bool, resource_type: str, name: str, version: str, body: object) -> bytes:
@@ -199,7 +198,7 @@
         return part
 
     def push(self, delta: bool, resource_type: str, push: Push) -> bytes:
-        """A discovery response of either protocol, serialized."""
+        """Returns a serialized discovery response of either protocol."""
         if delta:
             head = discovery_pb2.DeltaDiscoveryResponse(
                 type_url=TYPE_URLS[resource_type],
--- a/oatcart/xds/follow.py
+++ b/oatcart/xds/follow.py
@@ -1,4 +1,7 @@
-"""An xDS client that takes endpoints from a management server; `verified_endpoints.py` says which count."""
+"""An xDS client that subscribes to the endpoints of a management server.
+
+`verified_endpoints.py` decides which of its answers are accepted.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -20,33 +23,34 @@
 from oatcart.xds.verified_endpoints import ReportedEndpoint, VerifiedEndpoints
 
 STREAM_METHOD = "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources"
-RESPONSE_BYTES_MAX = 16 * 1024 * 1024  # bytes of an answer: a hundred thousand endpoints
-ENDPOINTS_MAX = 100_000  # in one answer
+RESPONSE_BYTES_MAX = 16 * 1024 * 1024  # bytes of a response: a hundred thousand endpoints
+ENDPOINTS_MAX = 100_000  # in one response
 HealthStatus = health_check_pb2.HealthStatus
 STATE_OF_HEALTH = {
     HealthStatus.UNKNOWN: EndpointState.READY,
     HealthStatus.HEALTHY: EndpointState.READY,
     HealthStatus.DEGRADED: EndpointState.READY,
     HealthStatus.DRAINING: EndpointState.DRAINING,
-}  # all others are left out, like nodes that are missing
-METADATA_KEY = "oatcart"  # of an endpoint's metadata, where `started` may stand, s of Unix time
+}  # endpoints with any other status count as missing
+METADATA_KEY = "oatcart"  # key in an endpoint's metadata; its field `started` is a Unix time in s
 
 
 class InvalidResponseError(ValueError):
-    """An answer that cannot be used; names the field."""
+    """A response that cannot be used; the message names the field."""
 
 
 def parse_endpoints(
     message: endpoint_pb2.ClusterLoadAssignment, zones: dict[str, int]
 ) -> dict[str, tuple[ReportedEndpoint, Address]]:
-    """The endpoints of an assignment by name; raises Unfit."""
+    """Returns the endpoints of an assignment by name; raises InvalidResponseError."""
     parsed: dict[str, tuple[ReportedEndpoint, Address]] = {}
     name_at: dict[Address, str] = {}
     for locality_index, locality in enumerate(message.endpoints):
         path = f"endpoints[{locality_index}]"
         if locality.locality.zone not in zones:
             raise InvalidResponseError(
-                f"{path}.locality.zone: {locality.locality.zone[:80]!r} is none of {', '.join(zones)}"
+                f"{path}.locality.zone: got {locality.locality.zone[:80]!r}, "
+                f"expected one of {', '.join(zones)}"
             )
         for endpoint_index, lb_endpoint in enumerate(locality.lb_endpoints):
             path_of_endpoint, socket = (
@@ -59,15 +63,17 @@
                     raise ValueError
             except ValueError:
                 raise InvalidResponseError(
-                    f"{path_of_endpoint}.endpoint.address: {socket.address[:80]}:{socket.port_value} is no numeric "
-                    "address and port"
+                    f"{path_of_endpoint}.endpoint.address: got {socket.address[:80]}:{socket.port_value}, "
+                    "expected a numeric address and port"
                 ) from None
             name = lb_endpoint.endpoint.hostname or "{}:{}".format(*address)
             if len(name) > MAX_ID_LENGTH or not name.isprintable():
-                raise InvalidResponseError(f"{path_of_endpoint}.endpoint.hostname: {name[:80]!r} is no name")
+                raise InvalidResponseError(
+                    f"{path_of_endpoint}.endpoint.hostname: {name[:80]!r} is too long or not printable"
+                )
             if name in parsed or address in name_at:
                 raise InvalidResponseError(
-                    f"{path_of_endpoint}: {name} at {address[0]}:{address[1]} stands there twice"
+                    f"{path_of_endpoint}: {name} at {address[0]}:{address[1]} is listed twice"
                 )
             name_at[address] = name
             if lb_endpoint.health_status in STATE_OF_HEALTH:
@@ -81,7 +87,7 @@
                     address,
                 )
             if len(name_at) > ENDPOINTS_MAX:
-                raise InvalidResponseError(f"endpoints: more than {ENDPOINTS_MAX}")
+                raise InvalidResponseError(f"endpoints: expected at most {ENDPOINTS_MAX}")
     return parsed
 
 
@@ -91,12 +97,18 @@
         return None
     value = metadata[METADATA_KEY].fields["started"].number_value
     if not isfinite(value) or not 0 <= value <= MAX_AMOUNT:
-        raise InvalidResponseError(f"{field}.metadata: {METADATA_KEY}.started {value}")
+        raise InvalidResponseError(
+            f"{field}.metadata: {METADATA_KEY}.started: expected a Unix time in seconds, got {value}"
+        )
     return value
 
 
 class ManagementServerClient:
-    """`take` gets the whole list, as entries, when it has changed; `addresses` is the conductor's own."""
+    """Subscribes to the endpoints of one cluster and reconnects when the stream ends.
+
+    `on_endpoints` is called with the complete list after each answer; `addresses`: the controller's table of
+    addresses by endpoint number, which is updated.
+    """
 
     def __init__(
         self,
@@ -131,15 +143,17 @@
         self.task: asyncio.Task | None = None
 
     def start(self) -> None:
+        """Start the task that keeps the subscription."""
         self.task = asyncio.ensure_future(self._run())
 
     async def stop(self) -> None:
+        """Cancel the task and wait for its end."""
         if self.task is not None:
             self.task.cancel()
             await asyncio.gather(self.task, return_exceptions=True)
 
     async def _run(self) -> None:
-        """Stream after stream, each until it ends or a doubt asks for another."""
+        """Opens one stream after another; each runs until it ends or a suspect answer has to be rechecked."""
         options = [
             ("grpc.max_receive_message_length", RESPONSE_BYTES_MAX),
             ("grpc.keepalive_time_ms", 10_000),
@@ -156,7 +170,7 @@
                     self.log(
                         "source",
                         f"{self.server}: {error.code().name}: {(error.details() or '')[:200]}; "
-                        f"the last list stands, next dial in {wait:.2f} s",
+                        f"the last list stays in use, next attempt in {wait:.2f} s",
                     )
                     await asyncio.sleep(wait)
 
@@ -177,10 +191,10 @@
                     ):
                         data = await call.read()
                 except TimeoutError:
-                    return  # what is in doubt is asked anew, on a fresh stream
+                    return  # only the first answer on a new stream can confirm a removal
                 if data is grpc.aio.EOF:
                     if (await call.code()) is grpc.StatusCode.OK:
-                        await asyncio.sleep(self.backoff.next())  # it was told to go, politely
+                        await asyncio.sleep(self.backoff.next())  # the server ended the stream in order
                     return
                 request = discovery_pb2.DiscoveryRequest(
                     type_url=TYPE_URLS[ENDPOINTS], resource_names=[self.cluster]
@@ -193,8 +207,10 @@
                     self.backoff.answered()
                 except (InvalidResponseError, DecodeError) as error:
                     request.error_detail.code = grpc.StatusCode.INVALID_ARGUMENT.value[0]
-                    request.error_detail.message = str(error) or "an answer that cannot be read"
-                    self.log("source", f"{self.server}: refused: {error}; the last list stands")
+                    request.error_detail.message = str(error) or "malformed DiscoveryResponse"
+                    self.log(
+                        "source", f"{self.server}: response rejected: {error}; the last list stays in use"
+                    )
                 request.version_info = version
                 await call.write(request.SerializeToString())
         finally:
@@ -202,18 +218,18 @@
 
     def _handle_response(self, response: discovery_pb2.DiscoveryResponse, first_on_stream: bool) -> None:
         if response.type_url != TYPE_URLS[ENDPOINTS]:
-            raise InvalidResponseError(f"type_url: {response.type_url[:80]!r} was not asked for")
+            raise InvalidResponseError(f"type_url: {response.type_url[:80]!r} was not subscribed to")
         for resource in response.resources:
             message = endpoint_pb2.ClusterLoadAssignment()
             if not resource.Unpack(message):
                 raise InvalidResponseError(
-                    f"resources: {resource.type_url[:80]!r} is no ClusterLoadAssignment"
+                    f"resources: expected a ClusterLoadAssignment, got {resource.type_url[:80]!r}"
                 )
             if message.cluster_name == self.cluster:
                 received = parse_endpoints(message, self.codec.zones)
                 break
         else:
-            return  # an answer without what was asked for says nothing of it
+            return  # a response without the cluster leaves its endpoints as they are
         suspicion = self.verified.receive(
             self.clock(),
             self.unix_time(),
@@ -221,7 +237,10 @@
             first_on_stream,
         )
         if suspicion:
-            self.log("source", f"{self.server}: doubted: {suspicion}; they stay, it is asked anew")
+            self.log(
+                "source",
+                f"{self.server}: suspect list: {suspicion}; missing endpoints are retained until a recheck",
+            )
         self.address_of = {
             name: address for name, address in self.address_of.items() if name in self.verified.endpoints
         } | {name: address for name, (_, address) in received.items()}
--- a/oatcart/xds/front.py
+++ b/oatcart/xds/front.py
@@ -1,9 +1,9 @@
-"""The xDS front without its transport: who is a client, what each is sent, what the module is told. Free of
-I/O.
+"""The xDS front without its transport: clients, what each is sent, and the events for the controller.
 
-A client is known by its node's id. Once it asks for what depends on tables it is a proxy to the module, which
-binds it to the tables of its zone as it binds a sidecar; until it is bound it is sent none of them. Marks are
-applied once all that the mark stands for is acknowledged on all its streams.
+Free of I/O. A client is identified by its node id. Once it subscribes to a type that depends on routing
+tables, it is added as a proxy, and the controller assigns it the tables of its zone like any other proxy;
+before that it is sent no resource of these types. A nonce is acknowledged once all resources that were due at
+its round are acknowledged on all streams of the client.
 """
 
 from collections import OrderedDict
@@ -35,17 +35,24 @@
 
 
 class ProxyRegistry(Protocol):
-    """Where clients come and go as proxies, and what the module is told."""
+    """Receives clients as proxies, and the events for the controller."""
 
-    def add_proxy(self, proxy: int, unconfigured: bool) -> None: ...
+    def add_proxy(self, proxy: int, unconfigured: bool) -> None:
+        """Adds a proxy. `unconfigured`: it has no table of any controller."""
 
-    def remove_proxy(self, proxy: int) -> None: ...
+    def remove_proxy(self, proxy: int) -> None:
+        """Removes a proxy."""
 
-    def add_event(self, event: tuple) -> None: ...
+    def add_event(self, event: tuple) -> None:
+        """Passes an event to the next round."""
 
 
 class Front:
-    """`first`: the number of the first xDS client as a proxy. `life`: begins nonces, another in each life."""
+    """Handles requests of clients and decides what they are sent.
+
+    `first_proxy`: proxy number of the first xDS client; `incarnation`: prefix of nonces, another one in each
+    incarnation of the controller; `by_rate`: quotas are rates; `home_zone`: of clients that name none.
+    """
 
     def __init__(
         self,
@@ -79,62 +86,63 @@
         self.clients: dict[str, Client] = {}
         self.by_proxy: dict[int, Client] = {}
         self.free_proxies: list[int] = []
-        self.departed_ids: OrderedDict[str, None] = (
-            OrderedDict()
-        )  # ids of clients that have left, newest last
+        self.departed_ids: OrderedDict[str, None] = OrderedDict()  # clients that left, newest last
         self.stream_keys = count(1)
 
     @property
     def caches(self) -> dict[tuple, ResourceCache]:
-        """The resource caches, by type, zone and shape as far as they differ by them."""
+        """The resource caches by type, and by zone and shape where resources of the type differ by these."""
         return self.publication.caches
 
     @property
     def tables_by_zone(self) -> dict[int, tuple[int, ...]]:
-        """The table of each request kind, by zone."""
+        """By zone: the routing table of each request class."""
         return self.publication.tables_by_zone
 
     @property
     def published_endpoints(self) -> dict[int, tuple[view.Endpoint, ...]]:
-        """The endpoints of each table as last published."""
+        """By routing table: the endpoints as last published."""
         return self.publication.published
 
     @property
     def pending_streams(self) -> dict[Stream, None]:
-        """The streams on which there may be something to send."""
+        """The streams for which there may be something to send."""
         return self.push_dispatch.pending
 
     @property
     def has_more(self) -> bool:
-        """Whether the last dispatch was one slice of a long work."""
+        """Whether the last dispatch stopped at its limit and left work for another."""
         return self.push_dispatch.has_more
 
     @property
     def next_dispatch_in(self) -> float | None:
-        """The time until the budget has a push for who waits, s; None if nobody does."""
+        """The time until the budget allows a delayed push, s; None if no push waits."""
         return self.push_dispatch.next_dispatch_in
 
     @property
     def push_metrics(self) -> PushMetrics:
-        """What the push budget was spent on."""
+        """Counts of the pushes that were sent or delayed."""
         return self.push_dispatch.push_metrics
 
     def cache_for(self, client: Client, resource_type: str) -> ResourceCache:
-        """What a client may see of a type."""
+        """The resources of a type as the client may see them."""
         return self.publication.cache_for(client, resource_type)
 
-    # -- streams and what comes on them
+    # -- streams and requests
 
     def open_stream(self, delta: bool, only_type: str | None = None) -> Stream:
+        """Return a new stream. `only_type`: the resource type of a stream for one type."""
         return Stream(next(self.stream_keys), delta, only_type)
 
     def handle_request(self, now: float, stream: Stream, request: ClientRequest) -> list[Stream]:
-        """Take a request; returns the streams that are closed for this one.
+        """Handle a request; returns older streams of the client that have to be closed.
 
-        Raises RequestRejectedError, which ends the stream.
+        Raises RequestRejectedError, which ends the stream. `now`: s.
         """
         if stream.only_type is not None and request.type != stream.only_type:
-            raise RequestRejectedError("INVALID_ARGUMENT", f"this stream is for {stream.only_type} alone")
+            raise RequestRejectedError(
+                "INVALID_ARGUMENT", f"type_url: expected {stream.only_type}, this is a stream for one type"
+            )
         check_names((*request.names, *request.unsubscribe, *request.initial_versions))
         ended = self._admit(now, stream, request)
         subscription = stream.subscriptions.get(request.type) or self._new_subscription(stream, request)
@@ -166,7 +174,7 @@
         return ended
 
     def _new_subscription(self, stream: Stream, request: ClientRequest) -> Subscription:
-        """The subscription that the first request of a type on a stream begins."""
+        """Return the subscription for the first request of a type on a stream."""
         of_whole_type = request.type in WHOLE_TYPES
         subscription = Subscription(
             delta=stream.delta,
@@ -187,14 +195,14 @@
         identity = request.identity
         if identity is None or not identity.id or not identity.id.isprintable():
             raise RequestRejectedError(
-                "INVALID_ARGUMENT", "node.id: the first request of a stream has to say who asks"
+                "INVALID_ARGUMENT", "node.id: expected a printable id in the first request of a stream"
             )
         check_names([identity.id])
         zone = identity.zone or self.home_zone
         if zone not in self.zones:
             raise RequestRejectedError(
                 "INVALID_ARGUMENT",
-                f"node.locality.zone: {zone[:80]!r} is none of {', '.join(self.zone_names)}",
+                f"node.locality.zone: got {zone[:80]!r}, expected one of {', '.join(self.zone_names)}",
             )
         client = self.clients.get(identity.id)
         if client is None:
@@ -204,8 +212,8 @@
         elif (client.zone, client.shape) != (self.zones[zone], identity.shape):
             raise RequestRejectedError(
                 "FAILED_PRECONDITION",
-                f"{identity.id[:80]!r} is joined from {self.zone_names[client.zone]} "
-                f"as {client.shape}: an id is one client's",
+                f"node.id: {identity.id[:80]!r} is connected from zone {self.zone_names[client.zone]} "
+                f"with shape {client.shape}; each client needs an id of its own",
             )
         self._prepay(now, stream, request, identity.shape)
         if client is None:
@@ -222,9 +230,9 @@
         return client
 
     def _prepay(self, now: float, stream: Stream, request: ClientRequest, shape: str) -> None:
-        """Pay in advance what a returning client has to be sent before it misses no withdrawal.
+        """Pay in advance for the pushes after which a returning client misses no withdrawal.
 
-        Raises RequestRejectedError if more return than can be sent that in time.
+        Raises RequestRejectedError if more clients return than can be sent these in time.
         """
         is_first = request.type in FIRST_PUSHES and request.type not in stream.subscriptions
         if stream.admitted or not is_first or not (request.initial_versions or request.version):
@@ -241,7 +249,7 @@
             self.registry.add_event(ProxyJoined(client.proxy, client.zone, 0.0, True))
 
     def close_stream(self, now: float, stream: Stream) -> None:
-        """A stream is over; with its last one a client has left."""
+        """Remove a stream that has ended, and its client with its last stream. `now`: s."""
         self.pending_streams.pop(stream, None)
         self.push_dispatch.refund(stream)
         client, stream.client = stream.client, None
@@ -262,7 +270,7 @@
             self.registry.add_event(ProxyLeft(client.proxy))
 
     def on_written(self, stream: Stream) -> None:
-        """The transport has taken all that it was handed."""
+        """The transport has written all pushes of a stream."""
         stream.writable = True
         if stream.client is not None:
             self.push_dispatch.add(stream)
@@ -271,11 +279,13 @@
         client.rejections.append((now, resource_type, rejection))
         names = ", ".join(rejection.rejected) or "(unnamed)"
         retried = (
-            f"; tried again alone: {', '.join(rejection.retried_alone)}" if rejection.retried_alone else ""
+            f"; sent again one by one: {', '.join(rejection.retried_alone)}"
+            if rejection.retried_alone
+            else ""
         )
         self.log(
             "refused",
-            f"{client.id} refuses {resource_type} {names}: {rejection.message}{retried}",
+            f"{client.id} rejects {resource_type} {names}: {rejection.message}{retried}",
         )
 
     def handle_load_report(
@@ -286,7 +296,7 @@
         endpoint_number: Callable[[object], int | None],
         log_invalid: Callable[[str], None],
     ) -> None:
-        """A load report of a client; of one that is not joined it says nothing, as nobody knows its zone."""
+        """Pass on a load report as events; ignored unless the client has joined, as its zone is not known."""
         client = self.clients.get(client_id)
         if client is None or not client.joined:
             return
@@ -301,10 +311,10 @@
                 ) / 2
             self.registry.add_event(event)
 
-    # -- what the module decided
+    # -- commands of the controller
 
     def note_update(self, proxy: int, parts: tuple[UpdatePart, ...]) -> None:
-        """A proxy of ours is concerned by this round's orders; what they are is read off the tables."""
+        """Note the nonce of an update to an xDS client; its resources are made from the routing tables."""
         client = self.by_proxy.get(proxy)
         if client is not None and parts and parts[-1].nonce is not None:
             client.round_nonce = parts[-1].nonce
@@ -316,8 +326,10 @@
         listed_endpoints: view.ListedEndpoints,
         endpoint_address: Callable[[int], tuple[str, str, int] | None],
     ) -> None:
-        """After a round: the tables as they stand become resources, marks are noted. `named`: a node's name,
-        host and port, None where it has no address yet."""
+        """Publish the routing tables after a round, and note the nonces that await acknowledgement.
+
+        `endpoint_address`: an endpoint's id, host and port, None while its address is not known; `now`: s.
+        """
         clients = list(self.clients.values())
         for client in self.publication.assign_clients(clients, tables):
             self.push_dispatch.add(*client.streams)
@@ -328,7 +340,7 @@
             if client.round_nonce is not None:
                 self._await_acknowledgement(now, client)
 
-    # -- marks
+    # -- acknowledgements
 
     def _await_acknowledgement(self, now: float, client: Client) -> None:
         nonce, client.round_nonce = client.round_nonce, None
@@ -343,7 +355,7 @@
         self._report_acknowledged(now, client)
 
     def _report_acknowledged(self, now: float, client: Client) -> None:
-        """Tell the module of the newest mark that all streams now hold."""
+        """Pass on the newest nonce whose resources are acknowledged on all streams."""
         acknowledged = None
         for pending in list(client.pending_acks):
             for (stream, resource_type), sequences in list(pending.required.items()):
@@ -367,21 +379,21 @@
                 client.pending_acks
                 and (acknowledged.nonce - client.pending_acks[0].nonce) % NONCE_COUNT < NONCE_COUNT // 2
             ):
-                client.pending_acks.popleft()  # what came later is held, so what came before is
+                client.pending_acks.popleft()  # a later nonce acknowledges the earlier ones
             self.registry.add_event(
                 UpdateAcknowledged(client.proxy, acknowledged.nonce, now - acknowledged.sent_at)
             )
 
-    # -- what goes out
+    # -- pushes
 
     def dispatch(self, now: float) -> list[tuple[Stream, list[tuple[str, Push]]]]:
-        """What to send now, by stream; see `PushDispatch`."""
+        """Return the pushes to send now, by stream; they count as sent. `now`: s."""
         return self.push_dispatch.dispatch(now)
 
     # -- for operators
 
     def status(self, now: float) -> list[dict]:
-        """Each client as an operator would ask for it."""
+        """Return the state of each client, for operators."""
         return [
             {
                 "id": client.id,
@@ -406,5 +418,5 @@
 
 
 def new_incarnation(unix: float, seed: int) -> str:
-    """What begins the nonces of a life: another in each, also where two begin in the same second."""
+    """Return the nonce prefix of an incarnation; the seed makes two that start at the same time differ."""
     return digest(unix, seed)[:8]
--- a/oatcart/xds/limits.py
+++ b/oatcart/xds/limits.py
@@ -1,10 +1,10 @@
-"""Limits of what the xDS front accepts, and whose push goes first when the push budget is short.
+"""Limits of what the xDS front accepts, and the order of pushes when the push budget is short.
 
 Free of I/O and clock. A push takes one from a budget that refills evenly. A withdrawal may put the budget in
 debt, so that it never waits behind a queue. A client that returns with resources of an earlier stream may
-hold what was withdrawn meanwhile: its first pushes are paid in advance, from an account apart, so that they
-neither wait nor use up what withdrawals may borrow. Where that account is used up the client is told when to
-come back.
+hold endpoints that were withdrawn meanwhile: its first pushes are paid in advance, from a separate account,
+so that they neither wait nor use up what withdrawals may borrow. Where that account is used up the client is
+rejected with the time of its next attempt.
 """
 
 from collections.abc import Iterable, Sequence
@@ -115,12 +115,12 @@
 
     def __init__(self, budget: PushBudget) -> None:
         self.budget = budget
-        self.next_at = 0.0  # s; when the next client that is turned away is told to come back
+        self.next_at = 0.0  # s; the time of the next attempt that a rejected client is given
 
     def admit(self, now: float, pushes: int) -> None:
         """Pay a client's first pushes, or raise RequestRejectedError. `now`: s.
 
-        Those that are turned away together are told times one after another.
+        Clients that are rejected together are given times one after another.
         """
         if self.budget.prepay(pushes):
             return
@@ -154,21 +154,22 @@
         spread = max(RETRY_AFTER_MIN, unassigned / self.pushes_per_second) + RETRY_AFTER_MIN
         retry_after = min(RETRY_AFTER_MAX, spread)
         raise RequestRejectedError(
-            "RESOURCE_EXHAUSTED", f"{self.clients} clients are served, no more", retry_after
+            "RESOURCE_EXHAUSTED", f"clients: the limit of {self.clients} clients is reached", retry_after
         )
 
     def check_name_count(self, names: int) -> None:
         """Raise RequestRejectedError if one stream subscribes to too many names."""
         if names > self.names:
             raise RequestRejectedError(
-                "RESOURCE_EXHAUSTED", f"{names} names on one stream, {self.names} are served"
+                "RESOURCE_EXHAUSTED",
+                f"resource names: {names} names on one stream, expected at most {self.names}",
             )
 
     def superseded(self, streams: Sequence) -> list:
         """Of one client's streams, oldest first, those over the limit.
 
-        They are closed for newer ones, as a client that lost its connection may leave streams whose end
-        nobody sees.
+        They are closed for newer ones, as a client that lost its connection may leave streams whose end is
+        not noticed.
         """
         return list(streams[: max(0, len(streams) - self.streams)])
 
@@ -179,17 +180,19 @@
     >>> check_names(["lookup", "*"])
     >>> check_names(["a\\nb"])
     Traceback (most recent call last):
-    oatcart.xds.limits.RequestRejectedError: 'a\\nb' is no resource's name
+    oatcart.xds.limits.RequestRejectedError: resource names: expected a resource name, got 'a\\nb'
     """
     for name in names:
         valid_length = 0 < len(name) <= NAME_LENGTH_MAX
         if not valid_length or not name.isprintable() or name != name.strip():
             quoted = name[:QUOTED_LENGTH_MAX]
-            raise RequestRejectedError("INVALID_ARGUMENT", f"{quoted!r} is no resource's name")
+            raise RequestRejectedError(
+                "INVALID_ARGUMENT", f"resource names: expected a resource name, got {quoted!r}"
+            )
 
 
 class PushPriority(IntEnum):
-    """Whose push goes first when the budget is short; the lowest value first."""
+    """The order of pushes when the budget is short; the lowest value first."""
 
     URGENT = 0
     CONNECTED = 1
--- a/oatcart/xds/push_dispatch.py
+++ b/oatcart/xds/push_dispatch.py
@@ -1,4 +1,4 @@
-"""Which stream is sent what now, by priority and as far as the push budget goes. Free of I/O and clock."""
+"""Decides what each stream is sent now, by priority and within the push budget. Free of I/O and clock."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -12,15 +12,15 @@
 from oatcart.xds.resource_types import CARRIES_ENDPOINTS, CLUSTER, ENDPOINTS, FIRST_PUSHES, MEMBER, ORDER
 from oatcart.xds.subscription import NOT_SENT
 
-RESOURCES_PER_DISPATCH = 2000  # resources that are sent in one go, some ms of work
+RESOURCES_PER_DISPATCH = 2000  # some ms of work, so that requests in between are not delayed
 
 
 class Candidate(NamedTuple):
-    """A stream whose turn it may be. `urgent`: the types whose pushes may borrow from the budget."""
+    """A stream that may be sent a push. `urgent`: the types whose pushes may borrow from the budget."""
 
     priority: PushPriority
-    waiting_since: float  # s; who waits longest goes first, else the newest streams would never have a turn
-    first_pushes: bool  # connected clients' withdrawals go before those of clients that return
+    waiting_since: float  # s; longest first, else the newest streams might never be sent anything
+    first_pushes: bool  # withdrawals to connected clients go before those to returning ones
     stream: Stream
     caches: dict[str, ResourceCache]
     urgent: frozenset[str]
@@ -31,7 +31,7 @@
 
 
 class PushDispatch:
-    """Sends what the streams are due. `cache_for`: what a client may see of a type; `say`: the log."""
+    """Chooses the pushes of all streams. `cache_for`: the resources of a type that a client may see."""
 
     def __init__(
         self,
@@ -42,13 +42,11 @@
         self.budget, self.cache_for, self.log = budget, cache_for, log
         self.push_metrics = PushMetrics()
         self.pending: dict[Stream, None] = {}
-        self.has_more = False  # work is left over from this slice
-        self.next_dispatch_in: float | None = (
-            None  # s until the budget has a push for who waits; None: nobody does
-        )
+        self.has_more = False  # the last dispatch stopped at its limit
+        self.next_dispatch_in: float | None = None  # s until the budget allows a delayed push
 
     def add(self, *streams: Stream) -> None:
-        """There may be something to send on these."""
+        """Consider these streams in the next dispatch."""
         self.pending |= dict.fromkeys(streams)
 
     def refund(self, stream: Stream) -> None:
@@ -57,10 +55,11 @@
         stream.prepaid = 0
 
     def dispatch(self, now: float) -> list[tuple[Stream, list[tuple[str, Push]]]]:
-        """What to send now, by stream, those first for whom it cannot wait; each counts as sent, and its
-        stream has no room until `written`. `again_in` tells when to ask again as the budget left someone
-        waiting, `more` that this was one slice of a long work, so that what comes in meanwhile is not kept
-        waiting."""
+        """Return the pushes to send now, by stream, the most urgent first. `now`: s.
+
+        They count as sent, and their streams are not writable until the front's `on_written`. Sets
+        `next_dispatch_in` if the budget delayed a push, and `has_more` if this dispatch stopped at its limit.
+        """
         self.budget.advance(now)
         out, self.next_dispatch_in, self.has_more = [], None, False
         candidates = [
@@ -104,7 +103,7 @@
         )
 
     def _pushes(self, candidate: Candidate) -> list[tuple[str, Push]]:
-        """What a stream is sent now, of what the budget allows."""
+        """The pushes of one stream that the budget allows now."""
         pushes, stream = [], candidate.stream
         stream.urgent_since = None
         for resource_type in ORDER:
@@ -146,9 +145,12 @@
         )
 
     def _may_add(self, stream: Stream, caches: dict, resource_type: str, name: str) -> bool:
-        """A client that asks for a cluster gets what builds on it once it has taken the cluster. One that
-        holds resources of an earlier stream sends requests by them, so it gets what replaces them right after
-        the cluster."""
+        """Whether a resource may be sent, as one that refers to a cluster has to follow it.
+
+        A client that subscribes to the cluster is sent the resource once it has acknowledged the cluster. One
+        that returns uses resources of an earlier stream, so it is sent their replacements right after the
+        cluster.
+        """
         clusters = stream.subscriptions.get(CLUSTER)
         if resource_type in (CLUSTER, MEMBER) or clusters is None or not clusters.is_wanted(name):
             return True
@@ -157,7 +159,10 @@
         return stream.subscriptions[resource_type].returning and clusters.sent.get(name, NOT_SENT) > NOT_SENT
 
     def _may_remove(self, stream: Stream, caches: dict, resource_type: str, name: str) -> bool:
-        """What builds on a cluster goes before it, as far as the incremental protocol can tell that."""
+        """Whether a resource may be removed: resources that refer to a cluster are removed before it.
+
+        Only the incremental protocol can remove them.
+        """
         later_types = ORDER[ORDER.index(resource_type) + 1 :] if resource_type in (CLUSTER, ENDPOINTS) else ()
         return not any(
             subscription.delta
--- a/oatcart/xds/push_metrics.py
+++ b/oatcart/xds/push_metrics.py
@@ -1,4 +1,4 @@
-"""What the push budget was spent on and who waits for it, for operators. Free of I/O and clock."""
+"""Counts of sent and delayed pushes, for operators. Free of I/O and clock."""
 
 from collections import Counter
 from typing import NamedTuple
@@ -18,7 +18,7 @@
     oldest: float
 
     def __str__(self) -> str:
-        """One log line's text."""
+        """The text of a log line."""
         sent = ", ".join(
             f"{priority} {resource_type} {count}"
             for (priority, resource_type), count in sorted(self.sent.items())
@@ -42,7 +42,7 @@
         self.sent[priority.name.lower(), resource_type] += 1
 
     def status(self, now: float, budget: PushBudget) -> PushStatus:
-        """What stands now. `now`: s."""
+        """Returns the present counts. `now`: s."""
         return PushStatus(
             dict(self.sent),
             max(0.0, -budget.available),
--- a/oatcart/xds/resource_cache.py
+++ b/oatcart/xds/resource_cache.py
@@ -80,7 +80,7 @@
 @dataclass(slots=True)
 class ResourceCache:
     """The resources of one type as one group of clients sees them. `ready`: they are known; until then no
-    client is told that a resource does not exist. `removed`: by name, oldest first, the withdrawal that a
+    client is sent the removal of a resource. `removed`: by name, oldest first, the withdrawal that a
     removed resource ended with. `last_urgent`: the sequence number of the last change that waits for no
     acknowledgement.
     """
--- a/oatcart/xds/sent_endpoints.py
+++ b/oatcart/xds/sent_endpoints.py
@@ -55,7 +55,7 @@
             self.empty_groups.add(group)
 
     def forget(self, name: str) -> None:
-        """The client gave up the resource by itself: its group owes it nothing."""
+        """The client unsubscribed from the resource, so its group needs no replacement."""
         self.record(name, frozenset())
         group = endpoint_group(name)
         if group in self.empty_groups:
--- a/oatcart/xds/serve.py
+++ b/oatcart/xds/serve.py
@@ -1,4 +1,4 @@
-"""A conductor with the xDS front: sidecars and xDS clients served at once, from the same decisions."""
+"""A controller with the xDS front, which serves proxies and xDS clients by the same decisions."""
 
 import asyncio
 import socket
@@ -25,12 +25,15 @@
 from oatcart.xds.server import Server
 from oatcart.xds.verified_endpoints import ReportedEndpoint, VerifiedEndpoints
 
-EXIT_INVALID_CONFIGURATION = 2  # exit code where a configuration cannot be used
+EXIT_INVALID_CONFIGURATION = 2  # exit code
 
 
 class XdsController:
-    """A whole conductor in this process; `cfg` is what `EDGE_CONFIG` names, read; `woken` is readable
-    once it is to be read again."""
+    """A controller with its sockets, the xDS front and the client of a management server, if one is set.
+
+    `cfg`: the content of the file that `EDGE_CONFIG` names; `reload_socket`: readable once that file has to
+    be read again; `with_tracing`: wraps the maker of the rounds, so that they are recorded.
+    """
 
     def __init__(
         self,
@@ -72,7 +75,7 @@
         self.management_client = None
         if xds.source is not None:
             verified = VerifiedEndpoints(xds.source.hold)
-            if not xds.source.with_roll:  # the list known at the start is what that server is held against
+            if not xds.source.with_roll:  # the list known at the start is compared with the first answer
                 known = self.rounds.list_merge.discovery_to_management()
                 verified.restore(
                     {
@@ -105,7 +108,7 @@
         self.nested_loop.wake()
 
     def endpoint_number(self, address: object) -> int | None:
-        """A node's number by its name or by its host and port."""
+        """Return the number of an endpoint by its id or its (host, port); None if it is not listed."""
         if isinstance(address, str):
             return self.rounds.codec.endpoint_numbers.get(address)
         return next(
@@ -114,7 +117,7 @@
         )
 
     async def start(self) -> int:
-        """Serve; hands back the port of the xDS front."""
+        """Start serving; returns the port of the xDS front."""
         self.port = await self.server.start(self.xds.listen)
         self.rounds.attach_front(self.front, self.server.schedule_dispatch)
         self.rounds.logger.write("start", f"xDS at port {self.port}")
@@ -126,6 +129,7 @@
         return self.port
 
     async def stop(self) -> None:
+        """Stop serving and close all sockets."""
         if self.management_client is not None:
             await self.management_client.stop()
         await self.server.stop()
@@ -135,14 +139,17 @@
 
 
 def close_loop(loop: Loop) -> None:
-    """Close what the epoll loop's tasks hold."""
+    """Cancel the tasks of an epoll loop and close it."""
     for task in set(loop.waiting.values()):
         loop.cancel(task)
     loop.epoll.close()
 
 
 async def run(cfg: dict, xds: Xds, with_tracing: Callable[[Callable], Callable] = lambda make: make) -> int:
-    """`traced` may put a tap between the module and its rounds."""
+    """Serve until a signal ends the process; returns an exit code if the configuration cannot be used.
+
+    `with_tracing`: see `XdsController`.
+    """
     try:
         await XdsController(cfg, xds, reload_signal(), with_tracing).start()
     except (InvalidConfigurationError, RuntimeError) as error:
--- a/oatcart/xds/server.py
+++ b/oatcart/xds/server.py
@@ -1,7 +1,7 @@
-"""The xDS services over gRPC: streams in, pushes out. What is sent when is decided in `front.py`.
+"""The xDS services over gRPC. `front.py` decides what is sent and when.
 
-Requests and responses pass as bytes, so that a response made once is never copied into messages again. All of
-it runs on one asyncio loop, in one thread with the conductor's own (`nested.py`).
+Requests and responses are handled as bytes, so that a cached response is not parsed into messages again. All
+of it runs on one asyncio loop, in the thread of the controller's epoll loop (`nested.py`).
 """
 
 import asyncio
@@ -19,14 +19,12 @@
 from oatcart.xds.limits import RequestRejectedError
 from oatcart.xds.resource_types import CLUSTER, ENDPOINTS, LISTENER, MEMBER, ROUTE
 
-REQUEST_BYTES_MAX = (
-    1024 * 1024
-)  # bytes of a request: what a client may bring of versions, as long as names may be
-FIRST_REQUEST_TIMEOUT = 5.0  # s from a stream's start until it has said what it wants
-SHUTDOWN_TIMEOUT = 0.2  # s for streams to end in an orderly way
-RETRY_PUSHBACK = "grpc-retry-pushback-ms"  # gRFC A6: when to come back
+REQUEST_BYTES_MAX = 1024 * 1024  # includes the initial versions of all resources, with the longest names
+FIRST_REQUEST_TIMEOUT = 5.0  # s from the start of a stream to its first request
+SHUTDOWN_TIMEOUT = 0.2  # s for streams to end before they are cancelled
+RETRY_PUSHBACK = "grpc-retry-pushback-ms"  # gRFC A6: ms until a retry
 DISCOVERY_PACKAGE = "envoy.service.discovery.v3."
-SERVICES = {  # method: (incremental, the one type it is for)
+SERVICES = {  # by service and method: (incremental, the resource type of a stream for one type)
     DISCOVERY_PACKAGE + "AggregatedDiscoveryService": {
         "StreamAggregatedResources": (False, None),
         "DeltaAggregatedResources": (True, None),
@@ -53,7 +51,7 @@
 
 
 class TransportStream:
-    """A stream as the transport holds it: what is still to be written, and whether it has to end."""
+    """Pushes that are still to be written to a stream, and why it has to end, if it has to."""
 
     def __init__(self) -> None:
         self.pushes: list[tuple[str, object]] = []
@@ -61,13 +59,17 @@
         self.end_reason: RequestRejectedError | None = None
 
     def end(self, rejected: RequestRejectedError) -> None:
+        """End the stream; the first reason stays."""
         self.end_reason = self.end_reason or rejected
         self.wake.set()
 
 
 class Server:
-    """`unread_for`: s that a client may leave a push unread; `report_every`: s between load reports; `kick`:
-    called when the module was told something."""
+    """Serves the front's streams and the load reports of clients.
+
+    `unread_for`: s that a client may leave a push unread; `report_every`: s between load reports;
+    `endpoint_number`: of an endpoint by its id or its (host, port); `wake_loop`: called after new events.
+    """
 
     def __init__(
         self,
@@ -96,7 +98,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
     async def start(self, address: str) -> int:
-        """Listen there; hands back the port."""
+        """Listen at an address; returns the port."""
         self.loop = asyncio.get_running_loop()
         self.server = grpc.aio.server(
             options=[
@@ -134,17 +136,19 @@
         return port
 
     async def stop(self) -> None:
+        """End all streams and stop listening."""
         for transport in self.transport_streams.values():
-            transport.end(RequestRejectedError("UNAVAILABLE", "this conductor ends"))
+            transport.end(RequestRejectedError("UNAVAILABLE", "this controller stops"))
         await self.server.stop(SHUTDOWN_TIMEOUT)
 
     def schedule_dispatch(self) -> None:
-        """Dispatch in this turn of the loop, once, whatever asks for it."""
+        """Schedule a dispatch; repeated calls schedule one."""
         if not self.dispatch_scheduled:
             self.dispatch_scheduled = True
             self.loop.call_soon(self.dispatch)
 
     def dispatch(self) -> None:
+        """Hand the pushes that are due to their streams, and schedule the next dispatch if work is left."""
         self.dispatch_scheduled = False
         for stream, pushes in self.front.dispatch(self.clock()):
             transport = self.transport_streams[stream]
@@ -167,7 +171,7 @@
     async def _serve_stream(
         self, delta: bool, only_type: str | None, context: grpc.aio.ServicerContext
     ) -> None:
-        """The life of a stream: requests are taken as they come, pushes written as they are decided."""
+        """Serve a stream until it ends; requests are handled as they arrive, pushes written when due."""
         stream, transport = self.front.open_stream(delta, only_type), TransportStream()
         self.transport_streams[stream] = transport
         reader = asyncio.ensure_future(self._read(stream, transport, context))
@@ -201,7 +205,7 @@
         except RequestRejectedError as rejected:
             if rejected.message:
                 client_id = stream.client.id if stream.client else "a client"
-                self.log("xds", f"{client_id}'s stream ends: {rejected.message}")
+                self.log("xds", f"stream of {client_id} ended: {rejected.message}")
             if rejected.retry_after:
                 context.set_trailing_metadata(((RETRY_PUSHBACK, str(round(rejected.retry_after * 1000))),))
             context.set_code(grpc.StatusCode[rejected.code])
@@ -223,7 +227,8 @@
                         data = await context.read()
                 except TimeoutError:
                     raise RequestRejectedError(
-                        "DEADLINE_EXCEEDED", f"no request within {FIRST_REQUEST_TIMEOUT:g} s"
+                        "DEADLINE_EXCEEDED",
+                        f"no request within {FIRST_REQUEST_TIMEOUT:g} s of the start of the stream",
                     ) from None
                 if data is grpc.aio.EOF:
                     raise RequestRejectedError("OK", "")
@@ -231,27 +236,23 @@
                 first = False
         except RequestRejectedError as rejected:
             transport.end(rejected)
-        except Exception as error:  # the connection is gone, or a request over the limit
-            transport.end(
-                RequestRejectedError("UNAVAILABLE", f"its connection ended: {type(error).__name__}")
-            )
+        except Exception as error:  # the connection is closed, or a request is too large
+            transport.end(RequestRejectedError("UNAVAILABLE", f"connection closed: {type(error).__name__}"))
 
     def _handle_request(self, stream: Stream, request: ClientRequest) -> None:
         for older in self.front.handle_request(self.clock(), stream, request):
             self.transport_streams[older].end(
-                RequestRejectedError("ABORTED", "a newer stream of this client takes its place")
+                RequestRejectedError("ABORTED", "replaced by a newer stream of this client")
             )
         self.schedule_dispatch()
         self.wake_loop()
 
     async def _serve_load_reports(self, requests: object, context: grpc.aio.ServicerContext) -> None:
-        """The life of a stream of load reports: the first says who it is, then each is taken or costs itself
-        alone.
-        """
+        """Serve a stream of load reports; the first identifies the client, and an invalid one is left out."""
         reader, client = LoadReportReader(), None
         if self.report_streams >= self.max_streams:
             context.set_code(grpc.StatusCode.RESOURCE_EXHAUSTED)
-            return context.set_details(f"{self.max_streams} streams of load reports are read, no more")
+            return context.set_details(f"load reports: all {self.max_streams} streams are in use")
         self.report_streams += 1
         try:
             with suppress(asyncio.CancelledError, grpc.aio.AbortError):
@@ -272,7 +273,7 @@
                     if client is None:
                         context.set_code(grpc.StatusCode.INVALID_ARGUMENT)
                         return context.set_details(
-                            "node.id: the first report of a stream has to say who sends it"
+                            "node: expected the client's identity in the first report of a stream"
                         )
                     self.front.handle_load_report(
                         client.id,
--- a/oatcart/xds/standin/__init__.py
+++ b/oatcart/xds/standin/__init__.py
@@ -1,3 +1,1 @@
-"""Scripted peers of the xDS front: a client, and a management server; for tests, benchmarks and looking by
-hand.
-"""
+"""Scripted peers of the xDS front: clients, endpoints and a management server, for tests and benchmarks."""
--- a/oatcart/xds/standin/__main__.py
+++ b/oatcart/xds/standin/__main__.py
@@ -1,5 +1,6 @@
-"""A client's view of a conductor, live: `python -m oatcart.xds.standin 127.0.0.1:18000 --zone east lookup
-order`.
+"""Shows what an xDS client sees of a controller, and each change:
+
+`python -m oatcart.xds.standin 127.0.0.1:18000 --zone east lookup order`
 """
 
 import argparse
@@ -13,9 +14,7 @@
 
 
 def view_lines(client: Client) -> list[str]:
-    """What it holds, a line a kind: drops, then each node's weight, with its health where that is not
-    healthy.
-    """
+    """Return a line for each request class: drops, then endpoints with weight, and health if not healthy."""
     lines = []
     for request_class, (_, message) in sorted(client.resources[ENDPOINTS].items()):
         dropped_percent = sum(one.drop_percentage.numerator for one in message.policy.drop_overloads) / 10_000
@@ -24,12 +23,14 @@
             for name, (weight, health) in sorted(client.endpoints(request_class).items())
         ]
         lines.append(
-            f"{request_class}: {f'{dropped_percent:g}% turned away; ' if dropped_percent else ''}{', '.join(endpoints) or 'no node'}"
+            f"{request_class}: {f'{dropped_percent:g}% dropped; ' if dropped_percent else ''}"
+            f"{', '.join(endpoints) or 'no endpoints'}"
         )
     return lines
 
 
 async def watch(options: argparse.Namespace) -> int:
+    """Print the view whenever it changes, until the stream ends; returns an exit code."""
     client = Client(
         options.address, options.id, options.zone, options.delta or options.shape == EACH, options.shape
     )
@@ -46,9 +47,7 @@
             requested = True
         if missing := [name for name in client.collections() if name not in client.subscribed[MEMBER]]:
             client.request(MEMBER, missing)
-        complete = (
-            not client.collections() or client.resources[MEMBER]
-        )  # else its endpoints are still to come
+        complete = not client.collections() or client.resources[MEMBER]  # else endpoints are still missing
         if complete and (now := view_lines(client)) != shown:
             shown = now
             print(
@@ -67,14 +66,17 @@
 
 
 def main() -> int:
+    """Run the command line; returns an exit code."""
     parser = argparse.ArgumentParser(prog="oatcart.xds.standin", description=__doc__)
-    parser.add_argument("address", help="the xDS front, host:port")
-    parser.add_argument("kinds", nargs="*", help="request kinds; all where none is named")
+    parser.add_argument("address", help="address of the xDS front, host:port")
+    parser.add_argument("kinds", nargs="*", help="request classes; default: all")
     parser.add_argument("--zone", default="", help="the client's zone")
     parser.add_argument("--id", default="onlooker", help="the client's id")
-    parser.add_argument("--shape", default=WHOLE, choices=(WHOLE, EACH, SPREAD), help="how endpoints come")
-    parser.add_argument("--delta", action="store_true", help="the incremental protocol")
-    parser.add_argument("--once", action="store_true", help="show one view and end")
+    parser.add_argument(
+        "--shape", default=WHOLE, choices=(WHOLE, EACH, SPREAD), help="how endpoints are delivered"
+    )
+    parser.add_argument("--delta", action="store_true", help="use the incremental protocol")
+    parser.add_argument("--once", action="store_true", help="show the view once and exit")
     try:
         return asyncio.run(watch(parser.parse_args()))
     except KeyboardInterrupt:
--- a/oatcart/xds/standin/channel.py
+++ b/oatcart/xds/standin/channel.py
@@ -1,7 +1,7 @@
 """gRPC's own xDS client in a process of its own: `python -m oatcart.xds.standin.channel ADDRESS ID ZONE`.
 
 It reads one command a line and answers each with a line of JSON: `call KIND N [KEY]` makes N calls over
-`xds:///KIND` and tells how many each node answered and how many ended with which status.
+`xds:///KIND` and reports how many each endpoint answered and how many ended with which status.
 """
 
 import json
@@ -33,6 +33,7 @@
 
 
 def make_calls(channel: grpc.Channel, count: int, key: str) -> dict:
+    """Make calls; returns their number by endpoint name, or by status with a leading `!`."""
     call, results = channel.unary_unary(f"/{SERVICE}/{METHOD}"), Counter()
     for number in range(count):
         try:
@@ -45,6 +46,7 @@
 
 
 def main(address: str, id: str, zone: str) -> None:
+    """Carry out the commands from standard input."""
     os.environ["GRPC_XDS_BOOTSTRAP_CONFIG"] = bootstrap(address, id, zone)
     channels: dict[str, grpc.Channel] = {}
     for line in sys.stdin:
--- a/oatcart/xds/standin/client.py
+++ b/oatcart/xds/standin/client.py
@@ -1,4 +1,4 @@
-"""A scripted xDS client: it keeps its view as published, may be late, refuse, read nothing or come back."""
+"""A scripted xDS client, which can answer late, reject pushes, stop reading, and reconnect."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,14 +17,18 @@
 
 
 def weight_and_health(lb_endpoint: endpoint_components_pb2.LbEndpoint) -> tuple[int, str]:
+    """Return the weight and the name of the health of an endpoint."""
     return lb_endpoint.load_balancing_weight.value, health_check_pb2.HealthStatus.Name(
         lb_endpoint.health_status
     )
 
 
 class Client:
-    """`refuses`: given a type and a resource's message, the words of a refusal or nothing. Answers wait for
-    `answers` to be set; `reads` is set as long as it reads at all."""
+    """An xDS client that keeps the resources that it is sent.
+
+    `reject_reason`: returns the error message by which a resource of a type is rejected, or an empty string.
+    Answers wait until `answering` is set, and reads until `reading` is set.
+    """
 
     def __init__(
         self,
@@ -60,7 +64,7 @@
         self.tasks: list[asyncio.Task] = []
 
     def connect(self, only_type: str | None = None) -> None:
-        """A new stream; what is held goes along with the first requests on it."""
+        """Open a new stream; the first requests on it carry the versions of the resources."""
         method = ADS + ("DeltaAggregatedResources" if self.delta else "StreamAggregatedResources")
         if only_type == ENDPOINTS:
             method = ENDPOINT_SERVICE + ("DeltaEndpoints" if self.delta else "StreamEndpoints")
@@ -84,7 +88,7 @@
         nonce: str | None = None,
         error_message: str = "",
     ) -> None:
-        """Subscribe to names; without any, to all. On a first request the versions held go along."""
+        """Subscribe to names, or to all without any; also answers a push, with an error if it is rejected."""
         node, first = None if self.requested_types else self.node, resource_type not in self.requested_types
         self.requested_types.add(resource_type)
         for name in unsubscribe:
@@ -116,7 +120,7 @@
         self.outgoing.put_nowait(message)
 
     def send_raw(self, message: object) -> None:
-        """Any message, as it stands."""
+        """Send a message as it is."""
         self.outgoing.put_nowait(message)
 
     async def _read(self) -> None:
@@ -190,10 +194,11 @@
         self.answer(resource_type, nonce, error_message)
 
     def answer(self, resource_type: str, nonce: str, error_message: str = "") -> None:
+        """Acknowledge a push, or reject it with an error message."""
         self.request(resource_type, nonce=nonce, error_message=error_message)
 
     def endpoints(self, request_class: str) -> dict[str, tuple[int, str]]:
-        """Its view of a request kind: weight and health by node, whatever the shape it gets them in."""
+        """Return weight and health by endpoint of a request class, in any shape."""
         if request_class not in self.resources[ENDPOINTS]:
             return {}
         found = {}
@@ -213,7 +218,7 @@
         return found
 
     def endpoint_count(self) -> int:
-        """How many endpoints it holds of all kinds, at least."""
+        """Return a lower bound of the number of its endpoints, over all request classes."""
         return len(self.resources[MEMBER]) or sum(
             len(locality.lb_endpoints)
             for _, message in self.resources[ENDPOINTS].values()
@@ -221,7 +226,7 @@
         )
 
     def endpoint(self, request_class: str, name: str) -> tuple[int, str]:
-        """Weight and health of one node as `endpoints` has them, found without looking at all others."""
+        """Return weight and health of one endpoint, as `endpoints` does, without a search through all."""
         if request_class in self.resources[ENDPOINTS]:
             for locality in self.resources[ENDPOINTS][request_class][1].endpoints:
                 prefix = locality.leds_cluster_locality_config.leds_collection_name[:-1]
@@ -234,6 +239,7 @@
         return 0, ""
 
     def collections(self) -> list[str]:
+        """Return the names of the collections that its assignments refer to."""
         return sorted(
             {
                 locality.leds_cluster_locality_config.leds_collection_name
@@ -244,7 +250,7 @@
         )
 
     async def wait_until(self, condition: Callable[[], object], timeout: float = 10.0) -> object:
-        """Wait until something about its view holds; an error that shows what came if it does not in time."""
+        """Wait for a condition on its state; raises AssertionError with that state after `timeout` s."""
         async with asyncio.timeout(timeout):
             try:
                 while not (found := condition()):
@@ -254,17 +260,19 @@
             except asyncio.CancelledError:
                 holds = str({name: self.endpoints(name) for name in self.resources[ENDPOINTS]})[:1000]
                 raise AssertionError(
-                    f"{self.id}: got {str(self.received[-5:])[:500]}, status {self.status}, holds {holds}"
+                    f"{self.id}: received {str(self.received[-5:])[:500]}, status {self.status}, "
+                    f"endpoints {holds}"
                 ) from None
 
     async def disconnect(self) -> None:
-        """The stream is cut; what it holds stays."""
+        """Cancel the stream; the resources are kept."""
         self.call.cancel()
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     async def close(self) -> None:
+        """Disconnect, and close the channel unless it is shared."""
         await self.disconnect()
         if self.owns_channel:
             await self.channel.close()
--- a/oatcart/xds/standin/management.py
+++ b/oatcart/xds/standin/management.py
@@ -1,4 +1,4 @@
-"""A scripted management server: it serves one cluster's endpoints as told, and notes how it is answered."""
+"""A scripted management server, which sends the endpoints of one cluster and keeps the rejections."""
 
 import asyncio
 
@@ -14,16 +14,17 @@
 
 
 class ScriptedManagementServer:
-    """`says` sends a list to all streams; a new stream gets the last one unless `silent`."""
+    """`publish` sends a list to all streams; a new stream is sent the last one unless `silent` is set."""
 
     def __init__(self, cluster: str) -> None:
         self.cluster, self.silent, self.response_count = cluster, False, 0
-        self.endpoints: list[tuple] | None = None  # nothing to tell yet
-        self.outgoing_queues: list[asyncio.Queue] = []  # what is to be written; None ends the stream
+        self.endpoints: list[tuple] | None = None  # None: nothing to send yet
+        self.outgoing_queues: list[asyncio.Queue] = []  # responses to write; None ends the stream
         self.opened_streams, self.rejections = 0, []
         self.changed = asyncio.Event()
 
     async def start(self, port: int = 0) -> int:
+        """Listen on loopback; returns the port."""
         self.server = grpc.aio.server(options=[("grpc.so_reuseport", 0)])
         self.server.add_generic_rpc_handlers(
             (
@@ -38,10 +39,12 @@
         return self.port
 
     async def stop(self) -> None:
+        """End all streams and stop listening."""
         self.close_streams()
         await self.server.stop(0.1)
 
     def response(self) -> bytes:
+        """Return a serialized response with the present endpoints."""
         assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=self.cluster)
         for name, host, port, zone, health, weight in self.endpoints or ():
             lb_endpoint = assignment.endpoints.add().lb_endpoints.add()
@@ -63,13 +66,13 @@
         return message.SerializeToString()
 
     def publish(self, endpoints: list[tuple]) -> None:
-        """Endpoints as (name, host, port, zone, health, weight)."""
+        """Send endpoints to all streams, as (name, host, port, zone, health, weight)."""
         self.endpoints = endpoints
         for outgoing in self.outgoing_queues:
             outgoing.put_nowait(self.response())
 
     def close_streams(self) -> None:
-        """All streams end."""
+        """End all streams."""
         for outgoing in self.outgoing_queues:
             outgoing.put_nowait(None)
 
--- a/oatcart/xds/standin/nodes.py
+++ b/oatcart/xds/standin/nodes.py
@@ -1,4 +1,4 @@
-"""Loopback nodes that speak gRPC: each answers with its name, and counts what it ran by key."""
+"""Loopback gRPC endpoints that answer with their name and count the calls by key."""
 
 from collections import Counter
 
@@ -8,12 +8,13 @@
 
 
 class ScriptedEndpoint:
-    """`fails`: answers UNAVAILABLE after the effect has taken place, as a node that dies in between would."""
+    """`fails_after_effect`: calls end with UNAVAILABLE after they took effect, as if it crashed then."""
 
     def __init__(self, name: str) -> None:
         self.name, self.call_count, self.calls_by_key, self.fails_after_effect = name, 0, Counter(), False
 
     async def start(self, port: int = 0) -> int:
+        """Listen on loopback; returns the port."""
         self.server = grpc.aio.server(options=[("grpc.so_reuseport", 0)])
         self.server.add_generic_rpc_handlers(
             (
@@ -34,4 +35,5 @@
         return self.name.encode()
 
     async def stop(self) -> None:
+        """Stop listening."""
         await self.server.stop(None)
--- a/oatcart/xds/subscription.py
+++ b/oatcart/xds/subscription.py
@@ -1,4 +1,4 @@
-"""What one xDS stream is subscribed to of one resource type, and what it is sent when. Free of I/O and clock.
+"""The subscription of one xDS stream to one resource type, and its pushes. Free of I/O and clock.
 
 Source: Envoy's xDS protocol, state-of-the-world and incremental, with its section on make before break. One
 push is in flight and changes are merged while it is; a withdrawal overtakes it and is never merged away
@@ -18,8 +18,8 @@
 WILDCARD = "*"  # subscribes to all resources of a type
 COLLECTION_SUFFIX = "/*"  # ends a name that stands for all resources under it
 NOT_SENT = -1  # in place of a sequence number: nothing was sent
-SENT_ABSENT = -2  # in place of a sequence number: the client was told that the resource doesn't exist
-HOLDS_UNKNOWN = -3  # in place of a sequence number: the client brought a version that isn't the current one
+SENT_ABSENT = -2  # in place of a sequence number: the client was sent the removal of the resource
+HOLDS_UNKNOWN = -3  # in place of a sequence number: the client has an unknown version from an earlier stream
 
 
 def collection_of(name: str) -> str:
@@ -91,7 +91,9 @@
         if first or names.keys() != self.subscribed.keys() or wildcard != self.wildcard:
             for name in self.subscribed.keys() - names.keys():
                 self._forget(name)
-            self.response_due = self.sends_all  # other types cannot say that a resource does not exist
+            self.response_due = (
+                self.sends_all
+            )  # pushes of other types cannot show that a resource does not exist
             self.subscribed, self.wildcard, self.compare_all = names, wildcard, True
         return answer or None
 
@@ -205,7 +207,7 @@
         return name in self.sent or self._subscribes(name)
 
     def may_be_urgent(self, cache: ResourceCache) -> bool:
-        """Whether something may be urgent; cheap, as all subscriptions are asked to find whose turn it is."""
+        """Whether a push may be urgent; cheap, as every dispatch checks all subscriptions."""
         if not self.requested or not cache.ready:
             return False
         if self.may_miss_withdrawals():
@@ -216,8 +218,8 @@
         return latest > self.not_urgent_up_to
 
     def may_miss_withdrawals(self) -> bool:
-        """Whether the client brought versions that aren't compared with the current ones yet, or that differ
-        from them and were not replaced.
+        """Whether the client has initial versions that aren't compared with the current ones yet, or that
+        differ from them and were not replaced.
         """
         if not self.carries_endpoints:
             return False
@@ -314,7 +316,7 @@
 
     def _is_outdated(self, name: str, cache: ResourceCache) -> bool:
         resource, sent = cache.resources.get(name), self.sent.get(name)
-        if resource is None:  # only the incremental protocol can say so, and pushes that hold all
+        if resource is None:  # only the incremental protocol and complete pushes can remove it
             return self.delta and sent != SENT_ABSENT or self.sends_all and sent is not None
         content = self._next_content(name, cache)
         return sent != content.sequence and self.rejected.get(name) != content.version
--- a/oatcart/xds/table_publication.py
+++ b/oatcart/xds/table_publication.py
@@ -1,4 +1,4 @@
-"""Routing tables as xDS resources: after a round, what each zone's clients may see of them. Free of I/O."""
+"""Publishes routing tables as xDS resources, by the zone of the clients. Free of I/O."""
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from math import inf
@@ -10,22 +10,22 @@
 from oatcart.xds.resource_cache import ResourceCache
 from oatcart.xds.resource_types import CLUSTER, ENDPOINTS, LISTENER, MEMBER, ROUTE
 
-EMPTY_CACHE = ResourceCache()  # of a client that is not bound yet
+EMPTY_CACHE = ResourceCache()  # of a client without assigned tables
 
 
 class TablePublication:
-    """The resource caches and what they were last made from. `by_rate`: admitted shares are rates."""
+    """The resource caches and what they were last made from. `by_rate`: quotas are rates."""
 
     def __init__(
         self, request_classes: Sequence[tuple[str, RequestClass]], zone_names: Sequence[str], by_rate: bool
     ) -> None:
         self.request_classes, self.zone_names, self.by_rate = list(request_classes), list(zone_names), by_rate
         self.caches: dict[tuple, ResourceCache] = {}
-        self.tables_by_zone: dict[int, tuple[int, ...]] = {}  # by zone: the table of each kind
-        # by table: nodes that had a subscription at the last look, or are leaving
+        self.tables_by_zone: dict[int, tuple[int, ...]] = {}  # by zone: the table of each request class
+        # by table: endpoints with an entry at the last publication, and draining ones that had one
         self.listed_before: dict[int, set[int]] = {}
         self.published: dict[int, tuple[view.Endpoint, ...]] = {}  # by table, as last published
-        self.drops: dict[tuple[int, int], int] = {}  # by zone and kind
+        self.drops: dict[tuple[int, int], int] = {}  # by zone and request class, requests per million
         for name, _ in self.request_classes:
             self._cache(LISTENER).put(0.0, name, view.Listener(name))
             for shape in view.WHOLE, view.EACH, view.SPREAD:
@@ -35,7 +35,7 @@
         return self.caches.setdefault(key, ResourceCache())
 
     def cache_for(self, client: Client, resource_type: str) -> ResourceCache:
-        """What a client may see of a type."""
+        """The resources of a type as the client may see them."""
         if resource_type == LISTENER:
             return self._cache(LISTENER)
         if resource_type == CLUSTER:
@@ -49,7 +49,7 @@
         )
 
     def assign_clients(self, clients: Iterable[Client], tables: RoutingTables) -> list[Client]:
-        """Bind the joined clients that have a table of each kind now; returns them."""
+        """Note the tables of clients that now have one for each request class; returns these clients."""
         newly_assigned = []
         for client in clients:
             if client.joined and not client.assigned and client.proxy in tables.proxies:
@@ -67,7 +67,7 @@
         endpoint_address: Callable[[int], tuple[str, str, int] | None],
         clients: Sequence[Client],
     ) -> bool:
-        """Make resources of the tables as they stand; whether anything changed. `now`: s."""
+        """Update the resources from the routing tables; returns whether anything changed. `now`: s."""
         endpoints = {
             table: self._endpoints(table, tables, listed_endpoints, endpoint_address)
             for table in sorted(set(sum(self.tables_by_zone.values(), ())))
@@ -79,7 +79,7 @@
         return changed
 
     def _tables_by_class(self, assignments: Mapping[int, int]) -> tuple[int, ...] | None:
-        """The table of each kind, once there is one for all."""
+        """The table of each request class; None unless all classes have one."""
         class_tables = tuple(
             next((table for table, classes in assignments.items() if classes >> request_class & 1), -1)
             for request_class in range(len(self.request_classes))
--- a/oatcart/xds/verified_endpoints.py
+++ b/oatcart/xds/verified_endpoints.py
@@ -1,10 +1,10 @@
 """Which endpoints of a management server's answers count. Free of I/O and clock.
 
-A server may be wrong in one answer, silent, or gone; until a better list comes the last accepted one is used.
-Draining counts at once. An answer that drops half of the ready endpoints or more is suspect: those that it
-drops are retained, and the server is asked again, on a new stream, after the retention time; if they are
-missing then too, they are gone. A list without a ready endpoint is never accepted: it cannot be told from a
-fault, and endpoints that are really gone show as unreachable.
+A server may be wrong in one answer, unresponsive, or gone; until a valid answer is received the last accepted
+list is used. Draining counts at once. An answer that drops half of the ready endpoints or more is suspect:
+those that it drops are retained, and the server is asked again, on a new stream, after the retention time; if
+they are missing then too, they are gone. A list without a ready endpoint is never accepted: it cannot be told
+from a fault, and endpoints that are really gone show as unreachable.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -24,7 +24,7 @@
     zone: int
     state: EndpointState
     nominal_weight: float  # relative
-    started_at: float | None = None  # s of Unix time; None where the server does not say
+    started_at: float | None = None  # s of Unix time; None if the server reports none
 
 
 class VerifiedEndpoints:
@@ -66,7 +66,7 @@
         if not retained:
             return ""
         self.suspect_answers += 1
-        return f"it drops {len(retained)} of {len(ready_before)} nodes at once"
+        return f"{len(retained)} of {len(ready_before)} endpoints are missing at once"
 
     def _receive_without_ready(
         self, now: float, reported: Mapping[str, ReportedEndpoint], had_ready: bool, first_on_stream: bool
@@ -79,7 +79,7 @@
             self._retain(now, missing)
             self._note_draining(reported)
         self.suspect_answers += 1
-        return "it has no node that may be picked"
+        return "no endpoint in it is ready"
 
     def _to_retain(self, now: float, dropped: set[str], ready_before: int, first_on_stream: bool) -> set[str]:
         """The dropped endpoints to retain: none if they are few and none of them was retained before."""
@@ -100,7 +100,7 @@
                 self.endpoints[name] = self.endpoints[name]._replace(state=EndpointState.DRAINING)
 
     def _note_starts(self, unix_time: float, reported: Mapping[str, ReportedEndpoint]) -> None:
-        """When endpoints started, where the server does not say.
+        """Note when endpoints started, if the server does not report it.
 
         xDS has no start time: those in the first list started long ago. One that appears later, or is ready
         again after draining, has just started and is warming up.
--- a/oatcart/xds/view.py
+++ b/oatcart/xds/view.py
@@ -1,9 +1,8 @@
-"""What a conductor's tables mean to xDS clients: endpoints, their health and weights, drops, tries. Free of
-I/O.
+"""Routing tables as xDS clients see them: endpoints with health and weight, drops and retries. Free of I/O.
 
-A line of a table is an endpoint; shut out, its health says why: draining by the list, else withdrawn. A
-draining node stays in sight, unpickable, until the list drops it. Source of the words: Envoy's endpoint and
-cluster messages, v3.
+Each entry of a table is an endpoint. If it is ejected, its health tells why: DRAINING if the endpoint list
+has it draining, else UNHEALTHY. A draining endpoint stays in the view, not pickable, until the list leaves it
+out. Source of the terms: Envoy's endpoint and cluster messages, v3.
 """
 
 from collections.abc import Iterable, Mapping
@@ -13,21 +12,25 @@
 from oatcart.model import EndpointState, Idempotency, RequestClass, RetryPolicy
 
 HEALTHY, DRAINING, UNHEALTHY = "HEALTHY", "DRAINING", "UNHEALTHY"
-# Shapes: endpoints within their cluster; each a resource of its own; each a locality of its own, as gRPC's
-# own client weighs localities and not endpoints
+# Shapes, the ways in which a client is sent endpoints: WHOLE in the assignment of their cluster; EACH as a
+# resource of its own; SPREAD as a locality of its own, as gRPC's own client weighs localities, not endpoints
 WHOLE, EACH, SPREAD = "whole", "each", "spread"
-MILLION = 1_000_000  # drops are parts of it
-WEIGHT_SUM_MAX = 2**32 - 1  # what the weights of one cluster may sum up to
+MILLION = 1_000_000  # drops are given in parts per million
+WEIGHT_SUM_MAX = 2**32 - 1  # limit of the sum of the weights of a cluster
 SCALED_WEIGHT_MIN = (
-    50.0  # the least weight as a whole number, so that rounding moves no ratio by more than 1%
+    50.0  # of the smallest weight before rounding, which then changes no ratio by more than 1%
 )
-SCALE_POWER_MAX = 6  # powers of ten
-URGENT_WEIGHT_FRACTION = 0.5  # a weight that falls below this part of what it was is as urgent as a drain
-COLLECTION_AUTHORITY = "oatcart"  # authority of collections' names
+SCALE_POWER_MAX = 6  # of ten
+URGENT_WEIGHT_FRACTION = (
+    0.5  # a weight that falls below this part of the previous one is as urgent as a drain
+)
+COLLECTION_AUTHORITY = "oatcart"  # in the xdstp names of collections
 ENDPOINT_TYPE = "envoy.config.endpoint.v3.LbEndpoint"
 
 
 class Endpoint(NamedTuple):
+    """An endpoint as clients see it. `weight`: an integer of at least 1, relative; `health`: Envoy's name."""
+
     name: str
     host: str
     port: int
@@ -37,9 +40,11 @@
 
 
 class Assignment(NamedTuple):
-    """The endpoints of a request kind as one sort of client sees them. `drop`: parts in a million that the
-    client answers itself. `collections`: where each endpoint is a resource, their zones and what begins their
-    names."""
+    """The endpoints of a request class (`kind`) in one shape.
+
+    `drop`: requests per million that the client rejects; `collections`: in shape EACH, the zones and the
+    name prefixes of the endpoints in them.
+    """
 
     kind: str
     shape: str
@@ -49,16 +54,20 @@
 
 
 class Cluster(NamedTuple):
+    """The cluster of a request class (`kind`) in one shape."""
+
     kind: str
     shape: str
 
 
 class Listener(NamedTuple):
+    """The listener of a request class (`kind`)."""
+
     kind: str
 
 
 class Route(NamedTuple):
-    """`retries`: how often at most; `after`: the conditions, in Envoy's words."""
+    """The route of a request class (`kind`). `retries`: at most; `after`: Envoy's names of the conditions."""
 
     kind: str
     retries: int
@@ -72,17 +81,20 @@
 
 
 class ListedEndpoint(NamedTuple):
+    """Zone and state of an endpoint in the endpoint list."""
+
     zone: int
     state: int
 
 
 class ListedEndpoints:
-    """What the list says of each node, as it came in."""
+    """The endpoint list by number, as it was received."""
 
     def __init__(self) -> None:
         self.endpoints: dict[int, ListedEndpoint] = {}
 
     def update(self, complete: bool, entries: Iterable[tuple]) -> None:
+        """Takes over a list or its changes. Endpoints that a complete list leaves out are gone."""
         entries = list(entries)
         listed = {entry[0] for entry in entries} if complete else self.endpoints
         for endpoint in [number for number in self.endpoints if number not in listed]:
@@ -91,16 +103,19 @@
             self.endpoints[endpoint] = ListedEndpoint(zone, state)
 
     def forget(self, endpoint: int) -> None:
+        """Removes an endpoint; no effect if it is not listed."""
         self.endpoints.pop(endpoint, None)
 
     def state(self, endpoint: int) -> int:
+        """Returns the state of an endpoint; GONE if it is not listed."""
         return self.endpoints[endpoint].state if endpoint in self.endpoints else EndpointState.GONE
 
 
 def integer_weights(weights: Mapping[int, float]) -> dict[int, int]:
-    """Weights as whole numbers of at least 1 whose ratios are within 1% of the given ones. Whole ones stay as
-    they are; others are scaled by a power of ten, which rarely changes, so that one weight's change is one
-    endpoint's.
+    """Returns weights as integers of at least 1 whose ratios are within 1% of the given ones.
+
+    If all are integers already they stay as they are, else all are scaled by a power of ten. That rarely
+    changes, so a change of one weight changes one endpoint only.
 
     >>> integer_weights({1: 3.0, 2: 40}), integer_weights({1: 0.5, 2: 0.75}), integer_weights({})
     ({1: 3, 2: 40}, {1: 50, 2: 75}, {})
@@ -119,7 +134,7 @@
 
 
 def health_status(ejected: bool, state: int) -> str | None:
-    """What a node with a line is to clients; None: nothing, as it is gone.
+    """Returns the health of an endpoint in a routing table; None if it is not shown, as it is gone.
 
     >>> health_status(False, EndpointState.DRAINING), health_status(True, EndpointState.DRAINING)
     ('HEALTHY', 'DRAINING')
@@ -127,7 +142,7 @@
     ('UNHEALTHY', None)
     """
     if not ejected:
-        return HEALTHY  # the module has not decided otherwise yet
+        return HEALTHY  # also while draining, until the controller ejects it
     return {EndpointState.DRAINING: DRAINING, EndpointState.READY: UNHEALTHY}.get(state)
 
 
@@ -137,7 +152,7 @@
     ejected: set[int],
     listed_endpoints: ListedEndpoints,
 ) -> dict[int, tuple[int, str]]:
-    """A table as clients see it: weight and health by node. `leaving`: draining nodes without a line."""
+    """Returns weight and health by endpoint. `draining`: draining endpoints that left the routing table."""
     integers = integer_weights(weights)
     seen = {
         endpoint: (weight, health)
@@ -150,7 +165,7 @@
 def draining_endpoints(
     previous: Iterable[int], weights: Mapping[int, float], listed_endpoints: ListedEndpoints
 ) -> set[int]:
-    """The nodes that had a line, or were leaving already, and drain."""
+    """Returns the endpoints of the previous view that left the routing table and are draining."""
     return {
         endpoint
         for endpoint in previous
@@ -159,11 +174,13 @@
 
 
 def drop_per_million(quota: float, by_rate: bool, request_rate: float) -> int:
-    """What a client turns away, in a million. A level that is a rate becomes a share of what comes to a
-    client in the mean, as xDS knows no rate of a cluster; where nothing is known to come, nothing is turned
-    away.
+    """Returns the requests per million that a client rejects.
+
+    A quota that is a rate is taken as a share of the clients' mean request rate, as xDS has no rate limit of
+    a cluster; while that rate is not known nothing is rejected. `request_rate`: requests/s.
 
-    >>> drop_per_million(0.75, False, 0), drop_per_million(30.0, True, 40.0), drop_per_million(1e6, True, 40.0), drop_per_million(0.1, True, 0.0)
+    >>> (drop_per_million(0.75, False, 0), drop_per_million(30.0, True, 40.0),
+    ...  drop_per_million(1e6, True, 40.0), drop_per_million(0.1, True, 0.0))
     (250000, 250000, 0, 0)
     """
     share = quota / request_rate if by_rate and request_rate > 0 else 1.0 if by_rate else quota
@@ -171,8 +188,10 @@
 
 
 def route(name: str, request_class: RequestClass, retry_policy: int) -> Route:
-    """The try-again rule as far as xDS carries it. A kind that may not run twice is offered none, not even
-    after proof that it never ran, since who reads the proof is not ours; a uniqued one is offered only that.
+    """Returns the retry policy of a request class as far as xDS can express it.
+
+    A class that must not run twice gets no retry, not even after proof that a request never ran, as that
+    proof is judged by a client that is not ours. A class with idempotency keys gets a retry after proof only.
 
     >>> route("fee", RequestClass(), RetryPolicy.TWICE_ON_FAILURE)
     Route(kind='fee', retries=0, after='')
@@ -191,8 +210,10 @@
 
 
 def with_distinct_addresses(endpoints: Iterable[Endpoint]) -> tuple[Endpoint, ...]:
-    """In order of names, an address once: clients refuse a list with one twice. Of two nodes the healthy one
-    stays, as the other is a former life at the same place."""
+    """Returns endpoints in order of names, each address once, as clients reject a list with an address twice.
+
+    Of two endpoints the healthy one stays, as the other is an earlier incarnation at the same address.
+    """
     kept: dict[tuple[str, int], Endpoint] = {}
     for one in sorted(endpoints, key=lambda one: (one.health != HEALTHY, one.name)):
         kept.setdefault((one.host, one.port), one)
@@ -200,7 +221,7 @@
 
 
 def drops_sharply(old: Iterable[Endpoint], new: Iterable[Endpoint]) -> bool:
-    """Whether a weight falls so far that it cannot wait: a node that came back cold, under its old weight."""
+    """Whether a weight falls so far that it is urgent: that of a restarted endpoint, which is warming up."""
     before = {one.name: one.weight for one in old if one.health == HEALTHY}
     return any(
         one.weight < URGENT_WEIGHT_FRACTION * before.get(one.name, -inf)
@@ -210,11 +231,14 @@
 
 
 def pickable(endpoints: Iterable[Endpoint]) -> frozenset[str]:
+    """Returns the names of the endpoints that requests may be sent to."""
     return frozenset(one.name for one in endpoints if one.health == HEALTHY)
 
 
 def collection_prefix(zone: str, request_class: str, endpoint_zone: str) -> str:
-    """What begins the names of a table's endpoints: the zone and first kind of those that use it, and theirs.
+    """Returns the prefix of the names of the endpoints of a routing table in one zone.
+
+    `zone`, `request_class`: of the clients that use the table, the first of its classes.
 
     >>> collection_prefix("east", "lookup", "west")
     'xdstp://oatcart/envoy.config.endpoint.v3.LbEndpoint/east/lookup/west/'
--- a/tests/xds/sim.py
+++ b/tests/xds/sim.py
@@ -1,7 +1,7 @@
-"""The front and the real decision module without I/O: a clock that is handed in, peers that keep their view.
+"""A simulation of the xDS front, the real controller and xDS clients: no I/O, and a clock of its own.
 
-A peer is an xDS client as published: it takes what comes in order, and answers at once, late or with a
-refusal.
+A peer is an xDS client as the protocol has it: it handles pushes in order, and acknowledges at once or late,
+or rejects them.
 """
 
 from collections import deque
@@ -39,13 +39,13 @@
 ]
 ZONES = ["a", "b"]
 TURN_DURATION = 0.25  # s of a turn
-DRAIN_DEADLINE = 2.0  # s within which a drain stands in every view that is read
-MESSAGE_CAP = 40  # a proxy takes in 10 s
-PROXY = 3  # the number of the one sidecar
+DRAIN_DEADLINE = 2.0  # s until every client that reads has to see a drain
+MESSAGE_CAP = 40  # pushes of one type to one client within 10 s
+PROXY = 3  # number of the one proxy that is no xDS client
 
 
 class SimulatedRounds(RoutingTables):
-    """What the sockets' `Rounds` is, without sockets."""
+    """Takes the place of `net.rounds.Rounds`, without sockets."""
 
     def __init__(self, harness):
         super().__init__(len(REQUEST_CLASSES))
@@ -68,17 +68,17 @@
         self.harness, self.id, self.zone, self.delta, self.shape = harness, id, zone, delta, shape
         self.resources = {resource_type: {} for resource_type in (CLUSTER, ENDPOINTS, MEMBER, ROUTE)}
         self.subscribed = {resource_type: {} for resource_type in self.resources}
-        self.versions = {}  # by type: of the last push that was accepted, on whichever stream
+        self.versions = {}  # by type: of the last push that was accepted, on any stream
         self.late = self.stalled = False
         self.has_rejected = False  # on this stream
-        self.rejected_endpoint = None  # a node whose lists it does not want
+        self.rejected_endpoint = None  # it rejects all pushes with this endpoint
         self.stream, self.unseen_withdrawals = None, {}
-        self.retry_at = None  # it was turned away with a time to come back at
+        self.retry_at = None  # s; when it may connect again after it was rejected
         self.recent_pushes = deque()
-        self.had_endpoint = set()  # kinds for which it had a node to pick
+        self.had_endpoint = set()  # request classes for which it had a pickable endpoint
 
     def connect(self):
-        """A stream; on its first requests the versions held go along."""
+        """Open a stream; the first requests carry the versions of the resources it has."""
         self.stream = self.harness.front.open_stream(self.delta)
         self.harness.peers_by_stream[self.stream] = self
         self.inbox, self.answers, self.nonces, self.unseen_withdrawals = deque(), deque(), {}, {}
@@ -88,7 +88,7 @@
                 self.request(resource_type, list(self.subscribed[resource_type]))
 
     def connect_if_admitted(self):
-        """Connect, or come back when the front says so, as a client that follows Retry-After."""
+        """Connect, or note when to retry if rejected, like a client that follows Retry-After."""
         self.retry_at = None
         self.connected_since = self.harness.now
         try:
@@ -113,7 +113,9 @@
         requested_names = names if self.delta else tuple(self.subscribed[resource_type])
         if not self.delta and not nonce:
             nonce = self.nonces.get(resource_type, "")
-            self.answered_up_to(resource_type, nonce)  # names asked for bear the last nonce, which answers it
+            self.answered_up_to(
+                resource_type, nonce
+            )  # a request for names carries the last nonce, which acknowledges it
         self.harness.front.handle_request(
             self.harness.now,
             self.stream,
@@ -130,7 +132,7 @@
         )
 
     def answered_up_to(self, resource_type, nonce):
-        """Answers come in order: that to a push answers those of its type that were sent before it."""
+        """An answer to a push also answers earlier pushes of its type."""
         if nonce in self.unanswered:
             before = [one for one, (other, _) in self.unanswered.items() if other == resource_type]
             for one in before[: before.index(nonce) + 1]:
@@ -144,7 +146,7 @@
             self.stream = None
 
     def turn(self):
-        """Come back if it is time, read what has come, answer what is to be answered."""
+        """Reconnect if it is time, read pushes, and answer them."""
         if self.retry_at is not None and self.harness.now >= self.retry_at:
             self.connect_if_admitted()
         while self.stream is not None and self.inbox and not self.stalled:
@@ -161,7 +163,7 @@
             name: (content.version, content.body)
             for name, content in push.items
             if resource_type in (CLUSTER, MEMBER) or name in self.subscribed[resource_type]
-        }  # else it has let go of it meanwhile
+        }  # others were unsubscribed meanwhile
         self.nonces[resource_type] = push.nonce
         self.recent_pushes.append((self.harness.now, resource_type))
         error_message = None
@@ -177,7 +179,7 @@
             self.resources[resource_type] |= new
             for name in push.removed:
                 self.resources[resource_type].pop(name, None)
-                self.unseen_withdrawals.pop((resource_type, name), None)  # it saw it gone
+                self.unseen_withdrawals.pop((resource_type, name), None)  # it saw the removal
         for name, content in push.items:
             self.check_withdrawals_seen(resource_type, name, content)
         if not error_message:
@@ -186,11 +188,13 @@
                 name in self.resources[CLUSTER]
                 for name, _ in push.items
                 if resource_type in (ENDPOINTS, ROUTE)
-            ), "what builds on a cluster came before it"
+            ), "a resource was sent before the cluster that it refers to"
         self.answers.append((resource_type, push.nonce, error_message))
         self.unanswered[push.nonce] = resource_type, push.urgent
         not_urgent = [one for one, urgent in self.unanswered.values() if not urgent]
-        assert len(not_urgent) == len(set(not_urgent)), f"{self.id}: two usual pushes in flight"
+        assert len(not_urgent) == len(set(not_urgent)), (
+            f"{self.id}: two pushes of a type in flight that are not urgent"
+        )
         if self.shape == view.EACH and resource_type == ENDPOINTS and not error_message:
             wanted = {
                 prefix + "*": None
@@ -204,15 +208,17 @@
         return self.rejected_endpoint in str(body)
 
     def check_withdrawals_seen(self, resource_type, name, content):
-        """Nobody who went out is met again before it was seen to be out."""
+        """Check that a withdrawn endpoint is not pickable again before the client saw the withdrawal."""
         for endpoint, (sequence, at) in list(self.unseen_withdrawals.get((resource_type, name), {}).items()):
             if content.sequence >= sequence:
                 retained = self.harness.now - at <= WITHDRAWAL_RETENTION - 2 * TURN_DURATION
-                assert endpoint not in content.pickable or not retained, f"{self.id} never saw {endpoint} out"
+                assert endpoint not in content.pickable or not retained, (
+                    f"{self.id} missed the withdrawal of {endpoint}"
+                )
                 del self.unseen_withdrawals[resource_type, name][endpoint]
 
     def view(self, request_class):
-        """Weight and health by node; None where it holds no list yet."""
+        """Weight and health by endpoint; None if it has no endpoints resource yet."""
         if request_class not in self.resources[ENDPOINTS]:
             return None
         body = self.resources[ENDPOINTS][request_class][1]
@@ -229,15 +235,15 @@
 class Harness:
     def __init__(self, pushes=1000.0):
         self.now, self.incarnation, self.pushes_per_second = 100.0, 0, pushes
-        self.endpoint_list = {}  # node: (zone, started, state)
+        self.endpoint_list = {}  # by endpoint: (zone, started, state)
         self.peers, self.log_lines = {}, []
         self.peers_by_stream = {}
-        self.drained = {}  # node: when the list said so
+        self.drained = {}  # by endpoint: when the list had it draining
         self.failing = None
         self.start_controller()
 
     def start_controller(self):
-        """A conductor's life; nothing of a former one is known."""
+        """Start an incarnation of the controller, which knows nothing of earlier ones."""
         self.incarnation += 1
         self.rounds = SimulatedRounds(self)
         self.controller = Controller(
@@ -290,7 +296,7 @@
         return f"n{number}", "127.0.0.1", 9000 + number
 
     def turn(self):
-        """A round, what it means to the sidecar and to the front, then every peer's turn."""
+        """Run a round, apply its updates at the proxy and the front, then run every peer's turn."""
         self.now += TURN_DURATION
         events, self.rounds.events = self.rounds.events, []
         self.controller.round(self.now, events, self.rounds)
@@ -310,7 +316,7 @@
             self.check_rules(peer)
 
     def update_proxy(self, parts):
-        """The sidecar's tables as its protocol has them, by kind; it acknowledges at once."""
+        """Apply an update to the proxy's tables, by request class; it acknowledges at once."""
         for part in parts:
             for request_class in part.classes or range(len(REQUEST_CLASSES)):
                 if part.complete:
@@ -324,7 +330,7 @@
                 self.rounds.add_event(UpdateAcknowledged(PROXY, part.nonce, 0.0))
 
     def note_withdrawals(self):
-        """Each peer owes a look at whoever went out of a list that it was sent."""
+        """Note for each peer the endpoints that were withdrawn from resources that it was sent."""
         for key, cache in self.front.caches.items():
             if key[0] not in (ENDPOINTS, MEMBER):
                 continue
@@ -350,7 +356,7 @@
     def check_rules(self, peer):
         for request_class, (name, _) in enumerate(REQUEST_CLASSES):
             seen = peer.view(name)
-            if seen is not None:  # rule 1: who had a node to pick keeps one while the sidecar has one
+            if seen is not None:  # rule 1: a client that had an endpoint keeps one while the proxy has one
                 healthy = [endpoint for endpoint, (_, health) in seen.items() if health == view.HEALTHY]
                 if healthy:
                     peer.had_endpoint.add(name)
@@ -366,7 +372,7 @@
                         if weight > 0
                     }
                     assert not weights - self.proxy_tables.get("out", set()), (
-                        f"{peer.id} has no node for {name}"
+                        f"{peer.id} has no endpoint for {name}"
                     )
         fee = peer.resources[ROUTE].get("fee")
         assert fee is None or fee[1].retries == 0  # rule 2
@@ -392,7 +398,7 @@
                 assert len(subscription.in_flight) <= 8
 
     def check_tables_agree(self):
-        """The sidecar's tables and the conductor's are one."""
+        """Check that the proxy's tables equal the controller's."""
         for request_class in range(len(REQUEST_CLASSES)):
             table = next(
                 table
@@ -406,7 +412,7 @@
             } == self.rounds.tables[table].weights
 
     def proxy_view(self, request_class):
-        """The weights of the nodes that the sidecar may pick."""
+        """The weights of the endpoints that the proxy may pick."""
         ejected = self.proxy_tables.get("out", set())
         return {
             f"n{endpoint}": weight
--- a/tests/xds/test_configuration.py
+++ b/tests/xds/test_configuration.py
@@ -1,6 +1,4 @@
-"""`deploy/xds.yaml`: every error names file, line and field; and what the platform's conductor does not
-import.
-"""
+"""`deploy/xds.yaml`: errors name file, line and field; without xDS nothing of it is imported."""
 
 import os
 import subprocess
@@ -87,7 +85,7 @@
 
 @pytest.mark.parametrize("pushes, message", [(8, "pushes: 8 a second reach 16 clients"), (500, "")])
 def test_the_check_warns_if_the_push_rate_is_too_low(tmp_path, pushes, message):
-    # Guards against clients that are told of drains too late by a configuration that was accepted silently.
+    # Guards against a push rate that is accepted silently and too low to send drains to all clients in time.
     (tmp_path / "x.yaml").write_text(f"clients: 1000\npushes: {pushes}\n")
     result = subprocess.run(
         [sys.executable, "-m", "oatcart.xds", str(tmp_path / "x.yaml"), "--check"],
--- a/tests/xds/test_decisions.py
+++ b/tests/xds/test_decisions.py
@@ -1,4 +1,4 @@
-"""The front's decisions, one at a time: no I/O, a clock that is handed in."""
+"""Decisions of the xDS front one by one, without I/O and with a simulated clock."""
 
 import pytest
 from hypothesis import given
@@ -53,7 +53,7 @@
     harness.endpoint_list[7] = (1, harness.now, EndpointState.READY)
     harness.publish_list()
     run_for(harness, 2)
-    assert "n7" in peer.view("lookup") and peer.answers  # it is in flight: sent, taken, not answered
+    assert "n7" in peer.view("lookup") and peer.answers  # in flight: sent, received, not answered
     set_state(harness, 0, EndpointState.DRAINING)
     run_for(harness, DRAIN_DEADLINE)
     assert peer.view("lookup")["n0"][1] == view.DRAINING
@@ -75,8 +75,8 @@
 
 @pytest.mark.parametrize("delta, shape", SHAPES)
 def test_a_returning_client_that_answers_nothing_sees_the_drain(delta, shape):
-    """A client that holds endpoints of an earlier stream gets the list of now without accepting its clusters
-    first; found by the machine.
+    """Guards against a client that returns with endpoints of an earlier stream and is sent the present ones
+    only after it acknowledged its clusters. Found by the state machine.
     """
     harness = make_harness()
     peer = add_peer(harness, delta=delta, shape=shape)
@@ -91,7 +91,7 @@
 
 
 def test_an_incremental_client_that_returns_with_other_clusters_sees_the_drain():
-    """The same where the clusters it holds differ from those of now, as after an upgrade."""
+    """The same where its clusters differ from the present ones, as after an upgrade."""
     harness = make_harness()
     peer = add_peer(harness, delta=True)
     run_for(harness, 2)
@@ -106,7 +106,7 @@
 
 
 def test_a_cluster_is_removed_after_the_resources_that_refer_to_it():
-    """Incremental: endpoints of a kind that is no more are taken back first, then its cluster."""
+    """Incremental protocol: the endpoints of a removed request class are removed first, then its cluster."""
     harness = make_harness()
     peer = add_peer(harness, delta=True)
     run_for(harness, 2)
@@ -138,7 +138,7 @@
 
 @pytest.mark.parametrize("delta, shape", SHAPES)
 def test_a_drain_is_not_merged_with_the_return(delta, shape):
-    """Failure: a client that read nothing meanwhile would never learn that the node's former life is over."""
+    """Guards against a client that reads nothing for a while and takes the new incarnation for the old."""
     harness = make_harness()
     peer = add_peer(harness, delta=delta, shape=shape)
     run_for(harness, 2)
@@ -149,7 +149,7 @@
         seen.append((peer.view("lookup") or {}).get("n0", ("", "gone"))[1]),
     )
     peer.stalled = True
-    harness.endpoint_list[7] = (1, 0.0, EndpointState.READY)  # something that is written and not read
+    harness.endpoint_list[7] = (1, 0.0, EndpointState.READY)  # a push that is written and not read
     harness.publish_list()
     run_for(harness, 1.5)
     set_state(harness, 0, EndpointState.DRAINING)
@@ -163,7 +163,7 @@
 
 
 def test_the_weight_of_a_restarted_endpoint_falls_at_once_during_a_push():
-    """Rule 4: the fall of its weight waits for nobody's answer, and is the sidecar's too."""
+    """Rule 4: the fall of the weight does not wait for an answer, and equals that at the proxy."""
     harness = make_harness(6)
     peer = add_peer(harness)
     run_for(harness, 2)
@@ -179,7 +179,7 @@
 
 
 def test_no_endpoints_are_sent_before_the_client_is_assigned_a_table():
-    harness = Harness()  # no list: there is nothing to bind to
+    harness = Harness()  # no endpoint list, so no table is assigned
     peer = add_peer(harness)
     run_for(harness, 3)
     assert peer.resources[CLUSTER] and not peer.resources[ENDPOINTS]
@@ -208,7 +208,7 @@
 
 
 def test_order_of_pushes_when_all_clients_return():
-    """A budget for a few: a joined client's drain, then those who return, then new ones."""
+    """With a short budget: a drain to a connected client, then returning clients, then new ones."""
     harness = make_harness(4, pushes=8.0)
     here = add_peer(harness, "here")
     away = [add_peer(harness, f"away{at}", True) for at in range(3)]
@@ -244,8 +244,8 @@
 
 
 def test_a_returning_client_sees_the_drain_though_others_spent_the_budget():
-    """Found by the machine. Three drains to six clients leave the budget in debt; a client that was away
-    meanwhile still holds the drained endpoint as healthy when it returns.
+    """Found by the state machine. Three drains to six clients leave the budget in debt; a client that was
+    away meanwhile still has the drained endpoint as healthy when it returns.
     """
     harness = make_harness(8, pushes=8.0)
     peers = [add_peer(harness, f"p{at}") for at in range(6)]
@@ -307,9 +307,9 @@
     subscription.request_names(["x"], "", None)
     first = subscription.next_push(cache)
     cache.put(1.0, "x", "b", "b", urgent=True)
-    second = subscription.next_push(cache)  # took a out, so it did not wait
+    second = subscription.next_push(cache)  # it withdraws `a`, so it does not wait
     assert subscription.request_names(["x", "y"], "l.0", None) is False and "y" not in subscription.subscribed
-    # the answer, not yet the names
+    # only the answer is taken; the names are old
     assert (
         subscription.request_names(["x", "y"], first.nonce, None) is None
         and "y" not in subscription.subscribed
@@ -400,7 +400,9 @@
         2,
         2.0,
     )
-    inconsistent = counts._replace(succeeded=500)  # of 3 under way and 10 issued: a sum that ran backwards
+    inconsistent = counts._replace(
+        succeeded=500
+    )  # of 3 in flight and 10 issued: a counter that ran backwards
     events = read(
         ClusterLoadReport("lookup", 2.0, [("n0", inconsistent), (("127.0.0.1", 9001), counts)], [counts], 0)
     )
@@ -410,7 +412,7 @@
     ] and "500" not in problems[0][:10]
     assert (
         not read(ClusterLoadReport("lookup", -1.0, [("n0", counts)], [counts], 0))
-        and "over -1.0 s" in problems[0]
+        and "interval of -1.0 s" in problems[0]
     )
     events = read(ClusterLoadReport("lookup", 1.0, [("n0", counts._replace(failed=2**63))], [counts], 2**60))
     assert events == [] and len(problems) == 2
@@ -421,7 +423,7 @@
 
 
 def test_an_ejected_endpoint_is_unhealthy_until_it_is_restored():
-    """Evidence against a node shows on both sides; reports of xDS clients are evidence like any other."""
+    """Load reports of xDS clients eject a failing endpoint at clients and at proxies."""
     harness = make_harness(6)
     peer = add_peer(harness)
     run_for(harness, 2)
@@ -451,7 +453,7 @@
 
 
 def test_a_removal_is_sent_before_the_resource_that_returned():
-    """Found by the machine: a resource that was dropped and came back had lost what nobody may skip."""
+    """Found by the state machine: a resource that was removed and returned had lost its withdrawals."""
     cache, subscription = cache_of(x="a"), Subscription(True, False, "l")
     subscription.request_changes(["x"], [], {}, "", None)
     subscription.request_changes([], [], {}, subscription.next_push(cache).nonce, None)
--- a/tests/xds/test_front.py
+++ b/tests/xds/test_front.py
@@ -1,4 +1,4 @@
-"""The xDS front over loopback gRPC: a scripted client, a conductor, a list that changes."""
+"""The xDS front over loopback gRPC, with scripted clients and a changing endpoint list."""
 
 import pytest
 from xds_harness import XdsHarness, endpoint_list, run_async
@@ -30,7 +30,7 @@
 
 
 def reconnect(client, shape):
-    """A new stream; what the client holds goes along."""
+    """Open a new stream; its first requests carry the versions that the client has."""
     client.connect()
     client.received.clear()
     client.request(CLUSTER)
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize("delta, shape", PROTOCOLS_AND_SHAPES)
 def test_every_protocol_and_shape_shows_the_published_endpoints(delta, shape):
-    """Start, drain, and gone: the view follows, and makes come before what builds on them."""
+    """The view follows a drain and a removal, and clusters are sent before their endpoints."""
 
     async def scenario():
         async with XdsHarness(endpoint_list(4)) as harness:
@@ -59,7 +59,7 @@
 
 
 def test_a_client_that_answers_late_gets_drains_at_once_and_the_rest_merged():
-    """Failure: an endpoint that drains while a push is in flight, at a client that answers nothing."""
+    """Guards against a drain that waits for the answer to a push in flight."""
 
     async def scenario():
         async with XdsHarness(endpoint_list(4)) as harness:
@@ -80,8 +80,8 @@
 
 @pytest.mark.parametrize("delta", [False, True])
 def test_a_rejected_push_affects_only_the_client_that_rejects_it(delta):
-    """Failure: a client that rejects an update. It stays on what it held, the operator has its words, the
-    same is not sent again, others are served on; the next content is tried."""
+    """The client keeps its resources, its message is logged, the content is not sent again until it changes,
+    and other clients are served."""
 
     async def scenario():
         async with XdsHarness(endpoint_list(3)) as harness:
@@ -96,12 +96,12 @@
             await other.wait_until(lambda: "n3" in other.endpoints("lookup"))
             await client.wait_until(
                 lambda: any(
-                    line.startswith("refused: c refuses endpoints") and "I will not have n3" in line
+                    line.startswith("refused: c rejects endpoints") and "I will not have n3" in line
                     for line in harness.log_lines
                 )
             )
             sent = len(client.received)
-            harness.update_list(n9=None)  # a list that says the same again
+            harness.update_list(n9=None)  # the list without a change
             await other.wait_until(lambda: other.endpoints("lookup") == harness.view())
             assert client.endpoints("lookup") == before and len(client.received) <= sent + 2
             harness.update_list(n4=(9004, "b", "SERVING", 0))
@@ -114,7 +114,7 @@
 
 @pytest.mark.parametrize("delta, shape", PROTOCOLS_AND_SHAPES)
 def test_a_drain_while_the_client_is_away_is_sent_on_its_return(delta, shape):
-    """Failure: it returns with old versions; it never sees a list without a node to pick."""
+    """Guards against a client that returns with old versions and is not sent the drain."""
 
     async def scenario():
         async with XdsHarness(endpoint_list(4)) as harness:
@@ -124,7 +124,7 @@
             reconnect(client, shape)
             await client.wait_until(lambda: client.endpoints("lookup")["n2"][1] == "DRAINING")
             await client.wait_until(lambda: client.endpoints("lookup") == harness.view())
-            if delta:  # what had not changed was not sent again
+            if delta:  # unchanged clusters are not sent again
                 assert not any(names and kind == CLUSTER for kind, names, *_ in client.received)
 
     run_async(scenario())
@@ -132,7 +132,7 @@
 
 @pytest.mark.parametrize("delta, shape", PROTOCOLS_AND_SHAPES)
 def test_a_drain_is_seen_by_a_client_that_returns_and_answers_nothing(delta, shape):
-    """Failure: the client holds endpoints of an earlier stream and accepts its clusters late."""
+    """Guards against a drain that waits until a returning client acknowledges its clusters."""
 
     async def scenario():
         async with XdsHarness(endpoint_list(4)) as harness:
@@ -149,7 +149,7 @@
 
 @pytest.mark.parametrize("delta, shape", PROTOCOLS_AND_SHAPES)
 def test_clients_keep_their_endpoints_over_a_restart_of_the_controller(delta, shape):
-    """Failure: clients hold versions of its former life. Equal contents bear equal versions, others never."""
+    """Clients have versions of an earlier incarnation: equal contents have equal versions, others never."""
 
     async def scenario():
         async with XdsHarness(endpoint_list(4)) as harness:
@@ -158,7 +158,7 @@
             harness.known["n3"] = (9003, "b", "DRAINING", 0)
             await harness.restart()
             await client.wait_until(lambda: client.status is not None)
-            assert client.endpoints("lookup") == held  # nothing took it away
+            assert client.endpoints("lookup") == held  # the end of the stream removes nothing
             await client.disconnect()
             reconnect(client, shape)
             await client.wait_until(lambda: client.endpoints("lookup") == harness.view())
@@ -170,8 +170,8 @@
 
 
 def test_two_streams_of_one_client_overlap():
-    """Failure: a connection whose end nobody saw. Both are served; past the limit the oldest ends for the
-    newest, and the module keeps one proxy throughout."""
+    """After a connection whose end was not noticed, both streams are served; over the limit the oldest is
+    closed for the newest, and the client stays one proxy."""
 
     async def scenario():
         async with XdsHarness(endpoint_list(3), streams=2) as harness:
@@ -189,9 +189,7 @@
 
 
 def test_names_are_subscribed_unsubscribed_and_subscribed_again():
-    """Names asked for, left and asked for anew; wildcards; what does not exist is told as far as each
-    protocol can.
-    """
+    """Also wildcards, and names that do not exist, which only the incremental protocol can report."""
 
     async def scenario():
         async with XdsHarness(endpoint_list(3)) as harness:
@@ -219,7 +217,7 @@
                 name: message.virtual_hosts[0].routes[0].route.retry_policy.num_retries.value
                 for name, (_, message) in client.resources[ROUTE].items()
             }
-            assert retried == {"lookup": 1, "fee": 0}  # a fee is never offered another try
+            assert retried == {"lookup": 1, "fee": 0}  # `fee` is not idempotent
             wild = harness.client("w", "b")
             wild.connect()
             wild.request(CLUSTER)
@@ -243,17 +241,17 @@
                 return client.status
 
             code, details, _ = await ended(harness.client("c", "mars"), CLUSTER)
-            assert code == "INVALID_ARGUMENT" and "'mars' is none of a, b" in details
+            assert code == "INVALID_ARGUMENT" and "got 'mars', expected one of a, b" in details
             code, details, _ = await ended(harness.client(""), CLUSTER)
             assert code == "INVALID_ARGUMENT" and "node.id" in details
             code, details, _ = await ended(harness.client("c"), ENDPOINTS, ["a\nb"])
-            assert code == "INVALID_ARGUMENT" and "no resource's name" in details
+            assert code == "INVALID_ARGUMENT" and "expected a resource name" in details
             code, details, _ = await ended(harness.client("c"), ENDPOINTS, ["x" * 600])
             assert code == "INVALID_ARGUMENT"
             code, details, _ = await ended(harness.client("c"), ENDPOINTS, list("abcdef"))
             assert code == "RESOURCE_EXHAUSTED" and "6 names" in details
             code, details, _ = await ended(harness.client("c"), CLUSTER, [], only_type=ENDPOINTS)
-            assert code == "INVALID_ARGUMENT" and "alone" in details
+            assert code == "INVALID_ARGUMENT" and "stream for one type" in details
             code, details, _ = await ended(harness.client("c", shape="odd"), CLUSTER)
             assert code == "INVALID_ARGUMENT" and "oatcart.endpoints" in details
             unknown = harness.client("c")
@@ -264,7 +262,7 @@
                 discovery_pb2.DiscoveryRequest(node=unknown.node, type_url="type.googleapis.com/odd.Thing")
             )
             await unknown.wait_until(lambda: unknown.status is not None)
-            assert unknown.status[0] == "UNIMPLEMENTED" and "served are" in unknown.status[1]
+            assert unknown.status[0] == "UNIMPLEMENTED" and "supported are" in unknown.status[1]
             assert not harness.controller.front.clients  # no record of any of them
             client = await subscribed_client(harness, "c", False, "whole")
             code, details, metadata = await ended(harness.client("d"), CLUSTER)
--- a/tests/xds/test_herd_machine.py
+++ b/tests/xds/test_herd_machine.py
@@ -8,11 +8,11 @@
 
 
 class HerdMachine(Machine):
-    clients = 7  # as many as are pushed to in half of the drain deadline; decisions may take the other
+    clients = 7  # pushes to so many take half of the drain deadline; the decisions may take the other half
 
     @rule(endpoint=ENDPOINTS, restarted=st.booleans(), away_turns=st.integers(0, 8))
     def all_return(self, endpoint, restarted, away_turns):
-        """An endpoint drains while all are away, at this controller or at another that knows nobody."""
+        """An endpoint drains while all are away, at this controller or at one that knows no client."""
         for peer in self.harness.peers.values():
             peer.disconnect()
             peer.unseen_withdrawals = {}
@@ -25,7 +25,7 @@
 
     @rule(count=st.integers(1, 6))
     def some_return(self, count):
-        """The others stay connected; what drains there is not delayed by those that return."""
+        """The others stay connected, and their drains are not delayed by those that return."""
         for at in range(count):
             self.peer(at).disconnect()
         for at in range(count):
--- a/tests/xds/test_herds.py
+++ b/tests/xds/test_herds.py
@@ -21,7 +21,7 @@
 
 
 def still_healthy(peers, endpoint):
-    """Those connected for longer than the drain deadline that hold a drained endpoint as healthy."""
+    """Peers connected for longer than the drain deadline for which a drained endpoint is healthy."""
     return [
         peer.id
         for peer in peers
@@ -35,13 +35,13 @@
 @pytest.mark.parametrize("delta, shape", SHAPES)
 @pytest.mark.parametrize("count", [6, 20, 40])
 def test_no_client_connected_past_the_drain_deadline_has_a_drained_endpoint(count, delta, shape, restarted):
-    # Guards against a herd of returns that is let in faster than it can be sent its endpoints.
+    # Guards against returning clients that are admitted faster than they can be sent their endpoints.
     harness = make_harness(8, pushes=PUSHES)
     peers = connect_peers(harness, count, delta, shape)
     for peer in peers:
         peer.disconnect()
     set_state(harness, 0, EndpointState.DRAINING)
-    if restarted:  # a controller that knows none of them
+    if restarted:  # the new controller knows none of them
         harness.restart()
     run_for(harness, 1)
     for peer in peers:
@@ -104,7 +104,7 @@
 
 
 def test_a_client_that_returns_with_the_current_version_borrows_nothing():
-    # Guards against returns with nothing to miss that turn away those that miss a withdrawal.
+    # Guards against clients that miss nothing and use up the account of those that miss a withdrawal.
     harness = make_harness(8, pushes=PUSHES)
     peers = connect_peers(harness, 6, True)
     run_for(harness, 10)
@@ -153,7 +153,7 @@
 
 @pytest.mark.parametrize("delta, shape", SHAPES)
 def test_a_new_client_that_acknowledges_is_not_taken_for_a_returning_one(delta, shape):
-    # Guards against new clients that are turned away with their first answer, which bears a version.
+    # Guards against new clients that are rejected at their first answer, which carries a version.
     harness = make_harness(8, pushes=PUSHES)
     while harness.front.budget.prepay(1):
         pass
--- a/tests/xds/test_histories.py
+++ b/tests/xds/test_histories.py
@@ -1,4 +1,4 @@
-"""Histories that the state machine found, played step by step: they draw nothing."""
+"""Failing histories that the state machine found, replayed step by step without random draws."""
 
 from test_machine import Machine
 
--- a/tests/xds/test_machine.py
+++ b/tests/xds/test_machine.py
@@ -1,7 +1,6 @@
-"""Random changes and faults against the push decisions, by hypothesis: views end equal, drains are in time,
-rules hold.
+"""Random changes and faults, drawn by hypothesis: the rules hold, drains are in time, and views end equal.
 
-`XDS_EXAMPLES=2000` plays more of them than CI does, `XDS_SEED=7` others.
+`XDS_EXAMPLES=2000` runs more examples than CI does, `XDS_SEED=7` different ones.
 """
 
 import os
@@ -51,7 +50,7 @@
         peer = self.peer(at)
         if peer.stream is None:
             peer.connect_if_admitted()
-            assert peer.stream is not None or self.slow, "turned away with pushes to spare"
+            assert peer.stream is not None or self.slow, "rejected while the push budget suffices"
 
     @rule(at=PEERS)
     def lose_connection(self, at):
@@ -59,9 +58,7 @@
 
     @rule(at=PEERS)
     def overlap(self, at):
-        """A second stream of one client; the first is never seen to end by the client, which reads the
-        second.
-        """
+        """A client opens a second stream and reads only that one; the first is closed later."""
         peer = self.peer(at)
         if peer.stream is not None:
             old = peer.stream
@@ -101,9 +98,9 @@
         )
         ready = sum(other == EndpointState.READY for _, _, other in self.harness.endpoint_list.values())
         if state != EndpointState.READY and previous == EndpointState.READY and ready <= 2:
-            return  # the list keeps some: what is to be picked is what is tried here
+            return  # the list keeps a ready endpoint
         if state == EndpointState.READY and previous != EndpointState.READY:
-            started = self.harness.now  # another life, cold
+            started = self.harness.now  # a new incarnation, warming up
             self.harness.drained.pop(endpoint, None)
         if state != EndpointState.READY and previous == EndpointState.READY:
             self.harness.drained[endpoint] = self.harness.now
@@ -119,7 +116,7 @@
 
     @rule(outlier=ENDPOINTS, failing=st.booleans())
     def reports(self, outlier, failing):
-        """What is met: one node errs, the others do not; evidence withdraws it."""
+        """Load reports in which one endpoint fails if `failing` is set, which ejects it."""
         for number, (zone, _, state) in self.harness.endpoint_list.items():
             if state == EndpointState.READY:
                 failed = 20 if failing and number == outlier else 0
@@ -142,23 +139,21 @@
 
     @rule()
     def quiesce(self):
-        """Nothing changes for a while and everybody reads and answers: all views are one."""
+        """Without further changes, when all clients read and answer, all views become equal."""
         harness = self.harness
         for peer in harness.peers.values():
             if peer.stalled or peer.late:
                 peer.connected_since = harness.now
             peer.late, peer.stalled, peer.rejected_endpoint = False, False, None
-            if peer.has_rejected:  # a refused content is not sent again, so whoever refused comes anew
+            if peer.has_rejected:  # rejected content is not sent again, so the client reconnects
                 peer.disconnect()
             if peer.stream is None:
                 peer.connect_if_admitted()
         unchanged_turns, last, turns = 0, None, 0
-        while (
-            unchanged_turns < 32
-        ):  # turns in which the module changed nothing; scores go on rising for a while
+        while unchanged_turns < 32:  # turns without a change; scores rise for a while
             harness.turn()
             turns += 1
-            assert turns < 800, "somebody is turned away for ever, or the module never rests"
+            assert turns < 800, "a client is rejected for ever, or resources never stop changing"
             now = sum(cache.sequence for cache in harness.front.caches.values())
             all_here = all(peer.stream is not None for peer in harness.peers.values())
             unchanged_turns, last = (unchanged_turns + 1 if now == last and all_here else 0), now
@@ -172,7 +167,7 @@
                         if health == "HEALTHY"
                     }
                     assert pickable == harness.proxy_view(request_class), peer.id
-            assert not peer.stream.client.pending_acks, "a mark was never acknowledged"
+            assert not peer.stream.client.pending_acks, "a nonce was never acknowledged"
         harness.check_tables_agree()
 
     @invariant()
--- a/tests/xds/test_management_server.py
+++ b/tests/xds/test_management_server.py
@@ -1,6 +1,4 @@
-"""Nodes taken from a management server: what is believed of it, and what a conductor does when it is wrong or
-gone.
-"""
+"""Endpoints from a management server: which answers are accepted, and what follows when it fails."""
 
 import asyncio
 from random import Random
@@ -30,15 +28,17 @@
     assert verified.endpoints.keys() == set("abcd") and verified.recheck_at() == 15.0
     assert verified.receive(
         6.0, 1006.0, reported_endpoints("a", "b", "c"), False
-    )  # c is back; d is still in doubt
+    )  # c is back; d is still retained
     assert verified.endpoints.keys() == set("abcd") and verified.retained_since == {"d": 5.0}
-    assert verified.receive(14.0, 1014.0, reported_endpoints("a", "b", "c"), True)  # fresh, but too soon
+    assert verified.receive(
+        14.0, 1014.0, reported_endpoints("a", "b", "c"), True
+    )  # first on a new stream, but too soon
     assert verified.receive(
         15.0, 1015.0, reported_endpoints("a", "b", "c"), False
     )  # late enough, but the same stream
     assert verified.receive(15.0, 1015.0, reported_endpoints("a", "b", "c"), True) == ""
     assert verified.endpoints.keys() == set("abc") and verified.recheck_at() == float("inf")
-    # one is no half
+    # one of three is less than half
     assert verified.receive(
         16.0, 1016.0, reported_endpoints("a", "b"), False
     ) == "" and verified.endpoints.keys() == set("ab")
@@ -129,7 +129,7 @@
 
 
 def test_a_controller_follows_a_management_server():
-    """Start, drain and return; half a list once; silence; a cut; each while a client watches."""
+    """Start, drain and return; half of the list missing once; no answer; a closed stream."""
 
     async def scenario():
         async with ManagementHarness(hold=0.4) as harness:
@@ -138,21 +138,21 @@
             await client.wait_until(lambda: len(client.endpoints("lookup")) == 4)
             harness.management_server.publish(management_list("n0", "n2", "n3", n1="DRAINING"))
             await client.wait_until(lambda: client.endpoints("lookup")["n1"][1] == "DRAINING")
-            harness.management_server.publish(management_list("n0"))  # once, and then whole again
+            harness.management_server.publish(management_list("n0"))  # once, then complete again
             harness.management_server.publish(management_list("n0", "n1", "n2", "n3"))
             await client.wait_until(lambda: client.endpoints("lookup").get("n1", (0, ""))[1] == "HEALTHY")
-            assert any("doubted" in line for line in harness.log_lines)
+            assert any("suspect list" in line for line in harness.log_lines)
             healthy = [len([1 for _, health in client.endpoints("lookup").values() if health == "HEALTHY"])]
             assert healthy == [4]
             harness.management_server.silent = True
             harness.management_server.close_streams()
-            while not any("the last list stands" in line for line in harness.log_lines):
+            while not any("the last list stays in use" in line for line in harness.log_lines):
                 await asyncio.sleep(0.01)
             assert len(client.endpoints("lookup")) == 4
             harness.management_server.silent = False
             harness.management_server.endpoints = management_list(
                 "n0", "n3"
-            )  # and so it stays: after the hold it is believed
+            )  # confirmed after the retention time
             harness.management_server.close_streams()
             await client.wait_until(lambda: client.endpoints("lookup").keys() == {"n0", "n3"})
             before = harness.management_server.opened_streams
--- a/tests/xds/test_proxies_and_clients.py
+++ b/tests/xds/test_proxies_and_clients.py
@@ -1,4 +1,4 @@
-"""Sidecars, gRPC's own client and load reports at one conductor, over loopback."""
+"""Proxies, gRPC's own xDS client and load reports at one controller, over loopback."""
 
 import asyncio
 import json
@@ -9,19 +9,19 @@
 from envoy.config.core.v3 import base_pb2
 from envoy.service.load_stats.v3 import lrs_pb2
 from google.protobuf import duration_pb2
-from oatcart.xds.server import LOAD_REPORTING_SERVICE
-from oatcart.xds.standin.nodes import ScriptedEndpoint
 from test_front import subscribed_client
 from xds_harness import XdsHarness, endpoint_list, run_async
 
 from oatcart.events import EndpointLoadReported
 from oatcart.model import LoadReport, RetryPolicy
+from oatcart.xds.server import LOAD_REPORTING_SERVICE
+from oatcart.xds.standin.nodes import ScriptedEndpoint
 
 STREAM_METHOD = f"/{LOAD_REPORTING_SERVICE}/StreamLoadStats"
 
 
 class Proxy:
-    """A proxy of the operators' protocol; it keeps what it is told."""
+    """A proxy of the JSON protocol, which keeps its routing tables."""
 
     def __init__(self, harness, number):
         self.number, self.weights, self.ejected = number, {}, set()
@@ -37,7 +37,7 @@
         self.writer.write(json.dumps(message).encode() + b"\n")
 
     async def receive(self):
-        """One message's part."""
+        """Read a message and apply it."""
         part = json.loads(await self.reader.readline())
         for request_class in part.get("routes", self.request_classes):
             if part.get("full"):
@@ -61,7 +61,7 @@
 
 
 def test_a_proxy_and_xds_clients_see_the_same_table():
-    """The same arrivals, the same table: at the start, after a drain, after reports, after a cold return."""
+    """The tables agree at the start, after a drain, after load reports and while an endpoint warms up."""
 
     async def scenario():
         async with XdsHarness(endpoint_list(4)) as harness:
@@ -108,8 +108,9 @@
 
 
 def report(client, request_class, interval, **localities):
-    """A report as gRPC's own client makes it: one locality a node; by name (good, errored, issued, under
-    way).
+    """A load report as gRPC's own client makes it, with a locality for each endpoint.
+
+    `localities`: (succeeded, failed, issued, in flight) by endpoint name.
     """
     message = lrs_pb2.LoadStatsRequest(node=client)
     stats = message.cluster_stats.add(
@@ -141,8 +142,8 @@
             await call.write(
                 report(None, "lookup", 0.2, **counts | {"n1": (9999, 0, 5, 0)}).SerializeToString()
             )
-            await call.write(b"\x0a\xff")  # cut in the middle
-            while not any("cannot be read" in line for line in harness.log_lines):
+            await call.write(b"\x0a\xff")  # a truncated message
+            while not any("malformed" in line for line in harness.log_lines):
                 await call.write(report(None, "lookup", 0.2, **counts).SerializeToString())
                 await asyncio.sleep(0.01)
             assert any("nobody" in line for line in harness.log_lines)
@@ -152,7 +153,7 @@
                     report(None, "lookup", 0.2, **counts | {"n2": (0, 20, 20, 0)}).SerializeToString()
                 )
                 await asyncio.sleep(0.05)
-            call.cancel()  # a stream that is cut costs nothing but itself
+            call.cancel()  # a cancelled stream has no effect on others
             harness.update_list(n0=(9000, "a", "DRAINING", 0))
             await client.wait_until(lambda: client.endpoints("lookup")["n0"][1] == "DRAINING")
             unidentified = client.channel.stream_stream(STREAM_METHOD)()
@@ -195,7 +196,7 @@
 
 
 async def start_endpoints(count):
-    """So many loopback nodes, and their entries in the list."""
+    """Start so many loopback endpoints; returns them and their entries in the endpoint list."""
     endpoints = [ScriptedEndpoint(f"n{number}") for number in range(count)]
     for endpoint in endpoints:
         await endpoint.start()
@@ -214,7 +215,7 @@
             harness.update_list(n1=(*known["n1"][:2], "DRAINING", 0))
             await channel.wait_until(lambda found: "n1" not in found, "lookup", 40)
             codec, rounds = harness.controller.rounds.codec, harness.controller.rounds
-            for _ in range(3):  # evidence against n2: it is withdrawn
+            for _ in range(3):  # n2 fails all its requests, so it is ejected
                 for endpoint in endpoints:
                     failed = 20 if endpoint.name == "n2" else 0
                     rounds.add_event(
@@ -235,7 +236,9 @@
                 lambda found: found.keys() >= {"n0", "n2", "n3"} and "n1" not in found, "lookup", 60
             )
             harness.update_list(n0=(*known["n0"][:2], "DRAINING", 0), n2=None)
-            await channel.wait_until(lambda found: found.keys() == {"n3"}, "lookup", 40)  # all gone but one
+            await channel.wait_until(
+                lambda found: found.keys() == {"n3"}, "lookup", 40
+            )  # one endpoint is left
             harness.update_list(n1=known["n1"])
             await channel.wait_until(lambda found: found.keys() == {"n1", "n3"}, "lookup", 60)
             assert not [line for line in harness.log_lines if line.startswith("refused")]
@@ -246,7 +249,7 @@
 
 
 def test_the_grpc_client_follows_weights():
-    """Weights that differ, over enough calls that chance stays within five standard deviations."""
+    """Shares of calls match the weights within five standard deviations."""
 
     async def scenario():
         endpoints, known = await start_endpoints(3)
@@ -286,7 +289,7 @@
 
 
 def test_the_grpc_client_never_retries_a_class_that_is_not_idempotent():
-    """Rule 2: nodes that fail after the effect; a replayable kind may be tried again, a fee may not."""
+    """Rule 2: endpoints fail after a call took effect; an idempotent class may be retried, `fee` may not."""
 
     async def scenario():
         endpoints, known = await start_endpoints(2)
@@ -296,14 +299,14 @@
             rounds = harness.controller.rounds
             for at in sorted(
                 set(harness.controller.front.tables_by_zone[0])
-            ):  # the module allows another try after anything
+            ):  # allow a retry after any failure
                 rounds.set_admission(at, 0, 1.0, RetryPolicy.ON_FAILURE)
             rounds.is_due = True
             harness.controller.nested_loop.wake()
             for endpoint in endpoints:
                 endpoint.fails_after_effect = True
 
-            calls = []  # until a lookup runs more often than it was called: the order has come to the client
+            calls = []  # until a lookup runs more often than it was called: the client has the retry policy
             await channel.wait_until(
                 lambda found: (
                     calls.append(found)
--- a/tests/xds/test_push_budget.py
+++ b/tests/xds/test_push_budget.py
@@ -1,4 +1,4 @@
-"""The push budget: what it lets pass, and when the front asks it again."""
+"""The push budget: what it allows, and when the next dispatch is due."""
 
 import time
 
@@ -19,7 +19,7 @@
 
 
 def test_a_withdrawal_waits_for_one_push_and_not_until_the_debt_is_repaid():
-    # Guards against a dispatch that is asked again only once a usual push may be sent, 2 s later.
+    # Guards against a dispatch that is due only once a push that can wait may be sent, 2 s later.
     budget = budget_in_full_debt(8.0)
     assert budget.wait(True) <= 1 / 8 and budget.wait() >= URGENT_DEBT
     budget.advance(budget.wait(True))
@@ -42,7 +42,7 @@
 
 
 def test_over_loopback_a_drain_behind_a_spent_budget_waits_for_its_pushes_alone():
-    # Guards against a server that asks the front again only once the whole debt is repaid.
+    # Guards against a server whose next dispatch is due only once the complete debt is repaid.
     async def scenario():
         async with XdsHarness(endpoint_list(8), pushes=4) as harness:
             clients = [await subscribed_client(harness, f"c{at}", False, "whole") for at in range(3)]
@@ -63,9 +63,9 @@
 
 
 def test_under_continuous_withdrawals_each_connected_client_is_served_in_time():
-    # Guards against an order by age of the stream, in which the newest clients never have a turn.
+    # Guards against an order by age of the stream, in which the newest clients are never sent anything.
     harness = make_harness(60, pushes=8.0)
-    for at in range(7):  # as many as are pushed to in half of the drain deadline
+    for at in range(7):  # pushes to so many take half of the drain deadline
         add_peer(harness, f"p{at}")
     run_for(harness, 30)
     for endpoint in range(50):
--- a/tests/xds/test_push_metrics.py
+++ b/tests/xds/test_push_metrics.py
@@ -1,4 +1,4 @@
-"""What operators are told of the push budget."""
+"""The log lines and counts of the push budget."""
 
 from test_decisions import add_peer, make_harness, run_for, set_state
 
--- a/tests/xds/test_resubscription.py
+++ b/tests/xds/test_resubscription.py
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize("shape", INCREMENTAL)
 def test_a_drain_is_sent_in_time_though_the_client_subscribed_again_and_the_budget_is_spent(shape):
-    # Guards against a subscription that takes what it sent for forgotten when the client asks again.
+    # Guards against a subscription that forgets what it sent when the client subscribes again.
     harness = make_harness(8, pushes=8.0)
     peer = add_peer(harness, "p", True, shape)
     run_for(harness, 4)
@@ -43,7 +43,7 @@
         seen.append((peer.view("lookup") or {}).get("n0", ("", "gone"))[1]),
     )
     peer.stalled = True
-    harness.endpoint_list[7] = (1, 0.0, EndpointState.READY)  # something that is written and not read
+    harness.endpoint_list[7] = (1, 0.0, EndpointState.READY)  # a push that is written and not read
     harness.publish_list()
     run_for(harness, 1.5)
     set_state(harness, 0, EndpointState.DRAINING)
--- a/tests/xds/test_sent_endpoints.py
+++ b/tests/xds/test_sent_endpoints.py
@@ -1,4 +1,4 @@
-"""A client that had an endpoint keeps one while there is one (rule 1), whatever it has yet to answer."""
+"""A client that had an endpoint keeps one while there is one (rule 1), even with pushes in flight."""
 
 import pytest
 from test_decisions import SHAPES, add_peer, make_harness, run_for, set_state
--- a/tests/xds/test_wire_bytes.py
+++ b/tests/xds/test_wire_bytes.py
@@ -1,5 +1,7 @@
-"""The bytes of xDS responses and the versions in them are those that clients hold already: a renamed class or
-field must not change what a version is a digest of, or a restarted controller sends everything anew.
+"""Bytes and versions of xDS responses stay as recorded.
+
+A renamed class or field must not change what a version is a digest of, or a restarted controller would send
+everything again.
 """
 
 from hashlib import blake2b
--- a/tests/xds/xds_harness.py
+++ b/tests/xds/xds_harness.py
@@ -1,4 +1,4 @@
-"""A conductor with the xDS front on loopback, its list handed in; for the tests of the transport."""
+"""A controller with the xDS front on loopback, whose endpoint list is set by the test."""
 
 import asyncio
 import socket
@@ -12,7 +12,7 @@
 
 
 def config(known, **changes):
-    """`known`: by node's id its (port, zone, phase, started)."""
+    """`known`: (port, zone, phase, started) by endpoint id."""
     members = [
         {"id": name, "host_port": f"127.0.0.1:{port}", "locality": zone, "phase": phase, "up_since_ms": up}
         for name, (port, zone, phase, up) in known.items()
@@ -47,7 +47,7 @@
 
 
 class XdsHarness:
-    """`async with Table({...}) as table`: one conductor and its clients, all closed at the end."""
+    """`async with XdsHarness({...}) as harness`: a controller and its clients, all closed at the end."""
 
     def __init__(self, known, settings=None, **xds):
         self.known, self.settings = dict(known), settings or {}
@@ -73,12 +73,12 @@
         self.port = await self.controller.start()
 
     async def restart(self):
-        """The conductor dies and another takes its address; it knows nothing of the former."""
+        """Stop the controller and start another one at its address, which knows nothing of the first."""
         await self.controller.stop()
         await self.start(self.port)
 
     def update_list(self, complete=True, **changes):
-        """The list has changed: a node's tuple, or None where it is gone."""
+        """Change the endpoint list: the entry of an endpoint by name, None if it is gone."""
         self.known |= changes
         self.known = {name: entry for name, entry in self.known.items() if entry}
         self.revision += 1
@@ -95,7 +95,7 @@
         return client
 
     def view(self, zone="a", request_class="lookup"):
-        """What the conductor means clients of a zone to see."""
+        """The endpoints that the controller publishes to clients of a zone; None before the first."""
         front = self.controller.front
         if front.zones[zone] not in front.tables_by_zone:
             return None
@@ -109,7 +109,7 @@
 
 
 class ManagementHarness(XdsHarness):
-    """A conductor that takes its nodes from a scripted management server."""
+    """A controller with a scripted management server."""
 
     async def __aenter__(self):
         self.management_server = ScriptedManagementServer("servers")
@@ -127,7 +127,7 @@
 
 
 def management_list(*names, **states):
-    """Endpoints as the management server tells them; others by health."""
+    """Endpoints as the management server lists them: `names` are healthy, `states` gives health by name."""
     return [
         (name, "127.0.0.1", 9000 + int(name[1:]), "ab"[int(name[1:]) % 2], states.get(name, "HEALTHY"), 1)
         for name in dict.fromkeys([*names, *states])
@@ -139,5 +139,5 @@
 
 
 def run_async(coroutine):
-    """Run a test that is a coroutine."""
+    """Run a coroutine within 60 s."""
     return asyncio.run(asyncio.wait_for(coroutine, 60))
