--- a/oatcart/xds/standin/client.py
+++ b/oatcart/xds/standin/client.py
@@ -11,7 +11,7 @@
 from oatcart.xds.encode import TYPE_URLS
 from oatcart.xds.resource_types import CLUSTER, ENDPOINTS, LISTENER, MEMBER, ROUTE
 
-RESOURCE_TYPES = {url: kind for kind, url in TYPE_URLS.items()}
+RESOURCE_TYPES = {url: resource_type for resource_type, url in TYPE_URLS.items()}
 ADS = "/envoy.service.discovery.v3.AggregatedDiscoveryService/"
 ENDPOINT_SERVICE = "/envoy.service.endpoint.v3.EndpointDiscoveryService/"
 
@@ -201,21 +201,21 @@
         """Return weight and health by endpoint of a request class, in any shape."""
         if request_class not in self.resources[ENDPOINTS]:
             return {}
-        found = {}
+        seen = {}
         for locality in self.resources[ENDPOINTS][request_class][1].endpoints:
             prefix = locality.leds_cluster_locality_config.leds_collection_name[:-1]
             for lb_endpoint in locality.lb_endpoints:
                 weight = locality.load_balancing_weight.value if locality.locality.sub_zone else 0
-                found[lb_endpoint.endpoint.hostname] = (
+                seen[lb_endpoint.endpoint.hostname] = (
                     weight or weight_and_health(lb_endpoint)[0],
                     weight_and_health(lb_endpoint)[1],
                 )
-            found |= {
+            seen |= {
                 message.endpoint.hostname: weight_and_health(message)
                 for name, (_, message) in self.resources[MEMBER].items()
                 if prefix and name.startswith(prefix)
             }
-        return found
+        return seen
 
     def endpoint_count(self) -> int:
         """Return a lower bound of the number of its endpoints, over all request classes."""
--- a/tests/xds/sim.py
+++ b/tests/xds/sim.py
@@ -382,7 +382,7 @@
                 and peer.stream is not None
                 and not peer.stalled
                 and not peer.has_rejected
-                and self.now - getattr(peer, "since", 0.0) > DRAIN_DEADLINE
+                and self.now - getattr(peer, "connected_since", 0.0) > DRAIN_DEADLINE
             ):
                 for name, _ in REQUEST_CLASSES:
                     known = (peer.view(name) or {}).get(f"n{endpoint}")
--- a/tests/xds/test_decisions.py
+++ b/tests/xds/test_decisions.py
@@ -111,8 +111,11 @@
     peer = add_peer(harness, delta=True)
     run_for(harness, 2)
     front, order = harness.front, []
-    take = peer.receive
-    peer.receive = lambda kind, push: (order.extend((kind, name) for name in push.removed), take(kind, push))
+    receive = peer.receive
+    peer.receive = lambda resource_type, push: (
+        order.extend((resource_type, name) for name in push.removed),
+        receive(resource_type, push),
+    )
     peer.late = True
     caches = [
         front.caches[CLUSTER, view.WHOLE],
@@ -143,9 +146,9 @@
     peer = add_peer(harness, delta=delta, shape=shape)
     run_for(harness, 2)
     seen = []
-    take = peer.receive
-    peer.receive = lambda kind, push: (
-        take(kind, push),
+    receive = peer.receive
+    peer.receive = lambda resource_type, push: (
+        receive(resource_type, push),
         seen.append((peer.view("lookup") or {}).get("n0", ("", "gone"))[1]),
     )
     peer.stalled = True
@@ -210,28 +213,32 @@
 def test_order_of_pushes_when_all_clients_return():
     """With a short budget: a drain to a connected client, then returning clients, then new ones."""
     harness = make_harness(4, pushes=8.0)
-    here = add_peer(harness, "here")
-    away = [add_peer(harness, f"away{at}", True) for at in range(3)]
+    connected = add_peer(harness, "here")
+    returning = [add_peer(harness, f"away{at}", True) for at in range(3)]
     run_for(harness, 12)
-    for peer in away:
+    for peer in returning:
         assert peer.view("lookup")
         peer.disconnect()
     order = []
-    peers = [*(add_peer(harness, f"new{at}", True) for at in range(3)), *away]
-    for peer in away:
+    peers = [*(add_peer(harness, f"new{at}", True) for at in range(3)), *returning]
+    for peer in returning:
         peer.connect()
-    for peer in [*peers, here]:
-        take = peer.receive
-        peer.receive = lambda kind, push, peer=peer, take=take: (
-            order.append((peer.id, kind)),
-            take(kind, push),
+    for peer in [*peers, connected]:
+        receive = peer.receive
+        peer.receive = lambda resource_type, push, peer=peer, receive=receive: (
+            order.append((peer.id, resource_type)),
+            receive(resource_type, push),
         )
     set_state(harness, 0, EndpointState.DRAINING)
     run_for(harness, 20)
-    first = {name: order.index((name, kind)) for name, kind in reversed(order) if kind == ENDPOINTS}
+    first = {
+        name: order.index((name, resource_type))
+        for name, resource_type in reversed(order)
+        if resource_type == ENDPOINTS
+    }
     assert first["here"] == min(first.values())
     assert max(first[f"away{at}"] for at in range(3)) < min(first[f"new{at}"] for at in range(3))
-    assert all(peer.view("lookup")["n0"][1] == view.DRAINING for peer in [*peers, here])
+    assert all(peer.view("lookup")["n0"][1] == view.DRAINING for peer in [*peers, connected])
 
 
 def test_an_urgent_push_may_borrow_from_the_budget():
@@ -459,7 +466,7 @@
     subscription.request_changes([], [], {}, subscription.next_push(cache).nonce, None)
     cache.remove(1.0, "x")
     cache.put(1.5, "x", "b", "a")
-    gone = subscription.next_push(cache)
-    assert gone.removed == ("x",) and not gone.items
-    subscription.request_changes([], [], {}, gone.nonce, None)
+    removal = subscription.next_push(cache)
+    assert removal.removed == ("x",) and not removal.items
+    subscription.request_changes([], [], {}, removal.nonce, None)
     assert [name for name, _ in subscription.next_push(cache).items] == ["x"]
--- a/tests/xds/test_front.py
+++ b/tests/xds/test_front.py
@@ -46,7 +46,7 @@
     async def scenario():
         async with XdsHarness(endpoint_list(4)) as harness:
             client = await subscribed_client(harness, "c", delta, shape)
-            first = [kind for kind, names, *_ in client.received if names]
+            first = [resource_type for resource_type, names, *_ in client.received if names]
             assert first.index(CLUSTER) < first.index(ENDPOINTS)
             harness.update_list(n1=(9001, "b", "DRAINING", 0))
             await client.wait_until(lambda: client.endpoints("lookup")["n1"][1] == "DRAINING")
@@ -86,7 +86,7 @@
     async def scenario():
         async with XdsHarness(endpoint_list(3)) as harness:
 
-            def reason(kind, message):
+            def reason(resource_type, message):
                 return "I will not have n3" if "n3" in str(message) and "n4" not in str(message) else ""
 
             client = await subscribed_client(harness, "c", delta, "whole", reject_reason=reason)
@@ -125,7 +125,9 @@
             await client.wait_until(lambda: client.endpoints("lookup")["n2"][1] == "DRAINING")
             await client.wait_until(lambda: client.endpoints("lookup") == harness.view())
             if delta:  # unchanged clusters are not sent again
-                assert not any(names and kind == CLUSTER for kind, names, *_ in client.received)
+                assert not any(
+                    names and resource_type == CLUSTER for resource_type, names, *_ in client.received
+                )
 
     run_async(scenario())
 
@@ -154,17 +156,19 @@
     async def scenario():
         async with XdsHarness(endpoint_list(4)) as harness:
             client = await subscribed_client(harness, "c", delta, shape)
-            held = client.endpoints("lookup")
+            before = client.endpoints("lookup")
             harness.known["n3"] = (9003, "b", "DRAINING", 0)
             await harness.restart()
             await client.wait_until(lambda: client.status is not None)
-            assert client.endpoints("lookup") == held  # the end of the stream removes nothing
+            assert client.endpoints("lookup") == before  # the end of the stream removes nothing
             await client.disconnect()
             reconnect(client, shape)
             await client.wait_until(lambda: client.endpoints("lookup") == harness.view())
             assert client.endpoints("lookup").get("n3", (0, "gone"))[1] != "HEALTHY"
             if delta:
-                assert not any(names and kind == CLUSTER for kind, names, *_ in client.received)
+                assert not any(
+                    names and resource_type == CLUSTER for resource_type, names, *_ in client.received
+                )
 
     run_async(scenario())
 
--- a/tests/xds/test_herds.py
+++ b/tests/xds/test_herds.py
@@ -61,18 +61,18 @@
 def test_a_herd_of_returns_delays_no_drain_of_connected_clients(others, delta, shape):
     # Guards against returns that use up what withdrawals may borrow.
     harness = make_harness(8, pushes=PUSHES)
-    here = connect_peers(harness, 5, delta, shape, "here")
-    away = connect_peers(harness, others, delta, shape, "away")
-    for peer in away:
+    connected = connect_peers(harness, 5, delta, shape, "here")
+    returning = connect_peers(harness, others, delta, shape, "away")
+    for peer in returning:
         peer.disconnect()
     set_state(harness, 0, EndpointState.DRAINING)
     run_for(harness, 4)
-    for peer in away:
+    for peer in returning:
         peer.connect_if_admitted()
     for endpoint in 1, 2:  # ten pushes, within what withdrawals may borrow
         set_state(harness, endpoint, EndpointState.DRAINING)
         run_for(harness, 2 * TURN_DURATION)
-        assert all(peer.view("lookup")[f"n{endpoint}"][1] == view.DRAINING for peer in here)
+        assert all(peer.view("lookup")[f"n{endpoint}"][1] == view.DRAINING for peer in connected)
 
 
 @pytest.mark.parametrize("count", [10, 30])
@@ -136,8 +136,8 @@
     peer.recent_pushes.clear()
     peer.connect_if_admitted()
     run_for(harness, 2 * TURN_DURATION)
-    kinds = [kind for _, kind in peer.recent_pushes]
-    assert ENDPOINTS in kinds and ROUTE not in kinds
+    types = [resource_type for _, resource_type in peer.recent_pushes]
+    assert ENDPOINTS in types and ROUTE not in types
 
 
 def test_clients_rejected_together_get_different_retry_times():
--- a/tests/xds/test_machine.py
+++ b/tests/xds/test_machine.py
@@ -33,7 +33,7 @@
         self.elapse(8)
 
     def teardown(self):
-        if hasattr(self, "stage"):
+        if hasattr(self, "harness"):
             self.quiesce()
 
     def peer(self, at):
@@ -172,7 +172,7 @@
 
     @invariant()
     def turn(self):
-        if hasattr(self, "stage"):
+        if hasattr(self, "harness"):
             self.harness.turn()
             assert len(self.harness.front.clients) <= self.clients
 
--- a/tests/xds/test_proxies_and_clients.py
+++ b/tests/xds/test_proxies_and_clients.py
@@ -143,7 +143,7 @@
                 report(None, "lookup", 0.2, **counts | {"n1": (9999, 0, 5, 0)}).SerializeToString()
             )
             await call.write(b"\x0a\xff")  # a truncated message
-            while not any("malformed" in line for line in harness.log_lines):
+            while not any("malformed LoadStatsRequest" in line for line in harness.log_lines):
                 await call.write(report(None, "lookup", 0.2, **counts).SerializeToString())
                 await asyncio.sleep(0.01)
             assert any("nobody" in line for line in harness.log_lines)
--- a/tests/xds/test_push_budget.py
+++ b/tests/xds/test_push_budget.py
@@ -71,4 +71,4 @@
     for endpoint in range(50):
         set_state(harness, endpoint, EndpointState.DRAINING)
         harness.drained[endpoint] = harness.now
-        harness.turn()  # checks that no client holds a drained endpoint past the deadline
+        harness.turn()  # checks that no client has a drained endpoint as healthy past the deadline
--- a/tests/xds/test_resubscription.py
+++ b/tests/xds/test_resubscription.py
@@ -1,4 +1,4 @@
-"""A client that subscribes once more to what it holds (incremental protocol)."""
+"""A client that subscribes again to resources that it has (incremental protocol)."""
 
 import pytest
 from sim import DRAIN_DEADLINE, TURN_DURATION
--- a/tests/xds/xds_harness.py
+++ b/tests/xds/xds_harness.py
@@ -63,9 +63,7 @@
         ours.setblocking(False)
         xds = self.xds._replace(listen=f"127.0.0.1:{port}")
         self.controller = XdsController(config(self.known, **self.settings), xds, ours)
-        self.controller.rounds.logger.write = lambda request_class, text: self.log_lines.append(
-            f"{request_class}: {text}"
-        )
+        self.controller.rounds.logger.write = lambda kind, text: self.log_lines.append(f"{kind}: {text}")
         self.controller.front.log = self.controller.server.log = self.controller.rounds.logger.write
         if self.controller.management_client is not None:
             self.controller.management_client.log = self.controller.rounds.logger.write
