--- a/oatcart/trace/clock_alignment.py
+++ b/oatcart/trace/clock_alignment.py
@@ -1,9 +1,9 @@
 """Estimates how the clocks of several instances relate, from the messages between them. Does no I/O.
 
-Each instance's clock is taken to differ from the reference's by an offset and a constant drift. A message
-that one instance sent and another received was sent before it was received; together these constraints are
-linear. A linear program finds the offsets and drifts that leave every message the most slack, and further
-ones find how far the time of an instance could be off while all constraints hold.
+Each clock is assumed to differ from the reference clock by an offset and a constant drift. A message is sent
+before it is received, which gives a linear constraint for each message. A linear program finds the offsets
+and drifts that maximize the least slack of all messages. Further linear programs find how large the error of
+an instance's time can be while all constraints hold.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -14,8 +14,8 @@
 import numpy as np
 from scipy.optimize import linprog
 
-MAX_DRIFT = 1e-3  # s a second; no working clock drifts faster
-MAX_MESSAGES = 4000  # of one direction between two instances that become constraints
+MAX_DRIFT = 1e-3  # s per s; no working clock drifts faster
+MAX_MESSAGES = 4000  # that become constraints, for each sender and receiver
 
 
 class Message(NamedTuple):
@@ -28,19 +28,20 @@
 
     @property
     def delay(self) -> float:
-        """The received less the sent time, in seconds: the delay, and what one clock is ahead."""
+        """The received time minus the sent time, in seconds: the delay plus the difference of the clocks."""
         return self.received - self.sent
 
 
-Directions = Mapping[tuple[str, str], Sequence[Message]]  # by sender and receiver
+MessagesByDirection = Mapping[tuple[str, str], Sequence[Message]]  # by sender and receiver
 
 
 @dataclass(slots=True)
 class ClockEstimate:
-    """How an instance's clock relates to the reference's, with its records from `first` to `last` seconds.
+    """How an instance's clock relates to the reference clock; its records lie between `first` and `last`.
 
-    The reference's time is `time + offset + drift * (time - middle)`. `end_bounds`: by how many seconds it
-    may be off at `first` and at `last`; inf where no messages connect the instance to the reference.
+    All times are in seconds. The reference time is `time + offset + drift * (time - middle)`. `end_bounds`
+    are the greatest errors of it at `first` and at `last`; inf where no messages connect the instance to the
+    reference.
     """
 
     offset: float = 0.0
@@ -51,42 +52,42 @@
     end_bounds: tuple[float, float] = (0.0, 0.0)
 
     def to_reference(self, at: float) -> float:
-        """The reference's time at a time of this clock, both in seconds."""
+        """Convert a time of this clock to the reference clock, both in seconds."""
         return at + self.offset + self.drift * (at - self.middle)
 
     def error_bound(self, at: float) -> float:
-        """By how many seconds `to_reference` may be off.
+        """Return the greatest error of `to_reference`, in seconds.
 
-        The true bound is convex between the ends, so that a straight line over it is safe; beyond the ends
-        it grows with the drift that the constraints leave open.
+        Between the ends the true bound is convex, so linear interpolation never underestimates it. Beyond the
+        ends it grows with the drift that the constraints leave undetermined.
         """
         if self.last <= self.first or inf in self.end_bounds:
             return max(self.end_bounds)
         at_first, at_last = self.end_bounds
         span = self.last - self.first
-        part = (at - self.first) / span
-        if 0.0 <= part <= 1.0:
-            return at_first + part * (at_last - at_first)
-        outside = self.first - at if part < 0 else at - self.last
-        return max(self.end_bounds) + outside * (sum(self.end_bounds) / span)
+        fraction = (at - self.first) / span
+        if 0.0 <= fraction <= 1.0:
+            return at_first + fraction * (at_last - at_first)
+        seconds_outside = self.first - at if fraction < 0 else at - self.last
+        return max(self.end_bounds) + seconds_outside * (sum(self.end_bounds) / span)
 
 
 @dataclass(slots=True)
 class AlignedClocks:
     """The estimate for each instance.
 
-    `contradictions` says in words where no offsets and drifts fit all messages, as where a clock was stepped.
+    `contradictions` describes where no offsets and drifts satisfy all messages, as after a clock step.
     """
 
     by_instance: dict[str, ClockEstimate] = field(default_factory=dict)
     contradictions: list[str] = field(default_factory=list)
 
 
-class _Program(NamedTuple):
+class _LinearProgram(NamedTuple):
     """The constraints `matrix @ x <= limits`.
 
-    `x` holds offset and drift of each instance, from the instance's column on, and last the slack that is
-    left to every message. `ranges` are those of x but for the slack.
+    `x` holds the offset and the drift of each instance, starting at the instance's column, and ends with the
+    least slack of all messages. `ranges` are the allowed ranges of `x` without the slack.
     """
 
     columns: dict[str, int]
@@ -98,7 +99,7 @@
 def align_clocks(
     spans: Mapping[str, tuple[float, float]], messages: Iterable[Message], reference: str
 ) -> AlignedClocks:
-    """Estimate the clocks of some instances; `spans`: the least and greatest time of each, in seconds."""
+    """Estimate the clocks of instances; `spans` holds the least and greatest time of each, in seconds."""
     clocks = {
         name: ClockEstimate(middle=(first + last) / 2, first=first, last=last, end_bounds=(inf, inf))
         for name, (first, last) in spans.items()
@@ -108,17 +109,17 @@
     directions: dict[tuple[str, str], list[Message]] = {}
     for message in messages:
         directions.setdefault((message.sender, message.receiver), []).append(message)
-    connected = _connected(reference, directions)
+    connected = _connected_instances(reference, directions)
     estimated = [name for name in spans if name != reference and name in connected]
     if not estimated:
         return aligned
-    columns = {name: 2 * place for place, name in enumerate(estimated)}
-    between = {pair: found for pair, found in directions.items() if connected.issuperset(pair)}
-    program = _constraints(columns, between, clocks)
-    solution = _most_slack(program)
+    columns = {name: 2 * index for index, name in enumerate(estimated)}
+    connecting = {pair: found for pair, found in directions.items() if connected.issuperset(pair)}
+    program = _constraints(columns, connecting, clocks)
+    solution = _maximize_slack(program)
     if solution is None:
         aligned.contradictions.append(
-            "no straight clocks fit all messages: one was stepped; no order is claimed"
+            "no offsets and constant drifts fit all messages: a clock was stepped; the order is not certain"
         )
         return aligned
     for name, column in columns.items():
@@ -130,8 +131,8 @@
     return aligned
 
 
-def _connected(reference: str, directions: Directions) -> set[str]:
-    """The instances that messages in both directions connect to the reference, directly or by others."""
+def _connected_instances(reference: str, directions: MessagesByDirection) -> set[str]:
+    """Return the instances that two-way messages connect to the reference, directly or through others."""
     neighbours: dict[str, list[str]] = {}
     for sender, receiver in directions:
         if (receiver, sender) in directions:
@@ -146,12 +147,12 @@
 
 
 def _constraints(
-    columns: dict[str, int], directions: Directions, clocks: Mapping[str, ClockEstimate]
-) -> _Program:
-    """A row a message: its sending, in the reference's time, was not after its receipt."""
+    columns: dict[str, int], directions: MessagesByDirection, clocks: Mapping[str, ClockEstimate]
+) -> _LinearProgram:
+    """Return one row per message: in reference time it was not sent after it was received."""
     rows, limits = [], []
     for (sender, receiver), messages in directions.items():
-        for message in _tightest(messages):
+        for message in _least_delayed(messages):
             row = np.zeros(2 * len(columns) + 1)
             for name, at, sign in ((sender, message.sent, 1.0), (receiver, message.received, -1.0)):
                 if name in columns:
@@ -161,11 +162,11 @@
             rows.append(row)
             limits.append(message.delay)
     ranges = [(None, None), (-MAX_DRIFT, MAX_DRIFT)] * len(columns)
-    return _Program(columns, np.array(rows), np.array(limits), ranges)
+    return _LinearProgram(columns, np.array(rows), np.array(limits), ranges)
 
 
-def _tightest(messages: Sequence[Message]) -> Sequence[Message]:
-    """Of many messages the one with the least delay in each of MAX_MESSAGES parts; the others add little."""
+def _least_delayed(messages: Sequence[Message]) -> Sequence[Message]:
+    """Return the message with the least delay of each of MAX_MESSAGES parts; the others add little."""
     if len(messages) <= MAX_MESSAGES:
         return messages
     ordered = sorted(messages, key=lambda message: message.sent)
@@ -174,16 +175,16 @@
     return [min(part, key=lambda message: message.delay) for part in parts]
 
 
-def _most_slack(program: _Program) -> np.ndarray | None:
-    """The offsets and drifts that leave every message the most slack; None where none fit all messages."""
+def _maximize_slack(program: _LinearProgram) -> np.ndarray | None:
+    """Return the offsets and drifts with the greatest least slack; None where none fit all messages."""
     objective = np.array([0.0] * len(program.ranges) + [-1.0])
     ranges = [*program.ranges, (0.0, None)]
     best = linprog(objective, program.matrix, program.limits, bounds=ranges)
     return best.x if best.success else None
 
 
-def _greatest_error(program: _Program, solution: np.ndarray, column: int, elapsed: float) -> float:
-    """By how many seconds a clock may be off, `elapsed` seconds from its middle, within the constraints."""
+def _greatest_error(program: _LinearProgram, solution: np.ndarray, column: int, elapsed: float) -> float:
+    """Return the greatest error, in seconds, that the constraints allow `elapsed` seconds from the middle."""
     shift = np.zeros(len(program.ranges) + 1)
     shift[column], shift[column + 1] = 1.0, elapsed
     estimate = solution @ shift
--- a/oatcart/trace/commands.py
+++ b/oatcart/trace/commands.py
@@ -1,6 +1,6 @@
 """The commands of `python -m oatcart.trace`: each prints its result and returns the exit code.
 
-All raise OSError and CorruptTraceError for files that cannot be used.
+All raise OSError or CorruptTraceError for files that cannot be read or written.
 """
 
 import argparse
@@ -17,7 +17,7 @@
 from oatcart.trace.records import FIELDS, FIELDS_MERGED, Record, RecordKind
 from oatcart.trace.replay import replay
 from oatcart.trace.selection import Selection, select
-from oatcart.trace.summary import repeatable_classes
+from oatcart.trace.summary import idempotent_classes
 from oatcart.trace.summary import summarize as summarize_records
 from oatcart.trace.timeline import Subject, timeline
 from oatcart.trace.trace_files import read_traces, write_trace
@@ -27,12 +27,12 @@
     """The exit code of a command."""
 
     OK = 0
-    INCOMPLETE = 1  # something is missing, broken or different
+    INCOMPLETE = 1  # records are missing, a rule was broken, or a replay differed
     UNUSABLE = 2  # a file or an argument cannot be used
 
 
 def print_result(result: object, lines: Iterable[str], as_json: bool) -> None:
-    """Print a result as one JSON object, or else the lines that say the same in words."""
+    """Print a result as one JSON object, or else as the lines of text for it."""
     if as_json:
         print(json.dumps(result, default=_as_json))
         return
@@ -41,25 +41,25 @@
 
 
 def _as_json(value: object) -> str:
-    """A value that JSON has no form for: bytes in hex, others as text."""
+    """Convert a value that JSON cannot represent: bytes to hex, others to text."""
     return value.hex() if isinstance(value, bytes) else str(value)
 
 
 def report_missing(missing: list[str]) -> ExitCode:
-    """Print to standard error what could not be read."""
+    """Print to standard error what could not be read; return the exit code."""
     for line in missing:
         print(f"missing: {line}", file=sys.stderr)
     return ExitCode.INCOMPLETE if missing else ExitCode.OK
 
 
 def reject_argument(message: str) -> ExitCode:
-    """Print to standard error which argument cannot be used, and why."""
+    """Print to standard error why an argument is invalid; return the exit code."""
     print(message, file=sys.stderr)
     return ExitCode.UNUSABLE
 
 
 def check(args: argparse.Namespace) -> ExitCode:
-    """What is intact in each file, what is missing, and whether its rounds are replayed identically."""
+    """Print what is intact in each file, what is missing, and whether its rounds are replayed identically."""
     code = ExitCode.OK
     for path in args.files:
         records, missing, metadata = read_traces([path])
@@ -85,38 +85,38 @@
 
 
 def summarize(args: argparse.Namespace) -> ExitCode:
-    """Requests by class, zone and endpoint; decisions by reason; rules that were seen broken."""
+    """Print requests by class, zone and endpoint, decisions by reason, and rules that were broken."""
     records, missing, _ = read_traces(args.files, args.first, args.last)
     start = next((record.fields for record in records if record.kind == RecordKind.START), None)
-    found = summarize_records(records, repeatable_classes(start) if start else None)
-    print_result(found, _summary_lines(found), args.json)
-    return report_missing(missing) or (ExitCode.INCOMPLETE if found["breaches"] else ExitCode.OK)
+    summary = summarize_records(records, idempotent_classes(start) if start else None)
+    print_result(summary, _summary_lines(summary), args.json)
+    return report_missing(missing) or (ExitCode.INCOMPLETE if summary["breaches"] else ExitCode.OK)
 
 
-def _summary_lines(found: dict) -> list[str]:
-    """The lines that say a summary in words."""
-    counts = ", ".join(f"{count} {kind}" for kind, count in found["records"].items())
-    lines = [f"{found['first']:.3f} to {found['last']:.3f}; {counts}"]
-    for field, rows in found["reqs"].items():
+def _summary_lines(summary: dict) -> list[str]:
+    """Return the lines of text for a summary."""
+    counts = ", ".join(f"{count} {kind}" for kind, count in summary["records"].items())
+    lines = [f"{summary['first']:.3f} to {summary['last']:.3f}; {counts}"]
+    for field, rows in summary["reqs"].items():
         for name, figures in rows.items():
-            columns = "  ".join(f"{what} {value:g}" for what, value in sorted(figures.items()))
+            columns = "  ".join(f"{figure} {value:g}" for figure, value in sorted(figures.items()))
             lines.append(f"{field:5} {name or '-':20} {columns}")
-    lines += [f"decided {row['count']:8} {row['decision']} {row['reason']}" for row in found["decisions"]]
-    lines += [f"shed {count} {kind}" for kind, count in found["shed"].items()]
+    lines += [f"decided {row['count']:8} {row['decision']} {row['reason']}" for row in summary["decisions"]]
+    lines += [f"shed {count} {kind}" for kind, count in summary["shed"].items()]
     lines += [
-        f"the clock stepped by {step['stepped']:.3f} s at {step['at']:.3f}" for step in found["clock_steps"]
+        f"the clock stepped by {step['stepped']:.3f} s at {step['at']:.3f}" for step in summary["clock_steps"]
     ]
-    lines += [f"RULE {breach['rule']} BROKEN: {breach['what']}" for breach in found["breaches"]]
+    lines += [f"RULE {breach['rule']} BROKEN: {breach['what']}" for breach in summary["breaches"]]
     lines += [
-        f"in doubt: {doubt['kind']} {doubt['key']} was handed to nodes {len(doubt['ran'])} times: "
-        f"{'; '.join(doubt['ran'])}"
-        for doubt in found["doubts"]
+        f"in doubt: {repeated['kind']} {repeated['key']} was handed to nodes {len(repeated['ran'])} times: "
+        f"{'; '.join(repeated['ran'])}"
+        for repeated in summary["doubts"]
     ]
     return lines
 
 
 def cut(args: argparse.Namespace) -> ExitCode:
-    """Write a part of a trace, by time, endpoint, proxy or request class."""
+    """Write the part of a trace that matches a time span, endpoints, proxies or request classes."""
     records, missing, metadata = read_traces(args.files)
     selection = Selection(args.first, args.last, set(args.node), set(args.proxy), set(args.kind))
     fields = FIELDS_MERGED if metadata.get("merged") else FIELDS
@@ -127,7 +127,7 @@
 
 
 def merge_traces(args: argparse.Namespace) -> ExitCode:
-    """Write the traces of several instances as one, in the clock of one of them."""
+    """Write the traces of several instances as one, with times by the clock of one of them."""
     paths_by_instance: dict[str, list[str]] = {}
     for path in args.files:
         with TraceReader(path) as trace:
@@ -139,7 +139,7 @@
         missing += contents.missing
     reference = args.reference or next(iter(traces))
     if reference not in traces:
-        return reject_argument(f"--reference: {reference} is none of {', '.join(traces)}")
+        return reject_argument(f"--reference: got {reference}, expected one of {', '.join(traces)}")
     records, clocks = merge(traces, reference)
     metadata = {"merged": list(traces), "reference": reference, "instance": reference}
     write_trace(args.out, metadata, records, FIELDS_MERGED)
@@ -148,8 +148,8 @@
 
 
 def _print_merge(args: argparse.Namespace, records: list[Record], clocks: AlignedClocks) -> None:
-    """Print how the clocks relate, and how many places are uncertain."""
-    known = {
+    """Print how the clocks relate, and for how many records the position is uncertain."""
+    estimates = {
         name: {
             "offset_s": clock.offset,
             "drift_ppm": clock.drift * 1e6,
@@ -159,7 +159,7 @@
     }
     uncertain = sum(not record.fields["certain"] for record in records)
     result = {
-        "clocks": known,
+        "clocks": estimates,
         "contradictions": clocks.contradictions,
         "records": len(records),
         "uncertain": uncertain,
@@ -167,7 +167,7 @@
     lines = [
         f"{name}: offset {clock['offset_s']:+.6f} s, drift {clock['drift_ppm']:+.1f} ppm, "
         f"within {clock['bound_s']:.6f} s"
-        for name, clock in known.items()
+        for name, clock in estimates.items()
     ]
     lines += clocks.contradictions
     lines.append(f"{args.out}: {len(records)} records, the place of {uncertain} is not certain")
@@ -177,19 +177,19 @@
 def strip(args: argparse.Namespace) -> ExitCode:
     """Write a trace without names, keys and free text, for outsiders."""
     records, missing, metadata = read_traces(args.files)
-    # a secret that ends with this process, so that no two exports can be linked
+    # a new secret for each export, never stored, so that the pseudonyms of two exports cannot be linked
     pseudonymizer = Pseudonymizer(secrets.token_bytes(32))
     instance = pseudonymizer.pseudonym("instance", metadata.get("instance", ""))
-    stripped = {"instance": instance, "stripped": True}
+    stripped_metadata = {"instance": instance, "stripped": True}
     if metadata.get("merged"):
-        stripped["merged"] = True
+        stripped_metadata["merged"] = True
     fields = FIELDS_MERGED if metadata.get("merged") else FIELDS
-    count = write_trace(args.out, stripped, map(pseudonymizer.replace, records), fields)
+    count = write_trace(args.out, stripped_metadata, map(pseudonymizer.replace, records), fields)
     replaced, dropped = pseudonymizer.replaced, pseudonymizer.dropped
     result = {"records": count, "replaced": replaced, "dropped": dropped}
     lines = [
         f"{args.out}: {count} records",
-        *(f"replaced {number} {sort}" for sort, number in replaced.items()),
+        *(f"replaced {number} {name_type}" for name_type, number in replaced.items()),
         *(f"dropped {number} {command}" for command, number in dropped.items() if number),
     ]
     print_result(result, lines, args.json)
@@ -203,12 +203,12 @@
     if args.req:
         proxy, _, number = args.req.rpartition(":")
         if not proxy or not number.isdigit():
-            return reject_argument(f"--req: {args.req!r} is not PROXY:NUMBER")
+            return reject_argument(f"--req: expected PROXY:NUMBER, got {args.req!r}")
         request = proxy, int(number)
     try:
         key = bytes.fromhex(args.key)
     except ValueError:
-        return reject_argument(f"--key: {args.key!r} is not in hex")
+        return reject_argument(f"--key: expected hex digits, got {args.key!r}")
     lines = timeline(records, Subject(key, request, args.node))
-    print_result({"events": lines}, lines or ["nothing was seen of it"], args.json)
+    print_result({"events": lines}, lines or ["no events recorded"], args.json)
     return report_missing(missing)
--- a/oatcart/views/__main__.py
+++ b/oatcart/views/__main__.py
@@ -1,7 +1,7 @@
 """`python -m oatcart.views deploy/views.yaml`: the control role, which serves each controller a bounded view
 of the fleet.
 
-Exit codes: 0 after SIGTERM or SIGINT, 2 if the file is invalid or an address cannot be listened at.
+Exit codes: 0 after SIGTERM or SIGINT, 2 if the file is invalid or listening at an address fails.
 """
 
 # ruff: noqa: E402 - signals are set before the imports that take time
@@ -31,18 +31,18 @@
 
 
 def assemble(configuration: Configuration) -> ControlRole:
-    """A control role on a loop of its own, which logs to standard error."""
+    """Creates a control role with an event loop of its own. It logs to standard error."""
     loop = Loop(time.monotonic, lambda error: log.write("task", "".join(traceback.format_exception(error))))
     log = Log(loop.clock)
     return ControlRole(configuration, loop, log)
 
 
-def main(words: list[str] | None = None) -> int:
+def main(argv: list[str] | None = None) -> int:
     """Runs the command with these arguments, by default those of the process; returns the exit code."""
     parser = argparse.ArgumentParser(prog="oatcart.views", description=__doc__)
     parser.add_argument("file", help="the control role's settings, YAML")
     parser.add_argument("--check", action="store_true", help="read and check the file, start nothing")
-    arguments = parser.parse_args(words)
+    arguments = parser.parse_args(argv)
     wake_receiver = reload_signal()
     try:
         configuration = read(arguments.file)
--- a/tests/live/waiting.py
+++ b/tests/live/waiting.py
@@ -1,9 +1,9 @@
-"""Waits for a condition with a generous timeout, so that a busy machine fails no test."""
+"""Waits for a condition, with a timeout that is long enough on a busy machine."""
 
 import time
 from collections.abc import Callable
 
-TIMEOUT_S = 10.0  # after which a condition counts as never met
+TIMEOUT_S = 10.0  # after which a wait fails
 POLL_INTERVAL_S = 0.01  # between two checks of a condition
 
 
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -4,15 +4,15 @@
 import json
 import socket
 
-import network_stage
+import network_harness
 from controller_process import CONFIG, ROOT
-from stage import Stage
+from scenario_harness import ScenarioHarness
 
 from oatcart.net.assembly import assemble
 
 
 def test_endpoints_are_watched_if_membership_is_automatic():
-    """On sockets nothing sends changes by itself, whatever the settings say."""
+    """On sockets, changes arrive only if requested, whatever the settings say."""
     configuration = json.loads((ROOT / "examples" / "config.json").read_text())
     signal_reader, signal_writer = socket.socketpair()
     with socket.create_server(("127.0.0.1", 0)) as discovery, signal_reader, signal_writer:
@@ -23,28 +23,28 @@
         request, _ = discovery.accept()
         with request, acceptor.listener:
             request.settimeout(5)
-            for _ in range(network_stage.SETTLE_TURNS):
-                loop.turn(network_stage.TURN_S)
+            for _ in range(network_harness.SETTLE_TURNS):
+                loop.turn(network_harness.MAX_TURN_WAIT_S)
             assert request.recv(4096).startswith(b"GET /v1/servers?since=")
 
 
 def test_request_is_made_again_after_it_failed_at_once(monkeypatch):
     """A request without a descriptor does not count as open."""
-    stage = Stage({})
+    harness = ScenarioHarness({})
 
-    def full(*_):
+    def raise_no_descriptors(*_):
         raise OSError(errno.EMFILE, "Too many open files")
 
     with monkeypatch.context() as patch:
-        patch.setattr(socket, "socket", full)
+        patch.setattr(socket, "socket", raise_no_descriptors)
         for step in ("command fetch_endpoints", "expect_event EndpointListFailed") * 2:
-            stage.play(step)
+            harness.play(step)
         for step in ("command watch_endpoints true", "expect_event EndpointListFailed"):
-            stage.play(step)
-        assert stage.rounds.watcher.watch_task is None
+            harness.play(step)
+        assert harness.rounds.watcher.watch_task is None
     for step in ("command fetch_endpoints", "expect_request /v1/servers"):
-        stage.play(step)
-    stage.close()
+        harness.play(step)
+    harness.close()
 
 
 def test_discovery_is_requested_without_a_known_list():
--- a/tests/soak/controller.py
+++ b/tests/soak/controller.py
@@ -1,4 +1,4 @@
-"""A controller process as deployed: started, signalled, killed, and started again under its name."""
+"""A controller process, run as it is deployed: started, signalled, killed and restarted."""
 
 import asyncio
 import json
@@ -13,13 +13,13 @@
 
 from soak.discovery import Discovery
 from soak.fleet import Fleet
-from soak.plan import KILL_AFTER_S, SIDECARS, XDS_CLIENTS
+from soak.plan import KILL_AFTER_S, PROXIES, XDS_CLIENTS
 
 ROOT = Path(__file__).parents[2]
-RUN = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
+RUN_COMMAND = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
 LOG_LINE = re.compile(r"(start|loop|acceptor|reload|invalid|stream|discovery|note|xds|push|refused|odd): ")
-DESCRIPTORS = 256
-READY_WITHIN_S = 30.0
+MAX_DESCRIPTORS = 256
+READY_TIMEOUT_S = 30.0
 
 SETTINGS = {
     "membershipMode": "subscribe",
@@ -39,7 +39,7 @@
         "stopSendingWithin": 2000.0,
     },
     "specifics": {
-        "proxyCount": SIDECARS,
+        "proxyCount": PROXIES,
         "period": 500.0,
         "pushRate": 3000.0,
         "envelope": 4.0,
@@ -53,7 +53,7 @@
 
 
 class Controller:
-    """`faults`: what went wrong with it, in words."""
+    """A controller process and its discovery service; `failures`: messages on what went wrong with it."""
 
     def __init__(self, number: int, folder: Path, fleet: Fleet, port: int) -> None:
         self.number, self.folder, self.fleet, self.port = number, folder, fleet, port
@@ -61,49 +61,49 @@
         self.xds_pushes = 0
         self.discovery = Discovery(fleet)
         self.discovery_address = 0
-        self.reloaded_at = 0.0  # s; of the last complete configuration that was signalled
+        self.reloaded_at = 0.0  # monotonic s; when the last complete configuration was signalled
         self.process: asyncio.subprocess.Process | None = None
         self.ready_at = float("inf")
         self.incarnation = 0
         self.log: list[str] = []
-        self.faults: list[str] = []
+        self.failures: list[str] = []
         self.is_ending = False
         self.log_task: asyncio.Task | None = None
         self.descriptors_at_start = 0
         self.resident_kb_at_start = 0
 
     def serve_xds(self, port: int, pushes: int) -> None:
-        """Let it serve xDS clients too, with so many pushes a second."""
+        """Let it serve xDS clients too, with a budget of `pushes` a second."""
         self.xds_port, self.xds_pushes = port, pushes
 
     def write_configuration(self) -> None:
-        """Write the configuration, which a running process reads at SIGHUP."""
-        table = {
+        """Write the configuration, which a running process reads on SIGHUP."""
+        configuration = {
             "name": f"n{self.number}",
             "listen": f"127.0.0.1:{self.port}",
             "discovery": f"127.0.0.1:{self.discovery.ports[self.discovery_address]}",
             "seed": f"{self.incarnation + 1:x}",
-            "limits": {"sockets": DESCRIPTORS},
+            "limits": {"sockets": MAX_DESCRIPTORS},
             "known": self.fleet.complete_list(),
             "settings": SETTINGS,
         }
-        (self.folder / f"n{self.number}.json").write_text(json.dumps(table))
+        (self.folder / f"n{self.number}.json").write_text(json.dumps(configuration))
         if self.xds_port is not None:
             (self.folder / "xds.yaml").write_text(
                 f"listen: 127.0.0.1:{self.xds_port}\nclients: {XDS_CLIENTS}\npushes: {self.xds_pushes}\n"
             )
 
     def command(self) -> str:
-        """The shell command that starts it."""
+        """Return the shell command that starts it."""
         program = f"{sys.executable} -m oatcart"
         if self.xds_port is not None:
             program += f".xds {self.folder / 'xds.yaml'}"
-        return RUN.replace(".venv/bin/python -m oatcart", program)
+        return RUN_COMMAND.replace(".venv/bin/python -m oatcart", program)
 
     async def start(self) -> None:
         """Start the process and wait until it answers a ping."""
         self.is_ending = False
-        self.discovery.told_at = []
+        self.discovery.sent_revisions = []
         self.write_configuration()
         self.process = await asyncio.create_subprocess_shell(
             self.command(),
@@ -116,50 +116,50 @@
         await self._wait_until_ready()
 
     async def _wait_until_ready(self) -> None:
-        deadline = time.monotonic() + READY_WITHIN_S
+        deadline = time.monotonic() + READY_TIMEOUT_S
         process = self.process
         while time.monotonic() < deadline and process.returncode is None:
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
                 writer.write(b'{"msg":"ping"}\n')
-                answered = await asyncio.wait_for(reader.readline(), 1.0)
+                reply = await asyncio.wait_for(reader.readline(), 1.0)
                 writer.close()
-                if answered:
+                if reply:
                     self.ready_at = time.monotonic()
-                    self.descriptors_at_start = self.descriptors()
+                    self.descriptors_at_start = self.descriptor_count()
                     self.resident_kb_at_start = self.resident_kb()
                     return
             except (OSError, TimeoutError):
                 pass
             await asyncio.sleep(0.02)
         if not self.is_ending:
-            self.faults.append(f"n{self.number} was not ready, exit code {process.returncode}")
+            self.failures.append(f"n{self.number} did not become ready, exit code {process.returncode}")
 
     async def _read_log(self, process: asyncio.subprocess.Process) -> None:
         while line := (await process.stderr.readline()).decode(errors="replace").rstrip():
             self.log.append(line)
             if not LOG_LINE.match(line):
-                self.faults.append(f"n{self.number} logged {line!r}")
+                self.failures.append(f"n{self.number}: unexpected log line {line!r}")
 
-    def signal(self, number: int) -> None:
-        """Send a signal, if the process is there and is not the shell any more."""
+    def signal(self, signal_number: int) -> None:
+        """Send a signal, if the process runs and the shell has been replaced by the controller."""
         if self.process is not None and self.process.returncode is None and not self._is_shell():
-            # not by the process object, which would collect the exit code that somebody else awaits
+            # not process.send_signal, which polls and so may collect the exit code that another task awaits
             with suppress(ProcessLookupError):
-                os.kill(self.process.pid, number)
+                os.kill(self.process.pid, signal_number)
 
     def _is_shell(self) -> bool:
         try:
             return Path(f"/proc/{self.process.pid}/comm").read_text().strip() == "sh"
-        except OSError:  # it has just ended
+        except OSError:  # the process has just ended
             return False
 
-    async def hang_ups(self, count: int) -> None:
-        """Several SIGHUP within milliseconds, as discovery moves; the file is half written at first."""
+    async def reload_repeatedly(self, count: int) -> None:
+        """Move discovery and send SIGHUP several times within ms, first with the file half written."""
         self.discovery_address = 1 - self.discovery_address
         path = self.folder / f"n{self.number}.json"
-        before = path.read_text()
-        path.write_text(before[: len(before) // 2])
+        text = path.read_text()
+        path.write_text(text[: len(text) // 2])
         self.signal(signal.SIGHUP)
         await asyncio.sleep(0.002)
         self.write_configuration()
@@ -169,13 +169,13 @@
         self.reloaded_at = time.monotonic()
 
     async def restart(self, *signals: int) -> None:
-        """Send signals; SIGKILL follows as early as it may; start it again."""
+        """Send signals, then SIGKILL as early as the protocol allows, and start the process again."""
         if self.is_ending:
             return
         self.is_ending = True
         process = self.process
-        for number in signals:
-            self.signal(number)
+        for signal_number in signals:
+            self.signal(signal_number)
             await asyncio.sleep(0.002)
         if signal.SIGKILL not in signals:
             await asyncio.sleep(KILL_AFTER_S)
@@ -184,26 +184,26 @@
         code = await process.wait()
         await self.log_task
         if code != 0 and signal.SIGKILL not in signals:
-            self.faults.append(f"n{self.number} ended with {code} after {signals}")
+            self.failures.append(f"n{self.number}: expected exit code 0 after {signals}, got {code}")
         await self.start()
 
-    async def end(self) -> None:
-        """End it for good, in an orderly way."""
+    async def stop(self) -> None:
+        """Stop the process with SIGTERM, and check its exit code."""
         self.is_ending = True
         self.signal(signal.SIGTERM)
         try:
-            code = await asyncio.wait_for(self.process.wait(), READY_WITHIN_S)
+            code = await asyncio.wait_for(self.process.wait(), READY_TIMEOUT_S)
         finally:
             self.signal(signal.SIGKILL)
         await self.log_task
         if code != 0:
-            self.faults.append(f"n{self.number} ended with {code} at the end")
+            self.failures.append(f"n{self.number}: expected exit code 0 at the end of the run, got {code}")
 
-    def descriptors(self) -> int:
-        """How many descriptors it has open."""
+    def descriptor_count(self) -> int:
+        """Return the number of descriptors that it has open."""
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
     def resident_kb(self) -> int:
-        """Its resident memory."""
+        """Return its resident memory in KB."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         return int(re.search(r"VmRSS:\s+(\d+)", status)[1])
