--- a/oatcart/xds/follow.py
+++ b/oatcart/xds/follow.py
@@ -42,7 +42,7 @@
 def parse_endpoints(
     message: endpoint_pb2.ClusterLoadAssignment, zones: dict[str, int]
 ) -> dict[str, tuple[ReportedEndpoint, Address]]:
-    """Returns the endpoints of an assignment by name; raises InvalidResponseError."""
+    """Return the endpoints of an assignment by name; raises InvalidResponseError."""
     parsed: dict[str, tuple[ReportedEndpoint, Address]] = {}
     name_at: dict[Address, str] = {}
     for locality_index, locality in enumerate(message.endpoints):
@@ -153,7 +153,7 @@
             await asyncio.gather(self.task, return_exceptions=True)
 
     async def _run(self) -> None:
-        """Opens one stream after another; each runs until it ends or a suspect answer has to be rechecked."""
+        """Open one stream after another; each runs until it ends or a suspect answer has to be rechecked."""
         options = [
             ("grpc.max_receive_message_length", RESPONSE_BYTES_MAX),
             ("grpc.keepalive_time_ms", 10_000),
--- a/oatcart/xds/front.py
+++ b/oatcart/xds/front.py
@@ -38,13 +38,13 @@
     """Receives clients as proxies, and the events for the controller."""
 
     def add_proxy(self, proxy: int, unconfigured: bool) -> None:
-        """Adds a proxy. `unconfigured`: it has no table of any controller."""
+        """Add a proxy. `unconfigured`: it has no table of any controller."""
 
     def remove_proxy(self, proxy: int) -> None:
-        """Removes a proxy."""
+        """Remove a proxy."""
 
     def add_event(self, event: tuple) -> None:
-        """Passes an event to the next round."""
+        """Pass an event to the next round."""
 
 
 class Front:
@@ -270,7 +270,7 @@
             self.registry.add_event(ProxyLeft(client.proxy))
 
     def on_written(self, stream: Stream) -> None:
-        """The transport has written all pushes of a stream."""
+        """Note that the transport has written all pushes of a stream."""
         stream.writable = True
         if stream.client is not None:
             self.push_dispatch.add(stream)
--- a/oatcart/xds/push_metrics.py
+++ b/oatcart/xds/push_metrics.py
@@ -38,11 +38,11 @@
         self.waiting_since: list[float] = []  # s; of the streams that the last dispatch kept back
 
     def count(self, priority: PushPriority, resource_type: str) -> None:
-        """A push of a type was sent."""
+        """Count a push of a type that was sent."""
         self.sent[priority.name.lower(), resource_type] += 1
 
     def status(self, now: float, budget: PushBudget) -> PushStatus:
-        """Returns the present counts. `now`: s."""
+        """Return the present counts. `now`: s."""
         return PushStatus(
             dict(self.sent),
             max(0.0, -budget.available),
--- a/oatcart/xds/sent_endpoints.py
+++ b/oatcart/xds/sent_endpoints.py
@@ -34,7 +34,7 @@
         self.empty_groups: set[str] = set()  # those that had an endpoint and have none
 
     def record(self, name: str, pickable: frozenset) -> None:
-        """A resource was sent with these endpoints, or was removed if there are none."""
+        """Note that a resource was sent with these endpoints, or removed if there are none."""
         previous = self.pickable.pop(name, frozenset())
         if pickable:
             self.pickable[name] = pickable
