--- a/oatcart/xds/push_metrics.py
+++ b/oatcart/xds/push_metrics.py
@@ -1,4 +1,4 @@
-"""What the push budget was spent on and who waits for it, for operators. Free of I/O and clock."""
+"""Counts of sent and delayed pushes, for operators. Free of I/O and clock."""
 
 from collections import Counter
 from typing import NamedTuple
@@ -18,9 +18,10 @@
     oldest: float
 
     def __str__(self) -> str:
-        """One log line's text."""
+        """The text of a log line."""
         sent = ", ".join(
-            f"{priority} {kind} {count}" for (priority, kind), count in sorted(self.sent.items())
+            f"{priority} {resource_type} {count}"
+            for (priority, resource_type), count in sorted(self.sent.items())
         )
         return (
             f"withdrawals to {self.kept_back} streams wait for the push budget, the first for "
@@ -36,12 +37,12 @@
         self.sent: Counter[tuple[str, str]] = Counter()
         self.waiting_since: list[float] = []  # s; of the streams that the last dispatch kept back
 
-    def count(self, priority: PushPriority, kind: str) -> None:
-        """A push of a type was sent."""
-        self.sent[priority.name.lower(), kind] += 1
+    def count(self, priority: PushPriority, resource_type: str) -> None:
+        """Count a push of a type that was sent."""
+        self.sent[priority.name.lower(), resource_type] += 1
 
     def status(self, now: float, budget: PushBudget) -> PushStatus:
-        """What stands now. `now`: s."""
+        """Return the present counts. `now`: s."""
         return PushStatus(
             dict(self.sent),
             max(0.0, -budget.available),
--- a/oatcart/xds/serve.py
+++ b/oatcart/xds/serve.py
@@ -1,4 +1,4 @@
-"""A conductor with the xDS front: sidecars and xDS clients served at once, from the same decisions."""
+"""A controller with the xDS front, which serves proxies and xDS clients by the same decisions."""
 
 import asyncio
 import socket
@@ -17,30 +17,33 @@
 from oatcart.xds.configuration import Xds, capacity_warning
 from oatcart.xds.encode import Encoder
 from oatcart.xds.endpoint_list_merge import EndpointListMerge
-from oatcart.xds.follow import Follower
-from oatcart.xds.front import Front, new_life
+from oatcart.xds.follow import ManagementServerClient
+from oatcart.xds.front import Front, new_incarnation
 from oatcart.xds.limits import ClientLimits, PushBudget
-from oatcart.xds.nested import Nested
+from oatcart.xds.nested import NestedLoop
 from oatcart.xds.rounds import XdsRounds
 from oatcart.xds.server import Server
 from oatcart.xds.verified_endpoints import ReportedEndpoint, VerifiedEndpoints
 
-UNUSABLE = 2  # exit code where a configuration cannot be used
+EXIT_INVALID_CONFIGURATION = 2  # exit code
 
 
-class Conductor:
-    """A whole conductor in this process; `cfg` is what `EDGE_CONFIG` names, read; `woken` is readable
-    once it is to be read again."""
+class XdsController:
+    """A controller with its sockets, the xDS front and the client of a management server, if one is set.
+
+    `cfg`: the content of the file that `EDGE_CONFIG` names; `reload_socket`: readable once that file has to
+    be read again; `with_tracing`: wraps the maker of the rounds, so that they are recorded.
+    """
 
     def __init__(
         self,
         cfg: dict,
         xds: Xds,
-        woken: socket.socket,
-        traced: Callable[[Callable], Callable] = lambda make: make,
+        reload_socket: socket.socket,
+        with_tracing: Callable[[Callable], Callable] = lambda make: make,
     ) -> None:
         self.xds = xds
-        self.loop, self.rounds, self.acceptor = assemble(cfg, woken, traced(self._rounds))
+        self.loop, self.rounds, self.acceptor = assemble(cfg, reload_socket, with_tracing(self._make_rounds))
         records, codec = read_controller_settings(cfg["settings"]), self.rounds.codec
         zones = sorted(codec.zones, key=codec.zones.get)
         self.front = Front(
@@ -48,14 +51,14 @@
             list(zip(codec.request_class_names, records.request_classes, strict=True)),
             zones,
             codec.proxy_count,
-            new_life(time.time_ns(), int(cfg["seed"], 16)),
+            new_incarnation(time.time_ns(), int(cfg["seed"], 16)),
             ClientLimits(xds.clients, xds.streams, xds.names, xds.pushes),
             PushBudget(xds.pushes),
             records.admission_mode == AdmissionMode.RATE,
             xds.home_zone,
             self.rounds.logger.write,
         )
-        self.nested = Nested(self.loop, self.rounds)
+        self.nested_loop = NestedLoop(self.loop, self.rounds)
         self.encoder = Encoder()
         self.server = Server(
             self.front,
@@ -64,23 +67,23 @@
             xds.unread_for,
             xds.report_every,
             xds.clients * xds.streams,
-            self.place,
+            self.endpoint_number,
             self.rounds.logger.write,
-            self.nested.kick,
+            self.nested_loop.wake,
         )
 
-        self.follower = None
+        self.management_client = None
         if xds.source is not None:
             verified = VerifiedEndpoints(xds.source.hold)
-            if not xds.source.with_roll:  # the list known at the start is what that server is held against
-                known = self.rounds.merge.discovery_to_management()
+            if not xds.source.with_roll:  # the list known at the start is compared with the first answer
+                known = self.rounds.list_merge.discovery_to_management()
                 verified.restore(
                     {
-                        codec.endpoint_ids[at]: ReportedEndpoint(zone, state, nominal, started)
-                        for at, zone, started, state, nominal in known
+                        codec.endpoint_ids[number]: ReportedEndpoint(zone, state, nominal, started)
+                        for number, zone, started, state, nominal in known
                     }
                 )
-            self.follower = Follower(
+            self.management_client = ManagementServerClient(
                 xds.source.address,
                 xds.source.cluster,
                 cfg.get("name", ""),
@@ -90,59 +93,66 @@
                 Backoff(xds.source.dial_most, Random(int(cfg["seed"], 16)).uniform),
                 self.loop.clock,
                 time.time,
-                self._listed,
+                self._on_management_list,
                 self.rounds.logger.write,
             )
 
-    def _rounds(self, *args: object) -> XdsRounds:
+    def _make_rounds(self, *args: object) -> XdsRounds:
         rounds = XdsRounds(*args)
         if self.xds.source is not None:
-            rounds.merge, rounds.follows_roll = EndpointListMerge(), self.xds.source.with_roll
+            rounds.list_merge, rounds.uses_discovery = EndpointListMerge(), self.xds.source.with_roll
         return rounds
 
-    def _listed(self, entries: list[tuple]) -> None:
-        self.rounds.listed_elsewhere(entries)
-        self.nested.kick()
-
-    def place(self, at: object) -> int | None:
-        """A node's number by its name or by its host and port."""
-        if isinstance(at, str):
-            return self.rounds.codec.endpoint_numbers.get(at)
-        return next((place for place, known in self.rounds.watcher.addresses.items() if known == at), None)
+    def _on_management_list(self, entries: list[tuple]) -> None:
+        self.rounds.add_management_list(entries)
+        self.nested_loop.wake()
+
+    def endpoint_number(self, address: object) -> int | None:
+        """Return the number of an endpoint by its id or its (host, port); None if it is not listed."""
+        if isinstance(address, str):
+            return self.rounds.codec.endpoint_numbers.get(address)
+        return next(
+            (number for number, listed in self.rounds.watcher.addresses.items() if listed == address),
+            None,
+        )
 
     async def start(self) -> int:
-        """Serve; hands back the port of the xDS front."""
+        """Start serving; returns the port of the xDS front."""
         self.port = await self.server.start(self.xds.listen)
-        self.rounds.serve(self.front, self.server.soon)
+        self.rounds.attach_front(self.front, self.server.schedule_dispatch)
         self.rounds.logger.write("start", f"xDS at port {self.port}")
         if warning := capacity_warning(self.xds):
             self.rounds.logger.write("config", warning)
-        self.nested.start()
-        if self.follower is not None:
-            self.follower.start()
+        self.nested_loop.start()
+        if self.management_client is not None:
+            self.management_client.start()
         return self.port
 
     async def stop(self) -> None:
-        if self.follower is not None:
-            await self.follower.stop()
+        """Stop serving and close all sockets."""
+        if self.management_client is not None:
+            await self.management_client.stop()
         await self.server.stop()
-        self.nested.stop()
+        self.nested_loop.stop()
         self.acceptor.listener.close()
-        close(self.loop)
+        close_loop(self.loop)
 
 
-def close(loop: Loop) -> None:
-    """Close what the epoll loop's tasks hold."""
+def close_loop(loop: Loop) -> None:
+    """Cancel the tasks of an epoll loop and close it."""
     for task in set(loop.waiting.values()):
         loop.cancel(task)
     loop.epoll.close()
 
 
-async def run(cfg: dict, xds: Xds, traced: Callable[[Callable], Callable] = lambda make: make) -> int:
-    """`traced` may put a tap between the module and its rounds."""
+async def run(cfg: dict, xds: Xds, with_tracing: Callable[[Callable], Callable] = lambda make: make) -> int:
+    """Serve until a signal ends the process; returns an exit code if the configuration cannot be used.
+
+    `with_tracing`: see `XdsController`.
+    """
     try:
-        await Conductor(cfg, xds, reload_signal(), traced).start()
+        await XdsController(cfg, xds, reload_signal(), with_tracing).start()
     except (InvalidConfigurationError, RuntimeError) as error:
         print(f"config: {error}", file=sys.stderr)
-        return UNUSABLE
+        return EXIT_INVALID_CONFIGURATION
     return await asyncio.get_running_loop().create_future()  # a signal ends the process
--- a/oatcart/xds/standin/nodes.py
+++ b/oatcart/xds/standin/nodes.py
@@ -1,4 +1,4 @@
-"""Loopback nodes that speak gRPC: each answers with its name, and counts what it ran by key."""
+"""Loopback gRPC endpoints that answer with their name and count the calls by key."""
 
 from collections import Counter
 
@@ -7,13 +7,14 @@
 SERVICE, METHOD = "oatcart.standin.Node", "Run"
 
 
-class Node:
-    """`fails`: answers UNAVAILABLE after the effect has taken place, as a node that dies in between would."""
+class ScriptedEndpoint:
+    """`fails_after_effect`: calls end with UNAVAILABLE after they took effect, as if it crashed then."""
 
     def __init__(self, name: str) -> None:
-        self.name, self.ran, self.effects, self.fails = name, 0, Counter(), False
+        self.name, self.call_count, self.calls_by_key, self.fails_after_effect = name, 0, Counter(), False
 
     async def start(self, port: int = 0) -> int:
+        """Listen on loopback; returns the port."""
         self.server = grpc.aio.server(options=[("grpc.so_reuseport", 0)])
         self.server.add_generic_rpc_handlers(
             (
@@ -27,11 +28,12 @@
         return self.port
 
     async def _run(self, request: bytes, context: grpc.aio.ServicerContext) -> bytes:
-        self.ran += 1
-        self.effects[request] += 1
-        if self.fails:
+        self.call_count += 1
+        self.calls_by_key[request] += 1
+        if self.fails_after_effect:
             await context.abort(grpc.StatusCode.UNAVAILABLE, "gone after the effect")
         return self.name.encode()
 
     async def stop(self) -> None:
+        """Stop listening."""
         await self.server.stop(None)
--- a/tests/soak/xds_clients.py
+++ b/tests/soak/xds_clients.py
@@ -43,7 +43,7 @@
                     self.since = time.monotonic()
                 self._subscribe_members()
             self.since = None
-            await self.client.drop()
+            await self.client.disconnect()
             pushback = 0 if self.is_cut else self.client.status[2].get(PUSHBACK_KEY, 0)
             await asyncio.sleep(max(RECONNECT_DELAY_S, int(pushback) / 1000))
 
@@ -53,20 +53,20 @@
         self.is_cut = False
         self.client.connect()
         self.connections += 1
-        self.client.got.clear()
+        self.client.received.clear()
         self.incarnation = self.controller.incarnation
-        self.client.ask(CLUSTER)
-        self.client.ask(ENDPOINTS, REQUEST_CLASSES)
-        if self.client.names[MEMBER]:
-            self.client.ask(MEMBER, list(self.client.names[MEMBER]))
-        self.client.ask(ROUTE, REQUEST_CLASSES)
+        self.client.request(CLUSTER)
+        self.client.request(ENDPOINTS, REQUEST_CLASSES)
+        if self.client.subscribed[MEMBER]:
+            self.client.request(MEMBER, list(self.client.subscribed[MEMBER]))
+        self.client.request(ROUTE, REQUEST_CLASSES)
 
     def _subscribe_members(self) -> None:
         if self.shape != "each":
             return
-        wanted = [name for name in self.client.collections() if name not in self.client.names[MEMBER]]
+        wanted = [name for name in self.client.collections() if name not in self.client.subscribed[MEMBER]]
         if wanted:
-            self.client.ask(MEMBER, wanted)
+            self.client.request(MEMBER, wanted)
 
     def reconnect(self) -> None:
         """Cut the stream."""
@@ -79,7 +79,7 @@
 
     def check_routes(self) -> None:
         """Check rule 2: the routes of a non-idempotent class have no retries."""
-        if (resource := self.client.held[ROUTE].get("order")) is None:
+        if (resource := self.client.resources[ROUTE].get("order")) is None:
             return
         for virtual_host in resource[1].virtual_hosts:
             for route in virtual_host.routes:
--- a/tests/xds/test_wire_bytes.py
+++ b/tests/xds/test_wire_bytes.py
@@ -1,5 +1,7 @@
-"""The bytes of xDS responses and the versions in them are those that clients hold already: a renamed class or
-field must not change what a version is a digest of, or a restarted controller sends everything anew.
+"""Bytes and versions of xDS responses stay as recorded.
+
+A renamed class or field must not change what a version is a digest of, or a restarted controller would send
+everything again.
 """
 
 from hashlib import blake2b
@@ -24,7 +26,7 @@
     "assignment-spread": (ENDPOINTS, view.Assignment("lookup", view.SPREAD, 0, (ENDPOINT_A, ENDPOINT_B))),
     "assignment-each": (
         ENDPOINTS,
-        view.Assignment("lookup", view.EACH, 0, (), (("a", view.collection("a", "lookup", "a")),)),
+        view.Assignment("lookup", view.EACH, 0, (), (("a", view.collection_prefix("a", "lookup", "a")),)),
     ),
     "listener": (LISTENER, view.Listener("lookup")),
     "route": (ROUTE, view.Route("lookup", 1, "connect-failure,refused-stream")),
