--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -191,9 +191,9 @@
         if action_type == ActionType.XDS_RECONNECT:
             client.reconnect()
         elif action_type == ActionType.XDS_WITHHOLD_ACKS:
-            client.client.answers.clear()
+            client.client.answering.clear()
         else:
-            client.client.answers.set()
+            client.client.answering.set()
 
     async def _reconnect_all_xds_clients(self, target: int) -> None:
         for client in self.xds_clients:
