--- a/deploy/build_environment.py
+++ b/deploy/build_environment.py
@@ -1,10 +1,10 @@
-"""Make `.venv` with what `requirements.txt` names, complete or not at all, however many builds run at once.
+"""Make `.venv` with what `requirements.txt` names, safely while other builds run.
 
     python3 deploy/build_environment.py
 
-A build holds a lock; others wait for it and find its result. The environment is made in a folder beside
-`.venv` and renamed once it is complete, so that a build that is killed leaves nothing that looks finished.
-Exit code 1 and one line on standard error where it cannot be made.
+A build holds a lock; other builds wait for it and use its result. The environment is made in a folder beside
+`.venv` and renamed once it is complete, so that a killed build leaves nothing that looks complete. Where the
+environment cannot be made, the exit code is 1 and standard error has one line.
 """
 
 import fcntl
@@ -21,7 +21,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 LOCK = ".venv.lock"
 UNFINISHED_PREFIX = ".venv-unfinished-"
-# Run by an environment's own interpreter: whether each requirement is installed to its last file
+# Run by an environment's own interpreter: exits with 0 if each requirement is installed completely. RECORD is
+# the last file of a package that pip writes.
 CHECK = """
 import sys
 from importlib.metadata import PackageNotFoundError, distribution
@@ -42,7 +43,7 @@
 
 @contextmanager
 def build_lock(root: Path) -> Iterator[None]:
-    """Hold the build's lock. Installers inherit it, so it lasts until a killed build's have ended too."""
+    """Hold the build lock. A killed build's lock lasts until its installer ends, which inherits it."""
     with open(root / LOCK, "a") as lock:
         os.set_inheritable(lock.fileno(), True)
         fcntl.flock(lock, fcntl.LOCK_EX)
@@ -50,13 +51,13 @@
 
 
 def requirements(root: Path) -> list[str]:
-    """The lines of `requirements.txt`, as `NAME==VERSION`."""
+    """Return the requirements in `requirements.txt`, as `NAME==VERSION`."""
     lines = (root / "requirements.txt").read_text().splitlines()
     return [line.strip() for line in lines if line.strip() and not line.startswith("#")]
 
 
 def is_complete(environment: Path, required: list[str]) -> bool:
-    """Whether an environment has all that is required."""
+    """Return whether an environment has all that is required."""
     python = environment / "bin" / "python"
     if not python.exists():
         return False
@@ -64,7 +65,7 @@
 
 
 def install(environment: Path, root: Path) -> None:
-    """Install the requirements into an environment."""
+    """Install the requirements into an environment; raises BuildError where pip fails."""
     command = [environment / "bin" / "python", "-m", "pip", "-q", "install", "-r", root / "requirements.txt"]
     result = subprocess.run(command, close_fds=False, capture_output=True, text=True)
     if result.returncode:
@@ -72,7 +73,7 @@
 
 
 def rename_paths(environment: Path, final: Path) -> None:
-    """Let the scripts of an environment name the folder that it is to be renamed to."""
+    """Replace the environment's path in its scripts by the path that it is to be renamed to."""
     for script in [environment / "pyvenv.cfg", *(environment / "bin").iterdir()]:
         if script.is_symlink() or not script.is_file():
             continue
@@ -81,12 +82,12 @@
 
 
 def make_environment(root: Path, final: Path, required: list[str]) -> None:
-    """Make a new environment and put it in the place of what stands there."""
+    """Make a new environment in a folder of its own and let it replace the one at `final`."""
     unfinished = Path(tempfile.mkdtemp(prefix=UNFINISHED_PREFIX, dir=root))
     venv.create(unfinished, with_pip=True, symlinks=True)
     install(unfinished, root)
     if not is_complete(unfinished, required):
-        raise BuildError("pip ended with 0, and not all of requirements.txt is installed")
+        raise BuildError("pip ended with 0, but not all of requirements.txt is installed")
     rename_paths(unfinished, final)
     unfinished.chmod(0o755)
     if final.exists():
@@ -95,19 +96,19 @@
 
 
 def remove_unfinished(root: Path) -> None:
-    """Remove what killed builds left, and what was replaced."""
+    """Remove unfinished environments of killed builds, and environments that were replaced."""
     for folder in root.glob(UNFINISHED_PREFIX + "*"):
         shutil.rmtree(folder, ignore_errors=True)
 
 
 def build(root: Path) -> None:
-    """Make `.venv` complete. An environment whose pip works is brought up to date in place."""
+    """Make `.venv` complete. An environment whose pip works is updated in place."""
     final, required = root / ".venv", requirements(root)
     with build_lock(root):
         remove_unfinished(root)
         if is_complete(final, required):
             return
-        with suppress(BuildError, OSError):  # without pip or interpreter it was left by a killed build
+        with suppress(BuildError, OSError):  # fails if a killed build left it without pip or interpreter
             install(final, root)
         if not is_complete(final, required):
             make_environment(root, final, required)
@@ -115,7 +116,7 @@
 
 
 def main() -> int:
-    """Build, and answer the exit code."""
+    """Build, and return the exit code."""
     try:
         build(ROOT)
     except (BuildError, OSError, subprocess.CalledProcessError) as error:
--- a/deploy/sites/variants.py
+++ b/deploy/sites/variants.py
@@ -1,10 +1,9 @@
-"""Writes other deployments for the operators' bench from one of its site files: only what differs stands
-here.
+"""Writes site files of other deployments for the operators' bench, as changes to one of its own site files.
 
     python deploy/sites/variants.py ../given/kit/sites/lagos-lists.toml deploy/sites/out
 
-The files beside the site file that the bench reads with it are laid beside what is written. The output is not
-kept.
+The files that the bench reads with a site file are copied to the output folder too. The output is not
+committed.
 """
 
 import re
@@ -13,17 +12,18 @@
 from pathlib import Path
 
 COMPANION_FILES = "real.json", "wire.json", "unlock.txt"
-# By section (a class or a kind of node by its name) and key: the new value, None to leave the whole section
-# out
+# New values by section (of a request class or a kind of endpoint, with its name) and key; None removes the
+# whole section. `more` is added at the end.
 VARIANTS = {
-    "quay-maps": {  # many zones, four kinds of req, a slow channel, few messages, a long grace
+    # many zones, four request classes, a slow update channel, a low message cap, a long drain deadline
+    "quay-maps": {
         ("net", "zones"): '["quay-1", "quay-2", "quay-3", "quay-4", "quay-5", "hill", "mill"]',
         ("net", "cross_ms"): "[3.0, 5.0]",
         ("rules", "drain_grace_ms"): "6000",
         ("prices", "cross_zone"): "0.05",
         ("fam", "lines_per_s"): "[1500, 1900]",
         ("fam", "backlog_ms"): "2000",
-        ("fam", "messages_most"): "10",  # the least that the bench takes but 0
+        ("fam", "messages_most"): "10",  # the least that the bench accepts besides 0
         ("fam", "standing"): "4",
         ("class list-lookup", "share"): "[0.3, 0.4]",
         ("class list-lookup", "worth"): "2",
@@ -46,7 +46,8 @@
 effect = "safe"
 """,
     },
-    # half of the reqs may not run again, long cold, a fast channel, a short window for repeats
+    # half of the requests are not idempotent, a long warm-up, a fast update channel, a short window in which
+    # repeats are dropped
     "vault-seals": {
         ("net", "zones"): '["vault-n", "vault-s"]',
         ("rules", "drain_grace_ms"): "2000",
@@ -69,7 +70,7 @@
 
 
 def split_sections(text: str) -> list[list[str]]:
-    """The lines of a site file, a section each; the first has no header."""
+    """Returns the lines of each section of a site file; the first section has no header."""
     sections: list[list[str]] = [[]]
     for line in text.splitlines():
         if line.startswith("["):
@@ -79,14 +80,14 @@
 
 
 def section_name(lines: list[str]) -> str:
-    """`fam`, or `class fee-charge` where a section may stand more than once."""
+    """Returns the name of a section: `fam`, or `class fee-charge` where there may be several of its kind."""
     header = lines[0].strip("[] ").split(".")[-1] if lines and lines[0].startswith("[") else ""
     named = re.search(r'^name = "(.*)"', "\n".join(lines), re.M)
     return f"{header} {named[1]}" if header in ("class", "kind") and named else header
 
 
 def apply_variant(text: str, name: str) -> str:
-    """Another deployment's site file. Raises LookupError for a change that meets nothing."""
+    """Returns the site file of a variant. Raises LookupError for changes that match no section and key."""
     changes = {key: value for key, value in VARIANTS[name].items() if key != "more"} | {
         ("", "name"): f'"{name}"'
     }
@@ -101,11 +102,12 @@
                 lines[number] = f"{key[1]} = {changes[key]}"
         output += [] if removed else lines
     if unmatched := changes.keys() - matched:
-        raise LookupError(f"the site file has no {sorted(unmatched)}")
+        raise LookupError(f"the site file has no section and key {sorted(unmatched)}")
     return "\n".join(output) + "\n" + VARIANTS[name].get("more", "")
 
 
 def main() -> None:
+    """Writes all variants of the site file that the command line names to the folder that it names."""
     site, folder = Path(sys.argv[1]), Path(sys.argv[2])
     folder.mkdir(parents=True, exist_ok=True)
     for name in COMPANION_FILES:
--- a/examples/toy_proxy.py
+++ b/examples/toy_proxy.py
@@ -1,18 +1,20 @@
-"""A toy proxy and collector in one: joins the conductor, reports made-up work, prints the orders it gets."""
+"""A toy proxy and collector in one: joins the controller, reports made-up load, prints its updates."""
 
 import json
 import socket
 import time
 
 CONTROLLER = ("127.0.0.1", 5000)
-REPORT_PERIOD_S = 1.0  # s between reports
+REPORT_PERIOD_S = 1.0
 
 
 def encode_message(**fields) -> bytes:
+    """Returns a message of the controller's protocol: a JSON object on a line of its own."""
     return json.dumps(fields).encode() + b"\n"
 
 
 def main() -> None:
+    """Keeps the table that the controller sends, until it closes the stream."""
     with socket.create_connection(CONTROLLER) as stream, socket.create_connection(CONTROLLER) as collector:
         stream.sendall(encode_message(msg="joined", sidecar=0, az="east", share=20.0, standing=True))
         collector.sendall(encode_message(msg="collector", az="east"))
@@ -22,7 +24,7 @@
             try:
                 data = stream.recv(65536)
                 if not data:
-                    return print("the conductor ended the stream")
+                    return print("the controller closed the stream")
                 unread += data
             except TimeoutError:
                 pass
